--- a/Makefile
+++ b/Makefile
@@ -13,7 +13,7 @@
 	touch $@
 
 demo: $(READY)
-	$(BIN)/python -m standin demo
+	$(BIN)/python -m testbed demo
 
 test: $(READY)
 	$(BIN)/ruff check .
@@ -22,7 +22,7 @@
 	$(BIN)/python -m pytest -n $(JOBS) --dist worksteal
 
 scenarios: $(READY)
-	$(BIN)/python -m standin run --all --jobs $(JOBS)
+	$(BIN)/python -m testbed run --all --jobs $(JOBS)
 
 clean:
 	rm -rf $(VENV) .ci-venv found
--- a/benchmarks/authz_cost.py
+++ b/benchmarks/authz_cost.py
@@ -16,11 +16,11 @@
 
 import uvloop
 
-from standin.authoriser.server import Authoriser as AuthoriserServer
-from standin.authoriser.server import Behaviour
-from standin.model.scenario import Authoriser, Clients, Hosts, Plan, Scenario
-from standin.net.clients import ClientSide
-from standin.play.world import World
+from testbed.ext_authz_server.server import Authoriser as AuthoriserServer
+from testbed.ext_authz_server.server import Behaviour
+from testbed.model.scenario import Authoriser, Clients, Hosts, Plan, Scenario
+from testbed.net.clients import ClientSide
+from testbed.runner.world import World
 
 TICKS = os.sysconf("SC_CLK_TCK")
 DAY = Scenario(
--- a/benchmarks/leavers.py
+++ b/benchmarks/client_disconnects.py
@@ -1,6 +1,6 @@
 """Requests whose client left while they waited: how many reach a host 0.3 s or more after that.
 
-    python -m benchmarks.leavers          a burst of clients on loopback, connections to hosts up late: one line
+    python -m benchmarks.client_disconnects   a burst of clients on loopback, connections to hosts up late: one line
 
 Each client sends one request and leaves within 0.2 s, every other one by a reset; a connection to a host comes up 0 to
 0.4 s after it is asked for. ``--forgets`` plants the fault: what waits for a connection is not withdrawn.
--- a/benchmarks/fleet/__init__.py
+++ b/benchmarks/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The program's pure machines on the virtual clock of ``standin.fleet``."""
+"""The program's pure machines on the virtual clock of ``testbed.simulation``."""
--- a/benchmarks/fleet/ceilings.py
+++ b/benchmarks/fleet/ceilings.py
@@ -16,10 +16,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from orchidlane import interface as api
-from orchidlane.rules import Gateway
-from standin.fleet.clock import Fleet, Link
-from standin.fleet.machine import Sent
+from saffrongw.policy import interface as api
+from saffrongw.policy.rules import Gateway
+from testbed.simulation.clock import Fleet, Link
+from testbed.simulation.machine import Sent
 
 SECOND, MS = 1_000_000, 1_000
 T0 = 1_000_000 * SECOND  # the clock at true time 0: long after any start
--- a/benchmarks/fleet/lease_days.py
+++ b/benchmarks/fleet/lease_days.py
@@ -20,10 +20,10 @@
 from rich.table import Table
 
 from benchmarks.fleet.leases import Field
+from saffrongw.leases.candidates import shard_name
 from saffrongw.leases.spec import Spec
-from saffrongw.leases.standing import shard_name
 from saffrongw.leases.timing import SECOND, Timing
-from standin.fleet.clock import Link
+from testbed.simulation.clock import Link
 
 DAY, FROM, UNTIL = 120 * SECOND, 20 * SECOND, 90 * SECOND
 SPECS = tuple(
--- a/benchmarks/fleet/lease_case.py
+++ b/benchmarks/fleet/lease_explorer.py
@@ -1,4 +1,4 @@
-"""Voters and askers as a case for ``standin.fleet.explore``: their own code, every interleaving of it.
+"""Voters and askers as a case for ``testbed.simulation.explore``: their own code, every interleaving of it.
 
 A message may arrive at any time from its sending on, or never, and so many of them twice. Time goes on in ticks, for
 each node at its own rate; the least favourable rates are the bounds. States that differ only in the names of voters,
@@ -13,12 +13,12 @@
 from dataclasses import dataclass, replace
 from itertools import combinations, combinations_with_replacement
 
-from saffrongw.leases.asker import Asker, Claim, Gained, Stage
-from saffrongw.leases.holds import Holds
+from saffrongw.leases.acceptor import Entry, Voter
+from saffrongw.leases.candidates import Standing
 from saffrongw.leases.messages import Accept, Message, Prepare, Promise, Propose, Refuse, Release
-from saffrongw.leases.standing import Standing
+from saffrongw.leases.proposer import Asker, Claim, Gained, Stage
+from saffrongw.leases.suspensions import Holds
 from saffrongw.leases.timing import SECOND, Timing
-from saffrongw.leases.voter import Entry, Voter
 
 LEASE = "s0/1"
 WALL = 1_700_000_000 * SECOND
--- a/benchmarks/fleet/leases.py
+++ b/benchmarks/fleet/leases.py
@@ -13,15 +13,15 @@
 
 import msgspec
 
-from saffrongw.leases.asker import Gained, Lost, Wanted
-from saffrongw.leases.member import Confirmed, Member
-from saffrongw.leases.sets import VoterSet
+from saffrongw.leases.candidates import shard_of
+from saffrongw.leases.node import Confirmed, Member
+from saffrongw.leases.proposer import Gained, Lost, Wanted
 from saffrongw.leases.spec import Spec
-from saffrongw.leases.standing import shard_of
+from saffrongw.leases.task_schedule import Call, Cancel, Do, Outcome, Say, Turns
 from saffrongw.leases.timing import SECOND, Timing
-from saffrongw.leases.turns import Call, Cancel, Do, Outcome, Say, Turns
-from standin.fleet.clock import Fleet, Link, Node
-from standin.fleet.machine import Sent
+from saffrongw.leases.voter_set import VoterSet
+from testbed.simulation.clock import Fleet, Link, Node
+from testbed.simulation.machine import Sent
 
 MS = 1_000
 WALL = 1_700_000_000 * SECOND  # of the world, at true time 0
--- a/benchmarks/fleet/lists.py
+++ b/benchmarks/fleet/lists.py
@@ -15,10 +15,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from saffrongw.gateway.asking import Asking, Call
-from standin.fleet.clock import Fleet, Link
-from standin.fleet.machine import Sent
-from standin.model.list_desk import Costs, Desk, Said
+from saffrongw.gateway.discovery.poll_schedule import Asking, Call
+from testbed.model.list_service import Costs, Desk, Said
+from testbed.simulation.clock import Fleet, Link
+from testbed.simulation.machine import Sent
 
 SECOND = 1_000_000
 SERVICE = "lists"
--- a/benchmarks/fleet/quotas.py
+++ b/benchmarks/fleet/quotas.py
@@ -15,7 +15,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from orchidlane import interface as api
+from saffrongw.policy import interface as api
 
 from .ceilings import SECOND, Store, World
 
--- a/benchmarks/takeover_cost.py
+++ b/benchmarks/hot_restart_cost.py
@@ -1,4 +1,4 @@
-"""What an upgrade in service costs clients: ``python -m benchmarks.takeover_cost [--upgrades N] [--rate R]``.
+"""What an upgrade in service costs clients: ``python -m benchmarks.hot_restart_cost [--upgrades N] [--rate R]``.
 
 One gateway, one host that answers at once, an open loop of requests on kept connections and on new ones by turns. The
 gateway is replaced again and again; latencies (clock from when a request was due) stand beside those of a run without.
@@ -22,7 +22,7 @@
 sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
 from conftest import SITE, Caller, FakeHost, configured
 
-from standin.play.processes import free_port
+from testbed.runner.processes import free_port
 
 KEPT = 20  # connections that stay
 SPAN = 1.2  # seconds between two upgrades
--- a/benchmarks/lease_cost.py
+++ b/benchmarks/lease_cost.py
@@ -18,10 +18,10 @@
 import uvloop
 
 from benchmarks.ledger_cost import DAY
-from standin.judge.record import Answered, Sent
-from standin.play.lease_world import Receiver
-from standin.play.processes import free_port
-from standin.play.world import World
+from testbed.checker.record import Answered, Sent
+from testbed.runner.lease_world import Receiver
+from testbed.runner.processes import free_port
+from testbed.runner.world import World
 
 KINDS = ("off", "silent", "holder")
 
--- a/benchmarks/lease_takeover.py
+++ b/benchmarks/lease_takeover.py
@@ -16,9 +16,9 @@
 
 import uvloop
 
-from standin.judge.holders import judge
-from standin.model.lease_day import LeaseDay, LeaseFault
-from standin.play.lease_world import LeaseWorld
+from testbed.checker.lease_rules import judge
+from testbed.model.lease_day import LeaseDay, LeaseFault
+from testbed.runner.lease_world import LeaseWorld
 
 HOWS = ("kill", "term", "stop")
 
--- a/benchmarks/ledger_cost.py
+++ b/benchmarks/ledger_cost.py
@@ -16,9 +16,9 @@
 
 from saffrongw.ledger.entries import Event, Kind
 from saffrongw.ledger.store import Store
-from standin.judge.record import Answered, Sent
-from standin.model.scenario import Class, Clients, Hosts, Plan, Scenario
-from standin.play.world import World
+from testbed.checker.record import Answered, Sent
+from testbed.model.scenario import Class, Clients, Hosts, Plan, Scenario
+from testbed.runner.world import World
 
 DAY = Scenario(
     "ledger-cost",
--- a/benchmarks/list_start.py
+++ b/benchmarks/list_start.py
@@ -23,11 +23,11 @@
 
 import h11
 
-from standin.model.list_desk import Costs, Desk, Said
-from standin.model.registry import Line
-from standin.model.scenario import Scenario, settings_of
-from standin.net.relay import LOCAL
-from standin.play.processes import GatewayProcess, run_line
+from testbed.model.list_service import Costs, Desk, Said
+from testbed.model.registry import Line
+from testbed.model.scenario import Scenario, settings_of
+from testbed.net.relay import LOCAL
+from testbed.runner.processes import GatewayProcess, run_line
 
 SEQ, OLD = 80, 41
 
--- a/benchmarks/tls_cost.py
+++ b/benchmarks/tls_cost.py
@@ -27,10 +27,10 @@
 import uvloop
 
 from saffrongw.certs import chain
+from saffrongw.certs.certificate_store import Store
 from saffrongw.certs.documents import CertNote
-from saffrongw.certs.store import Store
-from standin.authority.issuer import Issuer, request_of
-from standin.play.processes import die_with_parent, free_port
+from testbed.acme_server.issuer import Issuer, request_of
+from testbed.runner.processes import die_with_parent, free_port
 
 ROOT = Path(__file__).parent.parent
 NAME = "gw.example"
--- a/saffrongw/__init__.py
+++ b/saffrongw/__init__.py
@@ -1,3 +1,3 @@
-"""saffrongw: the api gateway on real sockets round the decisions of ``orchidlane``."""
+"""saffrongw: a quota-keeping API gateway."""
 
 __version__ = "0.2.0"
--- a/saffrongw/__main__.py
+++ b/saffrongw/__main__.py
@@ -5,12 +5,12 @@
 import os
 import sys
 
-from .gateway import birth  # first, to note when the process began
+from .gateway import signals  # first, to note when the process began
 
 if __name__ == "__main__":
-    birth.hold_hang_ups()  # loading the rest takes its time
+    signals.hold_hang_ups()  # loading the rest takes its time
 
-from .gateway.process import run  # isort: skip
+from .gateway.bootstrap import run  # isort: skip
 
 
 def main() -> int:
--- a/saffrongw/admin/certs.py
+++ b/saffrongw/admin/certs.py
@@ -16,14 +16,14 @@
 from saffrongw import operator
 from saffrongw.admin import columns, unusable
 from saffrongw.certs import chain, renewal
-from saffrongw.certs.agent import Agent, Row
+from saffrongw.certs.certificate_store import Store
 from saffrongw.certs.documents import CertNote, DocumentError
-from saffrongw.certs.front import Manner
 from saffrongw.certs.jose import AccountKey
 from saffrongw.certs.messages import AcmeError
-from saffrongw.certs.store import Store
+from saffrongw.certs.renewal_loop import Agent, Row
 from saffrongw.certs.table import REASONS, AuthorityTable, CertsTable
-from tomlform import FormError
+from saffrongw.certs.tls_listener import Manner
+from toml_schema import FormError
 
 ALARM_STATUS = 1  # exit status of ``list`` where something is urgent
 
--- a/saffrongw/admin/cli.py
+++ b/saffrongw/admin/cli.py
@@ -8,13 +8,13 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-import tomlform
+import toml_schema
 from saffrongw import __version__, operator
 from saffrongw.admin import leases, unusable
 from saffrongw.certs.table import REASONS
-from saffrongw.gateway import process
+from saffrongw.extension_registry import plugs_of
+from saffrongw.gateway import bootstrap
 from saffrongw.gateway.config import parse
-from saffrongw.wiring import plugs_of
 
 
 def serve(config: str | None = None, operator_file: str | None = None) -> int:
@@ -22,15 +22,15 @@
     name = operator_file or os.environ.get("SAFFRONGW_OPERATOR")
     try:
         file = operator.load(name) if name else None
-    except tomlform.FormError as wrong:
+    except toml_schema.FormError as wrong:
         return unusable(wrong)
     if config is None and "LB_CONFIG" not in os.environ:
         return unusable(
             "no configuration: name one with --config or LB_CONFIG (`make demo` shows a whole fleet)"
         )
     try:
-        return process.run(config, (lambda read: plugs_of(file, read, name)) if file else None)
-    except tomlform.FormError as wrong:  # a name that the configuration does not have, or a file of TLS
+        return bootstrap.run(config, (lambda read: plugs_of(file, read, name)) if file else None)
+    except toml_schema.FormError as wrong:  # a name that the configuration does not have, or a file of TLS
         return unusable(f"{name}: {wrong}")
 
 
@@ -45,13 +45,13 @@
                 return unusable(f"{path}: known.hosts: {config.known.odd} entries make no sense")
         else:
             return unusable(f"{path}: neither an operator file (.toml) nor a configuration (.json)")
-    except tomlform.FormError as wrong:
+    except toml_schema.FormError as wrong:
         return unusable(wrong)
     except OSError as wrong:
         return unusable(f"{path}: can't be read: {wrong.strerror or wrong}")
     except KeyError as wrong:
         return unusable(f"{path}: the key {wrong.args[0]!r} is missing")
-    except process.UNUSABLE as wrong:
+    except bootstrap.UNUSABLE as wrong:
         return unusable(f"{path}: {wrong}")
     print(f"{path}: good")
     return 0
--- a/saffrongw/authz/attributes.py
+++ b/saffrongw/authz/attributes.py
@@ -11,7 +11,7 @@
 from google.protobuf.message import DecodeError
 from google.protobuf.struct_pb2 import Struct
 
-from saffrongw.gateway.plug import StagedRequest
+from saffrongw.gateway.extensions import StagedRequest
 
 from . import check_pb2 as pb
 from .checks import Kind, Reply
--- a/saffrongw/authz/stage.py
+++ b/saffrongw/authz/request_filter.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from saffrongw.gateway.driver import Driver
-from saffrongw.gateway.plug import Ending, Fail, Pass, Refuse, StagedRequest, Verdict
+from saffrongw.gateway.extensions import Ending, Fail, Pass, Refuse, StagedRequest, Verdict
 
 from .attributes import BadReply, Names, check_of, key_of, reply_of
 from .channel import Channel, ChannelError
--- a/saffrongw/authz/server.py
+++ b/saffrongw/authz/server.py
@@ -11,9 +11,9 @@
 
 import grpc
 
-from orchidlane import interface as api
-from saffrongw.gateway.extended import ExtendedDriver
+from saffrongw.gateway.filter_chain import ExtendedDriver
 
+from ..policy import interface as api
 from .attributes import METHOD, BadRequest, Fields, Names, asked_of, let_in, turned_away
 from .channel import METADATA_MOST, REPLY_MOST, Tls
 
--- a/saffrongw/certs/store.py
+++ b/saffrongw/certs/certificate_store.py
@@ -27,7 +27,7 @@
 from dataclasses import asdict, dataclass, replace
 from pathlib import Path
 
-from saffrongw.gateway.plug import SoleDuty
+from saffrongw.gateway.extensions import SoleDuty
 
 from . import chain, documents
 from .documents import Account, CertNote, DocumentError
--- a/saffrongw/certs/part.py
+++ b/saffrongw/certs/component.py
@@ -8,13 +8,13 @@
 
 from saffrongw.gateway.config import address
 from saffrongw.gateway.driver import Driver
-from saffrongw.gateway.plug import SoleDuty
+from saffrongw.gateway.extensions import SoleDuty
 
-from .agent import Agent, Clock, Row
-from .front import Front, Manner, make_context
 from .handshakes import SECOND, Bounds
+from .renewal_loop import Agent, Clock, Row
 from .responder import Responder
 from .table import CertsTable, ClientsTable
+from .tls_listener import Front, Manner, make_context
 
 MS = 1_000  # microseconds
 
--- a/saffrongw/certs/http.py
+++ b/saffrongw/certs/http.py
@@ -11,8 +11,8 @@
 
 from saffrongw import __version__
 
-from .flow import Request
 from .messages import AcmeError, Answer, Kind, clean, odd
+from .order_flow import Request
 
 WITHIN = 30.0  # seconds for one request, from connecting to the last byte
 HEAD_MOST, BODY_MOST = 32 * 1024, 512 * 1024  # bytes
--- a/saffrongw/certs/flow.py
+++ b/saffrongw/certs/order_flow.py
@@ -15,7 +15,16 @@
 from . import messages
 from .documents import CertNote, OrderNote
 from .jose import AccountKey, b64
-from .messages import AcmeError, Answer, Authorisation, BadNonce, Challenge, Directory, Kind, Order
+from .messages import (
+    AcmeError,
+    Answer,
+    Authorisation,
+    BadNonce,
+    Challenge,
+    Directory,
+    Kind,
+    Order,
+)
 
 NONCES = 8  # kept; each is good for one request
 NONCE_TRIES = 4  # of one request: an authority that refuses each nonce must not keep us for ever
--- a/saffrongw/certs/agent.py
+++ b/saffrongw/certs/renewal_loop.py
@@ -23,19 +23,19 @@
 from pathlib import Path
 from typing import Any
 
-from saffrongw.gateway.plug import SoleDuty
+from saffrongw.gateway.extensions import SoleDuty
 
-from . import chain, flow, renewal
+from . import chain, order_flow, renewal
+from .certificate_store import CHALLENGE_FOR, LostLease, Pair, Proof, Store, StoreError
 from .documents import Account, CertNote, DocumentError
-from .flow import Flow, Keep, Publish, Request, Session, Wait, Withdraw
-from .front import Manner, Names, make_context
 from .http import Https
 from .jose import AccountKey, external_key
 from .lease import Terms
 from .messages import AcmeError, Kind
+from .order_flow import Flow, Keep, Publish, Request, Session, Wait, Withdraw
 from .renewal import Alarm, Rules, Standing
-from .store import CHALLENGE_FOR, LostLease, Pair, Proof, Store, StoreError
 from .table import AuthorityTable, CertsTable, CertTable
+from .tls_listener import Manner, Names, make_context
 
 log = logging.getLogger(__name__)
 
@@ -438,7 +438,7 @@
             note = await self._off(self.store.note, one.id)
             request = await self._off(chain.csr, key, one.names)
             pair = self.keeper.pairs.get(one.id)
-            wanted = flow.Wanted(
+            wanted = order_flow.Wanted(
                 one.names,
                 one.challenge,
                 request,
@@ -447,7 +447,9 @@
                 pair.facts.ari if pair and not note.wanted else "",
             )
             try:
-                pem = await self.perform(flow.obtain(session, note, wanted, _issuers), https, one.id, duty)
+                pem = await self.perform(
+                    order_flow.obtain(session, note, wanted, _issuers), https, one.id, duty
+                )
             except AcmeError as wrong:
                 # Asked for by a process that died while the authority looked: that says nothing of the names.
                 if not (note.order and note.order.url) or wrong.kind not in (Kind.CHALLENGE, Kind.ORDER):
@@ -456,7 +458,9 @@
                     "certs: %s: an order of an earlier life was lost, a new one begins: %s", one.id, wrong
                 )
                 note = replace(note, order=None)
-                pem = await self.perform(flow.obtain(session, note, wanted, _issuers), https, one.id, duty)
+                pem = await self.perform(
+                    order_flow.obtain(session, note, wanted, _issuers), https, one.id, duty
+                )
             await self._off(self._put_in_service, one, pem, key, duty)
             await self._off(self.keeper.load)
             self.unkept.pop(one.id, None)
@@ -532,7 +536,7 @@
             except AcmeError as failed:
                 wrong = failed
 
-    async def _step(self, step: flow.Step, https: Https, id: str, duty: tuple[str, int]) -> Any:
+    async def _step(self, step: order_flow.Step, https: Https, id: str, duty: tuple[str, int]) -> Any:
         if isinstance(step, Request):
             self.counts["requests"] += 1
             self.store.step(f"ask {step.read}")
--- a/saffrongw/certs/responder.py
+++ b/saffrongw/certs/responder.py
@@ -8,8 +8,8 @@
 
 import h11
 
+from saffrongw.gateway.acceptor import Acceptor
 from saffrongw.gateway.config import Address
-from saffrongw.gateway.listeners import Acceptor
 
 PATH = b"/.well-known/acme-challenge/"
 OPEN_MOST = 64  # connections at once
--- a/saffrongw/certs/table.py
+++ b/saffrongw/certs/table.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from tomlform import ADDRESS, key
+from toml_schema import ADDRESS, key
 
 NAME = r"(?=.{1,253}\Z)([a-z0-9_]([a-z0-9_\-]{0,61}[a-z0-9])?\.)*[a-z0-9_]([a-z0-9_\-]{0,61}[a-z0-9])?"
 URL = r"https://[!-~]{1,2000}"
--- a/saffrongw/certs/front.py
+++ b/saffrongw/certs/tls_listener.py
@@ -18,11 +18,11 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from saffrongw.gateway.clients import BACKLOG, Client, Clients
+from saffrongw.gateway.acceptor import ACCEPT_MOST
 from saffrongw.gateway.config import Address
-from saffrongw.gateway.listeners import ACCEPT_MOST
+from saffrongw.gateway.downstream.connection import BACKLOG, Client, Clients
 
-from . import hello
+from . import client_hello
 from .handshakes import Bounds, Handshakes
 
 log = logging.getLogger(__name__)
@@ -171,20 +171,20 @@
     def _peek(self, sock: socket.socket) -> None:
         """Look at what a client has sent; the bytes stay where they are."""
         try:
-            data = sock.recv(hello.HELLO_MOST + 1_024, socket.MSG_PEEK)
-            found = hello.read(data) if data else None
+            data = sock.recv(client_hello.HELLO_MOST + 1_024, socket.MSG_PEEK)
+            found = client_hello.read(data) if data else None
         except (BlockingIOError, InterruptedError):
             return
         except OSError as wrong:
             self._refuse(sock, "reset" if wrong.errno == errno.ECONNRESET else "failed")
             return
-        except hello.HelloError:
+        except client_hello.HelloError:
             self._refuse(sock, "no hello")
             return
         if found is None:
             self._refuse(sock, "left")
         elif isinstance(found, int):
-            if found > hello.HELLO_MOST + 1_024 or found <= len(data):
+            if found > client_hello.HELLO_MOST + 1_024 or found <= len(data):
                 self._refuse(sock, "no hello")
                 return
             # Else the loop would come back for the bytes that are there, again and again.
@@ -212,7 +212,7 @@
         """Say why, before any key is used; what was sent is read, else its end would be a reset and the word lost."""
         self.handshakes.gone(sock, "refused")
         try:
-            sock.recv(hello.HELLO_MOST + 1_024)
+            sock.recv(client_hello.HELLO_MOST + 1_024)
             sock.send(bytes((ALERT, 3, 3, 0, 2, FATAL, description)))
         except OSError:
             pass
@@ -222,7 +222,7 @@
         self.handshakes.gone(sock, why)
         self._drop(sock)
 
-    def _check(self, sock: socket.socket, found: hello.Hello) -> None:
+    def _check(self, sock: socket.socket, found: client_hello.Hello) -> None:
         """An authority asks for proof; that is not rationed: few come, and a renewal hangs on it."""
         self.handshakes.unrationed(self._now(), sock)
         self._run(self._prove(sock, found.name))
--- a/saffrongw/channel/part.py
+++ b/saffrongw/channel/component.py
@@ -11,7 +11,7 @@
 from saffrongw.gateway.config import address
 from saffrongw.gateway.driver import Driver
 
-from .envelope import BadKey, Envelope, Key
+from .signed_datagram import BadKey, Envelope, Key
 from .socket import Channel
 from .table import ChannelTable
 
--- a/saffrongw/channel/socket.py
+++ b/saffrongw/channel/socket.py
@@ -11,7 +11,7 @@
 
 from saffrongw.gateway.config import Address
 
-from .envelope import HELLO, Envelope, Letter, Opened, Unknown
+from .signed_datagram import HELLO, Envelope, Letter, Opened, Unknown
 
 log = logging.getLogger(__name__)
 
--- a/saffrongw/channel/table.py
+++ b/saffrongw/channel/table.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from tomlform import ADDRESS, key
+from toml_schema import ADDRESS, key
 
 GATEWAY = r"[A-Za-z0-9_.\-]{1,64}"
 
--- a/saffrongw/wiring.py
+++ b/saffrongw/extension_registry.py
@@ -9,13 +9,13 @@
 
 from saffrongw.certs.table import CertsTable
 from saffrongw.channel.table import ChannelTable
-from saffrongw.gateway.clients import Front
 from saffrongw.gateway.config import Config
-from saffrongw.gateway.plug import Lines, Observer, OperatorCall, Plugs, Service, SoleDuty, Stage
+from saffrongw.gateway.downstream.connection import Front
+from saffrongw.gateway.extensions import Lines, Observer, OperatorCall, Plugs, Service, SoleDuty, Stage
 from saffrongw.leases.table import LeasesTable
 from saffrongw.operator import OperatorFile, load
 from saffrongw.operator.file import AuthzServerTable, AuthzTable, LedgerTable, TlsTable
-from tomlform import FormError
+from toml_schema import FormError
 
 log = logging.getLogger(__name__)
 
@@ -109,7 +109,7 @@
 
 def _channel(table: ChannelTable):
     try:
-        from saffrongw.channel.part import ChannelPart
+        from saffrongw.channel.component import ChannelPart
     except ImportError as missing:
         raise FormError(f"channel needs the extra saffrongw[leases]: {missing}") from None
     try:
@@ -120,7 +120,7 @@
 
 def _leases(table: LeasesTable, channel):
     try:
-        from saffrongw.leases.part import LeasesPart
+        from saffrongw.leases.component import LeasesPart
     except ImportError as missing:
         raise FormError(f"leases needs the extra saffrongw[leases]: {missing}") from None
     return LeasesPart(table, channel)
@@ -133,7 +133,7 @@
 
 def _certs(table: CertsTable, config: Config, duty: SoleDuty | None = None):
     try:
-        from saffrongw.certs.part import CertsPart
+        from saffrongw.certs.component import CertsPart
     except ImportError as missing:
         raise FormError(f"certs needs the extra saffrongw[certs]: {missing}") from None
     return CertsPart(table, config.seed, duty=duty)
@@ -148,8 +148,8 @@
 
 
 def _names(config: Config):
-    from orchidlane.interface import Effect
     from saffrongw.authz.attributes import Names
+    from saffrongw.policy.interface import Effect
 
     safe = [c.effect is Effect.SAFE for c in config.settings.classes]
     return Names(config.class_names, config.plan_names, tuple(safe))
@@ -166,7 +166,7 @@
     from saffrongw.authz.breaker import BreakerFigures
     from saffrongw.authz.channel import Channel
     from saffrongw.authz.checks import Figures
-    from saffrongw.authz.stage import AuthzStage, Rules
+    from saffrongw.authz.request_filter import AuthzStage, Rules
 
     names = _names(config)
     for place, line in enumerate(table.fail_for):
@@ -237,8 +237,8 @@
 
 
 def _ledger(table: LedgerTable, config: Config):
-    from orchidlane.interface import Effect
-    from saffrongw.ledger.gate import Ledger
+    from saffrongw.ledger.request_filter import Ledger
+    from saffrongw.policy.interface import Effect
 
     written = {Effect.UNSAFE, Effect.KEYED} if table.keyed else {Effect.UNSAFE}
     kinds = frozenset(n for n, c in enumerate(config.settings.classes) if c.effect in written)
--- /dev/null
+++ b/saffrongw/gateway/admin_http/__init__.py
@@ -0,0 +1,1 @@
+"""The operators' HTTP address: its server and the handlers of its calls."""
--- a/saffrongw/gateway/operations.py
+++ b/saffrongw/gateway/admin_http/handlers.py
@@ -4,14 +4,13 @@
 
 from collections.abc import Callable, Mapping
 
-from orchidlane import handover
-from orchidlane import interface as api
-
-from .clients import Clients
-from .config import Config
-from .driver import Driver
-from .figures import text
-from .plug import Lines, OperatorCall
+from ...policy import interface as api
+from ...policy import state_transfer
+from ..config import Config
+from ..downstream.connection import Clients
+from ..driver import Driver
+from ..extensions import Lines, OperatorCall
+from ..metrics import text
 
 SOURCE = "operator"
 EXCLUDED_MOST = 4_096  # hosts taken out at once: each is remembered, listed or not
@@ -53,7 +52,7 @@
         if len(gateway.excluded) >= EXCLUDED_MOST and server not in gateway.excluded:
             return "too many hosts are out"
         self._exclude(server, True)
-        self.tell("exclusion", handover.text_of(server), True)
+        self.tell("exclusion", state_transfer.text_of(server), True)
         return None
 
     def uncordon(self, server: api.Server) -> str | None:
@@ -61,7 +60,7 @@
         if not self._known(server):
             return "no host has this id"
         self._exclude(server, False)
-        self.tell("exclusion", handover.text_of(server), False)
+        self.tell("exclusion", state_transfer.text_of(server), False)
         return None
 
     def _exclude(self, server: api.Server, excluded: bool) -> None:
@@ -70,7 +69,7 @@
     def told(self, message: list) -> None:
         """What operators asked of the other process of an upgrade holds here too."""
         if message[0] == "exclusion":
-            self._exclude(handover.server_of(message[1]), bool(message[2]))
+            self._exclude(state_transfer.server_of(message[1]), bool(message[2]))
         elif message[0] == "quiesced":
             (self.clients.quiesce if message[1] else self.clients.resume)()
         else:
--- a/saffrongw/gateway/operators.py
+++ b/saffrongw/gateway/admin_http/server.py
@@ -15,8 +15,8 @@
 
 import h11
 
-from .config import Address
-from .listeners import Acceptor
+from ..acceptor import Acceptor
+from ..config import Address
 
 log = logging.getLogger(__name__)
 
--- a/saffrongw/gateway/intake.py
+++ b/saffrongw/gateway/admission_queue.py
@@ -11,8 +11,7 @@
 from collections.abc import Callable
 from time import monotonic
 
-from orchidlane.shedding import Shedder, Waiting
-
+from ..policy.load_shedding import Shedder, Waiting
 from .driver import Driver, Terms, busy
 
 AT_ONCE = 0.004  # seconds of a turn in which requests are begun as they are read
--- a/saffrongw/gateway/process.py
+++ b/saffrongw/gateway/bootstrap.py
@@ -15,21 +15,20 @@
 
 import uvloop
 
-from orchidlane.wire import WireError
-
-from . import birth
-from .asking import Asking
-from .clients import Clients
+from ..policy.settings_schema import SettingsError
+from . import signals
+from .admin_http.handlers import Operations
+from .admin_http.server import OperatorCalls
 from .config import Config, address, parse
-from .discovery import Watch
+from .discovery.client import Watch
+from .discovery.poll_schedule import Asking
+from .downstream.connection import Clients
 from .driver import Driver
-from .figures import Figures
-from .hosts import Hosts
-from .operations import Operations
-from .operators import OperatorCalls
-from .peers import Peers
-from .plug import Plugs
-from .succession import Estate, Inheritance, either
+from .extensions import Plugs
+from .gossip_transport import Peers
+from .hot_restart.successor import Estate, Inheritance, either
+from .metrics import Figures
+from .upstream.cluster import Hosts
 
 log = logging.getLogger(__name__)
 
@@ -45,7 +44,7 @@
     AttributeError,
     ArithmeticError,
     RecursionError,
-    WireError,
+    SettingsError,
 )
 
 
@@ -97,7 +96,7 @@
     sockets = max(SPARE, config.sockets - SPARE)
     client_sockets = int(CLIENT_PART * sockets)
     if plugs:
-        from .extended import ExtendedDriver  # only here: a gateway without plugs does not even load it
+        from .filter_chain import ExtendedDriver  # only here: a gateway without plugs does not even load it
 
         driver: Driver = ExtendedDriver(config.settings, config.seed, loop, plugs)
     else:
@@ -186,7 +185,7 @@
 def run(path: str | None = None, plug: Callable[[Config], Plugs] | None = None) -> int:
     """Read the configuration and serve; one plain line and 1 where it is wrong. Without a path LB_CONFIG names it."""
     start_log()
-    birth.hold_hang_ups()
+    signals.hold_hang_ups()
     try:
         file = Path(path if path is not None else os.environ["LB_CONFIG"])
         config = read(file)
--- a/saffrongw/gateway/config.py
+++ b/saffrongw/gateway/config.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from orchidlane import interface as api
-from orchidlane import wire
+from ..policy import interface as api
+from ..policy.settings_schema import parse_settings
 
 Address = tuple[str, int]
 
@@ -114,7 +114,7 @@
         peer_listen=address(raw["peer_listen"]) if peers and raw.get("peer_listen") else None,
         peers=tuple(address(peer) for peer in peers),
         known=parse_hosts(raw.get("known") or {"seq": 0, "whole": True, "hosts": ()}, zones),
-        settings=wire.parse_settings(json.dumps(settings).encode()),
+        settings=parse_settings(json.dumps(settings).encode()),
         classes={c["name"].encode(): i for i, c in enumerate(settings["classes"])},
         plans={p["name"].encode(): i for i, p in enumerate(settings["packages"])},
         zones=zones,
--- a/saffrongw/gateway/discovery.py
+++ b/saffrongw/gateway/discovery/client.py
@@ -9,9 +9,9 @@
 
 import h11
 
-from .asking import Asking, Call
-from .config import Address, HostList, parse_hosts
-from .news import News
+from ..config import Address, HostList, parse_hosts
+from .poll_schedule import Asking, Call
+from .watch_events import News
 
 log = logging.getLogger(__name__)
 
--- a/saffrongw/gateway/news.py
+++ b/saffrongw/gateway/discovery/watch_events.py
@@ -10,9 +10,8 @@
 from collections import OrderedDict
 from dataclasses import replace
 
-from orchidlane import interface as api
-
-from .config import HostEntry, HostList
+from ...policy import interface as api
+from ..config import HostEntry, HostList
 
 REMEMBER = 30.0  # seconds
 
--- /dev/null
+++ b/saffrongw/gateway/downstream/__init__.py
@@ -0,0 +1,1 @@
+"""Connections from clients."""
--- a/saffrongw/gateway/clients.py
+++ b/saffrongw/gateway/downstream/connection.py
@@ -10,15 +10,14 @@
 from itertools import chain, islice
 from typing import Protocol
 
-from orchidlane.shedding import Waiting
-
-from .config import Config
-from .driver import FAILED, Call, Driver, Terms, busy
-from .intake import Intake
-from .listeners import Acceptor
-from .resp import CommandReader, Malformed
-from .streams import LongValue
-from .terms import Form, parse
+from ...policy.load_shedding import Waiting
+from ..acceptor import Acceptor
+from ..admission_queue import Intake
+from ..config import Config
+from ..driver import FAILED, Call, Driver, Terms, busy
+from ..request_parser import Form, parse
+from ..resp import CommandReader, Malformed
+from ..streaming_reply import LongValue
 
 BACKLOG = 1024  # connections that the kernel holds until they are accepted
 COMMAND_WITHIN = 3.0  # seconds for a whole command, from connecting or from its first byte
--- a/saffrongw/gateway/driver.py
+++ b/saffrongw/gateway/driver.py
@@ -13,13 +13,12 @@
 from dataclasses import dataclass, field
 from typing import ClassVar, NamedTuple, Protocol
 
-from orchidlane import interface as api
-from orchidlane.rules import Gateway
-
-from .birth import began
+from ..policy import interface as api
+from ..policy.rules import Gateway
 from .config import HostList
-from .figures import Figures
-from .streams import LongValue
+from .metrics import Figures
+from .signals import began
+from .streaming_reply import LongValue
 
 log = logging.getLogger(__name__)
 
--- a/saffrongw/gateway/plug.py
+++ b/saffrongw/gateway/extensions.py
@@ -11,9 +11,8 @@
 from enum import Enum
 from typing import Any, Protocol
 
-from orchidlane import interface as api
-
-from .clients import Front
+from ..policy import interface as api
+from .downstream.connection import Front
 from .driver import Attempt, Call, Driver, Terms
 
 MS = 1_000  # microseconds
--- a/saffrongw/gateway/extended.py
+++ b/saffrongw/gateway/filter_chain.py
@@ -14,12 +14,21 @@
 from dataclasses import dataclass, field, replace
 from typing import ClassVar
 
-from orchidlane import interface as api
-
+from ..policy import interface as api
 from .config import HostList
 from .driver import FAILED, MS, ON_THE_WAY, Attempt, Call, Driver, Hosts, Terms, busy
-from .plug import Ending, Fail, Observer, Plugs, Refuse, Stage, StagedRequest, StageError, apply
-from .streams import LongValue
+from .extensions import (
+    Ending,
+    Fail,
+    Observer,
+    Plugs,
+    Refuse,
+    Stage,
+    StagedRequest,
+    StageError,
+    apply,
+)
+from .streaming_reply import LongValue
 
 log = logging.getLogger(__name__)
 
--- a/saffrongw/gateway/peers.py
+++ b/saffrongw/gateway/gossip_transport.py
@@ -5,8 +5,7 @@
 import asyncio
 import socket
 
-from orchidlane import messages
-
+from ..policy import gossip_codec
 from .config import Address
 from .driver import Driver
 
@@ -43,7 +42,7 @@
     def datagram_received(self, body: bytes, source: Address) -> None:
         """What a stranger sends, or what is too long to be ours, is dropped."""
         rank = self.ranks.get(source)
-        if rank is not None and 0 < len(body) <= messages.SIZE_MOST:
+        if rank is not None and 0 < len(body) <= gossip_codec.SIZE_MOST:
             self.driver.peer_said(rank, body)
 
     def error_received(self, error: Exception) -> None:
@@ -51,5 +50,5 @@
 
     def tell(self, rank: int, body: bytes) -> None:
         """Send to one gateway."""
-        if len(body) <= messages.SIZE_MOST and not self.transport.is_closing():
+        if len(body) <= gossip_codec.SIZE_MOST and not self.transport.is_closing():
             self.transport.sendto(body, self.addresses[rank])
--- a/saffrongw/gateway/succession.py
+++ b/saffrongw/gateway/hot_restart/successor.py
@@ -7,16 +7,15 @@
 import socket
 from collections.abc import Coroutine
 
-from orchidlane import handover
-from orchidlane import interface as api
-
-from .clients import Clients
-from .config import HostEntry, HostList
-from .driver import Driver
-from .hosts import Hosts
-from .operations import Operations
-from .peers import Peers
-from .takeover import ANSWER_WITHIN, Channel, Incumbent, find_incumbent, packed, path_for
+from ...policy import interface as api
+from ...policy import state_transfer
+from ..admin_http.handlers import Operations
+from ..config import HostEntry, HostList
+from ..downstream.connection import Clients
+from ..driver import Driver
+from ..gossip_transport import Peers
+from ..upstream.cluster import Hosts
+from .channel import ANSWER_WITHIN, Channel, Incumbent, find_incumbent, packed, path_for
 
 log = logging.getLogger(__name__)
 
@@ -71,7 +70,7 @@
         gateway = self.driver.gateway
         for rows in packed(_listed(gateway.hosts.values(), self.hosts)):
             channel.tell("listed", rows)
-        for rows in packed(handover.exclusions(gateway)):
+        for rows in packed(state_transfer.exclusions(gateway)):
             channel.tell("rows", rows)
         channel.tell("quiesced", self.clients.draining)
         channel.tell("greeted")
@@ -97,7 +96,7 @@
 
     async def _say_go(self, channel: Channel) -> bool:
         """All counts, and then the word; False where nobody takes them."""
-        for rows in packed(handover.export(self.driver.gateway)):
+        for rows in packed(state_transfer.export(self.driver.gateway)):
             channel.tell("rows", rows)
             if len(channel.waiting) >= AT_ONCE and not await _sent(channel):  # more than the queue holds
                 break
@@ -116,7 +115,7 @@
 
     def _give_host(self, server: api.Server, born: int, fd: int) -> bool:
         channel = self.incumbent.channel
-        return channel is not None and channel.tell("host", handover.text_of(server), born, fds=(fd,))
+        return channel is not None and channel.tell("host", state_transfer.text_of(server), born, fds=(fd,))
 
 
 async def _sent(channel: Channel) -> bool:
@@ -144,7 +143,7 @@
     for host in hosts:
         entry, pool = host.entry, pools.pools.get(host.entry.server)
         if pool:
-            place = [handover.text_of(entry.server), entry.phase.value, entry.zone, entry.cell]
+            place = [state_transfer.text_of(entry.server), entry.phase.value, entry.zone, entry.cell]
             yield [*place, pool.born, entry.size, *pool.address]
 
 
@@ -250,7 +249,9 @@
             self._client()
         elif kind == "host":
             (sock,) = sockets
-            self._when_serving(self.parts[1].adopt, handover.server_of(message[1]), int(message[2]), sock)
+            self._when_serving(
+                self.parts[1].adopt, state_transfer.server_of(message[1]), int(message[2]), sock
+            )
         elif self.parts:
             self.parts[3].told(message)
         else:
@@ -275,14 +276,14 @@
         driver = self.parts[0]
         for row in rows:
             try:
-                handover.adopt(driver.gateway, driver.clock(), row)
-            except handover.OddRow as odd:  # the others stand
+                state_transfer.adopt(driver.gateway, driver.clock(), row)
+            except state_transfer.OddRow as odd:  # the others stand
                 log.warning("takeover: a row is left out: %s", odd)
 
 
 def _entry(row: list) -> HostEntry:
     server, phase, zone, cell, born, size, host, port = row
     entry = api.ServerEntry(
-        handover.server_of(str(server)), api.Phase(phase), int(zone), int(cell), int(born), float(size)
+        state_transfer.server_of(str(server)), api.Phase(phase), int(zone), int(cell), int(born), float(size)
     )
     return HostEntry(entry, (str(host), int(port)))
--- a/saffrongw/gateway/terms.py
+++ b/saffrongw/gateway/request_parser.py
@@ -4,8 +4,7 @@
 
 import re
 
-from orchidlane.interface import Effect
-
+from ..policy.interface import Effect
 from .config import Config
 from .driver import Terms
 from .resp import VALUE_MOST, Malformed
--- a/saffrongw/gateway/streams.py
+++ b/saffrongw/gateway/streaming_reply.py
@@ -11,7 +11,7 @@
 import asyncio
 from typing import Protocol
 
-from .figures import Figures
+from .metrics import Figures
 
 AHEAD_MOST = 64 * 1024  # bytes taken from the host before the client's turn for them
 STALL = 5.0  # seconds without a byte from the host, or taken by the client, after which it is given up
--- /dev/null
+++ b/saffrongw/gateway/upstream/__init__.py
@@ -0,0 +1,1 @@
+"""Connections to endpoints."""
--- a/saffrongw/gateway/hosts.py
+++ b/saffrongw/gateway/upstream/cluster.py
@@ -16,12 +16,11 @@
 
 import hiredis
 
-from orchidlane import interface as api
-
-from .config import Address, HostList
-from .driver import Attempt, Driver
-from .resp import Answer, AnswerReader, Malformed
-from .streams import LongValue
+from ...policy import interface as api
+from ..config import Address, HostList
+from ..driver import Attempt, Driver
+from ..resp import Answer, AnswerReader, Malformed
+from ..streaming_reply import LongValue
 
 log = logging.getLogger(__name__)
 
--- a/saffrongw/leases/voter.py
+++ b/saffrongw/leases/acceptor.py
@@ -16,7 +16,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from .holds import Holds
+from .candidates import NAMED_ALL_MOST, Standing
 from .messages import (
     LARGEST,
     NO_BALLOT,
@@ -37,7 +37,7 @@
     Why,
 )
 from .spec import NOTES_MOST
-from .standing import NAMED_ALL_MOST, Standing
+from .suspensions import Holds
 from .timing import Timing
 
 MS = 1_000
--- a/saffrongw/leases/part.py
+++ b/saffrongw/leases/component.py
@@ -13,21 +13,21 @@
 
 import msgspec
 
-from saffrongw.channel.part import ChannelPart
+from saffrongw.channel.component import ChannelPart
 from saffrongw.gateway.config import address
 from saffrongw.gateway.driver import Driver
-from saffrongw.gateway.plug import OperatorCall
+from saffrongw.gateway.extensions import OperatorCall
 
-from .asker import Gained, Lost, Token, Wanted
-from .caller import Ended, post
-from .holds import HoldError
-from .member import Confirmed, Member, Packets
+from .candidates import shard_of
 from .messages import LARGEST, Packet
-from .standing import shard_of
+from .node import Confirmed, Member, Packets
+from .proposer import Gained, Lost, Token, Wanted
 from .store import BLOCK, LeaseStore
+from .suspensions import HoldError
 from .table import LeasesTable, TaskTable
+from .task_client import Ended, post
+from .task_schedule import Call, Cancel, Do, Outcome, Say, Turns
 from .timing import SECOND
-from .turns import Call, Cancel, Do, Outcome, Say, Turns
 
 log = logging.getLogger(__name__)
 
--- a/saffrongw/leases/member.py
+++ b/saffrongw/leases/node.py
@@ -10,8 +10,9 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from .asker import Asker, Claim, Event, Out, Stage, Token, Wanted
-from .holds import Holds
+from .acceptor import Voter
+from .candidates import Standing
+from .clock_drift import Rates, Reading
 from .messages import (
     LARGEST,
     NAMED_MOST,
@@ -32,12 +33,11 @@
     Tell,
     Told,
 )
-from .rates import Rates, Reading
-from .sets import Succession, VoterSet
+from .proposer import Asker, Claim, Event, Out, Stage, Token, Wanted
 from .spec import NOTES_MOST
-from .standing import Standing
+from .suspensions import Holds
 from .timing import Timing
-from .voter import Voter
+from .voter_set import Succession, VoterSet
 
 FOR_VOTERS = (Prepare, Propose, Release, Tell, Stand)
 MESSAGES_MOST = 24  # in one packet
--- a/saffrongw/leases/table.py
+++ b/saffrongw/leases/table.py
@@ -6,12 +6,12 @@
 from functools import lru_cache
 
 from saffrongw.channel.table import GATEWAY
-from tomlform import ADDRESS, key
+from toml_schema import ADDRESS, key
 
-from .sets import VoterSet
+from .candidates import shard_of
 from .spec import NOTES_MOST, Spec
-from .standing import shard_of
 from .timing import DRIFT_MOST, SECOND, Timing
+from .voter_set import VoterSet
 
 TASK = r"[A-Za-z0-9_.\-]{1,64}"
 URL = r"http://[A-Za-z0-9.\-]{1,253}:[0-9]{1,5}/[!-~]{0,500}"
--- a/saffrongw/leases/caller.py
+++ b/saffrongw/leases/task_client.py
@@ -9,9 +9,9 @@
 
 import h11
 
-from .asker import Token
 from .messages import LARGEST
-from .turns import Call, Outcome
+from .proposer import Token
+from .task_schedule import Call, Outcome
 
 BODY_MOST = 64 * 1024  # bytes of an answer that are read
 OLDER = (409, 412)  # a receiver's word for a number below one that it has seen
--- a/saffrongw/ledger/gate.py
+++ b/saffrongw/ledger/request_filter.py
@@ -8,11 +8,11 @@
 from hashlib import blake2b
 from pathlib import Path
 
-from orchidlane import interface as api
 from saffrongw.gateway.driver import Attempt, Call, Hosts
-from saffrongw.gateway.extended import ExtendedDriver, WrappedHosts
-from saffrongw.gateway.plug import Ending, Observer, Pass, Refuse, StagedRequest, Verdict
+from saffrongw.gateway.extensions import Ending, Observer, Pass, Refuse, StagedRequest, Verdict
+from saffrongw.gateway.filter_chain import ExtendedDriver, WrappedHosts
 
+from ..policy import interface as api
 from .entries import Event, Kind
 from .store import now_us
 from .writer import Writer
--- a/saffrongw/ledger/store.py
+++ b/saffrongw/ledger/store.py
@@ -13,7 +13,17 @@
 from collections.abc import Iterable, Iterator
 from pathlib import Path
 
-from .entries import DamageError, Entry, Event, Kind, Meaning, checksum, entries_of, read, recover
+from .entries import (
+    DamageError,
+    Entry,
+    Event,
+    Kind,
+    Meaning,
+    checksum,
+    entries_of,
+    read,
+    recover,
+)
 
 SCHEMA = 1
 INBOX, INBOX_FILES, INBOX_LINES = "inbox", 4, 10_000  # folder; files at once / lines of a file that are taken
--- a/saffrongw/operator/file.py
+++ b/saffrongw/operator/file.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-import tomlform
+import toml_schema
 from saffrongw.certs.table import CertsTable
 from saffrongw.channel.table import ChannelTable
 from saffrongw.leases.table import LeasesTable
-from tomlform import ADDRESS, key
+from toml_schema import ADDRESS, key
 
 MODES = ("open", "closed")
 
@@ -25,12 +25,14 @@
 class TlsTable:
     """Files of TLS, PEM; they are read again when they change."""
 
-    ca: str = tomlform.key(
+    ca: str = toml_schema.key(
         "", about="authorities that the other side's certificate must come from; empty: the system's"
     )
-    cert: str = tomlform.key("", about="our own certificate")
-    key: str = tomlform.key("", about="its key")
-    server_name: str = tomlform.key("", about="the name that the other side must prove; empty: its address")
+    cert: str = toml_schema.key("", about="our own certificate")
+    key: str = toml_schema.key("", about="its key")
+    server_name: str = toml_schema.key(
+        "", about="the name that the other side must prove; empty: its address"
+    )
 
     def __post_init__(self) -> None:
         if bool(self.cert) != bool(self.key):
@@ -143,5 +145,5 @@
 
 
 def load(path: Path | str) -> OperatorFile:
-    """Read and validate; ``tomlform.FormError`` names file, line, key and cause."""
-    return tomlform.load(OperatorFile, path)
+    """Read and validate; ``toml_schema.FormError`` names file, line, key and cause."""
+    return toml_schema.load(OperatorFile, path)
--- a/orchidlane/counts.py
+++ b/saffrongw/policy/counts.py
@@ -10,8 +10,8 @@
 from collections.abc import Collection, Iterable, Iterator
 from itertools import chain, islice
 
+from . import gossip_codec
 from . import interface as api
-from . import messages
 from .state import Account, Memory
 
 MS, SECOND = 1_000, 1_000_000  # microseconds
@@ -119,7 +119,7 @@
 
     def _spend(self, account: Account, units: float) -> None:
         account.used = self.now
-        start, value = account.counts.get(self.rank, (self.now // MS // messages.TICK, 0.0))
+        start, value = account.counts.get(self.rank, (self.now // MS // gossip_codec.TICK, 0.0))
         account.total += self._count(account, self.rank, start, value + units)
         account.ceiling -= units if self.s.plans[account.plan].ceiling_rate else 0.0
         if account.size > 1 and not self.alone:
@@ -172,7 +172,7 @@
             return
         accounts = [self.accounts[customer] for customer in due if customer in self.accounts]
         asks = self.now - self.heard.get(rank, 0) > ANSWER_WITHIN
-        rows = messages.fit(self._row_for_keeper(account) for account in accounts)
+        rows = gossip_codec.fit(self._row_for_keeper(account) for account in accounts)
         told = [(account.customer, due.pop(account.customer)) for account in accounts[: len(rows)]]
         asks |= any(account.fresh or account.asked for account in accounts[: len(rows)])
         if len(rows) == len(accounts):
@@ -189,7 +189,9 @@
     def _row_for_keeper(self, account: Account) -> bytes:
         self._lift(account)
         lacks = max(0.0, (sum(account.waiting.values()) or self._ceiling_most(account)) - account.ceiling)
-        account.asked = math.ceil(lacks * messages.SCALE) / messages.SCALE  # what travels is rounded down
+        account.asked = (
+            math.ceil(lacks * gossip_codec.SCALE) / gossip_codec.SCALE
+        )  # what travels is rounded down
         return self._row(account, 0, account.asked)
 
     def _answer_due(self) -> None:
@@ -229,7 +231,7 @@
         In a large fleet nobody can send a message about each of them to all that might let it in.
         """
         more = islice(self._rows_of_spent(rank, about), MORE_MOST)
-        self._tell(rank, messages.fit(chain(rows, more)))
+        self._tell(rank, gossip_codec.fit(chain(rows, more)))
 
     def _rows_of_spent(self, rank: int, but: Collection[int]) -> Iterator[bytes]:
         """Those that concern a gateway, the latest first."""
@@ -252,7 +254,7 @@
         looked = [self.accounts[customer] for customer in islice(self.changed, LOOK_AT)]
         shared = [a for a in looked if self._place(rank, a.first) < a.size]
         shared.sort(key=lambda a: a.room / (self.s.plans[a.plan].burst or 1.0))
-        rows = messages.fit(self._row(a, 0) for a in shared)
+        rows = gossip_codec.fit(self._row(a, 0) for a in shared)
         if self._tell(rank, rows, []):
             for told in shared[: len(rows)]:
                 del self.changed[told.customer]
@@ -274,18 +276,20 @@
         if told is not None:
             self.asked.append((self.now, rank, told))
             self.actions.append(api.SetTimer(ANSWER_WITHIN, ASKED))
-        body = messages.pack(self.now // MS, told is not None, keep, rows)
+        body = gossip_codec.pack(self.now // MS, told is not None, keep, rows)
         self.actions.append(api.TellPeer(rank, body))
         return True
 
     def _row(self, account: Account, reach: int, rights: float = 0.0) -> bytes:
         self._lift(account)
         counts = tuple((rank, *account.counts[rank]) for rank in account.news)
-        row = messages.Row(account.customer, *account.key, reach, account.room, account.total, rights, counts)
-        return messages.pack_row(row, self.now // MS, self.s.gateways)
+        row = gossip_codec.Row(
+            account.customer, *account.key, reach, account.room, account.total, rights, counts
+        )
+        return gossip_codec.pack_row(row, self.now // MS, self.s.gateways)
 
     def _peer_message(self, event: api.PeerMessage) -> None:
-        message = messages.unpack(event.body, self.now // MS, self.s.gateways, len(self.s.plans))
+        message = gossip_codec.unpack(event.body, self.now // MS, self.s.gateways, len(self.s.plans))
         age = self.now - message.sent * MS if message else LATE_MOST
         if self.alone or not 0 <= event.sender < self.s.gateways or abs(age) >= LATE_MOST:
             return
@@ -363,7 +367,7 @@
     def _resume(self, request: int) -> None:
         """Look again at a request that waited; those who keep requests say how."""
 
-    def _merge(self, row: messages.Row, sender: int, age: int, keep: bool, sent: int) -> Account:
+    def _merge(self, row: gossip_codec.Row, sender: int, age: int, keep: bool, sent: int) -> Account:
         """Newer start, then larger value; the larger limit. ``sent`` (ms) tells a repeated gift of rights."""
         account = self._account(row.customer, row.plan, row.set_first, row.set_size, trusted=False)
         account.fresh, plan = False, self.s.plans[account.plan]
--- a/orchidlane/rules.py
+++ b/saffrongw/policy/rules.py
@@ -1,4 +1,4 @@
-"""All decisions of a gateway; its types, events and actions are in ``orchidlane/interface.py``.
+"""All decisions of a gateway; its types, events and actions are in ``saffrongw/policy/interface.py``.
 
 A request's life: arrived -> admitted by its customer's counts -> sent to the server that should answer
 soonest -> outcome -> perhaps another attempt -> exactly one final answer. Every send passes ``_send``, every
--- a/orchidlane/wirehost.py
+++ b/saffrongw/simulator/__main__.py
@@ -5,32 +5,32 @@
 import sys
 from typing import BinaryIO
 
-from . import interface as api
-from . import wire
-from .rules import Gateway
+from ..policy import interface as api
+from ..policy.rules import Gateway
+from . import codec
 
 
 def _read(source: BinaryIO, size: int) -> bytes:
     data = source.read(size)
     if len(data) < size:
-        raise wire.WireError(f"input ended within a frame: {len(data)} of {size} bytes")
+        raise codec.WireError(f"input ended within a frame: {len(data)} of {size} bytes")
     return data
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answer frames until the input ends."""
-    decoder = wire.Decoder()
+    decoder = codec.Decoder()
     gateways: dict[int, Gateway] = {}
     while first := source.read(1):
-        head = first + _read(source, wire.HEADER.size - 1)
-        count, length, now = wire.HEADER.unpack(head)
-        encoder = wire.Encoder()
+        head = first + _read(source, codec.HEADER.size - 1)
+        count, length, now = codec.HEADER.unpack(head)
+        encoder = codec.Encoder()
         for number, event in decoder.frame(count, _read(source, length)):
-            if isinstance(event, wire.Stop):
+            if isinstance(event, codec.Stop):
                 gateways.pop(number, None)
                 continue
-            if not isinstance(event, wire.Start) and number not in gateways:
-                raise wire.WireError(f"event for gateway {number}, which never started")
+            if not isinstance(event, codec.Start) and number not in gateways:
+                raise codec.WireError(f"event for gateway {number}, which never started")
             try:
                 actions = _decide(gateways, number, event, now)
             except Exception as failure:  # the wire wants every failure of the decisions as a record
@@ -43,9 +43,9 @@
 
 
 def _decide(
-    gateways: dict[int, Gateway], number: int, event: wire.Start | api.Event, now: int
+    gateways: dict[int, Gateway], number: int, event: codec.Start | api.Event, now: int
 ) -> list[api.Action]:
-    if isinstance(event, wire.Start):
+    if isinstance(event, codec.Start):
         gateways[number] = Gateway(event.settings, event.seed, now)
         return gateways[number].start()
     return gateways[number].handle(now, event)
@@ -55,8 +55,8 @@
     """Serve standard input and output; one plain line and 1 where the input is not of this wire."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except wire.WireError as wrong:
-        print(f"orchidlane: {wrong}", file=sys.stderr)
+    except codec.WireError as wrong:
+        print(f"saffrongw.simulator: {wrong}", file=sys.stderr)
         return 1
     except BrokenPipeError:
         return 1
--- a/standin/__main__.py
+++ b/testbed/__main__.py
@@ -1,4 +1,4 @@
-"""The command line of the stand-ins: ``python -m standin run|demo|list|check|judge``.
+"""The command line of the stand-ins: ``python -m testbed run|demo|list|check|judge``.
 
 Exit status: 0 passed, 1 a rule was broken, 2 input that can't be used, 3 inconclusive.
 """
@@ -11,13 +11,13 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-import tomlform
+import toml_schema
 
-from .judge import report
+from .checker import report
 from .model import scenario
 from .model.arrivals import digest, draw
-from .play import runs
-from .play.world import World
+from .runner import runs
+from .runner.world import World
 
 FOLDER = Path("found") / "runs"
 BAR = 28
@@ -107,7 +107,7 @@
 
 def main(argv: Sequence[str] | None = None) -> int:
     """The command line."""
-    parser = argparse.ArgumentParser("standin", description="A world for gateways to fail in.")
+    parser = argparse.ArgumentParser("testbed", description="A world for gateways to fail in.")
     commands = parser.add_subparsers(dest="command", required=True)
     run = commands.add_parser("run", help="play scenarios, by name or file, and judge them")
     run.add_argument("names", nargs="*", metavar="NAME")
@@ -136,7 +136,7 @@
     given = parser.parse_args(argv)
     try:
         if given.command == "leases":
-            from .play.lease_runs import many
+            from .runner.lease_runs import many
 
             seeds = range(given.seeds[0], given.seeds[1] + 1)
             return many(
@@ -159,10 +159,10 @@
         if len(names) > 1:
             return _many(names, given.jobs, given.folder or FOLDER)
         return _play(names[0], given.folder or FOLDER / Path(names[0]).stem, given.quiet, given.run)
-    except tomlform.FormError as wrong:
-        print(f"standin: {wrong}", file=sys.stderr)
+    except toml_schema.FormError as wrong:
+        print(f"testbed: {wrong}", file=sys.stderr)
     except (OSError, ValueError, RuntimeError) as wrong:
-        print(f"standin: {wrong}", file=sys.stderr)
+        print(f"testbed: {wrong}", file=sys.stderr)
     return 2
 
 
--- a/standin/authority/server.py
+++ b/testbed/acme_server/server.py
@@ -13,7 +13,7 @@
 import trustme
 from cryptography import x509
 
-from ..play.processes import free_port
+from ..runner.processes import free_port
 from .model import Authority, Check, Reply
 
 LOCAL = "127.0.0.1"
--- a/standin/judge/report.py
+++ b/testbed/checker/report.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 
 from ..model.scenario import Scenario
-from .checker import RULES, Finding, Tally, Verdict, percentiles
 from .record import Answered, Closed, Fault, GatewayEvent, Late, Log, Sent
+from .rules import RULES, Finding, Tally, Verdict, percentiles
 
 BIN = 500_000  # us of one step of the timeline
 CURVES = 9  # customers whose use is drawn: those that asked most for their quota
--- a/standin/authoriser/server.py
+++ b/testbed/ext_authz_server/server.py
@@ -21,7 +21,7 @@
 from envoy.service.auth.v3 import external_auth_pb2 as published
 
 from ..net.relay import LOCAL, text_of
-from ..play.processes import free_port
+from ..runner.processes import free_port
 
 PATH = "/envoy.service.auth.v3.Authorization/Check"
 MODES = (
--- a/standin/model/scenario.py
+++ b/testbed/model/scenario.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 from typing import Any
 
-import tomlform
-from tomlform import key
+import toml_schema
+from toml_schema import key
 
 FOLDER = Path(__file__).parent.parent / "scenarios"
 Span = tuple[float, float]
@@ -223,8 +223,8 @@
 
 
 def load(path: Path | str) -> Scenario:
-    """A scenario from its file; ``tomlform.FormError`` names file, line, key and cause."""
-    return tomlform.load(Scenario, path)
+    """A scenario from its file; ``toml_schema.FormError`` names file, line, key and cause."""
+    return toml_schema.load(Scenario, path)
 
 
 def named(name: str) -> Path:
@@ -234,7 +234,7 @@
     path = FOLDER / f"{name}.toml"
     if not path.exists():
         known = ", ".join(sorted(p.stem for p in FOLDER.glob("*.toml")))
-        raise tomlform.FormError(f"no scenario is called {name!r} (there are: {known})")
+        raise toml_schema.FormError(f"no scenario is called {name!r} (there are: {known})")
     return path
 
 
--- a/standin/net/clients.py
+++ b/testbed/net/clients.py
@@ -7,7 +7,7 @@
 
 import hiredis
 
-from ..judge.record import Answered, Closed, Extra, Log, Sent, Unreached
+from ..checker.record import Answered, Closed, Extra, Log, Sent, Unreached
 from ..model.arrivals import Arrival, Try
 from ..model.scenario import Scenario
 
--- a/standin/net/hosts.py
+++ b/testbed/net/endpoints.py
@@ -10,8 +10,8 @@
 
 import hiredis
 
-from ..judge.record import Attempt, Effect, HostEvent, Log, Made, Turned
-from ..model.host_model import HostModel, Job, Rack, Took
+from ..checker.record import Attempt, Effect, HostEvent, Log, Made, Turned
+from ..model.endpoint_model import HostModel, Job, Rack, Took
 from ..model.scenario import Class, Scenario
 from .relay import LOCAL, Session, TcpRelay, reset, text_of
 
--- a/standin/play/lease_runs.py
+++ b/testbed/runner/lease_runs.py
@@ -10,7 +10,7 @@
 
 import uvloop
 
-from ..judge.holders import Verdict
+from ..checker.lease_rules import Verdict
 from ..model.lease_day import drawn
 from .lease_world import play
 
--- a/standin/play/lease_world.py
+++ b/testbed/runner/lease_world.py
@@ -13,13 +13,13 @@
 import sys
 from pathlib import Path
 
-from ..judge.holders import Calling, Seen, Stated, Still, Verdict, judge
-from ..judge.record import GatewayEvent, Late, Log, Starved
+from ..checker.lease_rules import Calling, Seen, Stated, Still, Verdict, judge
+from ..checker.record import GatewayEvent, Late, Log, Starved
 from ..model.clock import Clock, Heartbeat
 from ..model.lease_day import LeaseDay, LeaseFault
 from ..model.scenario import Scenario, settings_of
 from ..net.relay import LOCAL, UdpRelay, Way, text_of
-from ..receiver.server import Manner, Receiver
+from ..task_receiver.server import Manner, Receiver
 from .processes import GatewayProcess, free_port, run_line, watch
 
 LOOK = 0.08  # seconds between two questions to one gateway
--- a/standin/play/processes.py
+++ b/testbed/runner/processes.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..judge.record import GatewayEvent, Log, Starved
+from ..checker.record import GatewayEvent, Log, Starved
 from ..net.relay import LOCAL, text_of
 
 ROOT = Path(__file__).parent.parent.parent
--- a/standin/play/runs.py
+++ b/testbed/runner/runs.py
@@ -12,8 +12,8 @@
 
 import uvloop
 
-from ..judge.checker import Verdict, judge
-from ..judge.record import Log
+from ..checker.record import Log
+from ..checker.rules import Verdict, judge
 from ..model.scenario import FOLDER, Scenario
 from .world import Progress, play
 
@@ -73,7 +73,7 @@
     def one(name: str) -> tuple[str, int, float, str]:
         began = time.monotonic()
         done = subprocess.run(
-            [sys.executable, "-m", "standin", "run", name, "--quiet", "--folder", str(folder / name)],
+            [sys.executable, "-m", "testbed", "run", name, "--quiet", "--folder", str(folder / name)],
             capture_output=True,
             text=True,
             timeout=900,
--- a/standin/play/world.py
+++ b/testbed/runner/world.py
@@ -12,15 +12,15 @@
 from pathlib import Path
 from typing import Any
 
-from ..judge.record import Began, Finished, Late, Log, Told
-from ..judge.record import Fault as FaultBegan
+from ..checker.record import Began, Finished, Late, Log, Told
+from ..checker.record import Fault as FaultBegan
 from ..model import arrivals as drawn
 from ..model.clock import Clock, Heartbeat
 from ..model.registry import Agent, Change, Line, Registry
 from ..model.scenario import Fault, Scenario, operator_text, settings_of
 from ..net.clients import ClientSide
 from ..net.discovery import AgentServer
-from ..net.hosts import Fleet, StandinHost
+from ..net.endpoints import Fleet, StandinHost
 from ..net.relay import TcpFault, UdpRelay, Way, text_of
 from .processes import GatewayProcess, run_line, watch
 
@@ -101,12 +101,7 @@
         await asyncio.gather(*(self._start_gateway(g) for g in self.gateways))
 
     async def _open_authorisers(self) -> None:
-        from ..authoriser.server import (  # only here: it needs libraries of its own
-            Authoriser,
-            Behaviour,
-            allow,
-            deny,
-        )
+        from ..ext_authz_server.server import Authoriser, Behaviour, allow, deny
 
         a = self.scenario.authoriser
 
@@ -423,7 +418,7 @@
             self.publish(self.registry.put(self._line(host)))
 
     async def _authoriser_faults(self, number: int, fault: Fault) -> None:
-        from ..authoriser.server import MODES, Behaviour
+        from ..ext_authz_server.server import MODES, Behaviour
 
         faults = [mode for mode in MODES if mode not in ("answer", "delay")]
         chances = {mode: (fault.share or 0.3) / len(faults) for mode in faults} | {"delay": 1.0}
@@ -434,7 +429,7 @@
             one.behaviour = self.plain
 
     async def _authoriser_hangs(self, number: int, fault: Fault) -> None:
-        from ..authoriser.server import Behaviour
+        from ..ext_authz_server.server import Behaviour
 
         for one in self.authorisers:
             one.behaviour = Behaviour({"silent": 1.0})
--- a/tests/admin/test_cli.py
+++ b/tests/admin/test_cli.py
@@ -85,9 +85,9 @@
 
 def test_a_gateway_without_an_operator_file_loads_nothing_of_it():
     code = (
-        "import sys, saffrongw.__main__, saffrongw.gateway.process as p\n"
-        "print([m for m in sys.modules if m.startswith(('saffrongw.operator', 'saffrongw.admin', 'tomlform',"
-        " 'tomllib', 'saffrongw.gateway.extended', 'standin', 'sqlite3', 'grpc'))])"
+        "import sys, saffrongw.__main__, saffrongw.gateway.bootstrap as p\n"
+        "print([m for m in sys.modules if m.startswith(('saffrongw.operator', 'saffrongw.admin', 'toml_schema',"
+        " 'tomllib', 'saffrongw.gateway.filter_chain', 'testbed', 'sqlite3', 'grpc'))])"
     )
     assert run("-c", code).stdout.strip() == "[]"
 
--- a/tests/authz/test_attributes.py
+++ b/tests/authz/test_attributes.py
@@ -25,8 +25,8 @@
 )
 from saffrongw.authz.checks import Kind, Reply
 from saffrongw.gateway.driver import Terms
-from saffrongw.gateway.plug import StagedRequest
-from standin.authoriser.server import allow, deny
+from saffrongw.gateway.extensions import StagedRequest
+from testbed.ext_authz_server.server import allow, deny
 
 NAMES = Names(("read", "put"), ("team", "small"), (True, False))
 TERMS = Terms(7, 1, 0, 900_000, 1.0, 2, 1, True)
--- a/tests/authz/test_wiring.py
+++ b/tests/authz/test_extension_registry.py
@@ -14,7 +14,7 @@
 from conftest import SITE, Caller, FakeHost, asyncio_test, configured, error, until
 
 from saffrongw.admin import cli
-from standin.authoriser.server import Authoriser, deny
+from testbed.ext_authz_server.server import Authoriser, deny
 
 ROOT = Path(__file__).parent.parent.parent
 
--- a/tests/authz/test_stage.py
+++ b/tests/authz/test_request_filter.py
@@ -14,10 +14,10 @@
 from saffrongw.authz.breaker import BreakerFigures, State
 from saffrongw.authz.channel import Channel, Tls
 from saffrongw.authz.checks import Figures
-from saffrongw.authz.stage import AuthzStage, Rules
-from saffrongw.gateway.extended import ExtendedDriver
-from saffrongw.gateway.plug import Plugs
-from standin.authoriser.server import MODES, Authoriser, Behaviour, allow, deny
+from saffrongw.authz.request_filter import AuthzStage, Rules
+from saffrongw.gateway.extensions import Plugs
+from saffrongw.gateway.filter_chain import ExtendedDriver
+from testbed.ext_authz_server.server import MODES, Authoriser, Behaviour, allow, deny
 
 NAMES = Names(("read", "put", "bill"), ("team",), (True, False, False))
 MS = 1_000
--- a/tests/authz/test_server.py
+++ b/tests/authz/test_server.py
@@ -11,12 +11,12 @@
 from grpclib.client import Channel, UnaryUnaryMethod
 from grpclib.const import Cardinality, Handler
 from grpclib.server import Server
-from test_stage import NAMES, World
+from test_request_filter import NAMES, World
 
 from saffrongw.authz.attributes import METHOD, Fields
 from saffrongw.authz.server import AuthzServer
-from saffrongw.gateway.extended import ExtendedDriver
-from saffrongw.gateway.plug import Plugs
+from saffrongw.gateway.extensions import Plugs
+from saffrongw.gateway.filter_chain import ExtendedDriver
 
 
 def question(**changes) -> published.CheckRequest:
--- a/tests/certs/certsite.py
+++ b/tests/certs/acme_rig.py
@@ -10,11 +10,11 @@
 
 from conftest import Caller, FakeHost, Rig, until
 
-from saffrongw.certs.agent import Clock
-from saffrongw.certs.part import CertsPart
+from saffrongw.certs.component import CertsPart
+from saffrongw.certs.renewal_loop import Clock
 from saffrongw.certs.table import AuthorityTable, CertsTable, CertTable
-from standin.authority.server import AuthorityServer
-from standin.play.processes import free_port
+from testbed.acme_server.server import AuthorityServer
+from testbed.runner.processes import free_port
 
 NAME = "gw.example"
 DAY = 86_400.0
--- a/tests/certs/killers.py
+++ b/tests/certs/kill_points.py
@@ -1,5 +1,5 @@
 """A gateway that kills itself (SIGKILL) at the nth step of its way to a certificate: before or after each change of the
-shared folder, before or after each request to the authority. ``python -m tests.certs.killers N``.
+shared folder, before or after each request to the authority. ``python -m tests.certs.kill_points N``.
 """
 
 from __future__ import annotations
@@ -9,12 +9,12 @@
 import sys
 
 from saffrongw.__main__ import main
-from saffrongw.certs import store
+from saffrongw.certs import certificate_store
 
 
 def kill_at(number: int) -> None:
     """Every store of this process counts its steps together and dies at that one."""
-    plain, left = store.Store.__init__, number
+    plain, left = certificate_store.Store.__init__, number
 
     def step(name: str) -> None:
         nonlocal left
@@ -29,7 +29,7 @@
         plain(self, *given, **more)
         self.step = step
 
-    store.Store.__init__ = made
+    certificate_store.Store.__init__ = made
 
 
 if __name__ == "__main__":
--- a/tests/certs/test_folder.py
+++ b/tests/certs/test_certificate_store.py
@@ -13,11 +13,11 @@
 from test_chain import KEY, NOW, issued
 
 from saffrongw.certs import chain, documents
+from saffrongw.certs.certificate_store import CHALLENGE_FOR, LostLease, Proof, Store, StoreError
 from saffrongw.certs.documents import Account, CertNote, DocumentError, OrderNote
 from saffrongw.certs.lease import Lease
 from saffrongw.certs.messages import Window
 from saffrongw.certs.renewal import Failures
-from saffrongw.certs.store import CHALLENGE_FOR, LostLease, Proof, Store, StoreError
 
 DAY = 86_400.0
 ID = "gw.example"
@@ -246,7 +246,7 @@
         "sys.path[:0] = ['tests/certs']\n"
         "from pathlib import Path\n"
         "from test_folder import World, ID, NOW, DAY\n"
-        "from saffrongw.certs.store import StoreError\n"
+        "from saffrongw.certs.certificate_store import StoreError\n"
         "world = World(Path(sys.argv[1]))\n"
         "world.install()\n"
         "signal.signal(signal.SIGXFSZ, signal.SIG_IGN)\n"
@@ -302,7 +302,7 @@
     code = (
         "import sys, time\n"
         "from pathlib import Path\n"
-        "from saffrongw.certs.store import Store\n"
+        "from saffrongw.certs.certificate_store import Store\n"
         "store = Store(Path(sys.argv[1]))\n"
         "with store._locked():\n"
         "    print('held', flush=True)\n"
@@ -316,7 +316,7 @@
     )
     try:
         assert other.stdout.readline() == "held\n"
-        import saffrongw.certs.store as module
+        import saffrongw.certs.certificate_store as module
 
         within, module.LOCK_WITHIN = module.LOCK_WITHIN, 0.1
         try:
--- a/tests/certs/test_certs_table.py
+++ b/tests/certs/test_certs_table.py
@@ -10,17 +10,17 @@
 import time
 
 import pytest
-from certsite import NAME
+from acme_rig import NAME
 from conftest import asyncio_test, until
 from test_chain import csr
 from test_order_kills import DAY, ROOT, Site
 
 from saffrongw.admin import cli
 from saffrongw.certs import chain
+from saffrongw.certs.certificate_store import Store
 from saffrongw.certs.documents import CertNote
 from saffrongw.certs.renewal import Failures
-from saffrongw.certs.store import Store
-from standin.authority.issuer import Issuer
+from testbed.acme_server.issuer import Issuer
 
 HEAD = '[certs]\nlisten = "a:1"\nstate_dir = "/s"\n'
 CERT = '[[certs.certificate]]\nnames = ["a.example"]\n'
@@ -67,7 +67,7 @@
         "import sys\n"
         "from saffrongw.operator import load\n"
         "load('deploy/operator.toml')\n"
-        "import saffrongw.wiring\n"
+        "import saffrongw.extension_registry\n"
         "print([m for m in sys.modules if m.split('.')[0] in ('cryptography', 'joserfc', 'ssl', 'sqlite3')"
         " or (m.startswith('saffrongw.certs') and m not in ('saffrongw.certs', 'saffrongw.certs.table'))])"
     )
--- a/tests/certs/test_chain.py
+++ b/tests/certs/test_chain.py
@@ -10,8 +10,8 @@
 from cryptography.hazmat.primitives.asymmetric import ec, ed25519
 
 from saffrongw.certs import chain
-from standin.authority.issuer import Issuer, request_of
-from standin.authority.model import ari_name
+from testbed.acme_server.issuer import Issuer, request_of
+from testbed.acme_server.model import ari_name
 
 NOW = 1_800_000_000.0
 DAY = 86_400.0
--- a/tests/certs/test_hello.py
+++ b/tests/certs/test_client_hello.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from saffrongw.certs.hello import HELLO_MOST, Hello, HelloError, read
+from saffrongw.certs.client_hello import HELLO_MOST, Hello, HelloError, read
 
 
 def real(name: str | None = "gw.example", protocols: tuple[str, ...] = ()) -> bytes:
--- a/tests/certs/test_http.py
+++ b/tests/certs/test_http.py
@@ -10,9 +10,9 @@
 import trustme
 from conftest import asyncio_test
 
-from saffrongw.certs.flow import Request
 from saffrongw.certs.http import BODY_MOST, HEAD_MOST, Https
 from saffrongw.certs.messages import AcmeError, Kind
+from saffrongw.certs.order_flow import Request
 
 CA = trustme.CA()
 GOOD = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n"
--- a/tests/certs/test_flow.py
+++ b/tests/certs/test_order_flow.py
@@ -8,12 +8,12 @@
 import pytest
 from cryptography import x509
 
-from saffrongw.certs import chain, flow
+from saffrongw.certs import chain, order_flow
 from saffrongw.certs.documents import CertNote
-from saffrongw.certs.flow import Keep, Publish, Request, Session, Wait, Withdraw
 from saffrongw.certs.jose import AccountKey
 from saffrongw.certs.messages import AcmeError, Answer, Kind
-from standin.authority.model import Authority, Check, Reply, ari_name
+from saffrongw.certs.order_flow import Keep, Publish, Request, Session, Wait, Withdraw
+from testbed.acme_server.model import Authority, Check, Reply, ari_name
 
 BASE = "https://ca.example"
 NAMES = ("gw.example", "b.example")
@@ -93,8 +93,8 @@
         wanted = {"names": NAMES, "challenge": "tls-alpn-01", "csr": chain.csr(KEY, NAMES)} | changes
         made = session or self.session()
         return self.run(
-            flow.obtain(
-                made, self.note, flow.Wanted(**wanted), lambda pem: chain.issuer_names(chain.parse(pem))
+            order_flow.obtain(
+                made, self.note, order_flow.Wanted(**wanted), lambda pem: chain.issuer_names(chain.parse(pem))
             )
         )
 
--- a/tests/certs/test_order_kills.py
+++ b/tests/certs/test_order_kills.py
@@ -11,16 +11,16 @@
 from pathlib import Path
 
 import pytest
-from certsite import NAME, trusting
+from acme_rig import NAME, trusting
 from conftest import asyncio_test, configured
 from test_chain import csr
 
 from saffrongw.certs import chain
+from saffrongw.certs.certificate_store import Store
 from saffrongw.certs.documents import CertNote
-from saffrongw.certs.store import Store
-from standin.authority.issuer import Issuer
-from standin.authority.server import AuthorityServer
-from standin.play.processes import die_with_parent, free_port
+from testbed.acme_server.issuer import Issuer
+from testbed.acme_server.server import AuthorityServer
+from testbed.runner.processes import die_with_parent, free_port
 
 ROOT = Path(__file__).parent.parent.parent
 STEPS = 64  # more than a first order has; a run that outlives them obtains its certificate at once
@@ -50,7 +50,7 @@
 
     async def start(self, kill_at: int = 0) -> asyncio.subprocess.Process:
         self.lives += 1
-        run = ["-m", "tests.certs.killers", str(kill_at)] if kill_at else ["-m", "saffrongw"]
+        run = ["-m", "tests.certs.kill_points", str(kill_at)] if kill_at else ["-m", "saffrongw"]
         with (self.folder / "log").open("ab") as log:
             return await asyncio.create_subprocess_exec(
                 sys.executable,
--- a/tests/certs/test_agent.py
+++ b/tests/certs/test_renewal_loop.py
@@ -7,14 +7,14 @@
 import json
 
 import pytest
-from certsite import DAY, NAME, FastClock, Member, table_of
+from acme_rig import DAY, NAME, FastClock, Member, table_of
 from conftest import asyncio_test, until
-from test_flow import SPOILT
+from test_order_flow import SPOILT
 
 from saffrongw.certs.renewal import Alarm
 from saffrongw.certs.table import AuthorityTable, CertTable, RenewalTable
-from standin.authority.server import AuthorityServer
-from standin.play.processes import free_port
+from testbed.acme_server.server import AuthorityServer
+from testbed.runner.processes import free_port
 
 PACE = 2_000.0  # the clock of tests that live through days, times real time
 SLOW = {"lease_seconds": 3_600.0, "renewal": RenewalTable(order_minutes=240.0)}
--- a/tests/certs/test_front.py
+++ b/tests/certs/test_tls_listener.py
@@ -11,20 +11,20 @@
 
 import pytest
 import trustme
-from certsite import secure_caller, shown_at, trusting
+from acme_rig import secure_caller, shown_at, trusting
 from conftest import Caller, FakeHost, Rig, asyncio_test, until
 from cryptography import x509
 from test_chain import csr
-from test_hello import real
+from test_client_hello import real
 
 from saffrongw.certs import chain
-from saffrongw.certs.agent import Keeper
+from saffrongw.certs.certificate_store import Store
 from saffrongw.certs.documents import CertNote
-from saffrongw.certs.front import Front, Manner
 from saffrongw.certs.handshakes import Bounds
-from saffrongw.certs.store import Store
-from standin.authority.issuer import Issuer
-from standin.play.processes import free_port
+from saffrongw.certs.renewal_loop import Keeper
+from saffrongw.certs.tls_listener import Front, Manner
+from testbed.acme_server.issuer import Issuer
+from testbed.runner.processes import free_port
 
 DAY = 86_400.0
 
--- a/tests/leases/test_envelope.py
+++ b/tests/channel/test_signed_datagram.py
@@ -6,8 +6,17 @@
 
 import pytest
 
-from saffrongw.channel.envelope import LIVES_MOST, WINDOW, BadKey, Envelope, Key, Opened, Unknown, Window
-from saffrongw.channel.part import read_keys
+from saffrongw.channel.component import read_keys
+from saffrongw.channel.signed_datagram import (
+    LIVES_MOST,
+    WINDOW,
+    BadKey,
+    Envelope,
+    Key,
+    Opened,
+    Unknown,
+    Window,
+)
 
 OLD, NEW = Key(b"a" * 32), Key(b"b" * 32)
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -14,13 +14,13 @@
 import pytest
 import uvloop
 
-from orchidlane import interface as api
-from orchidlane.rules import Gateway
 from saffrongw.gateway import config
-from saffrongw.gateway.clients import Clients
+from saffrongw.gateway.downstream.connection import Clients
 from saffrongw.gateway.driver import Driver
-from saffrongw.gateway.hosts import Hosts
-from standin.play.processes import die_with_parent, free_port
+from saffrongw.gateway.upstream.cluster import Hosts
+from saffrongw.policy import interface as api
+from saffrongw.policy.rules import Gateway
+from testbed.runner.processes import die_with_parent, free_port
 
 SECOND = 1_000_000
 T0 = 1_000 * SECOND  # a clock time well after any start
--- a/tests/faults/test_takeover.py
+++ b/tests/faults/test_hot_restart.py
@@ -13,8 +13,8 @@
 import hiredis
 from conftest import SITE, Caller, FakeHost, asyncio_test, configured, error, until, value
 
-from saffrongw.gateway.takeover import QUEUED_MOST, Channel, address_of
-from standin.play.processes import die_with_parent, free_port
+from saffrongw.gateway.hot_restart.channel import QUEUED_MOST, Channel, address_of
+from testbed.runner.processes import die_with_parent, free_port
 
 
 class Gateway:
--- a/tests/faults/test_leases.py
+++ b/tests/faults/test_leases.py
@@ -8,9 +8,9 @@
 import uvloop
 from variants import LEASES
 
-from standin.judge.holders import Calling, Seen, Stated, Still, judge
-from standin.model.lease_day import LeaseDay, LeaseFault, drawn
-from standin.play.lease_world import LeaseWorld, line_of, play
+from testbed.checker.lease_rules import Calling, Seen, Stated, Still, judge
+from testbed.model.lease_day import LeaseDay, LeaseFault, drawn
+from testbed.runner.lease_world import LeaseWorld, line_of, play
 
 CUT = LeaseFault("split", 3.0, 4.0)  # whoever holds it then
 ALONE = LeaseDay(11, 5, 3, faults=(CUT,), length_s=9.0, voters_stand=False)
--- a/tests/faults/test_planted.py
+++ b/tests/faults/test_planted_faults.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-import tomlform
-from standin.model.scenario import Scenario
-from standin.play import runs
+import toml_schema
+from testbed.model.scenario import Scenario
+from testbed.runner import runs
 from tests.faults.variants import VARIANTS
 
 HEAVY = """
@@ -111,7 +111,7 @@
 
 
 def play(text: str, folder, variant: str | None = None) -> runs.Run:
-    scenario = tomlform.loads(Scenario, text)
+    scenario = toml_schema.loads(Scenario, text)
     line = variant and f"exec {shlex.quote(sys.executable)} -m tests.faults.variants {variant}"
     return runs.run(scenario, folder, line)
 
--- a/tests/faults/test_scenarios.py
+++ b/tests/faults/test_scenarios.py
@@ -10,11 +10,11 @@
 import pytest
 import uvloop
 
-import tomlform
-from standin.judge.checker import judge
-from standin.model.scenario import Scenario, load, named
-from standin.play import runs
-from standin.play.world import World
+import toml_schema
+from testbed.checker.rules import judge
+from testbed.model.scenario import Scenario, load, named
+from testbed.runner import runs
+from testbed.runner.world import World
 
 
 @pytest.mark.parametrize("name", runs.names(only_ci=True))
@@ -50,14 +50,14 @@
     "text", [SHORT, SHORT + '[[fault]]\nat = 1\nkind = "deploy"\nfor_s = 3\ndrain_s = 2\n']
 )
 def test_a_second_stolen_from_the_stand_ins_is_no_fault_of_the_gateway(text, tmp_path):
-    scenario = tomlform.loads(Scenario, text)
+    scenario = toml_schema.loads(Scenario, text)
     verdict = judge(scenario, uvloop.run(stolen(scenario, tmp_path, None)))
     assert verdict.late > 900_000
     assert verdict.outcome in ("passed", "inconclusive")
 
 
 def test_a_real_fault_is_found_though_a_second_was_stolen(tmp_path):
-    scenario = tomlform.loads(Scenario, SHORT)
+    scenario = toml_schema.loads(Scenario, SHORT)
     line = f"exec {shlex.quote(sys.executable)} -m tests.faults.variants serves-foreign-values"
     verdict = judge(scenario, uvloop.run(stolen(scenario, tmp_path, line)))
     assert verdict.outcome == "broken"
@@ -74,12 +74,12 @@
         return verdict
 
     monkeypatch.setattr(runs, "judge", always)
-    scenario = tomlform.loads(Scenario, 'name = "short"\nlength_s = 1\n')
+    scenario = toml_schema.loads(Scenario, 'name = "short"\nlength_s = 1\n')
     assert runs.run(scenario, tmp_path).tries == len(asked) == runs.TRIES
 
 
 def test_a_gateway_that_does_not_start_is_told_in_one_line(tmp_path):
-    scenario = tomlform.loads(Scenario, 'name = "short"\nlength_s = 1\n')
+    scenario = toml_schema.loads(Scenario, 'name = "short"\nlength_s = 1\n')
     with pytest.raises(RuntimeError, match=r"gateway n. ended with 7: no such thing"):
         runs.run(scenario, tmp_path, "echo no such thing; exit 7")
 
@@ -98,6 +98,6 @@
     ],
 )
 def test_faults_that_overlap_are_played(faults, tmp_path):
-    done = runs.run(tomlform.loads(Scenario, 'name = "overlap"\nlength_s = 6\n' + faults), tmp_path)
+    done = runs.run(toml_schema.loads(Scenario, 'name = "overlap"\nlength_s = 6\n' + faults), tmp_path)
     assert [f for f in done.verdict.findings if f.certain] == []
     assert done.verdict.totals["served"] > 0
--- a/tests/faults/variants.py
+++ b/tests/faults/variants.py
@@ -10,12 +10,12 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from orchidlane import interface as api
-from orchidlane.rules import Gateway
 from saffrongw.__main__ import main
 from saffrongw.gateway import driver as driving
-from saffrongw.gateway import hosts as hosting
 from saffrongw.gateway.driver import Attempt, Driver
+from saffrongw.gateway.upstream import cluster as hosting
+from saffrongw.policy import interface as api
+from saffrongw.policy.rules import Gateway
 
 VARIANTS: dict[str, Callable[[], None]] = {}
 
@@ -236,8 +236,8 @@
 
 @variant
 def ignores_denials() -> None:
-    from saffrongw.authz.stage import Asker
-    from saffrongw.gateway.plug import Pass
+    from saffrongw.authz.request_filter import Asker
+    from saffrongw.gateway.extensions import Pass
 
     Asker._verdict = lambda self, request, reply: Pass()
 
@@ -245,8 +245,8 @@
 @variant
 def sends_before_the_check() -> None:
     """Asks only now and then, and sends the others on meanwhile."""
-    from saffrongw.authz.stage import AuthzStage
-    from saffrongw.gateway.plug import Pass
+    from saffrongw.authz.request_filter import AuthzStage
+    from saffrongw.gateway.extensions import Pass
 
     due, plain = every(4), AuthzStage.on_request
     AuthzStage.on_request = lambda self, request: Pass() if due() else plain(self, request)
@@ -269,7 +269,7 @@
 
 @variant
 def ignores_sigterm() -> None:
-    from saffrongw.gateway.clients import Clients
+    from saffrongw.gateway.downstream.connection import Clients
 
     async def drain(self, accept_for) -> None:
         import asyncio
@@ -290,7 +290,7 @@
     hosting.pack_request = pack
 
 
-# -- leases: each breaks what ``standin.judge.holders`` judges ---------------------------------------------
+# -- leases: each breaks what ``testbed.checker.lease_rules`` judges ---------------------------------------------
 
 LEASES: dict[str, Callable[[], None]] = {}
 
@@ -303,7 +303,7 @@
 
 @lease_variant
 def believes_its_lease_for_ever() -> None:
-    from saffrongw.leases.asker import Asker
+    from saffrongw.leases.proposer import Asker
 
     plain = Asker._accepted
 
@@ -319,9 +319,9 @@
 @lease_variant
 def works_without_asking_its_token() -> None:
     """Goes on with its tasks, whatever became of the lease."""
-    from saffrongw.leases.asker import Token
-    from saffrongw.leases.part import LeasesPart
-    from saffrongw.leases.turns import Turns
+    from saffrongw.leases.component import LeasesPart
+    from saffrongw.leases.proposer import Token
+    from saffrongw.leases.task_schedule import Turns
 
     plain = LeasesPart.token
     known = {}
@@ -341,9 +341,9 @@
 @lease_variant
 def counts_a_voter_twice() -> None:
     """Takes an answer as often as it comes."""
-    from benchmarks.fleet.lease_case import Answers
-    from saffrongw.channel.envelope import Window
-    from saffrongw.leases.asker import Asker
+    from benchmarks.fleet.lease_explorer import Answers
+    from saffrongw.channel.signed_datagram import Window
+    from saffrongw.leases.proposer import Asker
 
     plain = Asker._begin
 
@@ -358,7 +358,7 @@
 
 @lease_variant
 def forgets_to_be_silent() -> None:
-    from saffrongw.leases.voter import Voter
+    from saffrongw.leases.acceptor import Voter
 
     plain = Voter.__init__
 
@@ -373,8 +373,8 @@
     """Ends without a word at so many steps of a grant (a message sent or read), once the file ``go`` is there."""
     import signal
 
+    from saffrongw.leases.component import LeasesPart
     from saffrongw.leases.messages import Accept, Prepare, Promise, Propose, Tell, Told
-    from saffrongw.leases.part import LeasesPart
 
     left, armed = int(step), False
 
@@ -395,7 +395,7 @@
             count(packet)
         return after(self, packets)
 
-    import saffrongw.leases.part as part
+    import saffrongw.leases.component as part
 
     plain = part._decode
 
--- a/tests/gateway/test_operators.py
+++ b/tests/gateway/test_admin_http.py
@@ -8,9 +8,9 @@
 import h11
 from conftest import FakeHost, Rig, asyncio_test, error, until, value
 
-from saffrongw.gateway import operators
-from saffrongw.gateway.operations import Operations
-from saffrongw.gateway.operators import OPEN_MOST, OperatorCalls
+from saffrongw.gateway.admin_http import server
+from saffrongw.gateway.admin_http.handlers import Operations
+from saffrongw.gateway.admin_http.server import OPEN_MOST, OperatorCalls
 
 
 class Operators:
@@ -56,48 +56,48 @@
 
 @asyncio_test
 async def test_health_says_yes_once_it_can_serve():
-    operators = Operators(Rig(await FakeHost("a").listen()))
-    operators.operations.serving = False
-    assert (await operators("GET", "health"))[0] == 503
-    operators.operations.serving = True
-    assert (await operators("GET", "health"))[0] == 200
+    server = Operators(Rig(await FakeHost("a").listen()))
+    server.operations.serving = False
+    assert (await server("GET", "health"))[0] == 503
+    server.operations.serving = True
+    assert (await server("GET", "health"))[0] == 200
 
 
 @asyncio_test
 async def test_calls_that_make_no_sense_are_answered_no():
-    operators = Operators(Rig(await FakeHost("a").listen()))
-    assert (await operators("GET", "cordon", b"a"))[0] == 405
-    assert (await operators("POST", "health"))[0] == 405
-    assert (await operators("GET", "nothing"))[0] == 404
+    server = Operators(Rig(await FakeHost("a").listen()))
+    assert (await server("GET", "cordon", b"a"))[0] == 405
+    assert (await server("POST", "health"))[0] == 405
+    assert (await server("GET", "nothing"))[0] == 404
     for body in (b"", b"\xff", b"a b", b"x" * 200):
-        assert (await operators("POST", "cordon", body))[0] == 400
-    assert (await operators("POST", "cordon", b"x" * 300))[0] == 413
-    assert (await operators.raw(b"PING\r\n\r\n")).startswith(b"HTTP/1.1 400")
-    assert (await operators.raw(b"GET /admin/health HTTP/1.1\r\nhost: x\r\nx: " + b"y" * 9000)).startswith(
+        assert (await server("POST", "cordon", body))[0] == 400
+    assert (await server("POST", "cordon", b"x" * 300))[0] == 413
+    assert (await server.raw(b"PING\r\n\r\n")).startswith(b"HTTP/1.1 400")
+    assert (await server.raw(b"GET /admin/health HTTP/1.1\r\nhost: x\r\nx: " + b"y" * 9000)).startswith(
         b"HTTP/1.1 431"
     )
-    assert (await operators("GET", "health"))[0] == 200
+    assert (await server("GET", "health"))[0] == 200
 
 
 @asyncio_test
 async def test_callers_with_half_a_call_or_nothing_hold_nobody_up(monkeypatch):
-    operators = Operators(Rig(await FakeHost("a").listen()))
-    silent = [await asyncio.open_connection(*operators.address[:2]) for _ in range(OPEN_MOST + 8)]
+    server = Operators(Rig(await FakeHost("a").listen()))
+    silent = [await asyncio.open_connection(*server.address[:2]) for _ in range(OPEN_MOST + 8)]
     for number, (_, writer) in enumerate(silent):
         if number % 2:
             writer.write(b"POST /admin/cordon HTTP/1.1\r\nhost: x\r\ncontent-length: 5\r\n\r\na")
-    assert (await operators("GET", "health"))[0] == 200
-    assert len(operators.calls.open) <= OPEN_MOST
+    assert (await server("GET", "health"))[0] == 200
+    assert len(server.calls.open) <= OPEN_MOST
     for reader, writer in silent:
         with contextlib.suppress(ConnectionResetError):
             assert await reader.read() == b""  # closed by us, with no answer to half a call
         writer.close()
-    await until(lambda: not operators.calls.open and not operators.calls.unheard)
+    await until(lambda: not server.calls.open and not server.calls.unheard)
 
 
 @asyncio_test
 async def test_a_call_in_single_bytes_and_one_that_waits_for_leave_to_go_on(monkeypatch):
-    monkeypatch.setattr(operators, "CALL_WITHIN", 30.0)
+    monkeypatch.setattr(server, "CALL_WITHIN", 30.0)
     calls = Operators(Rig(await FakeHost("a").listen()))
     reader, writer = await asyncio.open_connection(*calls.address[:2])
     for byte in b"POST /admin/cordon HTTP/1.1\r\nhost: x\r\ncontent-length: 2\r\n\r\na\n":
@@ -117,7 +117,7 @@
 async def test_a_host_is_taken_out_and_put_back_by_hand():
     hosts = [await FakeHost(name).listen() for name in "ab"]
     rig = Rig(*hosts)
-    operators, caller = Operators(rig), await rig.caller()
+    server, caller = Operators(rig), await rig.caller()
 
     async def ask(first: int, count: int) -> None:
         for number in range(first, first + count):
@@ -128,22 +128,22 @@
     if not hosts[0].commands:  # idle ones are all the same to the choice: the one that was used is meant
         hosts.reverse()
     used = hosts[0].name.encode()
-    assert (await operators("POST", "cordon", b"nobody"))[0] == 404
-    assert (await operators("POST", "uncordon", b"nobody"))[0] == 404
-    assert (await operators("POST", "cordon", used))[0] == 200
-    assert (await operators("POST", "cordon", used))[0] == 200
+    assert (await server("POST", "cordon", b"nobody"))[0] == 404
+    assert (await server("POST", "uncordon", b"nobody"))[0] == 404
+    assert (await server("POST", "cordon", used))[0] == 200
+    assert (await server("POST", "cordon", used))[0] == 200
     await until(lambda: not hosts[0].connections)  # it is about to be restarted
     hosts[0].commands.clear()
     rig.told(hosts[0].line(health="DELETED"))
-    assert (await operators("POST", "cordon", used))[0] == 200  # gone, and still out
+    assert (await server("POST", "cordon", used))[0] == 200  # gone, and still out
     rig.told(hosts[0].line())
     await ask(20, 20)
     assert not hosts[0].commands
-    assert (await operators.figures())["hosts_down"] == 1
-    assert (await operators("POST", "uncordon", used))[0] == 200
+    assert (await server.figures())["hosts_down"] == 1
+    assert (await server("POST", "uncordon", used))[0] == 200
     await ask(40, 1)
     assert len(hosts[0].commands) == 1  # at once
-    assert (await operators.figures())["hosts_down"] == 0
+    assert (await server.figures())["hosts_down"] == 0
 
 
 @asyncio_test
@@ -151,13 +151,13 @@
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     rig = Rig(host)
-    operators = Operators(rig)
+    server = Operators(rig)
     idle, busy = await rig.caller(), await rig.caller()
     idle.ask(b"PING")
     assert await idle.replied() == [b"PONG"]
     busy.call()
     await until(lambda: len(host.commands) == 1)
-    assert (await operators("POST", "quiesce"))[0] == 200
+    assert (await server("POST", "quiesce"))[0] == 200
     await until(lambda: idle.closed)
     late = await rig.caller()
     late.ask(b"PING")
@@ -170,7 +170,7 @@
         connection.transport.write(value(b"x"))
     assert await late.replied() == await busy.replied() == [b"x"]
     await until(lambda: late.closed and busy.closed)
-    assert (await operators("POST", "resume"))[0] == 200
+    assert (await server("POST", "resume"))[0] == 200
     again = await rig.caller()
     again.ask(b"PING")
     assert await again.replied() == [b"PONG"]
@@ -184,8 +184,8 @@
     replies = [value(b"1"), value(b"2"), b"-ERR failed\r\n", b"-ERR failed\r\n"]
     host.script = lambda command: None if command[2] == b"open" else replies.pop(0)
     rig = Rig(host)
-    operators, caller = Operators(rig), await rig.caller()
-    before = await operators.figures()
+    server, caller = Operators(rig), await rig.caller()
+    before = await server.figures()
     assert set(before.values()) == {0, 1}  # one host is listed
     caller.call("read", number=b"1")
     caller.call("put", number=b"2")
@@ -194,7 +194,7 @@
     await caller.replied(3)
     caller.call("read", number=b"open")
     await until(lambda: len(host.commands) == 4)
-    now = await operators.figures()
+    now = await server.figures()
     assert [now[f"success.{name}"] for name in ("read", "put", "bill")] == [1, 1, 0]
     assert [now[f"failure.{name}"] for name in ("read", "put", "bill")] == [0, 0, 1]
     assert (now["backend_calls"], now["inflight"], now["hosts_listed"]) == (4, 1, 1)
@@ -203,4 +203,4 @@
     other = await rig.caller()
     other.call("bill", number=b"refused")
     assert error((await other.replied())[0]).startswith("BUSY")
-    assert (await operators.figures())["busy.bill"] == 1
+    assert (await server.figures())["busy.bill"] == 1
--- a/tests/gateway/test_intake.py
+++ b/tests/gateway/test_admission_queue.py
@@ -8,9 +8,9 @@
 import hiredis
 from conftest import FakeHost, Rig, asyncio_test, error, until
 
-from saffrongw.gateway import clients as clients_module
+from saffrongw.gateway.downstream import connection as clients_module
+from saffrongw.gateway.request_parser import Form, parse
 from saffrongw.gateway.resp import Malformed
-from saffrongw.gateway.terms import Form, parse
 
 
 class Pressed(Rig):
--- a/tests/gateway/test_orders.py
+++ b/tests/gateway/test_event_interleavings.py
@@ -14,11 +14,11 @@
 import pytest
 from conftest import SITE, Caller, FakeHost, Rig, asyncio_test, configured, error, started, until, value
 
-from orchidlane import interface as api
-from saffrongw.gateway import clients
-from saffrongw.gateway.clients import WAITING_MOST
-from saffrongw.gateway.hosts import REST_WITHIN
-from standin.play.processes import die_with_parent
+from saffrongw.gateway.downstream import connection as connection_module
+from saffrongw.gateway.downstream.connection import WAITING_MOST
+from saffrongw.gateway.upstream.cluster import REST_WITHIN
+from saffrongw.policy import interface as api
+from testbed.runner.processes import die_with_parent
 
 PERMISSIONS = SITE["permissions"]
 
@@ -368,7 +368,7 @@
 
 @asyncio_test
 async def test_an_answer_just_before_a_long_value_that_breaks_off_is_not_lost_with_it(monkeypatch):
-    monkeypatch.setattr(clients, "CLOSE_WITHIN", 60.0)  # the kernel's small windows take their time
+    monkeypatch.setattr(connection_module, "CLOSE_WITHIN", 60.0)  # the kernel's small windows take their time
     hosts = [await FakeHost(name).listen() for name in "ab"]
     rig = Rig(*hosts)
     caller, client, _ = await behind(rig, hosts)
--- a/tests/gateway/test_orders_over_sockets.py
+++ b/tests/gateway/test_event_interleavings_over_sockets.py
@@ -8,7 +8,7 @@
 from conftest import SITE, FakeHost, Rig, asyncio_test, until, value
 
 from saffrongw.gateway.driver import Attempt
-from saffrongw.gateway.hosts import Connection
+from saffrongw.gateway.upstream.cluster import Connection
 
 # What its host says, what becomes of its connection, of the list, of the client, of its time.
 EVENTS = ("served", "error", "full", "reset", "half", "drains", "gone", "client left", "time is up")
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -13,11 +13,11 @@
 import pytest
 from conftest import SITE, FakeHost, Rig, asyncio_test, error, started, until, value
 
-from orchidlane import interface as api
-from saffrongw.gateway.clients import IDLE_LEAST, SWEEP, WAITING_MOST
+from saffrongw.gateway.bootstrap import LOG_MOST, Bounded
+from saffrongw.gateway.downstream.connection import IDLE_LEAST, SWEEP, WAITING_MOST
 from saffrongw.gateway.driver import Attempt, Call
-from saffrongw.gateway.hosts import REST, parse_report
-from saffrongw.gateway.process import LOG_MOST, Bounded
+from saffrongw.gateway.upstream.cluster import REST, parse_report
+from saffrongw.policy import interface as api
 
 
 @asyncio_test
--- a/tests/gateway/test_versions.py
+++ b/tests/gateway/test_hot_restart_versions.py
@@ -5,9 +5,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from orchidlane import interface as api
 from saffrongw.gateway.config import HostEntry, HostList
-from saffrongw.gateway.news import REMEMBER, News
+from saffrongw.gateway.discovery.watch_events import REMEMBER, News
+from saffrongw.policy import interface as api
 
 READY, DRAINING, GONE = api.Phase.READY, api.Phase.DRAINING, api.Phase.GONE
 
--- a/tests/gateway/test_asking_for_lists.py
+++ b/tests/gateway/test_poll_schedule.py
@@ -8,7 +8,7 @@
 import pytest
 
 from benchmarks.fleet.lists import Before, Start, play
-from saffrongw.gateway.asking import (
+from saffrongw.gateway.discovery.poll_schedule import (
     ANSWER_WITHIN,
     APART_MOST,
     CHANGES,
--- a/tests/gateway/test_stages.py
+++ b/tests/gateway/test_request_filters.py
@@ -8,8 +8,8 @@
 from conftest import FakeHost, Rig, asyncio_test, error, until
 
 from saffrongw.gateway.driver import Terms
-from saffrongw.gateway.extended import ExtendedDriver
-from saffrongw.gateway.plug import Ending, Fail, Observer, Pass, Plugs, Refuse, StageError, apply
+from saffrongw.gateway.extensions import Ending, Fail, Observer, Pass, Plugs, Refuse, StageError, apply
+from saffrongw.gateway.filter_chain import ExtendedDriver
 
 TERMS = Terms(7, 0, 0, 2_000_000, 1.0, 2, 0, False)
 
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streaming_reply.py
@@ -9,9 +9,9 @@
 import pytest
 from conftest import Caller, FakeHost, Rig, asyncio_test, error, until, value
 
-from saffrongw.gateway import streams
-from saffrongw.gateway.hosts import REST
+from saffrongw.gateway import streaming_reply
 from saffrongw.gateway.resp import LONG_MOST, VALUE_MOST, AnswerReader, Malformed
+from saffrongw.gateway.upstream.cluster import REST
 
 REPORT = b"latency_ms=9,util=0.5"
 LONG = hashlib.shake_128(b"long").digest(300_000)
@@ -139,7 +139,7 @@
 
 @asyncio_test
 async def test_what_does_not_move_is_given_up(monkeypatch):
-    monkeypatch.setattr(streams, "STALL", 0.1)
+    monkeypatch.setattr(streaming_reply, "STALL", 0.1)
     rig, (host,), caller = await asked(lambda command: value(LONG)[:200_000], b"1")
     await until(lambda: caller.closed and not host.connections)
     assert not rig.clients.numbers
--- a/tests/gateway/test_news.py
+++ b/tests/gateway/test_watch_events.py
@@ -11,12 +11,12 @@
 
 import pytest
 from conftest import FakeHost, Rig, asyncio_test, until
+from saffrongw.gateway.discovery.client import BODY_MOST, Exchange, Watch
 
-from orchidlane import messages
-from saffrongw.gateway.asking import TOLD_AFTER, Asking
 from saffrongw.gateway.config import parse_hosts
-from saffrongw.gateway.discovery import BODY_MOST, Exchange, Watch
-from saffrongw.gateway.peers import Peers
+from saffrongw.gateway.discovery.poll_schedule import TOLD_AFTER, Asking
+from saffrongw.gateway.gossip_transport import Peers
+from saffrongw.policy import gossip_codec
 
 ZONES = ("hall-a", "hall-b")
 
@@ -114,8 +114,8 @@
         lambda: Peers(rig.driver, (("127.0.0.1", 1), peer.getsockname()), 0), local_addr=("127.0.0.1", 0)
     )
     own = transport.get_extra_info("sockname")
-    row = messages.Row(9, 0, 0, 2, 0, 50.0, 50.0, 0.0, ())
-    good = messages.pack(rig.driver.clock() // 1000, True, True, [messages.pack_row(row, 0, 2)])
+    row = gossip_codec.Row(9, 0, 0, 2, 0, 50.0, 50.0, 0.0, ())
+    good = gossip_codec.pack(rig.driver.clock() // 1000, True, True, [gossip_codec.pack_row(row, 0, 2)])
     stranger.sendto(good, own)
     peer.sendto(b"x" * 300, own)
     peer.sendto(b"\xff" * 40, own)
@@ -125,7 +125,7 @@
     assert list(rig.driver.gateway.heard) == [1]
     peer.setblocking(False)
     reply = await loop.sock_recv(peer, 512)
-    assert len(reply) <= messages.SIZE_MOST
+    assert len(reply) <= gossip_codec.SIZE_MOST
     stranger.setblocking(False)
     try:
         stranger.recv(512)
--- a/tests/leases/test_agreement.py
+++ b/tests/leases/test_consensus.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from saffrongw.leases.asker import Asker, Gained, Lost, Stage
-from saffrongw.leases.holds import HoldError, Holds
+from saffrongw.leases.acceptor import Voter
+from saffrongw.leases.candidates import STANDING_MOST, Standing, shard_of
 from saffrongw.leases.messages import (
     Accept,
     Free,
@@ -22,9 +22,9 @@
     Told,
     Why,
 )
-from saffrongw.leases.standing import STANDING_MOST, Standing, shard_of
+from saffrongw.leases.proposer import Asker, Gained, Lost, Stage
+from saffrongw.leases.suspensions import HoldError, Holds
 from saffrongw.leases.timing import MS, SECOND, Timing
-from saffrongw.leases.voter import Voter
 
 TIMING = Timing(10 * SECOND, 0.01)
 WALL = 1_700_000_000 * SECOND
--- a/tests/leases/test_explored.py
+++ b/tests/leases/test_interleavings.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from benchmarks.fleet import lease_case as case
-from standin.fleet.explore import Explorer
+from benchmarks.fleet import lease_explorer as case
+from testbed.simulation.explore import Explorer
 
 PLANTED = {
     "no silence after a restart": {"voter": case.NotSilent, "restarts": 1, "ticks": 2, "first_asks": True},
--- a/tests/leases/test_duty.py
+++ b/tests/leases/test_leader_guard.py
@@ -5,13 +5,13 @@
 import pytest
 from conftest import asyncio_test
 
+from saffrongw.certs.certificate_store import LostLease, Store
 from saffrongw.certs.documents import CertNote
 from saffrongw.certs.lease import Terms
-from saffrongw.certs.store import LostLease, Store
-from standin.authority.server import AuthorityServer
-from standin.model.lease_day import LeaseDay
-from standin.play.lease_world import LeaseWorld
-from standin.play.processes import free_port
+from testbed.acme_server.server import AuthorityServer
+from testbed.model.lease_day import LeaseDay
+from testbed.runner.lease_world import LeaseWorld
+from testbed.runner.processes import free_port
 
 NAME = "gw.example"
 
--- a/tests/leases/test_service.py
+++ b/tests/leases/test_service.py
@@ -16,9 +16,9 @@
 
 from saffrongw.admin import cli
 from saffrongw.leases.store import LeaseStore
-from standin.model.lease_day import LeaseDay
-from standin.net.relay import text_of
-from standin.play.lease_world import LeaseWorld
+from testbed.model.lease_day import LeaseDay
+from testbed.net.relay import text_of
+from testbed.runner.lease_world import LeaseWorld
 
 ROOT = Path(__file__).parent.parent.parent
 
@@ -280,9 +280,9 @@
     path = tmp_path / "o.toml"
     path.write_text("[stages]\ntime_share = 0.3\n")
     code = (
-        "import sys, saffrongw.wiring, saffrongw.operator as o; from saffrongw.wiring import plugs_of\n"
+        "import sys, saffrongw.operator as o; from saffrongw.extension_registry import plugs_of\n"
         f"o.load({str(path)!r})\n"
-        "parts = ('saffrongw.leases.member', 'saffrongw.channel.socket', 'msgspec', 'sqlite3')\n"
+        "parts = ('saffrongw.leases.node', 'saffrongw.channel.socket', 'msgspec', 'sqlite3')\n"
         "print([m for m in sys.modules if m in parts])"
     )
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
--- a/tests/leases/test_field.py
+++ b/tests/leases/test_simulated_fleet.py
@@ -8,16 +8,16 @@
 
 from benchmarks.fleet import lease_days
 from benchmarks.fleet.leases import Field
-from saffrongw.leases.asker import Asker
-from saffrongw.leases.holds import Holds
-from saffrongw.leases.member import Member
-from saffrongw.leases.rates import Rates, Reading, bounds
-from saffrongw.leases.sets import VoterSet
+from saffrongw.leases.acceptor import Voter
+from saffrongw.leases.candidates import Standing, shard_name
+from saffrongw.leases.clock_drift import Rates, Reading, bounds
+from saffrongw.leases.node import Member
+from saffrongw.leases.proposer import Asker
 from saffrongw.leases.spec import Spec
-from saffrongw.leases.standing import Standing, shard_name
+from saffrongw.leases.suspensions import Holds
 from saffrongw.leases.timing import SECOND, Timing
-from saffrongw.leases.voter import Voter
-from standin.fleet.clock import Fleet, Link
+from saffrongw.leases.voter_set import VoterSet
+from testbed.simulation.clock import Fleet, Link
 
 LEASE = shard_name(0, 1)
 
--- a/tests/leases/test_turns.py
+++ b/tests/leases/test_task_schedule.py
@@ -6,7 +6,7 @@
 
 from saffrongw.leases.messages import Note, State
 from saffrongw.leases.spec import SECOND, Spec
-from saffrongw.leases.turns import RETRY_LEAST, Call, Cancel, Outcome, Say, Turns
+from saffrongw.leases.task_schedule import RETRY_LEAST, Call, Cancel, Outcome, Say, Turns
 
 WALL = 1_700_000_000 * SECOND
 LEAST = Spec("t", 10 * SECOND, "at-least", SECOND, 0.0)
--- a/tests/ledger/killers.py
+++ b/tests/ledger/kill_points.py
@@ -1,5 +1,5 @@
 """A gateway that kills itself (SIGKILL) at one named step of the ledger's way, at the nth time it comes there:
-``python -m tests.ledger.killers STEP N``.
+``python -m tests.ledger.kill_points STEP N``.
 """
 
 from __future__ import annotations
@@ -10,9 +10,9 @@
 from collections.abc import Callable
 
 from saffrongw.__main__ import main
-from saffrongw.gateway import hosts as hosting
 from saffrongw.gateway.driver import Driver
-from saffrongw.ledger import gate, store
+from saffrongw.gateway.upstream import cluster as hosting
+from saffrongw.ledger import request_filter, store
 
 
 def at(number: int) -> Callable[[], None]:
@@ -76,14 +76,14 @@
 
 
 STEPS: dict[str, Callable[[Callable[[], None]], None]] = {
-    "before-the-intent": lambda step: around(gate.Ledger, "intend", before=step),
+    "before-the-intent": lambda step: around(request_filter.Ledger, "intend", before=step),
     "before-the-commit": lambda step: around(store.Store, "commit", before=step),
     "within-the-batch": lambda step: around(store.Store, "_insert", after=step),
     "after-the-commit": lambda step: around(store.Store, "commit", after=step),
     "before-the-first-byte": lambda step: unsafe_begin(step, after=False),
     "after-the-last-byte": lambda step: unsafe_begin(step, after=True),
-    "before-the-outcome": lambda step: around(gate.Ledger, "attempt_ended", before=step),
-    "after-the-outcome": lambda step: around(gate.Ledger, "attempt_ended", after=step),
+    "before-the-outcome": lambda step: around(request_filter.Ledger, "attempt_ended", before=step),
+    "after-the-outcome": lambda step: around(request_filter.Ledger, "attempt_ended", after=step),
     "before-the-answer": lambda step: answer(step, after=False),
     "after-the-answer": lambda step: answer(step, after=True),
     "within-recovery": lambda step: around(store.Store, "open_entries", after=step),
--- a/tests/ledger/test_kills.py
+++ b/tests/ledger/test_kills.py
@@ -19,10 +19,10 @@
 
 from saffrongw.ledger.entries import Entry, Meaning
 from saffrongw.ledger.store import Reader, Store
-from standin.judge.record import Attempt, Effect, Sent
-from standin.model.scenario import Class, Clients, Hosts, Plan, Scenario
-from standin.play.world import World
-from tests.ledger.killers import STEPS
+from testbed.checker.record import Attempt, Effect, Sent
+from testbed.model.scenario import Class, Clients, Hosts, Plan, Scenario
+from testbed.runner.world import World
+from tests.ledger.kill_points import STEPS
 
 DAY = Scenario(
     "kills",
@@ -44,7 +44,7 @@
 
 async def play(folder: Path, state: Path, step: str, number: int, seed: int) -> World:
     folder.mkdir(parents=True, exist_ok=True)
-    line = f"exec {shlex.quote(sys.executable)} -m tests.ledger.killers {step} {number}"
+    line = f"exec {shlex.quote(sys.executable)} -m tests.ledger.kill_points {step} {number}"
     world = World(replace(DAY, seed=seed), folder, line, f'[ledger]\nstate_dir = "{state}"\n')
     try:
         await world.open()
@@ -107,7 +107,7 @@
     config = json.loads(path.read_text())
     for _ in range(2):  # two lives die while they class what the first one left
         done = subprocess.run(
-            [sys.executable, "-m", "tests.ledger.killers", "within-recovery", "1"],
+            [sys.executable, "-m", "tests.ledger.kill_points", "within-recovery", "1"],
             cwd=Path(__file__).parent.parent.parent,
             env=os.environ
             | {"LB_CONFIG": str(path), "SAFFRONGW_OPERATOR": str(tmp_path / "run" / "operator.toml")},
--- a/tests/ledger/test_store.py
+++ b/tests/ledger/test_store.py
@@ -17,12 +17,12 @@
 from conftest import FakeHost, Rig, asyncio_test, error, until, value
 
 from saffrongw.admin import cli
-from saffrongw.gateway.extended import ExtendedDriver
-from saffrongw.gateway.plug import Plugs
+from saffrongw.gateway.extensions import Plugs
+from saffrongw.gateway.filter_chain import ExtendedDriver
 from saffrongw.ledger import writer as writing
 from saffrongw.ledger.entries import Entry, Event, Kind, Meaning, Try, entries_of, explain, recover
-from saffrongw.ledger.gate import Ledger
 from saffrongw.ledger.reconcile import ListError, parse, reconcile
+from saffrongw.ledger.request_filter import Ledger
 from saffrongw.ledger.store import FILE, Reader, Store, StoreError
 
 S = 1_000_000
--- a/tests/orchidlane/test_checks_for_others.py
+++ b/tests/policy/test_admission_checks.py
@@ -4,7 +4,7 @@
 
 from conftest import SECOND, Bench, of
 
-from orchidlane import interface as api
+from saffrongw.policy import interface as api
 
 
 def check(bench: Bench, number: int, customer=7, plan=0, units=1.0, first=0, size=1):
--- a/tests/orchidlane/test_servers.py
+++ b/tests/policy/test_endpoints.py
@@ -4,8 +4,8 @@
 
 from conftest import SECOND, Bench, entry, listed, of
 
-from orchidlane import interface as api
-from orchidlane.interface import Outcome
+from saffrongw.policy import interface as api
+from saffrongw.policy.interface import Outcome
 
 
 def serve(bench: Bench, request: int, took) -> api.Send | None:
--- a/tests/orchidlane/test_orders_of_events.py
+++ b/tests/policy/test_event_orders.py
@@ -7,8 +7,8 @@
 import pytest
 from conftest import SECOND, Bench, entry, listed
 
-from orchidlane import interface as api
-from orchidlane.interface import Effect, Outcome
+from saffrongw.policy import interface as api
+from saffrongw.policy.interface import Effect, Outcome
 
 NEVER_RAN = (Outcome.FULL, Outcome.NOT_CONNECTED, Outcome.NEVER_SENT)
 KINDS = {0: "safe", 1: "keyed by cell", 2: "unsafe", 3: "keyed by all", 4: "keyed by zone"}
@@ -124,9 +124,9 @@
 @pytest.mark.parametrize("kind", [1, 2, 4])
 def test_a_rule_forgotten_is_seen(kind, monkeypatch):
     """The planted fault: what may have run goes anywhere, at any time."""
-    monkeypatch.setattr("orchidlane.rules.Gateway._may_send", lambda self, request, host: True)
+    monkeypatch.setattr("saffrongw.policy.rules.Gateway._may_send", lambda self, request, host: True)
     monkeypatch.setattr(
-        "orchidlane.rules.Gateway._attempt_ended",
+        "saffrongw.policy.rules.Gateway._attempt_ended",
         lambda self, event: (
             self.ended(event.request, event.attempt),
             self._advance(request) if (request := self.requests.get(event.request)) else None,
--- a/tests/orchidlane/test_exclusion.py
+++ b/tests/policy/test_exclusion.py
@@ -4,7 +4,7 @@
 
 from conftest import SECOND, Bench, entry, listed, of
 
-from orchidlane import interface as api
+from saffrongw.policy import interface as api
 
 GONE = api.Phase.GONE
 
--- a/tests/orchidlane/test_quotas_of_a_fleet.py
+++ b/tests/policy/test_fleet_quotas.py
@@ -6,7 +6,7 @@
 
 from benchmarks.fleet.ceilings import MS, SECOND, T0
 from benchmarks.fleet.quotas import BRISK, QUIET, Day
-from orchidlane.rules import Gateway
+from saffrongw.policy.rules import Gateway
 
 MORE = 0.1  # of the worth asked for inside the quotas: so much more it may cost at most
 LATE = 50 * MS  # as late as the operators' policy seems to be by what the bench allows beside it
--- a/tests/orchidlane/test_ceilings_of_a_fleet.py
+++ b/tests/policy/test_fleet_rate_ceilings.py
@@ -7,8 +7,8 @@
 import pytest
 
 from benchmarks.fleet.ceilings import PLAN, SECOND, AtOnce, World, row
-from orchidlane.rules import Gateway
-from standin.fleet.clock import Link
+from saffrongw.policy.rules import Gateway
+from testbed.simulation.clock import Link
 
 FLEET = {"gateways": 24, "spread": 8, "customers": 16, "heavy": 0.25}
 WIDE = replace(PLAN, rate=60.0, burst=200.0)  # only its ceiling refuses
--- a/tests/orchidlane/test_choice.py
+++ b/tests/policy/test_load_balancer.py
@@ -5,7 +5,7 @@
 import pytest
 from conftest import SECOND, Bench, entry, listed, of
 
-from orchidlane import interface as api
+from saffrongw.policy import interface as api
 
 CEILED = 2
 WARM_WITHIN = 10 * SECOND
--- a/tests/orchidlane/test_shedding.py
+++ b/tests/policy/test_load_shedding.py
@@ -8,8 +8,8 @@
 import pytest
 from conftest import PLAIN, SAFE, SECOND, T0, UNSAFE, Bench
 
-from orchidlane import interface as api
-from orchidlane.shedding import BACK_LEAST, FLOW_LEAST, MS, ROOM_LEAST, ROOM_MOST, Shedder, Waiting
+from saffrongw.policy import interface as api
+from saffrongw.policy.load_shedding import BACK_LEAST, FLOW_LEAST, MS, ROOM_LEAST, ROOM_MOST, Shedder, Waiting
 
 DEAR = dataclasses.replace(UNSAFE, worth=5.0)
 TWIN = dataclasses.replace(SAFE, effect=api.Effect.KEYED)  # of the same worth as SAFE
--- a/tests/orchidlane/test_cut_off.py
+++ b/tests/policy/test_network_partition.py
@@ -5,9 +5,9 @@
 import pytest
 from conftest import SECOND, Bench, of
 
-from orchidlane import interface as api
-from orchidlane import messages
-from orchidlane.messages import Row
+from saffrongw.policy import gossip_codec
+from saffrongw.policy import interface as api
+from saffrongw.policy.gossip_codec import Row
 
 MS = 1_000
 SIZE, CUSTOMER = 8, 7
@@ -17,7 +17,7 @@
     """A peer's word on the customer."""
     sent = bench.now // MS
     row = Row(CUSTOMER, 0, 0, SIZE, 0, 10.0, total, 0.0, tuple(counts))
-    body = messages.pack(sent, False, False, [messages.pack_row(row, sent, SIZE)])
+    body = gossip_codec.pack(sent, False, False, [gossip_codec.pack_row(row, sent, SIZE)])
     bench.feed(api.PeerMessage(sender, body))
 
 
--- a/tests/orchidlane/test_counts.py
+++ b/tests/policy/test_quota_counters.py
@@ -10,20 +10,20 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from orchidlane import interface as api
-from orchidlane import messages
-from orchidlane.messages import Row
-from orchidlane.state import Account
+from saffrongw.policy import gossip_codec
+from saffrongw.policy import interface as api
+from saffrongw.policy.gossip_codec import Row
+from saffrongw.policy.state import Account
 
 MS = T0 // 1_000
-TICK = MS // messages.TICK
+TICK = MS // gossip_codec.TICK
 
 
 def say(bench: Bench, sender: int, *rows: Row, ask=False, keep=False, sent=None) -> list:
     """A peer's message, sent now."""
     sent = bench.now // 1_000 if sent is None else sent
-    packed = [messages.pack_row(r, sent, bench.settings.gateways) for r in rows]
-    return bench.feed(api.PeerMessage(sender, messages.pack(sent, ask, keep, packed)))
+    packed = [gossip_codec.pack_row(r, sent, bench.settings.gateways) for r in rows]
+    return bench.feed(api.PeerMessage(sender, gossip_codec.pack(sent, ask, keep, packed)))
 
 
 def told(counts, room=10.0, total=0.0, customer=7, reach=0, first=0, size=3, plan=0, rights=0.0) -> Row:
@@ -51,7 +51,9 @@
 def bodies(actions) -> list:
     """The decoded messages among the actions, with their receivers."""
     now = T0 // 1_000 + 60_000
-    return [(a.peer, messages.unpack(a.body, now, 10**6, 9)) for a in actions if isinstance(a, api.TellPeer)]
+    return [
+        (a.peer, gossip_codec.unpack(a.body, now, 10**6, 9)) for a in actions if isinstance(a, api.TellPeer)
+    ]
 
 
 def test_the_burst_is_let_in_until_it_is_nearly_spent_and_comes_back():
@@ -231,7 +233,7 @@
         bench.ask(i, customer=i % 90)
         bench.run(5_000)
     sizes = [len(a.body) for a in bench.log if isinstance(a, api.TellPeer)]
-    assert max(sizes) <= messages.SIZE_MOST
+    assert max(sizes) <= gossip_codec.SIZE_MOST
     seconds = (bench.now - T0) / SECOND
     assert 0 < len(sizes) <= 50.0 * (seconds + 1)
 
@@ -281,7 +283,7 @@
 
     def trace(frame, kind, _):
         nonlocal count
-        count += kind == "call" and "orchidlane" in frame.f_code.co_filename
+        count += kind == "call" and "saffrongw/policy" in frame.f_code.co_filename
 
     sys.setprofile(trace)
     try:
@@ -313,8 +315,8 @@
     say(bench, 1, told([(1, TICK - 9, 4.0)], total=4.0))
     account = bench.gateway.accounts[7]
     before = dict(account.counts), account.total, bench.gateway.unheard
-    row = messages.pack_row(told([(1, TICK - 9, 3.0)]), MS, 3)
-    good = messages.pack(MS, False, False, [row])
+    row = gossip_codec.pack_row(told([(1, TICK - 9, 3.0)]), MS, 3)
+    good = gossip_codec.pack(MS, False, False, [row])
     for cut in range(7, len(good)):
         bench.feed(api.PeerMessage(1, good[:cut]))
     bench.feed(api.PeerMessage(1, b"\xff" * 256))
@@ -335,10 +337,10 @@
 
 
 def test_send_times_that_wrap_are_read_aright():
-    for sent in (messages.CLOCK - 5, messages.CLOCK + 5, 7 * messages.CLOCK + 1):
-        body = messages.pack(sent, False, False, [])
-        assert messages.unpack(body, sent + 900, 3, 1).sent == sent
-        assert messages.unpack(body, sent - 900, 3, 1).sent == sent
+    for sent in (gossip_codec.CLOCK - 5, gossip_codec.CLOCK + 5, 7 * gossip_codec.CLOCK + 1):
+        body = gossip_codec.pack(sent, False, False, [])
+        assert gossip_codec.unpack(body, sent + 900, 3, 1).sent == sent
+        assert gossip_codec.unpack(body, sent - 900, 3, 1).sent == sent
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
@@ -429,7 +431,7 @@
         bench.run(2_000)
     bench.run(2 * SECOND)
     told = [
-        (tell.peer, messages.unpack(tell.body, bench.now // 1000, 3, 4))
+        (tell.peer, gossip_codec.unpack(tell.body, bench.now // 1000, 3, 4))
         for tell in of(bench.log, api.TellPeer)
     ]
     kept = {row.customer for _, message in told if message.keep for row in message.rows}
--- a/tests/orchidlane/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -5,11 +5,11 @@
 import pytest
 from conftest import SECOND, T0, Bench, entry, listed, of
 
-from orchidlane import interface as api
-from orchidlane import messages, rules
-from orchidlane.interface import Outcome
-from orchidlane.messages import Row
-from orchidlane.state import Account
+from saffrongw.policy import gossip_codec, rules
+from saffrongw.policy import interface as api
+from saffrongw.policy.gossip_codec import Row
+from saffrongw.policy.interface import Outcome
+from saffrongw.policy.state import Account
 
 SAFE_KIND, CELL_KIND, UNSAFE_KIND, ALL_KIND, ZONE_KIND = range(5)
 NEVER_RAN = (Outcome.FULL, Outcome.NOT_CONNECTED, Outcome.NEVER_SENT)
@@ -234,7 +234,7 @@
 def hear(bench: Bench, sender: int, row: Row, keep: bool) -> list:
     """A peer's word, which asks for an answer where it wants rights."""
     sent = bench.now // 1_000
-    body = messages.pack(sent, keep, keep, [messages.pack_row(row, sent, 3)])
+    body = gossip_codec.pack(sent, keep, keep, [gossip_codec.pack_row(row, sent, 3)])
     return bench.feed(api.PeerMessage(sender, body))
 
 
@@ -248,7 +248,7 @@
     given = 0.0
     for _ in range(5):
         for tell in of(hear(bench, other, ceiling_row(3.5), keep=True), api.TellPeer):
-            message = messages.unpack(tell.body, bench.now // 1_000, 3, 4)
+            message = gossip_codec.unpack(tell.body, bench.now // 1_000, 3, 4)
             given += message.rows[0].rights if not message.keep else 0.0
     assert 10.0 < given <= 16 * 2 / 3
 
--- a/tests/orchidlane/test_handover.py
+++ b/tests/policy/test_state_transfer.py
@@ -8,8 +8,8 @@
 import pytest
 from conftest import SECOND, SETTINGS, T0, Bench, entry, listed, of
 
-from orchidlane import handover
-from orchidlane import interface as api
+from saffrongw.policy import interface as api
+from saffrongw.policy import state_transfer
 
 CEILED = 2
 
@@ -17,8 +17,8 @@
 def heir(old: Bench, servers=4) -> Bench:
     """A successor that has got all rows, through JSON as on the wire."""
     new = Bench(servers=servers, now=old.now, seed=2)
-    for row in json.loads(json.dumps(list(handover.export(old.gateway)))):
-        handover.adopt(new.gateway, new.now, row)
+    for row in json.loads(json.dumps(list(state_transfer.export(old.gateway)))):
+        state_transfer.adopt(new.gateway, new.now, row)
     return new
 
 
@@ -108,8 +108,8 @@
     new = Bench(now=bench.now)
     served(new, range(1, 5), size=1)
     known = dataclasses.replace(new.gateway.accounts[7])
-    for row in handover.export(bench.gateway):
-        handover.adopt(new.gateway, new.now, row)
+    for row in state_transfer.export(bench.gateway):
+        state_transfer.adopt(new.gateway, new.now, row)
     assert new.gateway.accounts[7] == known
 
 
@@ -132,7 +132,7 @@
 )
 def test_an_odd_row_is_named_and_changes_no_account(row):
     bench = Bench(gateways=SETTINGS.gateways)
-    with pytest.raises(handover.OddRow):
-        handover.adopt(bench.gateway, bench.now, row)
+    with pytest.raises(state_transfer.OddRow):
+        state_transfer.adopt(bench.gateway, bench.now, row)
     assert bench.gateway.accounts == {} == bench.gateway.excluded
     assert served(bench, range(1, 3)) == 2
--- a/tests/orchidlane/test_ceiling_rights.py
+++ b/tests/policy/test_token_grants.py
@@ -5,10 +5,10 @@
 import pytest
 from conftest import SECOND, T0, Bench, of
 
-from orchidlane import interface as api
-from orchidlane import messages
-from orchidlane.counts import RIGHTS_OWED, RIGHTS_WITHIN
-from orchidlane.messages import Row
+from saffrongw.policy import gossip_codec
+from saffrongw.policy import interface as api
+from saffrongw.policy.counts import RIGHTS_OWED, RIGHTS_WITHIN
+from saffrongw.policy.gossip_codec import Row
 
 CUSTOMER, CEILED, SIZE = 1, 2, 3  # its store holds 16 units and gains 8 a second
 MS = 1_000
@@ -21,14 +21,14 @@
     """A peer's word: rights given, or wanted (keep); sent so long ago (ms)."""
     sent = bench.now // MS - ago
     row = Row(CUSTOMER, CEILED, 0, SIZE, 0, 8.0, 0.0, rights, counts)
-    body = messages.pack(sent, keep, keep, [messages.pack_row(row, sent, SIZE)])
+    body = gossip_codec.pack(sent, keep, keep, [gossip_codec.pack_row(row, sent, SIZE)])
     return bench.feed(api.PeerMessage(sender, body))
 
 
 def rights(actions, peer: int) -> list[float]:
     """What the rows to a peer ask for or give."""
     bodies = [a.body for a in of(actions, api.TellPeer) if a.peer == peer]
-    told = [messages.unpack(body, T0 // MS + 60_000, SIZE, 9) for body in bodies]
+    told = [gossip_codec.unpack(body, T0 // MS + 60_000, SIZE, 9) for body in bodies]
     return [row.rights for message in told for row in message.rows]
 
 
@@ -106,7 +106,7 @@
 
 def test_a_keeper_serves_those_that_wait_before_it_tops_up():
     bench = keeper(3.0)
-    start = T0 // MS // messages.TICK
+    start = T0 // MS // gossip_codec.TICK
     assert rights(hear(bench, OTHER, 1.0, ((OTHER, start, 1.0),), keep=True), OTHER) == [
         0.0
     ]  # it sent one on
--- a/tests/orchidlane/test_wire.py
+++ b/tests/simulator/test_codec.py
@@ -11,8 +11,10 @@
 
 import pytest
 
-from orchidlane import interface as api
-from orchidlane import wire, wirehost
+from saffrongw.policy import interface as api
+from saffrongw.policy.settings_schema import SettingsError, parse_settings
+from saffrongw.simulator import __main__ as wirehost
+from saffrongw.simulator import codec
 
 ROOT = Path(__file__).parent.parent.parent
 
@@ -70,19 +72,19 @@
 HOST = bytes.fromhex("0a124a072b23")
 
 
-def raw(text: str, size: int = wire.EVENT_SIZE) -> bytes:
+def raw(text: str, size: int = codec.EVENT_SIZE) -> bytes:
     """A record of the protocol note, zeros to its size."""
     return bytes.fromhex(text.replace(" ", "")).ljust(size, b"\0")
 
 
 def decode(*records: bytes, tail: bytes = b""):
     """The events of one frame."""
-    return wire.Decoder().frame(len(records), b"".join(records) + tail)
+    return codec.Decoder().frame(len(records), b"".join(records) + tail)
 
 
 def encode(*actions: api.Action) -> bytes:
     """The reply's bytes after its header."""
-    encoder = wire.Encoder()
+    encoder = codec.Encoder()
     for action in actions:
         encoder.add(3, action)
     return encoder.reply()[8:]
@@ -215,7 +217,7 @@
 @pytest.mark.parametrize("bad", BAD_INPUT.values(), ids=BAD_INPUT.keys())
 def test_malformed_input_ends_with_one_plain_line(bad):
     done = subprocess.run(
-        [sys.executable, "-m", "orchidlane.wirehost"], input=bad, capture_output=True, cwd=ROOT, check=False
+        [sys.executable, "-m", "saffrongw.simulator"], input=bad, capture_output=True, cwd=ROOT, check=False
     )
     assert done.returncode != 0
     assert done.stdout == b""
@@ -225,15 +227,13 @@
 
 @pytest.mark.parametrize("path", [("rank",), ("rules", "coldFrom"), ("familyInfo", "peerIntake")])
 def test_a_missing_key_is_named(path):
-    with pytest.raises(wire.WireError, match=path[-1]):
-        wire.parse_settings(json.dumps(without(*path)).encode())
+    with pytest.raises(SettingsError, match=path[-1]):
+        parse_settings(json.dumps(without(*path)).encode())
 
 
 def test_unknown_keys_are_passed_over():
     more = {**SETTINGS, "new": 1, "rules": {**SETTINGS["rules"], "newer": 2}}
-    assert wire.parse_settings(json.dumps(more).encode()) == wire.parse_settings(
-        json.dumps(SETTINGS).encode()
-    )
+    assert parse_settings(json.dumps(more).encode()) == parse_settings(json.dumps(SETTINGS).encode())
 
 
 def test_a_failure_of_the_decisions_is_told_on_the_wire(monkeypatch):
--- a/tests/standin/test_checker.py
+++ b/tests/testbed/test_checker.py
@@ -4,8 +4,7 @@
 
 import pytest
 
-from standin.judge.checker import ON_SOCKETS, judge
-from standin.judge.record import (
+from testbed.checker.record import (
     Answered,
     Attempt,
     Began,
@@ -23,7 +22,8 @@
     Told,
     Turned,
 )
-from standin.model.scenario import Hosts, Plan, Scenario, slack
+from testbed.checker.rules import ON_SOCKETS, judge
+from testbed.model.scenario import Hosts, Plan, Scenario, slack
 
 MS, S = 1_000, 1_000_000
 # Customer 1 is on free, customer 2 on bound.
--- a/tests/standin/test_hosts.py
+++ b/tests/testbed/test_endpoints_over_sockets.py
@@ -10,8 +10,8 @@
 import pytest
 from conftest import Caller, asyncio_test, until
 
-from standin import __main__ as cli
-from standin.judge.record import (
+from testbed import __main__ as cli
+from testbed.checker.record import (
     Answered,
     Attempt,
     Closed,
@@ -24,14 +24,14 @@
     Turned,
     Unreached,
 )
-from standin.model.arrivals import Arrival, Customer, Try
-from standin.model.clock import Clock
-from standin.model.registry import Agent, Change, Line
-from standin.model.scenario import Class, Clients, Hosts, Plan, Scenario
-from standin.net.clients import ClientSide
-from standin.net.discovery import AgentServer
-from standin.net.hosts import SPOILS, Fleet
-from standin.net.relay import TcpFault
+from testbed.model.arrivals import Arrival, Customer, Try
+from testbed.model.clock import Clock
+from testbed.model.registry import Agent, Change, Line
+from testbed.model.scenario import Class, Clients, Hosts, Plan, Scenario
+from testbed.net.clients import ClientSide
+from testbed.net.discovery import AgentServer
+from testbed.net.endpoints import SPOILS, Fleet
+from testbed.net.relay import TcpFault
 
 FAST = Scenario(
     "fast",
@@ -373,9 +373,9 @@
 
 
 def test_the_report_is_a_table_json_and_a_page_that_needs_no_network(tmp_path):
-    from standin.judge import report
-    from standin.judge.checker import judge
-    from standin.judge.record import Began, Fault, Finished
+    from testbed.checker import report
+    from testbed.checker.record import Began, Fault, Finished
+    from testbed.checker.rules import judge
 
     day = Scenario("page", about="<b>", plan=FAST.plan, cls=FAST.cls, length_s=2)
     log = Log(
--- a/tests/standin/test_models.py
+++ b/tests/testbed/test_models.py
@@ -9,13 +9,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-import tomlform
-from standin.model import scenario
-from standin.model.arrivals import customers_of, digest, draw
-from standin.model.host_model import HostModel, Job, Rack, Took
-from standin.model.registry import Agent, Change, Line, Registry
-from standin.model.scenario import FAULTS, Fault, Hosts, Plan, Scenario, settings_of
-from standin.play import runs
+import toml_schema
+from testbed.model import scenario
+from testbed.model.arrivals import customers_of, digest, draw
+from testbed.model.endpoint_model import HostModel, Job, Rack, Took
+from testbed.model.registry import Agent, Change, Line, Registry
+from testbed.model.scenario import FAULTS, Fault, Hosts, Plan, Scenario, settings_of
+from testbed.runner import runs
 
 S, MS = 1_000_000, 1_000
 FIGURES = Hosts(
@@ -279,22 +279,22 @@
 )
 def test_a_wrong_scenario_gets_one_line(tmp_path, text, expected):
     (tmp_path / "s.toml").write_text(text)
-    with pytest.raises(tomlform.FormError) as wrong:
+    with pytest.raises(toml_schema.FormError) as wrong:
         scenario.load(tmp_path / "s.toml")
     assert expected in str(wrong.value)
     assert "\n" not in str(wrong.value)
 
 
 def test_an_unknown_scenario_names_those_that_there_are():
-    with pytest.raises(tomlform.FormError, match=r"there are: .*calm"):
+    with pytest.raises(toml_schema.FormError, match=r"there are: .*calm"):
         scenario.named("calmm")
 
 
 def test_the_settings_are_those_that_a_gateway_reads():
-    from orchidlane import wire
+    from saffrongw.policy.settings_schema import parse_settings
 
     day = Scenario("x")
-    read = wire.parse_settings(json.dumps(settings_of(day, 1)).encode())
+    read = parse_settings(json.dumps(settings_of(day, 1)).encode())
     assert (read.rank, read.gateways, len(read.classes), len(read.plans)) == (1, 3, 3, 2)
     amplio, plan = read.plans[1], day.plan[1]
     assert amplio.ceiling_rate == plan.rate * plan.ceiling
--- a/tests/standin/test_processes.py
+++ b/tests/testbed/test_processes.py
@@ -6,7 +6,7 @@
 import sys
 from pathlib import Path
 
-from standin.play.processes import PORTS, free_port, run_line
+from testbed.runner.processes import PORTS, free_port, run_line
 
 ROOT = Path(__file__).parent.parent.parent
 
@@ -25,7 +25,7 @@
 def test_a_gateway_ends_with_the_stand_ins_however_they_end():
     code = (
         "import os, signal, subprocess, sys\n"
-        "from standin.play.processes import die_with_parent\n"
+        "from testbed.runner.processes import die_with_parent\n"
         "child = subprocess.Popen(['sleep', '60'], preexec_fn=die_with_parent)\n"
         "print(child.pid, flush=True)\n"
         "os.kill(os.getpid(), signal.SIGKILL)\n"
--- a/tests/standin/test_relay.py
+++ b/tests/testbed/test_relay.py
@@ -8,8 +8,8 @@
 import pytest
 from conftest import asyncio_test, until
 
-from standin.model.clock import Clock, Heartbeat
-from standin.net.relay import TcpFault, TcpRelay, UdpRelay, Way, reset
+from testbed.model.clock import Clock, Heartbeat
+from testbed.net.relay import TcpFault, TcpRelay, UdpRelay, Way, reset
 
 
 class Peer(asyncio.Protocol):
--- a/tests/tomlform/test_tomlform.py
+++ b/tests/toml_schema/test_toml_schema.py
@@ -8,8 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-import tomlform
-from tomlform import FormError, key
+import toml_schema
+from toml_schema import FormError, key
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
 
 
 def test_a_good_file_is_typed_and_keeps_its_defaults():
-    got = tomlform.loads(
+    got = toml_schema.loads(
         Outer, 'name = "x"\nrate = 2\nspan = [1, 2]\n[[many]]\nsize = 4\n[[many]]\nkind = "b"\n'
     )
     assert got == Outer("x", 2.0, False, (1.0, 2.0), Inner(), (Inner(4), Inner(3, "b")))
@@ -65,7 +65,7 @@
 )
 def test_each_wrong_file_gets_one_line_with_place_and_cause(text, expected):
     with pytest.raises(FormError) as wrong:
-        tomlform.loads(Outer, text, "f")
+        toml_schema.loads(Outer, text, "f")
     assert str(wrong.value).startswith(expected)
     assert "\n" not in str(wrong.value)
 
@@ -75,12 +75,12 @@
     (tmp_path / "long").write_bytes(b"#" * (1 << 21))
     for name, why in (("none", "can't be read"), ("bytes", "bytes:2: not UTF-8"), ("long", "longer than")):
         with pytest.raises(FormError, match=why):
-            tomlform.load(Outer, tmp_path / name)
+            toml_schema.load(Outer, tmp_path / name)
 
 
 @given(st.text(max_size=200))
 def test_no_text_gives_anything_but_an_instance_or_a_form_error(text):
     try:
-        assert isinstance(tomlform.loads(Outer, text), Outer)
+        assert isinstance(toml_schema.loads(Outer, text), Outer)
     except FormError as wrong:
         assert "\n" not in str(wrong)
