--- a/benchmarks/authz_cost.py
+++ b/benchmarks/authz_cost.py
@@ -110,13 +110,18 @@
     given = parser.parse_args()
     figures: dict[str, list[float]] = {mode: [] for mode in MODES}
     with tempfile.TemporaryDirectory() as folder:
-        print(f"{'round':<7}{'mode':<10}{'us CPU a try':>14}{'against off':>13}{'MB':>7}{'tries':>8}")
+        print(
+            f"{'round':<7}{'mode':<10}{'us CPU a try':>14}{'against off':>13}{'MB':>7}{'tries':>8}"
+        )
         for number in range(given.rounds):
             for mode in MODES:
                 used, mb, tries = uvloop.run(one(mode, Path(folder) / f"{number}-{mode}"))
                 figures[mode].append(used)
                 ratio = used / figures["off"][-1]
-                print(f"{number + 1:<7}{mode:<10}{used:>14.0f}{ratio:>13.2f}{mb:>7.0f}{tries:>8}", flush=True)
+                print(
+                    f"{number + 1:<7}{mode:<10}{used:>14.0f}{ratio:>13.2f}{mb:>7.0f}{tries:>8}",
+                    flush=True,
+                )
         for mode in ("cached", "uncached"):
             ratios = [a / b for a, b in zip(figures[mode], figures["off"], strict=True)]
             print(f"median of {mode}/off: {statistics.median(ratios):.2f}")
--- a/benchmarks/client_disconnects.py
+++ b/benchmarks/client_disconnects.py
@@ -70,7 +70,9 @@
     parser.add_argument("--forgets", action="store_true")
     said = parser.parse_args()
     waited, begun, late = uvloop.run(play(said.clients, said.forgets))
-    print(f"left while they waited {waited}, sent on after that {begun}, {LATE} s or more after that {late}")
+    print(
+        f"left while they waited {waited}, sent on after that {begun}, {LATE} s or more after that {late}"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet/ceilings.py
+++ b/benchmarks/fleet/ceilings.py
@@ -16,24 +16,77 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from saffrongw.policy import interface as api
+from saffrongw.policy.actions import (
+    Action,
+    FailRequest,
+    RejectRequest,
+    SendAttempt,
+    SendGossip,
+    SetTimer,
+)
+from saffrongw.policy.events import (
+    AttemptEnded,
+    AttemptOutcome,
+    EndpointEntry,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    Event,
+    GossipReceived,
+    RequestArrived,
+    TimerFired,
+)
 from saffrongw.policy.rules import Gateway
+from saffrongw.policy.settings import (
+    DeduplicationScope,
+    Idempotency,
+    LoadReportSource,
+    Plan,
+    RequestClass,
+    Settings,
+)
 from testbed.simulation.clock import Fleet, Link
 from testbed.simulation.machine import Sent
 
 SECOND, MS = 1_000_000, 1_000
 T0 = 1_000_000 * SECOND  # the clock at true time 0: long after any start
 SERVER = b"h"
-KIND = api.RequestClass(800 * MS, 2 * SECOND, 3.0, 0.0, api.Effect.SAFE, api.Group.ALL, 0)
-PLAN = api.Plan(8.0, 20.0, 0, 1.0, 0.0, 1.0, 18.0, 45.0, 4.0)
+KIND = RequestClass(
+    800 * MS, 2 * SECOND, 3.0, 0.0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0
+)
+PLAN = Plan(8.0, 20.0, 0, 1.0, 0.0, 1.0, 18.0, 45.0, 4.0)
 
 
-def settings(rank: int, gateways: int, plan: api.Plan = PLAN) -> api.Settings:
+def settings(node_index: int, gateways: int, plan: Plan = PLAN) -> Settings:
     """Of one gateway; one class, one plan."""
-    return api.Settings(
-        rank, gateways, 0, (KIND,), (plan,), True, False, True, True, 4, SECOND, 40.0, 0.01, 0.01, 0.03, 0.01, False,
-        False, 10 * SECOND, api.Reports.NONE, (), 0.25, 18 * SECOND, 3.0, 3 * SECOND, SECOND,
-    )  # fmt: skip
+    return Settings(
+        node_index=node_index,
+        node_count=gateways,
+        zone=0,
+        classes=(KIND,),
+        plans=(plan,),
+        may_send_gossip=True,
+        may_probe=False,
+        may_cancel=True,
+        may_hedge=True,
+        max_attempts=4,
+        max_retry_after_us=SECOND,
+        gossip_intake=40.0,
+        gossip_cost=0.01,
+        health_check_cost=0.01,
+        wasted_attempt_cost=0.03,
+        cross_zone_cost=0.01,
+        has_shared_counter=False,
+        polls_endpoint_list=False,
+        notification_deadline_us=10 * SECOND,
+        load_report_source=LoadReportSource.NONE,
+        load_report_fields=(),
+        slow_start_weight=0.25,
+        slow_start_duration_us=18 * SECOND,
+        overload_multiple=3.0,
+        overload_duration_us=3 * SECOND,
+        drain_grace_us=SECOND,
+    )
 
 
 @dataclass(slots=True)
@@ -45,7 +98,7 @@
     at: int = 0
     lowest: float = 0.0
 
-    def lift(self, now: int, plan: api.Plan) -> None:
+    def lift(self, now: int, plan: Plan) -> None:
         """Let both fill."""
         span, self.at = (now - self.at) / SECOND, now
         self.ceiling = min(plan.ceiling_burst, self.ceiling + plan.ceiling_rate * span)
@@ -61,12 +114,14 @@
 class Node:
     """One life of one gateway."""
 
-    def __init__(self, world: World, rank: int, now: int) -> None:
-        self.world, self.rank, self.timers, self.orders = world, rank, [], 0
-        self.gateway = world.kind(settings(rank, world.gateways, world.plan), rank + 17 * now, now)
-        entry = api.ServerEntry(SERVER, api.Phase.READY, 0, 0, 0, 1.0)
+    def __init__(self, world: World, node_index: int, now: int) -> None:
+        self.world, self.node_index, self.timers, self.orders = world, node_index, [], 0
+        self.gateway = world.kind(
+            settings(node_index, world.gateways, world.plan), node_index + 17 * now, now
+        )
+        entry = EndpointEntry(SERVER, EndpointState.READY, 0, 0, 0, 1.0)
         self.first = self._do(now, self.gateway.start(now - world.loads))
-        self.first += self.feed(now, api.ServerListed(api.ListKind.WHOLE, 1, (entry,)))
+        self.first += self.feed(now, EndpointListReceived(EndpointListKind.COMPLETE, 1, (entry,)))
 
     def next_at(self) -> int:
         """The next timer."""
@@ -81,30 +136,30 @@
 
     def receive(self, now: int, sender: str, message: bytes) -> Sent:
         """A datagram."""
-        return self.feed(now, api.PeerMessage(int(sender[1:]), message))
+        return self.feed(now, GossipReceived(int(sender[1:]), message))
 
-    def feed(self, now: int, event: api.Event) -> Sent:
+    def feed(self, now: int, event: Event) -> Sent:
         """One event to the module."""
         return self._do(now, self.gateway.handle(now, event))
 
-    def _later(self, at: int, event: api.Event) -> None:
+    def _later(self, at: int, event: Event) -> None:
         self.orders += 1
         heapq.heappush(self.timers, (at, self.orders, event))
 
-    def _do(self, now: int, actions: list[api.Action]) -> Sent:
+    def _do(self, now: int, actions: list[Action]) -> Sent:
         out: Sent = []
         for action in actions:
-            if isinstance(action, api.SetTimer):
-                self._later(now + action.span, api.TimerFired(action.token))
-            elif isinstance(action, api.TellPeer):
+            if isinstance(action, SetTimer):
+                self._later(now + action.delay_us, TimerFired(action.token))
+            elif isinstance(action, SendGossip):
                 out.append((f"g{action.peer}", action.body))
-            elif isinstance(action, api.Send):
-                self.world.sent(self.rank, action.request)
-                end = api.AttemptEnded(
-                    action.request, 0, SERVER, api.Outcome.SERVED, 40 * MS, True, 0, 0.0, ()
+            elif isinstance(action, SendAttempt):
+                self.world.sent(self.node_index, action.request)
+                end = AttemptEnded(
+                    action.request, 0, SERVER, AttemptOutcome.SERVED, 40 * MS, True, 0, 0.0, ()
                 )
                 self._later(now + 40 * MS, end)
-            elif isinstance(action, (api.Refuse, api.Fail)):
+            elif isinstance(action, (RejectRequest, FailRequest)):
                 self.world.refused(action.request)
         return out
 
@@ -121,19 +176,26 @@
     heavy_rate: float = 26.0
     link: Link = field(default_factory=lambda: Link(delay=(2_500, 18_000), loss=0.03))
     kind: Callable[..., Gateway] = Gateway
-    plan: api.Plan = PLAN
+    plan: Plan = PLAN
     loads: int = 400 * MS  # of a process, until it decides
     seed: int = 1
 
     def __post_init__(self) -> None:
-        self.fleet, self.random = Fleet(f"ceilings:{self.seed}", self.link), random.Random(self.seed)
+        self.fleet, self.random = (
+            Fleet(f"ceilings:{self.seed}", self.link),
+            random.Random(self.seed),
+        )
         self.stores: dict[int, Store] = {}
-        self.open: dict[int, tuple[int, float]] = {}
+        self.in_flight: dict[int, tuple[int, float]] = {}
         self.number = 0
         self.counts: Counter[str] = Counter()
         self.from_at, self.until = 0, 1 << 62  # the tries that are counted: by their time
-        for rank in range(self.gateways):
-            self.fleet.add(f"g{rank}", lambda name, _life, now, _r: Node(self, int(name[1:]), now), offset=T0)
+        for node_index in range(self.gateways):
+            self.fleet.add(
+                f"g{node_index}",
+                lambda name, _life, now, _r: Node(self, int(name[1:]), now),
+                offset=T0,
+            )
         for customer in range(1, self.customers + 1):
             self.stores[customer] = Store(self.plan.ceiling_burst, self.plan.burst)
             rate = (
@@ -149,20 +211,22 @@
 
     def _arrives(self, customer: int, rate: float, first: int) -> None:
         self._next(customer, rate, first)
-        rank = (first + self.random.randrange(self.spread)) % self.gateways
-        node = self.fleet.nodes[f"g{rank}"]
+        node_index = (first + self.random.randrange(self.spread)) % self.gateways
+        node = self.fleet.nodes[f"g{node_index}"]
         if node.machine is None:
             return
         self.number += 1
-        self.open[self.number] = customer, 1.0
+        self.in_flight[self.number] = customer, 1.0
         if self.from_at <= self.fleet.now < self.until:
             self.counts["tries"] += 1
-        event = api.RequestArrived(self.number, customer, 0, 0, 1.0, 2 * SECOND, first, self.spread, False)
-        self.fleet.call(f"g{rank}", lambda machine, now: machine.feed(now, event))
+        event = RequestArrived(
+            self.number, customer, 0, 0, 1.0, 2 * SECOND, first, self.spread, False
+        )
+        self.fleet.call(f"g{node_index}", lambda machine, now: machine.feed(now, event))
 
-    def sent(self, rank: int, request: int) -> None:
+    def sent(self, node_index: int, request: int) -> None:
         """A first send: the true stores lose its units."""
-        customer, units = self.open.pop(request)
+        customer, units = self.in_flight.pop(request)
         store = self.stores[customer]
         store.lift(self.fleet.now, self.plan)
         store.take(units)
@@ -170,7 +234,7 @@
 
     def refused(self, request: int) -> None:
         """A final answer of the gateway's own."""
-        customer, _ = self.open.pop(request)
+        customer, _ = self.in_flight.pop(request)
         store = self.stores[customer]
         store.lift(self.fleet.now, self.plan)
         if self.from_at <= self.fleet.now < self.until:
--- a/benchmarks/fleet/lease_days.py
+++ b/benchmarks/fleet/lease_days.py
@@ -95,7 +95,9 @@
         begin, end = self.span(0.5, 20)
         for name in self._some():
             self.fleet.at(begin, lambda name=name: self.fleet.stop(name))
-            self.fleet.at(end + self.draw.randrange(SECOND), lambda name=name: self.fleet.go_on(name))
+            self.fleet.at(
+                end + self.draw.randrange(SECOND), lambda name=name: self.fleet.go_on(name)
+            )
 
     def kill(self) -> None:
         """Some are killed and start anew, each by itself."""
@@ -115,7 +117,9 @@
         """Some drain, end and start anew."""
         for name in self._some():
             begin, end = self.span(0.5, 5)
-            self.fleet.at(begin, lambda name=name: self.fleet.call(name, lambda node, now: node.leave(now)))
+            self.fleet.at(
+                begin, lambda name=name: self.fleet.call(name, lambda node, now: node.leave(now))
+            )
             self.fleet.at(begin + SECOND // 5, lambda name=name: self.fleet.kill(name))
             self.fleet.at(end, lambda name=name: self.fleet.start(name))
 
@@ -123,7 +127,9 @@
         """Wall clocks of a few machines, voters among them, go back an hour, and what runs there starts anew."""
         begin, _ = self.span(1, 2)
         for name in self.draw.sample(self.field.names, 8):
-            self.fleet.at(begin, lambda name=name: self.field.walls.__setitem__(name, -3_600 * SECOND))
+            self.fleet.at(
+                begin, lambda name=name: self.field.walls.__setitem__(name, -3_600 * SECOND)
+            )
             # What runs has its own base: it shows at the next start.
             self.fleet.at(begin + SECOND, lambda name=name: self.fleet.kill(name))
             self.fleet.at(begin + 2 * SECOND, lambda name=name: self.fleet.start(name))
@@ -162,7 +168,9 @@
     """One day: its kinds of faults, its field, its turns."""
     draw = random.Random(seed)
     timing = Timing(5 * SECOND, 0.01)
-    field = Field(seed, 5, 20, 2, timing, SPECS, Link(delay=(200, draw.choice((2_000, 20_000, 100_000)))))
+    field = Field(
+        seed, 5, 20, 2, timing, SPECS, Link(delay=(200, draw.choice((2_000, 20_000, 100_000))))
+    )
     if plant:
         plant(field)
     faults = Faults(field, draw)
@@ -178,10 +186,17 @@
     kinds, field, turns = day(seed)
     tally: Counter[str] = Counter(turns)
     most = Counter(
-        (c.task, c.turn) for c in field.receiver.calls if c.accepted and c.task.startswith("at-most")
+        (c.task, c.turn)
+        for c in field.receiver.calls
+        if c.accepted and c.task.startswith("at-most")
     )
     tally["at-most repeated"] = sum(n - 1 for n in most.values())
-    return kinds, [f"{seed}: {b.at / 1e6:.3f} s: {b.what}" for b in field.breaches], tally, len(field.gains)
+    return (
+        kinds,
+        [f"{seed}: {b.at / 1e6:.3f} s: {b.what}" for b in field.breaches],
+        tally,
+        len(field.gains),
+    )
 
 
 def days(count: int, jobs: int, first: int) -> int:
@@ -191,7 +206,10 @@
         seeds = [f"day {n}" for n in range(first, first + count)]
         for kinds, wrong, tally, gains in pool.map(judged, seeds, chunksize=8):
             breaches += wrong
-            for bucket in (totals, by_kind[kinds[0] if len(kinds) == 1 else f"{len(kinds)} kinds at once"]):
+            for bucket in (
+                totals,
+                by_kind[kinds[0] if len(kinds) == 1 else f"{len(kinds)} kinds at once"],
+            ):
                 bucket.update(tally)
                 bucket["days"] += 1
                 bucket["gains"] += gains
--- a/benchmarks/fleet/lease_explorer.py
+++ b/benchmarks/fleet/lease_explorer.py
@@ -183,14 +183,19 @@
             if state.gives_back and asker.held(self.asker_now(state.tick)):
                 new = copied_asker(asker)
                 out = new.give_back(self.asker_now(state.tick), LEASE, "moved")
-                after = self._with_asker(replace(state, gives_back=state.gives_back - 1), place, new, out)
+                after = self._with_asker(
+                    replace(state, gives_back=state.gives_back - 1), place, new, out
+                )
                 yield f"{asker.name} gives it back", after
         answers: dict[str, list[Mail]] = {}
         for mail in state.mail:
             if mail[1] not in self.names:
                 if isinstance(mail[2], Refuse):
                     if self._worth(state, mail):
-                        yield self._words(mail), self._deliver(replace(state, mail=state.mail - {mail}), mail)
+                        yield (
+                            self._words(mail),
+                            self._deliver(replace(state, mail=state.mail - {mail}), mail),
+                        )
                 elif self._worth(state, mail):
                     answers.setdefault(mail[1], []).append(mail)
                 continue
@@ -204,7 +209,9 @@
         yield from self._hear(state, answers)
         if state.restarts:
             for place, voter in enumerate(state.voters):
-                fresh = self.voter(voter.name, self.timing, STILL, Holds(), self.voter_now(state.tick))
+                fresh = self.voter(
+                    voter.name, self.timing, STILL, Holds(), self.voter_now(state.tick)
+                )
                 voters = self._put(state.voters, place, fresh)
                 after = replace(state, voters=voters, restarts=state.restarts - 1)
                 yield f"{voter.name} starts anew, with empty memory", after
@@ -284,7 +291,9 @@
         if to in self.names:
             place = self.names.index(to)
             mine = copied_voter(state.voters[place])
-            sent = mine.handle(self.voter_now(state.tick), self.wall(state.tick), sender, 1, message)
+            sent = mine.handle(
+                self.voter_now(state.tick), self.wall(state.tick), sender, 1, message
+            )
             if sent and isinstance(sent[0][1], Refuse) and Refuse in self.left_out:
                 return None
             new = replace(state, voters=self._put(state.voters, place, mine))
@@ -302,13 +311,19 @@
                     wrong = f"{asker.name} holds under number {event.number}, after {highest}"
                 highest = max(highest, event.number)
         asker.events.clear()
-        new = replace(state, askers=self._put(state.askers, place, asker), wrong=wrong, highest=highest)
+        new = replace(
+            state, askers=self._put(state.askers, place, asker), wrong=wrong, highest=highest
+        )
         return self._sent(new, asker.name, out)
 
     def _sent(self, state: State, sender: str, out: list) -> State:
-        mail = {(sender, to, message) for to, message in out if not isinstance(message, self.left_out)}
+        mail = {
+            (sender, to, message) for to, message in out if not isinstance(message, self.left_out)
+        }
         new = replace(state, mail=state.mail | mail) if mail else state
-        if not new.restarts and Refuse in self.left_out:  # what will be refused for good need not be kept
+        if (
+            not new.restarts and Refuse in self.left_out
+        ):  # what will be refused for good need not be kept
             over = [one for one in new.mail if self._refused_for_good(new, one)]
             if over:
                 new = replace(new, mail=new.mail - set(over))
@@ -361,7 +376,9 @@
                     waiting += state.mail
                     mine = copied_asker(state.askers[place])
                 mine.want(now, LEASE)
-                state = self._with_asker(replace(state, mail=frozenset()), place, mine, mine.due(now))
+                state = self._with_asker(
+                    replace(state, mail=frozenset()), place, mine, mine.due(now)
+                )
                 waiting += state.mail
                 while waiting:
                     mail = waiting.pop(0)
@@ -379,7 +396,12 @@
         """By voter all that concerns it, in a sorted list: voters have no names."""
         vnow, anow = self.voter_now(state.tick), self.asker_now(state.tick)
         claims = [one.claims.get(LEASE) for one in state.askers]
-        numbers = {0, state.highest, *(c.number for c in claims if c), *(c.mark for c in claims if c)}
+        numbers = {
+            0,
+            state.highest,
+            *(c.number for c in claims if c),
+            *(c.mark for c in claims if c),
+        }
         for voter in state.voters:
             numbers |= {voter.floor, voter.seen}
             if entry := voter.entries.get(LEASE):
@@ -401,7 +423,9 @@
                 by_voter[sender].append(self._told(message, rank))
         sides = []
         for voter in state.voters:
-            seen = tuple((voter.name in c.answered, voter.name in c.against) if c else () for c in claims)
+            seen = tuple(
+                (voter.name in c.answered, voter.name in c.against) if c else () for c in claims
+            )
             mail = tuple(sorted(by_voter[voter.name]))
             sides.append((self._voter(voter, vnow, rank), seen, mail))
         askers = tuple(
@@ -498,7 +522,12 @@
 
     def _propose(self, now, wall, sender, life, asked):
         entry = self.entries.get(asked.lease)
-        if entry and not asked.fresh and asked.ballot[1:] == entry.ballot[1:] and asked.ballot < entry.ballot:
+        if (
+            entry
+            and not asked.fresh
+            and asked.ballot[1:] == entry.ballot[1:]
+            and asked.ballot < entry.ballot
+        ):
             entry.ballot, entry.round = asked.ballot, min(entry.round, asked.round)
         return super()._propose(now, wall, sender, life, asked)
 
@@ -543,7 +572,9 @@
 
 def replace_number(message: Propose, number: int) -> Propose:
     """The same proposal under another number."""
-    return Propose(message.lease, message.ballot, message.round, message.span, number, message.fresh)
+    return Propose(
+        message.lease, message.ballot, message.round, message.span, number, message.fresh
+    )
 
 
 class Answers(set):
--- a/benchmarks/fleet/leases.py
+++ b/benchmarks/fleet/leases.py
@@ -144,7 +144,9 @@
             if isinstance(event, Gained):
                 self.wanted.discard(event.lease)
                 specs = self.field.by_lease.get(event.lease, [])
-                self.turns.gained(now, wall, event.lease, event.number, specs, event.notes, event.known_from)
+                self.turns.gained(
+                    now, wall, event.lease, event.number, specs, event.notes, event.known_from
+                )
             elif isinstance(event, Lost):
                 self._do(now, self.turns.lost(event.lease))
             elif isinstance(event, Confirmed):
@@ -154,7 +156,9 @@
         for lease in list(self.wanted):
             if self.turns.idle(lease):
                 self.wanted.discard(lease)
-                out += self.member.give_back(now, self.wall(now), lease, "moved", self.member.timing.span)
+                out += self.member.give_back(
+                    now, self.wall(now), lease, "moved", self.member.timing.span
+                )
                 return self._after(now, out)
         return [(to, (self.life, packet)) for to, packet in out]
 
@@ -229,7 +233,8 @@
                 if claim.number <= self.highest.get(lease, 0):
                     self.breaches.append(
                         Breach(
-                            at, f"{node.name} got {lease} under {claim.number} after {self.highest[lease]}"
+                            at,
+                            f"{node.name} got {lease} under {claim.number} after {self.highest[lease]}",
                         )
                     )
                 self.highest[lease] = max(claim.number, self.highest.get(lease, 0))
@@ -240,7 +245,8 @@
                 elif other != who and end > at:
                     self.breaches.append(
                         Breach(
-                            at, f"{who} holds {lease} under {claim.number} while {other} does, under {number}"
+                            at,
+                            f"{who} holds {lease} under {claim.number} while {other} does, under {number}",
                         )
                     )
                 elif other != who:
@@ -255,7 +261,9 @@
 
     def turns(self, until: int, settle: int = 0) -> Counter[str]:
         """Turns done once, repeated, missed, between ``settle`` and ``until`` (true us)."""
-        done: Counter[tuple[str, int]] = Counter((c.task, c.turn) for c in self.receiver.calls if c.accepted)
+        done: Counter[tuple[str, int]] = Counter(
+            (c.task, c.turn) for c in self.receiver.calls if c.accepted
+        )
         total: Counter[str] = Counter()
         for spec in self.specs.values():
             for turn in range(spec.turn_at(WALL + settle) + 1, spec.turn_at(WALL + until)):
--- a/benchmarks/fleet/lists.py
+++ b/benchmarks/fleet/lists.py
@@ -51,7 +51,10 @@
 
     def due(self, now: int) -> Sent:
         self.now = now
-        out = [(who, (connection, said)) for (who, connection), said in self.desk.advance((now + 1) / SECOND)]
+        out = [
+            (who, (connection, said))
+            for (who, connection), said in self.desk.advance((now + 1) / SECOND)
+        ]
         if not self.desk.down:
             for watch in [w for w in self.watching if w[0] <= now]:
                 self.watching.remove(watch)
@@ -184,14 +187,18 @@
     def make(name: str, _life: int, now: int, numbers: random.Random) -> Gateway:
         has = draw.random() < start.clients
         version = VERSION - 1 if start.stale else None
-        asking = start.kind(start.gateways, numbers, version, start.ask_within, has_clients=lambda: has)
+        asking = start.kind(
+            start.gateways, numbers, version, start.ask_within, has_clients=lambda: has
+        )
         gateway = Gateway(asking, lambda: not service.desk.down, now)
         gateway.has = has
         return gateway
 
     names = [f"g{number}" for number in range(start.gateways)]
     for number, name in enumerate(names):
-        late = 60 * SECOND if start.alone and number == lone else int(draw.uniform(0, 0.05) * SECOND)
+        late = (
+            60 * SECOND if start.alone and number == lone else int(draw.uniform(0, 0.05) * SECOND)
+        )
         fleet.add(name, make, start=late)
     if start.alone:
         event = 60.0
@@ -221,12 +228,16 @@
     assert fleet.counts["wakes"] < 2_000 * start.gateways, "a machine that is woken for nothing"
     gateways = [fleet.nodes[name].machine for name in (names[lone:] if start.alone else names)]
     times = sorted((g.current_at / SECOND - event) for g in gateways if g.current_at is not None)
-    busy = sorted(g.current_at / SECOND - event for g in gateways if g.current_at is not None and g.has)
+    busy = sorted(
+        g.current_at / SECOND - event for g in gateways if g.current_at is not None and g.has
+    )
     until = times[-1] if times else start.length
     came = [at - event for at in service.desk.came]
     calls = [at for at in came if at <= until]
     counts = service.desk.counts - before
-    cheapest = start.costs.changes if start.stale and start.costs.keeps_changes else start.costs.whole
+    cheapest = (
+        start.costs.changes if start.stale and start.costs.keeps_changes else start.costs.whole
+    )
     seconds = [sum(at <= c < at + 1 for c in calls) for at in calls]
     late = [at for at in came if at > start.length - 60]
 
--- a/benchmarks/fleet/quotas.py
+++ b/benchmarks/fleet/quotas.py
@@ -15,12 +15,12 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from saffrongw.policy import interface as api
+from saffrongw.policy.settings import Plan
 
 from .ceilings import SECOND, Store, World
 
-QUIET = api.Plan(1.1, 5.5, 0, 1.2, 0.0, 1.0, 0.0, 0.0, 0.0)  # small, refilled slowly
-BRISK = api.Plan(7.0, 13.0, 0, 1.6, 0.0, 0.8, 15.0, 28.0, 2.8)  # larger, refilled fast, with a ceiling
+QUIET = Plan(1.1, 5.5, 0, 1.2, 0.0, 1.0, 0.0, 0.0, 0.0)  # small, refilled slowly
+BRISK = Plan(7.0, 13.0, 0, 1.6, 0.0, 0.8, 15.0, 28.0, 2.8)  # larger, refilled fast, with a ceiling
 
 
 @dataclass(slots=True)
@@ -29,9 +29,11 @@
 
     quota: float
     at: int = 0
-    past: deque[tuple[int, float]] = field(default_factory=deque)  # when, and what the store held then
+    past: deque[tuple[int, float]] = field(
+        default_factory=deque
+    )  # when, and what the store held then
 
-    def admits(self, now: int, plan: api.Plan, late: int) -> bool:
+    def admits(self, now: int, plan: Plan, late: int) -> bool:
         """Whether it held a unit so long ago."""
         while len(self.past) > 1 and self.past[1][0] <= now - late:
             self.past.popleft()
@@ -39,7 +41,7 @@
         since = max(0, now - late - at) / SECOND
         return min(plan.burst, held + plan.rate * since) >= 1.0
 
-    def take(self, now: int, plan: api.Plan) -> bool:
+    def take(self, now: int, plan: Plan) -> bool:
         """One more is sent on; whether it was inside."""
         self.quota = min(plan.burst, self.quota + plan.rate * (now - self.at) / SECOND)
         self.at, inside = now, self.quota >= 1.0
@@ -83,9 +85,9 @@
             self.late_beyond += counted and not inside
         super()._arrives(customer, rate, first)
 
-    def sent(self, rank: int, request: int) -> None:
+    def sent(self, node_index: int, request: int) -> None:
         """Inside where the true store holds its units, which it then takes."""
-        customer, units = self.open.pop(request)
+        customer, units = self.in_flight.pop(request)
         store: Store = self.stores[customer]
         store.lift(self.fleet.now, self.plan)
         inside = store.quota >= units
@@ -98,7 +100,7 @@
 
     def costs(self) -> tuple[float, float]:
         """Of the fleet and of the policy beside it: worth sent on beyond quotas by its cost, over that asked inside."""
-        cost = self.plan.beyond_costs / max(1, self.offered)
+        cost = self.plan.over_quota_cost / max(1, self.offered)
         return self.beyond * cost, self.late_beyond * cost
 
     def serves(self) -> tuple[float, float]:
@@ -107,7 +109,13 @@
 
 
 def played(
-    gateways: int, spread: int, plan: api.Plan, seed: int, seconds: int = 40, customers: int = 60, **more
+    gateways: int,
+    spread: int,
+    plan: Plan,
+    seed: int,
+    seconds: int = 40,
+    customers: int = 60,
+    **more,
 ) -> Day:
     """One day; its first seconds, in which all gateways meet their customers anew, are counted too."""
     day = Day(gateways, spread, customers, plan=plan, seed=seed, **more)
--- a/benchmarks/hot_restart_cost.py
+++ b/benchmarks/hot_restart_cost.py
@@ -36,7 +36,9 @@
         self.number = 0
 
     async def connect(self) -> Caller:
-        return (await asyncio.get_running_loop().create_connection(Caller, "127.0.0.1", self.port))[1]
+        return (await asyncio.get_running_loop().create_connection(Caller, "127.0.0.1", self.port))[
+            1
+        ]
 
     async def one(self, due: float, kept: Caller | None) -> None:
         self.number += 1
@@ -127,13 +129,21 @@
     told.add_argument("--rate", type=float, default=300.0)
     args = told.parse_args()
     span = (args.upgrades + 1) * (SPAN + 0.5)
-    table = Table("upgrades", "requests", "lost", "p50 ms", "p99 ms", "most ms", "old process ended after, s")
+    table = Table(
+        "upgrades", "requests", "lost", "p50 ms", "p99 ms", "most ms", "old process ended after, s"
+    )
     with Console(stderr=True).status("playing both runs ..."):
         for upgrades in (0, args.upgrades):
             load, ends = await measure(upgrades, args.rate, span)
             took = sorted(load.took)
             figures = [f"{took[int(part * (len(took) - 1))] * 1000:.1f}" for part in (0.5, 0.99, 1)]
-            row = [upgrades, load.number, load.lost, *figures, " ".join(f"{end:.2f}" for end in ends)]
+            row = [
+                upgrades,
+                load.number,
+                load.lost,
+                *figures,
+                " ".join(f"{end:.2f}" for end in ends),
+            ]
             table.add_row(*map(str, row))
     Console().print(table)
 
--- a/benchmarks/lease_cost.py
+++ b/benchmarks/lease_cost.py
@@ -77,14 +77,17 @@
     given = parser.parse_args()
     found: dict[str, list[tuple[float, float, float]]] = {kind: [] for kind in KINDS}
     with tempfile.TemporaryDirectory() as name:
-        print(f"{'round':<7}{'leases':<9}{'served':>8}{'p50 ms':>9}{'p99 ms':>9}{'core s / 1,000':>16}")
+        print(
+            f"{'round':<7}{'leases':<9}{'served':>8}{'p50 ms':>9}{'p99 ms':>9}{'core s / 1,000':>16}"
+        )
         for number in range(given.rounds):
             for kind in KINDS:
                 times, core = uvloop.run(one(Path(name) / f"{number}-{kind}", kind))
                 p50, p99 = times[len(times) // 2], times[int(len(times) * 0.99)]
                 found[kind].append((p50, p99, core))
                 print(
-                    f"{number + 1:<7}{kind:<9}{len(times):>8}{p50:>9.2f}{p99:>9.2f}{core:>16.3f}", flush=True
+                    f"{number + 1:<7}{kind:<9}{len(times):>8}{p50:>9.2f}{p99:>9.2f}{core:>16.3f}",
+                    flush=True,
                 )
     for kind in KINDS[1:]:
         for place, what in enumerate(("p50", "p99", "core time")):
--- a/benchmarks/lease_takeover.py
+++ b/benchmarks/lease_takeover.py
@@ -74,7 +74,9 @@
     parser.add_argument("--jobs", type=int, default=4)
     given = parser.parse_args()
     each = 10
-    print(f"{'how':<8}{'times':>6}{'p50 s':>8}{'p90 s':>8}{'p99 s':>8}{'most':>8}   (a lease of 2 s)")
+    print(
+        f"{'how':<8}{'times':>6}{'p50 s':>8}{'p90 s':>8}{'p99 s':>8}{'most':>8}   (a lease of 2 s)"
+    )
     with ProcessPoolExecutor(given.jobs) as pool:
         for how in HOWS:
             jobs = [(seed, each, how) for seed in range(max(1, given.kills // each))]
--- a/benchmarks/ledger_cost.py
+++ b/benchmarks/ledger_cost.py
@@ -41,7 +41,9 @@
 async def one(folder: Path, on: bool) -> dict[str, list[float]]:
     """Milliseconds from sent to served, by class."""
     folder.mkdir()
-    world = World(DAY, folder, operator=f'[ledger]\nstate_dir = "{folder / "state"}"\n' if on else "")
+    world = World(
+        DAY, folder, operator=f'[ledger]\nstate_dir = "{folder / "state"}"\n' if on else ""
+    )
     try:
         log = await world.run()
     finally:
--- a/benchmarks/list_start.py
+++ b/benchmarks/list_start.py
@@ -54,7 +54,9 @@
                     index = int(query["index"][0]) if "index" in query else None
                     wait = int(query.get("wait", ["0"])[0]) / 1000 if index == SEQ else 0.0
                     if wait:  # nothing changes: a watch costs work only when it is answered
-                        self.watch = self.service.loop.call_later(wait, self.service.asks, self, index, True)
+                        self.watch = self.service.loop.call_later(
+                            wait, self.service.asks, self, index, True
+                        )
                     else:
                         self.service.asks(self, index, False)
                 elif isinstance(event, h11.ConnectionClosed):
@@ -67,7 +69,11 @@
             return
         status = 503 if said is Said.REFUSED else 200
         head = h11.Response(status_code=status, headers=[("content-length", str(len(body)))])
-        data = self.http.send(head) + self.http.send(h11.Data(data=body)) + self.http.send(h11.EndOfMessage())
+        data = (
+            self.http.send(head)
+            + self.http.send(h11.Data(data=body))
+            + self.http.send(h11.EndOfMessage())
+        )
         self.transport.write(data)
         self.http.start_next_cycle()
 
@@ -114,7 +120,8 @@
             if not clerk.transport.is_closing():
                 self.current.setdefault(clerk.gateway, now)
             clerk.reply(
-                said, self.whole if said is Said.WHOLE else self.empty if index == SEQ else self.changes
+                said,
+                self.whole if said is Said.WHOLE else self.empty if index == SEQ else self.changes,
             )
         if self.timer:
             self.timer.cancel()
@@ -125,7 +132,10 @@
 async def start(gateways: int, costs: Costs, silence: float, program: Path, within: float) -> dict:
     """One start of all; figures by name, times in seconds since the first process was begun."""
     lines = [Line(f"s-{n:04x}", "hall-a", n // 4) for n in range(80)]
-    known, gone = lines[:60], [Line(line.host, line.zone, line.block, "DELETED") for line in lines[:20]]
+    known, gone = (
+        lines[:60],
+        [Line(line.host, line.zone, line.block, "DELETED") for line in lines[:20]],
+    )
     service = Service(costs, lines[20:], gone)
     loop = service.loop
     scenario = Scenario(name="start", gateways=gateways)
@@ -142,7 +152,11 @@
             nodes.append((node, "{}:{}".format(*server.sockets[0].getsockname()[:2])))
         peers = ["{}:{}".format(*node.peer_listen) for node, _ in nodes]
         for (node, discovery), peer in zip(nodes, peers, strict=True):
-            known_list = {"seq": OLD, "whole": True, "hosts": [line.shown("127.0.0.1:9") for line in known]}
+            known_list = {
+                "seq": OLD,
+                "whole": True,
+                "hosts": [line.shown("127.0.0.1:9") for line in known],
+            }
             node.write(
                 {
                     "name": f"n{node.number}",
@@ -216,7 +230,9 @@
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    figure, (upper, lower) = pyplot.subplots(2, 1, sharex=True, figsize=(8, 6), layout="constrained")
+    figure, (upper, lower) = pyplot.subplots(
+        2, 1, sharex=True, figsize=(8, 6), layout="constrained"
+    )
     for name, colour, file in zip(("before", "now"), ("tab:red", "tab:blue"), files, strict=True):
         found = json.loads(file.read_text())
         times, came = found["times"], found["came"]
@@ -260,7 +276,9 @@
         return
     whole = chosen.whole_ms / 1000
     costs = Costs(whole, whole / 5, whole / 10)
-    found = asyncio.run(start(chosen.gateways, costs, chosen.silence, chosen.program, chosen.within))
+    found = asyncio.run(
+        start(chosen.gateways, costs, chosen.silence, chosen.program, chosen.within)
+    )
     if chosen.out:
         chosen.out.write_text(json.dumps(found))
     for name, value in found.items():
--- a/benchmarks/overload/ends.py
+++ b/benchmarks/overload/ends.py
@@ -69,7 +69,9 @@
     ports = []
     for _ in range(given["count"]):
         host = Host(loop, given["delay_ms"] / 1000, tuple(given.get("slow", (0, 0, 0))))
-        server = await loop.create_server(lambda host=host: HostSide(host), "127.0.0.1", 0, backlog=1024)
+        server = await loop.create_server(
+            lambda host=host: HostSide(host), "127.0.0.1", 0, backlog=1024
+        )
         ports.append(server.sockets[0].getsockname()[1])
     print(json.dumps({"ports": ports}), flush=True)
     await asyncio.sleep(ENDS_AFTER)
@@ -208,7 +210,10 @@
 async def clients(given: dict) -> None:
     """Prepare, say so, wait for the time to begin, run."""
     shape = Shape(
-        tuple(tuple(step) for step in given["steps"]), given["customers"], given["heavy"], given["wait"]
+        tuple(tuple(step) for step in given["steps"]),
+        given["customers"],
+        given["heavy"],
+        given["wait"],
     )
     dues = arrivals(shape, given["part"], given["parts"], given["seed"])
     print(json.dumps({"ready": len(dues)}), flush=True)
--- a/benchmarks/overload/load.py
+++ b/benchmarks/overload/load.py
@@ -62,7 +62,11 @@
                 customer = lots.randrange(2, shape.customers + 2)
                 plan = 1 if customer % 100 < 100 * plan_shares[1] else 0
             number = b"%d-%d" % (part, len(found))
-            terms = b"c=%b,t=%b,d=%d" % (CLASSES[kind][0].encode(), PLANS[plan][0].encode(), shape.wait)
+            terms = b"c=%b,t=%b,d=%d" % (
+                CLASSES[kind][0].encode(),
+                PLANS[plan][0].encode(),
+                shape.wait,
+            )
             terms += b",k=%b" % number if kind == 1 else b""
             words = (b"%016x" % customer, number, terms + b",units=1,spread=1,first=0")
             wire = bulk(b"CALL.GET", *words) if kind == 0 else bulk(b"CALL.POST", *words, BODY)
--- a/benchmarks/overload/rig.py
+++ b/benchmarks/overload/rig.py
@@ -48,7 +48,11 @@
         "zones": ["hall-a"],
         "charges": {"crossZone": 0.01, "peer": 0.01, "probe": 0.01, "waste": 0.03},
         "classes": [
-            {"name": name, "effect": effects[name], "group": "cell" if effects[name] == "by_key" else "all"}
+            {
+                "name": name,
+                "effect": effects[name],
+                "group": "cell" if effects[name] == "by_key" else "all",
+            }
             | {"target": aims[name], "deadline": 5_000_000, "dedupWindow": 5_000_000}
             | {"credit": worth, "lateWorth": 0.0}
             for name, _, worth in CLASSES
@@ -56,14 +60,31 @@
         "familyInfo": {"peerIntake": 40.0, "sharedCounter": False, "unitsTop": 1},
         "loadReport": {"how": "inline", "names": ["util", "latency_ms", "inflight"]},
         "packages": [
-            {"name": name, "perSecond": 1e6, "peakUnits": 1e6, "open": 0, "pays": pays, "beyondEarns": 0.0}
+            {
+                "name": name,
+                "perSecond": 1e6,
+                "peakUnits": 1e6,
+                "open": 0,
+                "pays": pays,
+                "beyondEarns": 0.0,
+            }
             | {"overrunCost": 1.0, "hardRate": 0.0, "capDepth": 0.0, "capSlack": 0.0}
             for name, _, pays in PLANS
         ],
         "permissions": {"peers": False, "probes": True, "cancel": True, "secondCopies": True}
-        | {"retryAfter": True, "maxAttempts": 4, "maxRetryAfter": 1_000_000, "idleClose": 30_000_000}
+        | {
+            "retryAfter": True,
+            "maxAttempts": 4,
+            "maxRetryAfter": 1_000_000,
+            "idleClose": 30_000_000,
+        }
         | {"connectTimeout": 250_000},
-        "rules": {"askWithin": 10_000_000, "coldFrom": 0.23, "drainGrace": 1_000_000, "fallMultiple": 3.0}
+        "rules": {
+            "askWithin": 10_000_000,
+            "coldFrom": 0.23,
+            "drainGrace": 1_000_000,
+            "fallMultiple": 3.0,
+        }
         | {"overloadFor": 3_000_000, "warmWithin": 18_000_000},
     }
 
@@ -113,7 +134,9 @@
 
     def end(self, kind: str, given: dict, cores: set[int]) -> tuple[subprocess.Popen, dict]:
         """One of ``ends.py``, and its first line."""
-        child = self.start(cores, sys.executable, "-m", "benchmarks.overload.ends", kind, json.dumps(given))
+        child = self.start(
+            cores, sys.executable, "-m", "benchmarks.overload.ends", kind, json.dumps(given)
+        )
         return child, json.loads(child.stdout.readline())
 
     def stop(self) -> None:
@@ -239,7 +262,14 @@
     variables = {k: v for k, v in os.environ.items() if not k.startswith("SAFFRONGW")}
     variables |= {"LB_CONFIG": str(folder / "config.json"), "LB_LISTEN": text["listen"]}
     child = ends.start(
-        {GATEWAY_CORE}, "/bin/sh", "-c", run, cwd=tree, env=variables, stdout=log, stderr=subprocess.STDOUT
+        {GATEWAY_CORE},
+        "/bin/sh",
+        "-c",
+        run,
+        cwd=tree,
+        env=variables,
+        stdout=log,
+        stderr=subprocess.STDOUT,
     )
     end = time.monotonic() + 20
     while time.monotonic() < end:
@@ -253,18 +283,31 @@
     raise SystemExit(f"the gateway did not come up: {(folder / 'log').read_text()[-500:]}")
 
 
-def row(table: Table, name: str, offered: float, r: Result, forwarder: Result | None = None) -> None:
+def row(
+    table: Table, name: str, offered: float, r: Result, forwarder: Result | None = None
+) -> None:
     """One line of a table."""
     c, times = r.tally["counts"], r.tally["times"]
     ratio = r.per("asked") / forwarder.per("asked") if forwarder else float("nan")
-    cells = [name, f"{offered:.0f}", f"{r.good:.0f}", f"{c['refused']}", f"{c['failed']}", f"{c['late']}"]
+    cells = [
+        name,
+        f"{offered:.0f}",
+        f"{r.good:.0f}",
+        f"{c['refused']}",
+        f"{c['failed']}",
+        f"{c['late']}",
+    ]
     cells += [
         f"{c['unanswered']}",
         f"{c['held']}",
         f"{percentile(times, 0.5):.1f}",
         f"{percentile(times, 0.99):.1f}",
     ]
-    cells += [f"{percentile(r.tally['refusals'], 0.99):.0f}", f"{r.per('asked'):.0f}", f"{ratio:.2f}"]
+    cells += [
+        f"{percentile(r.tally['refusals'], 0.99):.0f}",
+        f"{r.per('asked'):.0f}",
+        f"{ratio:.2f}",
+    ]
     table.add_row(*cells, f"{r.memory:.0f}")
 
 
@@ -297,9 +340,13 @@
         shape = Shape(((given.seconds, rate),))
         for turn in range(given.rounds):
             with console.status(f"{rate}/s, round {turn + 1} of {given.rounds}"):
-                found.setdefault(f"forwarder {rate}", []).append(round_("forwarder", shape, seed=turn + 1))
+                found.setdefault(f"forwarder {rate}", []).append(
+                    round_("forwarder", shape, seed=turn + 1)
+                )
                 for name, tree in trees.items():
-                    found.setdefault(f"{name} {rate}", []).append(round_("gateway", shape, tree, turn + 1))
+                    found.setdefault(f"{name} {rate}", []).append(
+                        round_("gateway", shape, tree, turn + 1)
+                    )
         table = new_table(
             f"{rate} a second, {given.seconds:.0f} s, the round with the median CPU of {given.rounds}"
         )
@@ -313,7 +360,9 @@
             out[f"{name} {rate}"] = {
                 "us": statistics.median(r.per("asked") for r in found[f"{name} {rate}"]),
                 "ratio": middle[name].per("asked") / middle["forwarder"].per("asked"),
-                "p99": statistics.median(percentile(r.tally["times"], 0.99) for r in found[f"{name} {rate}"]),
+                "p99": statistics.median(
+                    percentile(r.tally["times"], 0.99) for r in found[f"{name} {rate}"]
+                ),
                 "refused": [r.tally["counts"]["refused"] for r in found[f"{name} {rate}"]],
             }
     return out
@@ -322,7 +371,9 @@
 def goodput(given: argparse.Namespace) -> dict:
     """Goodput against load, from half to ten times what one core serves."""
     trees = {"gateway": ROOT} | ({"other": Path(given.against).resolve()} if given.against else {})
-    table = new_table(f"goodput, one core serves {given.core:.0f}/s, {given.seconds:.0f} s of load each")
+    table = new_table(
+        f"goodput, one core serves {given.core:.0f}/s, {given.seconds:.0f} s of load each"
+    )
     out: dict[str, list] = {name: [] for name in trees}
     for times in given.times:
         shape = Shape(((given.seconds, times * given.core),), heavy=given.heavy)
@@ -330,15 +381,22 @@
             rounds = []
             for turn in range(given.rounds):
                 with console.status(f"{name} at {times} times, round {turn + 1} of {given.rounds}"):
-                    rounds.append(round_("gateway", shape, tree, turn + 1, given.steal, sndbuf=given.sndbuf))
+                    rounds.append(
+                        round_("gateway", shape, tree, turn + 1, given.steal, sndbuf=given.sndbuf)
+                    )
             r = sorted(rounds, key=lambda r: r.good)[len(rounds) // 2]
             row(table, f"{name} x{times}", times * given.core, r)
             shares = {}
             for key, counter in sorted(r.tally["groups"].items()):
                 plan, kind = map(int, key.split("/"))
-                shares[f"{PLANS[plan][0]} {CLASSES[kind][0]}"] = counter["good"] / max(1, counter["asked"])
+                shares[f"{PLANS[plan][0]} {CLASSES[kind][0]}"] = counter["good"] / max(
+                    1, counter["asked"]
+                )
             out[name].append({"times": times, "good": [x.good for x in rounds], "shares": shares})
-            out[name][-1] |= {"counts": dict(r.tally["counts"]), "p99": percentile(r.tally["times"], 0.99)}
+            out[name][-1] |= {
+                "counts": dict(r.tally["counts"]),
+                "p99": percentile(r.tally["times"], 0.99),
+            }
             if r.extra["log"]:
                 console.print(r.extra["log"][-300:])
     console.print(table)
@@ -366,7 +424,11 @@
     for name, lines in out.items():
         x = [line["times"] * given.core for line in lines]
         axes.plot(x, [statistics.median(line["good"]) for line in lines], marker="o", label=name)
-    axes.set(xlabel="offered, requests a second", ylabel="served in time, requests a second", xscale="log")
+    axes.set(
+        xlabel="offered, requests a second",
+        ylabel="served in time, requests a second",
+        xscale="log",
+    )
     axes.set_ylim(bottom=0)
     axes.set_xticks([times * given.core for times in given.times])
     axes.xaxis.set_major_formatter("{x:,.0f}")
@@ -387,8 +449,12 @@
     parser.add_argument("--seconds", type=float, default=5.0)
     parser.add_argument("--rates", type=int, nargs="+", default=[300, 1500, 3000])
     parser.add_argument("--times", type=float, nargs="+", default=[0.5, 1, 2, 4, 10])
-    parser.add_argument("--core", type=float, default=3000.0, help="requests a second that one core serves")
-    parser.add_argument("--heavy", type=float, default=0.0, help="share of one customer in all requests")
+    parser.add_argument(
+        "--core", type=float, default=3000.0, help="requests a second that one core serves"
+    )
+    parser.add_argument(
+        "--heavy", type=float, default=0.0, help="share of one customer in all requests"
+    )
     parser.add_argument(
         "--steal", type=float, default=0.0, help="share of the time that the core is taken away"
     )
--- a/benchmarks/tls_cost.py
+++ b/benchmarks/tls_cost.py
@@ -108,9 +108,16 @@
         self.server = await loop.create_server(Host, "127.0.0.1", 0)
         port = self.server.sockets[0].getsockname()[1]
         line = {"dial": f"127.0.0.1:{port}", "site": "hall-a", "class": "m", "block": 1}
-        hosts = [line | {"host": h, "health": "SERVING", "share": 1.0, "born_ms": 0} for h in "abcdef"]
+        hosts = [
+            line | {"host": h, "health": "SERVING", "share": 1.0, "born_ms": 0} for h in "abcdef"
+        ]
         plan = SITE["packages"][0] | {"perSecond": 100_000.0, "peakUnits": 100_000.0}
-        text = {"name": "n0", "listen": f"127.0.0.1:{self.plain}", "discovery": "127.0.0.1:1", "seed": "01"}
+        text = {
+            "name": "n0",
+            "listen": f"127.0.0.1:{self.plain}",
+            "discovery": "127.0.0.1:1",
+            "seed": "01",
+        }
         text |= {"limits": {"sockets": 1_024}, "settings": SITE | {"packages": [plan]}}
         text["known"] = {"seq": 1, "whole": True, "hosts": hosts}
         (self.folder / "config.json").write_text(json.dumps(text))
@@ -143,7 +150,9 @@
         """One connection with one PING: (session, resumed, certificate); None where it failed."""
         try:
             sock = socket.create_connection(("127.0.0.1", self.tls), timeout=5)
-            with (context or trusting()).wrap_socket(sock, server_hostname=NAME, session=session) as tls:
+            with (context or trusting()).wrap_socket(
+                sock, server_hostname=NAME, session=session
+            ) as tls:
                 tls.sendall(b"*1\r\n$4\r\nPING\r\n")
                 assert tls.recv(100) == b"+PONG\r\n"
                 return tls.session, tls.session_reused, tls.getpeercert(binary_form=True)
@@ -186,9 +195,12 @@
     async def requests(self, secure: bool) -> float:
         """CPU of a request on connections that are kept, in microseconds."""
         loop = asyncio.get_running_loop()
-        port, tls = (self.tls, {"ssl": trusting(), "server_hostname": NAME}) if secure else (self.plain, {})
+        port, tls = (
+            (self.tls, {"ssl": trusting(), "server_hostname": NAME}) if secure else (self.plain, {})
+        )
         clients = [
-            (await loop.create_connection(Client, "127.0.0.1", port, **tls))[1] for _ in range(CONNECTIONS)
+            (await loop.create_connection(Client, "127.0.0.1", port, **tls))[1]
+            for _ in range(CONNECTIONS)
         ]
         before, failed = self.cpu(), 0
 
@@ -216,7 +228,10 @@
             {"answered": 0, "refused": 0, "lost": 0, "dropped": 0, "swaps": 0},
         )
         tls = {"ssl": trusting(), "server_hostname": NAME}
-        kept = [(await loop.create_connection(Client, "127.0.0.1", self.tls, **tls))[1] for _ in range(50)]
+        kept = [
+            (await loop.create_connection(Client, "127.0.0.1", self.tls, **tls))[1]
+            for _ in range(50)
+        ]
         free = deque(
             kept
         )  # in turn: a connection that asks nothing for 3 s is closed, as by the plain listener
@@ -257,7 +272,9 @@
         counts["dropped"] += sum(client.closed for client in kept)
         return counts
 
-    async def beside_a_flood(self, seconds: float, rate: float, floods: int) -> tuple[list[float], int, int]:
+    async def beside_a_flood(
+        self, seconds: float, rate: float, floods: int
+    ) -> tuple[list[float], int, int]:
         """Plain requests at a rate while so many clients do handshakes as fast as they may: latencies in ms, how many
         were refused, handshakes."""
         loop = asyncio.get_running_loop()
@@ -276,7 +293,9 @@
         ]
         for flooder in flooders:
             await asyncio.to_thread(flooder.stdout.readline)  # it has begun
-        clients = [(await loop.create_connection(Client, "127.0.0.1", self.plain))[1] for _ in range(20)]
+        clients = [
+            (await loop.create_connection(Client, "127.0.0.1", self.plain))[1] for _ in range(20)
+        ]
         free, latencies, refused, tasks = deque(clients), [], 0, set()
 
         async def one(client: Client, number: int) -> None:
@@ -343,7 +362,9 @@
         rig.swap()
         await rig.start()
         kinds = ("plain", "cold", "resumed", "while swapping")
-        found: dict[str, list[float]] = {kind: [] for kind in (*kinds, "request, plain", "request, TLS")}
+        found: dict[str, list[float]] = {
+            kind: [] for kind in (*kinds, "request, plain", "request, TLS")
+        }
         for _ in range(rounds):
             for kind in kinds:
                 found[kind].append(await asyncio.to_thread(rig.visits, kind))
@@ -373,7 +394,9 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--rounds", type=int, default=5)
     parser.add_argument("--seconds", type=float, default=20.0)
-    parser.add_argument("--flood", action="store_true", help="only requests beside a flood of handshakes")
+    parser.add_argument(
+        "--flood", action="store_true", help="only requests beside a flood of handshakes"
+    )
     parser.add_argument("--flooder", type=int, default=0, help=argparse.SUPPRESS)
     given = parser.parse_args()
     if given.flooder:
--- a/saffrongw/admin/certs.py
+++ b/saffrongw/admin/certs.py
@@ -71,7 +71,18 @@
 
 def table_text(rows: list[Row]) -> str:
     """Rows as a table."""
-    lines = [("certificate", "names", "days left", "issuer", "alarm", "renewal", "failed", "last failure")]
+    lines = [
+        (
+            "certificate",
+            "names",
+            "days left",
+            "issuer",
+            "alarm",
+            "renewal",
+            "failed",
+            "last failure",
+        )
+    ]
     for row in rows:
         left = "none" if row.days_left is None else f"{row.days_left:.1f}"
         names = row.names[0] if row.names else "-"
@@ -79,7 +90,9 @@
         why = f"{row.failures.kind}: {row.failures.detail}"[:60] if row.failures else "-"
         alarm = row.alarm.name.lower()
         counted = str(row.failures.count or "-")
-        lines.append((row.id, names + more, left, row.issuer or "-", alarm, when(row.next_at), counted, why))
+        lines.append(
+            (row.id, names + more, left, row.issuer or "-", alarm, when(row.next_at), counted, why)
+        )
     return columns(lines)
 
 
@@ -114,9 +127,13 @@
     else:
         print("valid        there is none that may serve")
     print(f"alarm        {row.alarm.name.lower()}")
-    print(f"renewal      {'by hand (imported)' if note.imported and not note.wanted else when(row.next_at)}")
+    print(
+        f"renewal      {'by hand (imported)' if note.imported and not note.wanted else when(row.next_at)}"
+    )
     if note.window:
-        print(f"window       {_utc(note.window.start)} to {_utc(note.window.end)}, by the authority")
+        print(
+            f"window       {_utc(note.window.start)} to {_utc(note.window.end)}, by the authority"
+        )
     if note.order:
         place = note.order.url or "its answer never came"
         print(f"order        begun {_utc(note.order.begun)} at {note.order.directory}: {place}")
@@ -170,7 +187,9 @@
     for place in places:
         if place.directory == directory or (not directory and len(places) == 1):
             return place
-    known = ", ".join(p.directory for p in places) or "none (name the operator file with --operator)"
+    known = (
+        ", ".join(p.directory for p in places) or "none (name the operator file with --operator)"
+    )
     raise DocumentError(f"which authority? --authority is one of: {known}")
 
 
@@ -194,7 +213,9 @@
     asyncio.run(_speak(site, place, lambda session: session.revoke(der, REASONS[given.reason])))
     site.store.drop_pending(given.id, None)
     site.store.want(given.id)
-    print(f"{given.id}: revoked; it serves until its successor is there, which is ordered now with a new key")
+    print(
+        f"{given.id}: revoked; it serves until its successor is there, which is ordered now with a new key"
+    )
     return 0
 
 
--- a/saffrongw/admin/cli.py
+++ b/saffrongw/admin/cli.py
@@ -30,7 +30,9 @@
         )
     try:
         return bootstrap.run(config, (lambda read: plugs_of(file, read, name)) if file else None)
-    except toml_schema.FormError as wrong:  # a name that the configuration does not have, or a file of TLS
+    except (
+        toml_schema.FormError
+    ) as wrong:  # a name that the configuration does not have, or a file of TLS
         return unusable(f"{name}: {wrong}")
 
 
@@ -66,7 +68,9 @@
 def _ledger_commands(commands: argparse._SubParsersAction) -> None:
     """The command and its own commands; ``ledger.py`` carries them out."""
     ledger = commands.add_parser("ledger", help="what became of unrepeatable requests")
-    ledger.add_argument("--state", type=Path, required=True, metavar="DIR", help="the state_dir of [ledger]")
+    ledger.add_argument(
+        "--state", type=Path, required=True, metavar="DIR", help="the state_dir of [ledger]"
+    )
     ledger.add_argument("--json", action="store_true", help="JSON lines")
     what = ledger.add_subparsers(dest="what", required=True)
     show = what.add_parser("show", help="the newest entries")
@@ -78,7 +82,9 @@
     told.add_argument("id", help="LIFE-NUMBER, or the client's id")
     what.add_parser("export", help="every entry, as JSON lines")
     what.add_parser("verify", help="look through the whole file; status 1 where it is damaged")
-    small = what.add_parser("compact", help="forget old settled entries, give room back (no gateway may run)")
+    small = what.add_parser(
+        "compact", help="forget old settled entries, give room back (no gateway may run)"
+    )
     small.add_argument("--keep-days", type=float, default=90.0)
     small.add_argument("--most-mb", type=int, default=512)
     back = what.add_parser("backup", help="a copy of one moment")
@@ -91,11 +97,15 @@
     """Its arguments; ``certs.py`` carries them out."""
     certs = commands.add_parser("certs", help="certificates of the TLS listener")
     where = certs.add_mutually_exclusive_group(required=True)
-    where.add_argument("--operator", type=Path, metavar="FILE", help="the operator file with [certs]")
+    where.add_argument(
+        "--operator", type=Path, metavar="FILE", help="the operator file with [certs]"
+    )
     where.add_argument("--state", type=Path, metavar="DIR", help="the state_dir alone")
     certs.add_argument("--json", action="store_true", help="JSON lines")
     what = certs.add_subparsers(dest="what", required=True)
-    what.add_parser("list", help="all, the most urgent first; status 1 where one is at warning or worse")
+    what.add_parser(
+        "list", help="all, the most urgent first; status 1 where one is at warning or worse"
+    )
     for name, about in (("show", "all that is known of one"), ("renew", "order it now")):
         what.add_parser(name, help=about).add_argument("id")
     revoke = what.add_parser("revoke", help="tell the authority that it is not to be trusted")
@@ -118,7 +128,9 @@
     commands = parser.add_subparsers(dest="command", required=True)
     run = commands.add_parser("serve", help="run one gateway in the foreground")
     run.add_argument("--config", metavar="FILE", help="its configuration (else LB_CONFIG)")
-    run.add_argument("--operator", metavar="FILE", help="the operator file (else SAFFRONGW_OPERATOR)")
+    run.add_argument(
+        "--operator", metavar="FILE", help="the operator file (else SAFFRONGW_OPERATOR)"
+    )
     look = commands.add_parser("check", help="validate an operator file or a configuration")
     look.add_argument("file", type=Path)
     commands.add_parser("version", help="print the version")
--- a/saffrongw/admin/leases.py
+++ b/saffrongw/admin/leases.py
@@ -73,10 +73,14 @@
     if state["clock"]:
         lines.append(f"clock     {state['clock']}: it holds nothing")
     if state["not_believed"]:
-        lines.append(f"clock     of these voters is not believed: {', '.join(state['not_believed'])}")
+        lines.append(
+            f"clock     of these voters is not believed: {', '.join(state['not_believed'])}"
+        )
     for hold in state["holds"]:
         why = f": {hold['why']}" if hold["why"] else ""
-        lines.append(f"hold      {hold['lease']} until {when(hold['until'])}, by {hold['who']}{why}")
+        lines.append(
+            f"hold      {hold['lease']} until {when(hold['until'])}, by {hold['who']}{why}"
+        )
     return lines
 
 
@@ -85,10 +89,16 @@
     rows = [("lease", "holder", "number", "left", "tasks", "hold")]
     for row in state["leases"]:
         left = f"{row['left_ms'] / 1000:.1f} s" if row["holder"] else "-"
-        tasks = ", ".join(row["tasks"][:3]) + (f" +{len(row['tasks']) - 3}" if len(row["tasks"]) > 3 else "")
+        tasks = ", ".join(row["tasks"][:3]) + (
+            f" +{len(row['tasks']) - 3}" if len(row["tasks"]) > 3 else ""
+        )
         hold = f"by {row['hold']['who']}" if row["hold"] else "-"
-        rows.append((row["lease"], row["holder"] or "nobody", str(row["number"]), left, tasks or "-", hold))
-    return "\n".join([*head(state), "", columns(rows) if len(rows) > 1 else "no leases are known here"])
+        rows.append(
+            (row["lease"], row["holder"] or "nobody", str(row["number"]), left, tasks or "-", hold)
+        )
+    return "\n".join(
+        [*head(state), "", columns(rows) if len(rows) > 1 else "no leases are known here"]
+    )
 
 
 def show_text(state: dict, name: str) -> str | None:
@@ -129,14 +139,23 @@
     )
     leases.add_argument("--json", action="store_true", help="JSON")
     what = leases.add_subparsers(dest="what", required=True)
-    what.add_parser("list", help="all leases; status 1 where no majority is heard or a clock is wrong")
+    what.add_parser(
+        "list", help="all leases; status 1 where no majority is heard or a clock is wrong"
+    )
     what.add_parser("show", help="one lease or task").add_argument("name")
-    give = what.add_parser("release", help="have this gateway give a lease back; another one takes it")
+    give = what.add_parser(
+        "release", help="have this gateway give a lease back; another one takes it"
+    )
     give.add_argument("name", help="a lease or a task")
     hold = what.add_parser("hold", help="nobody gets a lease until it ends")
     hold.add_argument("name", help="a lease or a task")
     hold.add_argument(
-        "--for", dest="span", type=span_of, required=True, metavar="SPAN", help="90s, 10m, 2h; 0 ends it"
+        "--for",
+        dest="span",
+        type=span_of,
+        required=True,
+        metavar="SPAN",
+        help="90s, 10m, 2h; 0 ends it",
     )
     hold.add_argument("--why", default="", help="shown to all who ask")
     hold.add_argument("--who", default="", help="else the name of the user")
@@ -159,7 +178,9 @@
                 "who": given.who or getpass.getuser(),
                 "why": given.why,
             }
-            print(ask(at, "POST", "/admin/leases/hold", json.dumps(asked).encode()).decode().strip())
+            print(
+                ask(at, "POST", "/admin/leases/hold", json.dumps(asked).encode()).decode().strip()
+            )
             return 0
         state = json.loads(ask(at, "GET", "/admin/leases"))
     except (Away, ValueError) as wrong:
@@ -170,7 +191,9 @@
             return unusable(f"no lease or task is called {given.name!r}")
         if given.json:
             keep = ("leases", "tasks")
-            chosen = {k: [r for r in state[k] if given.name in (r.get("task"), r["lease"])] for k in keep}
+            chosen = {
+                k: [r for r in state[k] if given.name in (r.get("task"), r["lease"])] for k in keep
+            }
             text = json.dumps(state | chosen)
         print(text)
         return 0
--- a/saffrongw/admin/ledger.py
+++ b/saffrongw/admin/ledger.py
@@ -62,7 +62,9 @@
 
 def table(entries: list[Entry]) -> str:
     """Entries as a table."""
-    rows = [("entry", "taken", "customer", "request", "plan", "class", "attempts", "answer", "meaning")]
+    rows = [
+        ("entry", "taken", "customer", "request", "plan", "class", "attempts", "answer", "meaning")
+    ]
     for e in entries:
         row = (
             e.name,
@@ -112,7 +114,9 @@
     if given.what == "find":
         text = given.text.lower()
         entries = [
-            e for e in entries if text in (e.client_id.lower(), f"{e.customer:016x}", f"{e.customer:x}")
+            e
+            for e in entries
+            if text in (e.client_id.lower(), f"{e.customer:016x}", f"{e.customer:x}")
         ]
     elif given.what == "open":
         entries = [e for e in entries if e.meaning is Meaning.MAY_HAVE_RUN]
@@ -125,7 +129,8 @@
     print(table(entries))
     counts = Counter(e.meaning.value for e in entries)
     print(
-        f"\n{len(entries)} entries" + "".join(f", {count} {name}" for name, count in sorted(counts.items()))
+        f"\n{len(entries)} entries"
+        + "".join(f", {count} {name}" for name, count in sorted(counts.items()))
     )
     return 0
 
@@ -158,7 +163,9 @@
         else:
             store.commit(result.settled)
             store.close()
-    print(f"{len(issued)} lines: {len(result.settled)} entries settled as issued, {result.known} were known")
+    print(
+        f"{len(issued)} lines: {len(result.settled)} entries settled as issued, {result.known} were known"
+    )
     for text in result.contradictions:
         print(f"contradiction: {text}")
     return 1 if result.contradictions else 0
--- a/saffrongw/authz/attributes.py
+++ b/saffrongw/authz/attributes.py
@@ -49,7 +49,7 @@
         terms.units,
         terms.spread,
         terms.first,
-        terms.is_repeat,
+        terms.is_retry,
         request.body_bytes,
     )
 
@@ -76,7 +76,7 @@
     extensions["units"] = f"{terms.units:g}"
     extensions["spread"], extensions["first"] = str(terms.spread), str(terms.first)
     extensions["wait_ms"] = str(terms.wait // MS)
-    extensions["retry"] = "1" if terms.is_repeat else "0"
+    extensions["retry"] = "1" if terms.is_retry else "0"
     return message.SerializeToString()
 
 
@@ -137,7 +137,10 @@
                 info.ParseFromString(detail.value)
             except DecodeError:
                 continue
-            return min(RETRY_MOST, max(0, info.retry_delay.seconds * SECOND + info.retry_delay.nanos // 1000))
+            return min(
+                RETRY_MOST,
+                max(0, info.retry_delay.seconds * SECOND + info.retry_delay.nanos // 1000),
+            )
     for option in response.denied_response.headers[:64]:
         if option.header.key.lower() == "retry-after":
             text = option.header.value or option.header.raw_value.decode("ascii", "replace")
@@ -198,7 +201,12 @@
     if cls not in names.classes:
         raise BadRequest(f"{fields.cls} is no class")
     units = extensions.get("units", "1")
-    if len(units) > 18 or not set(units) <= set("0123456789.") or units.count(".") > 1 or units in (".", ""):
+    if (
+        len(units) > 18
+        or not set(units) <= set("0123456789.")
+        or units.count(".") > 1
+        or units in (".", "")
+    ):
         raise BadRequest("units is no number")
     if not 0 < float(units) <= units_most:
         raise BadRequest("units is out of range")
--- a/saffrongw/authz/breaker.py
+++ b/saffrongw/authz/breaker.py
@@ -45,7 +45,9 @@
     def __init__(self, figures: BreakerFigures, seed: int) -> None:
         self.f, self.random = figures, random.Random(seed)
         self.state = State.CLOSED
-        self.outcomes: deque[tuple[int, bool]] = deque()  # within the window: (when, whether it failed)
+        self.outcomes: deque[tuple[int, bool]] = (
+            deque()
+        )  # within the window: (when, whether it failed)
         self.failures = 0  # among them
         self.row = 0  # failures in a row
         self.until = 0  # when an open one becomes half-open
@@ -92,7 +94,9 @@
         while self.outcomes[0][0] < now - self.f.window or len(self.outcomes) > 1000:
             self.failures -= self.outcomes.popleft()[1]
         enough = len(self.outcomes) >= self.f.least
-        if self.row >= self.f.in_a_row or (enough and self.failures >= self.f.share * len(self.outcomes)):
+        if self.row >= self.f.in_a_row or (
+            enough and self.failures >= self.f.share * len(self.outcomes)
+        ):
             self._open(now)
 
     def abandoned(self, trial: bool) -> None:
--- a/saffrongw/authz/channel.py
+++ b/saffrongw/authz/channel.py
@@ -65,7 +65,9 @@
 
     def read(self) -> tuple[bytes | None, bytes | None, bytes | None]:
         """The files' contents; ``OSError`` where one can't be read."""
-        ca, cert, key = (Path(name).read_bytes() if name else None for name in (self.ca, self.cert, self.key))
+        ca, cert, key = (
+            Path(name).read_bytes() if name else None for name in (self.ca, self.cert, self.key)
+        )
         return ca, cert, key
 
 
--- a/saffrongw/authz/checks.py
+++ b/saffrongw/authz/checks.py
@@ -112,7 +112,9 @@
         self.flights: dict[int, _Flight] = {}
         self.joinable: dict[Hashable, int] = {}
         self.of: dict[int, int] = {}  # request -> its flight
-        self.cache: OrderedDict[Hashable, tuple[int, int, Reply]] = OrderedDict()  # kept, until, reply
+        self.cache: OrderedDict[Hashable, tuple[int, int, Reply]] = (
+            OrderedDict()
+        )  # kept, until, reply
         self.last = 0
         self.counts: Counter[str] = Counter()
 
@@ -163,7 +165,12 @@
     def hedge(self, now: int, number: int) -> list[Effect]:
         """The time for a second check of the same has come; it goes to another authoriser."""
         flight = self.flights.get(number)
-        if flight is None or flight.twin or len(self.flights) >= self.f.in_flight or flight.due <= now:
+        if (
+            flight is None
+            or flight.twin
+            or len(self.flights) >= self.f.in_flight
+            or flight.due <= now
+        ):
             return []
         other = choose(self.endpoints, now, self.lots, but=self.endpoints[flight.endpoint])
         if other is None:
@@ -206,7 +213,9 @@
     def drop(self, now: int) -> list[Effect]:
         """The end, or new figures: all that is out is called off, and what waits is settled."""
         effects: list[Effect] = []
-        for number in list(self.flights):  # a hedged pair shares its requests: they are settled once
+        for number in list(
+            self.flights
+        ):  # a hedged pair shares its requests: they are settled once
             effects += [CallOff(number), *self._settle_all(self._land(number), UNREACHED)]
         return effects
 
@@ -258,7 +267,9 @@
             return None
         self.cache.move_to_end(key)
         if reply.retry_after:  # it told when: what is left of that
-            return Reply(reply.kind, max(0, kept + reply.retry_after - now), reply.lifetime, reply.plan)
+            return Reply(
+                reply.kind, max(0, kept + reply.retry_after - now), reply.lifetime, reply.plan
+            )
         return reply
 
     def _keep(self, now: int, key: Hashable, reply: Reply) -> None:
--- a/saffrongw/authz/request_filter.py
+++ b/saffrongw/authz/request_filter.py
@@ -45,7 +45,13 @@
     """Checks by one set of figures over one set of channels."""
 
     def __init__(
-        self, figures: Figures, rules: Rules, names: Names, channels: list[Channel], gateway: str, seed: int
+        self,
+        figures: Figures,
+        rules: Rules,
+        names: Names,
+        channels: list[Channel],
+        gateway: str,
+        seed: int,
     ) -> None:
         self.rules, self.names, self.gateway, self.channels = rules, names, gateway, channels
         self.loop = asyncio.get_running_loop()
@@ -59,7 +65,9 @@
     async def close(self) -> None:
         """Call off what is out and close the channels."""
         self._run(self.checks.drop(self._now()))
-        await asyncio.gather(*(channel.close() for channel in self.channels), return_exceptions=True)
+        await asyncio.gather(
+            *(channel.close() for channel in self.channels), return_exceptions=True
+        )
 
     async def retire(self) -> None:
         """Let what is out end by its own deadlines, then close."""
@@ -105,7 +113,9 @@
             return Refuse(reply.retry_after)
         if reply.kind is Kind.DENY:
             return Fail()
-        return Pass() if self.rules.mode(self.names.classes[terms.kind], plan) == "open" else Refuse()
+        return (
+            Pass() if self.rules.mode(self.names.classes[terms.kind], plan) == "open" else Refuse()
+        )
 
     # -- effects --------------------------------------------------------------------------------------------------
 
@@ -151,7 +161,11 @@
                 body = await self.channels[ask.endpoint].check(message, ask.within / 1e6)
             reply = reply_of(body)
         except (ChannelError, BadReply, TimeoutError) as wrong:
-            why = "deadline" if isinstance(wrong, TimeoutError) else getattr(wrong, "kind", "bad reply")
+            why = (
+                "deadline"
+                if isinstance(wrong, TimeoutError)
+                else getattr(wrong, "kind", "bad reply")
+            )
             self._forget(ask.flight)
             self._warn(ask, wrong)
             self._run(self.checks.failed(self._now(), ask.flight, why))
--- a/saffrongw/authz/server.py
+++ b/saffrongw/authz/server.py
@@ -13,7 +13,7 @@
 
 from saffrongw.gateway.filter_chain import ExtendedDriver
 
-from ..policy import interface as api
+from ..policy.actions import AdmitRequest, RejectRequest
 from .attributes import METHOD, BadRequest, Fields, Names, asked_of, let_in, turned_away
 from .channel import METADATA_MOST, REPLY_MOST, Tls
 
@@ -46,7 +46,12 @@
         tls: Tls | None = None,
     ) -> None:
         self.listen, self.names, self.fields = listen, names, fields
-        self.gateways, self.units_most, self.in_flight, self.tls = gateways, units_most, in_flight, tls
+        self.gateways, self.units_most, self.in_flight, self.tls = (
+            gateways,
+            units_most,
+            in_flight,
+            tls,
+        )
         self.counts: Counter[str] = Counter()
         self.server: grpc.aio.Server | None = None
         self.port = 0
@@ -101,12 +106,12 @@
         verdict = self.driver.decide(
             asked.customer, asked.plan, asked.kind, asked.units, asked.first, asked.spread
         )
-        if isinstance(verdict, api.Admit):
+        if isinstance(verdict, AdmitRequest):
             self.counts["let in"] += 1
             return let_in()
-        if isinstance(verdict, api.Refuse):
+        if isinstance(verdict, RejectRequest):
             self.counts["turned away"] += 1
-            return turned_away(verdict.retry_after)
+            return turned_away(verdict.retry_after_us)
         self.counts["undecided"] += 1
         await context.abort(grpc.StatusCode.UNAVAILABLE, "not decided")
         raise AssertionError("abort raises")
--- a/saffrongw/certs/certificate_store.py
+++ b/saffrongw/certs/certificate_store.py
@@ -288,7 +288,9 @@
     def _authority(self, directory: str) -> Path:
         return self.folder / "authorities" / hashlib.sha256(directory.encode()).hexdigest()[:16]
 
-    def account(self, directory: str, duty: tuple[str, int] | None) -> tuple[AccountKey, Account | None]:
+    def account(
+        self, directory: str, duty: tuple[str, int] | None
+    ) -> tuple[AccountKey, Account | None]:
         """The key, made and written where there is none, and the account if there is one."""
         place = self._authority(directory)
         pem = self._read(place / "account.key")
@@ -317,7 +319,9 @@
     def keep_account(self, account: Account, duty: tuple[str, int] | None) -> None:
         """Note what the authority said."""
         with self._under(duty):
-            self._write(self._authority(account.directory) / "account.json", documents.dump(account))
+            self._write(
+                self._authority(account.directory) / "account.json", documents.dump(account)
+            )
 
     def lose_account(self, directory: str, duty: tuple[str, int] | None) -> None:
         """The authority knows it no more: the key is set aside, never deleted, and a new one begins."""
@@ -363,7 +367,9 @@
         """All certificates that there is something of."""
         try:
             return sorted(
-                p.name for p in (self.folder / "certs").iterdir() if _ID.fullmatch(p.name) and p.is_dir()
+                p.name
+                for p in (self.folder / "certs").iterdir()
+                if _ID.fullmatch(p.name) and p.is_dir()
             )
         except OSError as wrong:
             raise _told(wrong, self.folder / "certs") from None
@@ -374,7 +380,9 @@
         raw = self._read(path)
         return CertNote() if raw is None else documents.cert(raw, str(path))
 
-    def amend(self, id: str, change: Callable[[CertNote], CertNote], duty: tuple[str, int] | None) -> None:
+    def amend(
+        self, id: str, change: Callable[[CertNote], CertNote], duty: tuple[str, int] | None
+    ) -> None:
         """Change what is kept of it, durable before the next step. Read and written under one lock, so that what an
         operator and an order write at the same time both hold. One that makes no sense begins anew."""
         with self._under(duty):
@@ -412,7 +420,9 @@
         with self._under(duty):
             self._remove(self._cert(id) / "pending.key")
 
-    def install(self, id: str, cert: bytes, key: bytes, note: CertNote, duty: tuple[str, int] | None) -> None:
+    def install(
+        self, id: str, cert: bytes, key: bytes, note: CertNote, duty: tuple[str, int] | None
+    ) -> None:
         """In service from now on, with its key. Cut off anywhere, either the old pair serves or the new one; done
         again with the same certificate nothing changes."""
         facts = chain.facts_of(chain.parse(cert))
@@ -518,7 +528,9 @@
         with contextlib.suppress(OSError):
             for path in (self.folder / "challenges").iterdir():
                 one = self.proof(path.stem)
-                old = time.time() - path.stat().st_mtime > CHALLENGE_FOR  # parts of files that were cut off
+                old = (
+                    time.time() - path.stat().st_mtime > CHALLENGE_FOR
+                )  # parts of files that were cut off
                 if (one.until < now) if one else old:
                     path.unlink()
 
--- a/saffrongw/certs/chain.py
+++ b/saffrongw/certs/chain.py
@@ -58,7 +58,9 @@
     if kind == "rsa-2048":
         key = rsa.generate_private_key(public_exponent=65537, key_size=2048)
     else:
-        key = ec.generate_private_key({"ecdsa-p256": ec.SECP256R1(), "ecdsa-p384": ec.SECP384R1()}[kind])
+        key = ec.generate_private_key(
+            {"ecdsa-p256": ec.SECP256R1(), "ecdsa-p384": ec.SECP384R1()}[kind]
+        )
     return key.private_bytes(
         serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
     )
@@ -83,7 +85,9 @@
     request = (
         x509.CertificateSigningRequestBuilder()
         .subject_name(x509.Name(subject))
-        .add_extension(x509.SubjectAlternativeName([x509.DNSName(n) for n in names]), critical=False)
+        .add_extension(
+            x509.SubjectAlternativeName([x509.DNSName(n) for n in names]), critical=False
+        )
         .sign(load_key(pem), hashes.SHA256())
     )
     return b64(request.public_bytes(serialization.Encoding.DER))
@@ -122,7 +126,9 @@
 
 def _ari(leaf: x509.Certificate) -> str:
     try:
-        of = leaf.extensions.get_extension_for_class(x509.AuthorityKeyIdentifier).value.key_identifier
+        of = leaf.extensions.get_extension_for_class(
+            x509.AuthorityKeyIdentifier
+        ).value.key_identifier
     except (x509.ExtensionNotFound, ValueError):
         return ""
     if not of:
@@ -158,10 +164,14 @@
 
 
 def _public(key) -> bytes:
-    return key.public_bytes(serialization.Encoding.DER, serialization.PublicFormat.SubjectPublicKeyInfo)
+    return key.public_bytes(
+        serialization.Encoding.DER, serialization.PublicFormat.SubjectPublicKeyInfo
+    )
 
 
-def check(pem: bytes, key: bytes, names: tuple[str, ...], now: float, any_time: bool = False) -> Facts:
+def check(
+    pem: bytes, key: bytes, names: tuple[str, ...], now: float, any_time: bool = False
+) -> Facts:
     """What may serve; ``ChainError`` says why it may not. ``now`` in Unix seconds.
 
     ``any_time``: one that is in service stays there when it ends, or when our clock goes back before its start: a
@@ -171,7 +181,9 @@
         return _check(parse(pem), key, names, now, any_time)
     except ChainError:
         raise
-    except Exception as wrong:  # broken fields show only when they are read, by errors of many types
+    except (
+        Exception
+    ) as wrong:  # broken fields show only when they are read, by errors of many types
         raise ChainError(f"it can't be read: {wrong!r:.100}") from None
 
 
@@ -183,7 +195,9 @@
         raise ChainError("it was issued for another key")
     missing = [name for name in names if not found.covers(name)]
     if missing:
-        raise ChainError(f"it does not cover {', '.join(missing[:3])}{' ...' if len(missing) > 3 else ''}")
+        raise ChainError(
+            f"it does not cover {', '.join(missing[:3])}{' ...' if len(missing) > 3 else ''}"
+        )
     if not found.names:
         raise ChainError("it covers no name")
     if found.end <= found.start:
@@ -197,7 +211,9 @@
         try:
             below.verify_directly_issued_by(above)
         except (ValueError, TypeError, InvalidSignature):
-            raise ChainError(f"the chain is broken: certificate {at + 1} did not sign number {at}") from None
+            raise ChainError(
+                f"the chain is broken: certificate {at + 1} did not sign number {at}"
+            ) from None
         if not _may_sign(above):
             raise ChainError(f"the chain is broken: certificate {at + 1} is no authority")
     return found
@@ -225,7 +241,9 @@
     """The self-signed certificate of RFC 8737 for a challenge, and its key, both PEM."""
     key = ec.generate_private_key(ec.SECP256R1())
     who = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, "ACME challenge")])
-    identifier = x509.UnrecognizedExtension(x509.ObjectIdentifier("1.3.6.1.5.5.7.1.31"), b"\x04\x20" + digest)
+    identifier = x509.UnrecognizedExtension(
+        x509.ObjectIdentifier("1.3.6.1.5.5.7.1.31"), b"\x04\x20" + digest
+    )
     certificate = (
         x509.CertificateBuilder()
         .subject_name(who)
--- a/saffrongw/certs/component.py
+++ b/saffrongw/certs/component.py
@@ -21,12 +21,16 @@
 
 def manner_of(table: ClientsTable) -> Manner:
     """How TLS is spoken."""
-    return Manner(table.minimum, table.protocols, table.client_ca, table.clients, table.ticket_hours * 3_600)
+    return Manner(
+        table.minimum, table.protocols, table.client_ca, table.clients, table.ticket_hours * 3_600
+    )
 
 
 def bounds_of(table: ClientsTable) -> Bounds:
     """What handshakes may cost."""
-    return Bounds(table.half_open, table.handshake_ms * MS, table.share, int(table.share * SECOND / 5))
+    return Bounds(
+        table.half_open, table.handshake_ms * MS, table.share, int(table.share * SECOND / 5)
+    )
 
 
 class CertsPart:
@@ -43,7 +47,9 @@
         self.agent = Agent(table, me, manner, clock, duty=duty)
         self.front = Front(address(table.listen), manner, bounds_of(table.tls), self.agent)
         self.responder = (
-            Responder(address(table.http_listen), self.agent.key_authorisation) if table.http_listen else None
+            Responder(address(table.http_listen), self.agent.key_authorisation)
+            if table.http_listen
+            else None
         )
 
     async def start(self, driver: Driver) -> None:
@@ -92,12 +98,25 @@
             ("certs.holds_duty", int(bool(agent.term))),
             ("certs.orders", agent.counts["orders"]),
             ("certs.obtained", agent.counts["obtained"]),
-            ("certs.failed", sum(n for name, n in agent.counts.items() if name.startswith("failed"))),
+            (
+                "certs.failed",
+                sum(n for name, n in agent.counts.items() if name.startswith("failed")),
+            ),
             ("tls.half_open", len(shakes)),
         ]
-        names = ("full", "resumed", "failed", "late", "turned away", "made room", "no hello", "left")
+        names = (
+            "full",
+            "resumed",
+            "failed",
+            "late",
+            "turned away",
+            "made room",
+            "no hello",
+            "left",
+        )
         found += [(f"tls.{name.replace(' ', '_')}", shakes.counts[name]) for name in names]
         found += [
-            (f"tls.{name.replace(' ', '_')}", self.front.counts[name]) for name in ("unknown name", "checks")
+            (f"tls.{name.replace(' ', '_')}", self.front.counts[name])
+            for name in ("unknown name", "checks")
         ]
         return found
--- a/saffrongw/certs/documents.py
+++ b/saffrongw/certs/documents.py
@@ -94,7 +94,9 @@
             if not isinstance(found, list) or not all(isinstance(one, str) for one in found):
                 raise DocumentError(f"{where}.{field.name}: no list of texts")
             found = tuple(found)
-        elif not isinstance(found, _PLAIN[wanted]) or (wanted != "bool" and isinstance(found, bool)):
+        elif not isinstance(found, _PLAIN[wanted]) or (
+            wanted != "bool" and isinstance(found, bool)
+        ):
             raise DocumentError(f"{where}.{field.name}: no {wanted}")
         values[field.name] = found
     try:
--- a/saffrongw/certs/handshakes.py
+++ b/saffrongw/certs/handshakes.py
@@ -70,7 +70,9 @@
 
     def _refill(self, now: int) -> None:
         if now > self.at:
-            self.tokens = min(float(self.bounds.burst), self.tokens + (now - self.at) * self.bounds.share)
+            self.tokens = min(
+                float(self.bounds.burst), self.tokens + (now - self.at) * self.bounds.share
+            )
         self.at = max(self.at, now)
 
     def accept(self, now: int, key: object) -> tuple[bool, object | None]:
--- a/saffrongw/certs/http.py
+++ b/saffrongw/certs/http.py
@@ -33,7 +33,9 @@
             async with asyncio.timeout(self.within):
                 return await self._send(request)
         except TimeoutError:
-            raise AcmeError(Kind.AWAY, f"{request.read}: no answer within {self.within:g} s") from None
+            raise AcmeError(
+                Kind.AWAY, f"{request.read}: no answer within {self.within:g} s"
+            ) from None
         except ssl.SSLError as wrong:
             raise AcmeError(Kind.AWAY, f"{request.read}: {clean(wrong.reason or wrong)}") from None
         except (OSError, EOFError) as wrong:
@@ -44,7 +46,9 @@
     async def _send(self, request: Request) -> Answer:
         parts = urlsplit(request.url)
         host, port = parts.hostname, parts.port or 443
-        reader, writer = await asyncio.open_connection(host, port, ssl=self.context, server_hostname=host)
+        reader, writer = await asyncio.open_connection(
+            host, port, ssl=self.context, server_hostname=host
+        )
         try:
             http = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEAD_MOST)
             headers = [
@@ -54,7 +58,10 @@
                 ("connection", "close"),
             ]
             if request.body:
-                headers += [("content-type", request.type), ("content-length", str(len(request.body)))]
+                headers += [
+                    ("content-type", request.type),
+                    ("content-length", str(len(request.body))),
+                ]
             target = (parts.path or "/") + (f"?{parts.query}" if parts.query else "")
             out = http.send(h11.Request(method=request.method, target=target, headers=headers))
             if request.body:
@@ -64,13 +71,17 @@
         finally:
             writer.transport.abort()
 
-    async def _read(self, http: h11.Connection, reader: asyncio.StreamReader, request: Request) -> Answer:
+    async def _read(
+        self, http: h11.Connection, reader: asyncio.StreamReader, request: Request
+    ) -> Answer:
         head, body, ended = None, bytearray(), False
         while True:
             try:
                 event = http.next_event()
             except h11.RemoteProtocolError:
-                if ended:  # whoever goes in the middle of a word is away, and its order is not forgotten
+                if (
+                    ended
+                ):  # whoever goes in the middle of a word is away, and its order is not forgotten
                     raise EOFError("the connection ended within the answer") from None
                 raise
             if event is h11.NEED_DATA:
--- a/saffrongw/certs/jose.py
+++ b/saffrongw/certs/jose.py
@@ -80,6 +80,9 @@
         """The external account binding of RFC 8555, 7.3.4."""
         head = {"alg": "HS256", "kid": kid, "url": url}
         signed = jws.serialize_json(
-            {"protected": head}, json.dumps(self.jwk).encode(), OctKey.import_key(key), registry=REGISTRY
+            {"protected": head},
+            json.dumps(self.jwk).encode(),
+            OctKey.import_key(key),
+            registry=REGISTRY,
         )
         return dict(signed)
--- a/saffrongw/certs/lease.py
+++ b/saffrongw/certs/lease.py
@@ -80,4 +80,9 @@
 
 def held(now: float, me: str, term: int, found: Lease | None, terms: Terms) -> bool:
     """Whether the duty may be done under this term right now; asked before every write."""
-    return found is not None and found.holder == me and found.term == term and now < found.until - terms.skew
+    return (
+        found is not None
+        and found.holder == me
+        and found.term == term
+        and now < found.until - terms.skew
+    )
--- a/saffrongw/certs/messages.py
+++ b/saffrongw/certs/messages.py
@@ -233,7 +233,11 @@
 
 
 def _name(raw: object, where: str) -> str:
-    if not isinstance(raw, dict) or raw.get("type") != "dns" or not isinstance(raw.get("value"), str):
+    if (
+        not isinstance(raw, dict)
+        or raw.get("type") != "dns"
+        or not isinstance(raw.get("value"), str)
+    ):
         raise odd(where, "no name of DNS")
     name = raw["value"].lower()
     if not 0 < len(name) <= 253 or not name.isascii():
@@ -267,7 +271,10 @@
         place = f"authorization.challenges[{at}]"
         if not isinstance(one, dict):
             raise odd(place, "no object")
-        if one.get("type") in ("http-01", "tls-alpn-01"):  # of others nothing is known, not even their fields
+        if one.get("type") in (
+            "http-01",
+            "tls-alpn-01",
+        ):  # of others nothing is known, not even their fields
             found.append(_challenge(one, place))
     return Authorisation(
         _state(raw, AUTHORISATION_STATES, where),
@@ -282,7 +289,9 @@
     if not isinstance(token, str) or not 8 <= len(token) <= 256:
         raise odd(f"{where}.token", "no token")
     if not all(c.isascii() and (c.isalnum() or c in "-_") for c in token):
-        raise odd(f"{where}.token", "not in the alphabet of base64url")  # it becomes the name of a file
+        raise odd(
+            f"{where}.token", "not in the alphabet of base64url"
+        )  # it becomes the name of a file
     status = _state(raw, CHALLENGE_STATES, where)
     return Challenge(raw["type"], url_in(raw, "url", where), token, status, _error(raw, where))
 
--- a/saffrongw/certs/order_flow.py
+++ b/saffrongw/certs/order_flow.py
@@ -84,7 +84,9 @@
 class Session:
     """One authority and our account with it: its directory, nonces, and signed requests."""
 
-    def __init__(self, directory: str, key: AccountKey, now: Callable[[], float], account: str = "") -> None:
+    def __init__(
+        self, directory: str, key: AccountKey, now: Callable[[], float], account: str = ""
+    ) -> None:
         self.directory, self.key, self.now, self.account = directory, key, now, account
         self.places: Directory | None = None
         self.nonces: list[str] = []
@@ -92,7 +94,11 @@
     def _send(self, request: Request) -> Flow[Answer]:
         answer = yield request
         nonce = answer.headers.get("replay-nonce", "")
-        if nonce and len(nonce) <= 256 and all(c.isascii() and (c.isalnum() or c in "-_") for c in nonce):
+        if (
+            nonce
+            and len(nonce) <= 256
+            and all(c.isascii() and (c.isalnum() or c in "-_") for c in nonce)
+        ):
             self.nonces.append(nonce)
             del self.nonces[:-NONCES]
         return answer
@@ -135,7 +141,10 @@
     # -- the account ----------------------------------------------------------------------------------------------
 
     def register(
-        self, contact: tuple[str, ...], external: tuple[str, bytes] | None = None, existing: bool = False
+        self,
+        contact: tuple[str, ...],
+        external: tuple[str, bytes] | None = None,
+        existing: bool = False,
     ) -> Flow[str]:
         """The account's URL. With a key that has one the same comes back: done twice does no harm."""
         places = yield from self.open()
@@ -147,7 +156,9 @@
         if external:
             payload["externalAccountBinding"] = self.key.bind(places.account, *external)
         elif places.external and not existing:
-            raise AcmeError(Kind.ACCOUNT, "the authority wants an external account; none is configured")
+            raise AcmeError(
+                Kind.ACCOUNT, "the authority wants an external account; none is configured"
+            )
         answer = yield from self.post(places.account, payload, "account", by_key=True)
         found = messages.document(answer, "account")
         if found.get("status") != "valid":
@@ -160,7 +171,9 @@
         places = yield from self.open()
         if not places.key_change:
             raise messages.odd("directory.keyChange", "the authority offers none")
-        inner = new.sign(places.key_change, {"account": self.account, "oldKey": self.key.jwk}, None, None)
+        inner = new.sign(
+            places.key_change, {"account": self.account, "oldKey": self.key.jwk}, None, None
+        )
         yield from self.post(places.key_change, inner, "key change")
         self.key = new
 
@@ -169,14 +182,18 @@
         places = yield from self.open()
         if not places.revoke:
             raise messages.odd("directory.revokeCert", "the authority offers none")
-        yield from self.post(places.revoke, {"certificate": b64(der), "reason": reason}, "revocation")
+        yield from self.post(
+            places.revoke, {"certificate": b64(der), "reason": reason}, "revocation"
+        )
 
     def window(self, name: str) -> Flow[messages.Window | None]:
         """When the authority wants this certificate renewed; None: it offers no windows."""
         places = yield from self.open()
         if not places.renewal or not name:
             return None
-        answer = yield from self._send(Request("GET", f"{places.renewal.rstrip('/')}/{name}", "renewalInfo"))
+        answer = yield from self._send(
+            Request("GET", f"{places.renewal.rstrip('/')}/{name}", "renewalInfo")
+        )
         if answer.status != 200:
             raise messages.problem(answer, self.now())
         return messages.window(answer, self.now())
@@ -267,7 +284,9 @@
     places = yield from session.open()
     begun = OrderNote(session.directory, wanted.names, session.now(), "", wanted.replaces)
     yield Keep(replace(note, order=begun))
-    payload: dict[str, Any] = {"identifiers": [{"type": "dns", "value": name} for name in wanted.names]}
+    payload: dict[str, Any] = {
+        "identifiers": [{"type": "dns", "value": name} for name in wanted.names]
+    }
     if wanted.replaces and places.renewal:
         payload["replaces"] = wanted.replaces
     try:
@@ -345,15 +364,15 @@
                 continue
             challenge = _choose(found, wanted)
             put_up.append(challenge.token)
-            yield Publish(found.name, challenge.type, challenge.token, session.key.authorise(challenge.token))
+            yield Publish(
+                found.name, challenge.type, challenge.token, session.key.authorise(challenge.token)
+            )
             open_ones.append(place)
             if challenge.status == "pending":
                 yield from session.post(challenge.url, {}, "challenge")
         for place in open_ones:
             yield from _proved(session, place, wanted, until)
-    except (
-        AcmeError
-    ):  # and nothing else: a run that is cut off yields nothing more, what it put up ends by its age
+    except AcmeError:  # and nothing else: a run that is cut off yields nothing more, what it put up ends by its age
         if put_up:
             yield Withdraw(tuple(put_up))
         raise
@@ -366,7 +385,9 @@
         raise messages.odd("authorization.identifier", f"{found.name} was not ordered")
     if found.status not in ("valid", "pending"):
         first = next((c.error for c in found.challenges if c.error), None)
-        raise first or AcmeError(Kind.CHALLENGE, f"{found.name}: the authorisation is {found.status}")
+        raise first or AcmeError(
+            Kind.CHALLENGE, f"{found.name}: the authorisation is {found.status}"
+        )
 
 
 def _choose(found: Authorisation, wanted: Wanted) -> Challenge:
@@ -385,7 +406,9 @@
         _check_name(found, wanted)
         if found.status == "valid":
             return
-        span = yield from _pause(session, answer, span, until, f"{found.name}: the check never ends")
+        span = yield from _pause(
+            session, answer, span, until, f"{found.name}: the check never ends"
+        )
 
 
 def _download(
@@ -396,7 +419,9 @@
     if not wanted.issuer or wanted.issuer in issuers(answer.body):
         return answer.body
     for other in answer.linked("alternate")[:ALTERNATES_MOST]:
-        found = yield from session.post(messages.url(other, "certificate: alternate"), None, "certificate")
+        found = yield from session.post(
+            messages.url(other, "certificate: alternate"), None, "certificate"
+        )
         if wanted.issuer in issuers(found.body):
             return found.body
     return answer.body  # any chain is better than none; the rows in force name the issuer
--- a/saffrongw/certs/renewal.py
+++ b/saffrongw/certs/renewal.py
@@ -38,9 +38,7 @@
     Kind.LOCAL: Pause(10.0, 10 * MINUTE, 1_000_000),
 }
 JITTER = 0.25  # of a pause, drawn, so that many names that failed together don't come back together
-NEAR = (
-    0.1  # of the time that is left: the most that a pause may take of it, as long as the authority named none
-)
+NEAR = 0.1  # of the time that is left: the most that a pause may take of it, as long as the authority named none
 NEAR_LEAST = 30.0  # seconds, also once the certificate has ended
 WITHOUT_MOST = 10 * MINUTE  # seconds between tries while there is no certificate at all
 SPREAD = 0.1  # of a life: names with one life renew spread over this part of it before they are due
@@ -148,7 +146,11 @@
     authority, forced = before.authority, retry_after > wait
     if authorities > 1 and count % pause.elsewhere == 0:
         # The other one has not asked us to wait, and what failed here need not fail there.
-        authority, wait, forced = (authority + 1) % authorities, min(wait, MINUTE * (1 + draw)), False
+        authority, wait, forced = (
+            (authority + 1) % authorities,
+            min(wait, MINUTE * (1 + draw)),
+            False,
+        )
     elif forced:
         wait = retry_after
     since = before.since if before and before.since <= now else now
--- a/saffrongw/certs/renewal_loop.py
+++ b/saffrongw/certs/renewal_loop.py
@@ -98,7 +98,9 @@
         self.store, self.manner, self.default = store, manner, default
         self.names = Names()
         self.pairs: dict[str, Pair] = {}
-        self.contexts: dict[str, tuple[str, Manner, ssl.SSLContext]] = {}  # by id: fingerprint, manner
+        self.contexts: dict[
+            str, tuple[str, Manner, ssl.SSLContext]
+        ] = {}  # by id: fingerprint, manner
         self.swaps = 0
         self.faults: dict[str, str] = {}  # by id: why it does not serve
 
@@ -143,7 +145,11 @@
     def _unchanged(self, id: str) -> Pair | None:
         """What was loaded before, where the folder still says so and it has not ended: checks of hundreds take long."""
         old = self.pairs.get(id)
-        same = old and old.cert.parent.name == self.store.current(id) and old.facts.end > self.store.now()
+        same = (
+            old
+            and old.cert.parent.name == self.store.current(id)
+            and old.facts.end > self.store.now()
+        )
         return old if same else None
 
 
@@ -253,7 +259,11 @@
             try:
                 news = await self._off(self.store.news)
                 # Also without news now and then: what has ended may give way to what has not.
-                if news != seen or self.keeper.manner is not manner or self.clock.now() - looked > 60:
+                if (
+                    news != seen
+                    or self.keeper.manner is not manner
+                    or self.clock.now() - looked > 60
+                ):
                     manner, looked = self.keeper.manner, self.clock.now()
                     await self._off(self.keeper.load)
                     seen = news
@@ -282,7 +292,9 @@
                 self.told.pop(row.id, None)
             elif level > before or abs(now - at) > ALARM_EVERY:
                 self.told[row.id] = (level, now)
-                left = "there is none" if row.days_left is None else f"{row.days_left:.2f} days left"
+                left = (
+                    "there is none" if row.days_left is None else f"{row.days_left:.2f} days left"
+                )
                 why = f"; last: {row.failures.kind}: {row.failures.detail}" if row.failures else ""
                 log.warning("certs: %s: %s: %s%s", level.name.lower(), row.id, left, why)
 
@@ -342,8 +354,12 @@
             if self._note(one.id).imported and not standing.wanted:
                 continue
             at = renewal.next_try(now, standing, self.rules)
-            ask_at = renewal.ask_window_at(now, standing) if standing.end is not None else float("inf")
-            if (quiet := self.window_at.get(one.id, 0.0)) <= now + renewal.HOUR:  # else the clock went back
+            ask_at = (
+                renewal.ask_window_at(now, standing) if standing.end is not None else float("inf")
+            )
+            if (
+                quiet := self.window_at.get(one.id, 0.0)
+            ) <= now + renewal.HOUR:  # else the clock went back
                 ask_at = max(ask_at, quiet)
             if at <= now or ask_at <= now:
                 due.append((standing.end or 0.0, at > now, one))
@@ -375,18 +391,24 @@
             session = self.sessions.get(place.directory)
             # An operator may have changed the key meanwhile.
             if session is None or session.key.thumbprint != key.thumbprint:
-                session = Session(place.directory, key, self.clock.now, account.url if account else "")
+                session = Session(
+                    place.directory, key, self.clock.now, account.url if account else ""
+                )
                 session = await self._finish_key_change(session, https, duty)
                 if not session.account or (account and account.contact != place.contact):
                     external = await self._off(_external, place)
-                    url = await self.perform(session.register(place.contact, external), https, "", duty)
+                    url = await self.perform(
+                        session.register(place.contact, external), https, "", duty
+                    )
                     await self._off(
                         self.store.keep_account, Account(place.directory, url, place.contact), duty
                     )
                 self.sessions[place.directory] = session
         return session, https
 
-    async def _finish_key_change(self, session: Session, https: Https, duty: tuple[str, int]) -> Session:
+    async def _finish_key_change(
+        self, session: Session, https: Https, duty: tuple[str, int]
+    ) -> Session:
         """A change of the account's key that was cut off: ask the authority which key it knows."""
         new = await self._off(self.store.next_key, session.directory)
         if new is None:
@@ -423,7 +445,9 @@
             self.window_at[one.id] = self.clock.now() + renewal.HOUR
         else:
             with contextlib.suppress(AcmeError):
-                await self._off(self.store.amend, one.id, lambda kept: replace(kept, window=window), duty)
+                await self._off(
+                    self.store.amend, one.id, lambda kept: replace(kept, window=window), duty
+                )
 
     async def _order(self, one: CertTable) -> None:
         """From what was reached to a certificate in service; a failure is kept with the time of the next try."""
@@ -452,10 +476,15 @@
                 )
             except AcmeError as wrong:
                 # Asked for by a process that died while the authority looked: that says nothing of the names.
-                if not (note.order and note.order.url) or wrong.kind not in (Kind.CHALLENGE, Kind.ORDER):
+                if not (note.order and note.order.url) or wrong.kind not in (
+                    Kind.CHALLENGE,
+                    Kind.ORDER,
+                ):
                     raise
                 log.warning(
-                    "certs: %s: an order of an earlier life was lost, a new one begins: %s", one.id, wrong
+                    "certs: %s: an order of an earlier life was lost, a new one begins: %s",
+                    one.id,
+                    wrong,
                 )
                 note = replace(note, order=None)
                 pem = await self.perform(
@@ -470,7 +499,9 @@
         except (AcmeError, DocumentError, OSError) as wrong:
             await self._failed(one, place, wrong, duty)
 
-    def _put_in_service(self, one: CertTable, pem: bytes, key: bytes, duty: tuple[str, int]) -> None:
+    def _put_in_service(
+        self, one: CertTable, pem: bytes, key: bytes, duty: tuple[str, int]
+    ) -> None:
         """Checked as every gateway will check it, then installed; ``AcmeError`` where it must not serve."""
         try:
             chain.check(pem, key, one.names, self.clock.now())
@@ -536,7 +567,9 @@
             except AcmeError as failed:
                 wrong = failed
 
-    async def _step(self, step: order_flow.Step, https: Https, id: str, duty: tuple[str, int]) -> Any:
+    async def _step(
+        self, step: order_flow.Step, https: Https, id: str, duty: tuple[str, int]
+    ) -> Any:
         if isinstance(step, Request):
             self.counts["requests"] += 1
             self.store.step(f"ask {step.read}")
@@ -579,7 +612,9 @@
                     id in self.busy,
                 )
             )
-        return sorted(found, key=lambda row: (row.days_left is not None, row.days_left or 0.0, row.id))
+        return sorted(
+            found, key=lambda row: (row.days_left is not None, row.days_left or 0.0, row.id)
+        )
 
 
 def _issuers(pem: bytes) -> set[str]:
--- a/saffrongw/certs/responder.py
+++ b/saffrongw/certs/responder.py
@@ -59,7 +59,9 @@
             ("content-length", str(len(body))),
             ("connection", "close"),
         ]
-        self.transport.write(self.http.send(h11.Response(status_code=status, headers=headers)) + body)
+        self.transport.write(
+            self.http.send(h11.Response(status_code=status, headers=headers)) + body
+        )
         self.transport.close()
 
     def connection_lost(self, error: Exception | None) -> None:
--- a/saffrongw/certs/table.py
+++ b/saffrongw/certs/table.py
@@ -8,7 +8,9 @@
 
 from toml_schema import ADDRESS, key
 
-NAME = r"(?=.{1,253}\Z)([a-z0-9_]([a-z0-9_\-]{0,61}[a-z0-9])?\.)*[a-z0-9_]([a-z0-9_\-]{0,61}[a-z0-9])?"
+NAME = (
+    r"(?=.{1,253}\Z)([a-z0-9_]([a-z0-9_\-]{0,61}[a-z0-9])?\.)*[a-z0-9_]([a-z0-9_\-]{0,61}[a-z0-9])?"
+)
 URL = r"https://[!-~]{1,2000}"
 KEYS = ("ecdsa-p256", "ecdsa-p384", "rsa-2048")
 CHALLENGES = ("tls-alpn-01", "http-01")
@@ -28,7 +30,9 @@
 
     directory: str = key(form=URL, about="its directory")
     contact: tuple[str, ...] = key((), about="addresses of mail")
-    ca: str = key("", about="a file of authorities that its own certificate comes from; empty: the system's")
+    ca: str = key(
+        "", about="a file of authorities that its own certificate comes from; empty: the system's"
+    )
     issuer: str = key("", about="the common name in the chain that is preferred")
     external_id: str = key("", about="the id of an external account")
     external_key: str = key("", about="the file of its key, base64url, mode 0600")
@@ -65,11 +69,19 @@
     """``[certs.tls]``: how TLS is spoken with clients, and what its handshakes may cost."""
 
     minimum: str = key("1.2", choices=("1.2", "1.3"))
-    protocols: tuple[str, ...] = key((), form=r"[!-~]{1,64}", about="ALPN, the first one is preferred")
-    clients: str = key("none", choices=("none", "optional", "required"), about="certificates of clients")
+    protocols: tuple[str, ...] = key(
+        (), form=r"[!-~]{1,64}", about="ALPN, the first one is preferred"
+    )
+    clients: str = key(
+        "none", choices=("none", "optional", "required"), about="certificates of clients"
+    )
     client_ca: str = key("", about="the file of authorities that they come from")
-    ticket_hours: float = key(12.0, least=0.001, most=168, about="how long keys of session tickets live")
-    half_open: int = key(256, least=4, most=10_000, about="connections without a finished handshake")
+    ticket_hours: float = key(
+        12.0, least=0.001, most=168, about="how long keys of session tickets live"
+    )
+    half_open: int = key(
+        256, least=4, most=10_000, about="connections without a finished handshake"
+    )
     handshake_ms: int = key(5_000, least=100, most=60_000, about="for a whole handshake")
     share: float = key(0.25, least=0.01, most=1.0, about="of the core, for all handshakes together")
 
@@ -82,8 +94,12 @@
 class RenewalTable:
     """``[certs.renewal]``: parts of a certificate's life that are left."""
 
-    lead: float = key(1 / 3, least=0.02, most=0.9, about="when it is renewed, without an authority's window")
-    notice: float = key(0.25, least=0.0, most=1.0, about="alarms, where a renewal has not happened by then")
+    lead: float = key(
+        1 / 3, least=0.02, most=0.9, about="when it is renewed, without an authority's window"
+    )
+    notice: float = key(
+        0.25, least=0.0, most=1.0, about="alarms, where a renewal has not happened by then"
+    )
     warning: float = key(0.12, least=0.0, most=1.0)
     critical: float = key(0.04, least=0.0, most=1.0)
     order_minutes: float = key(60.0, least=0.01, most=1_440, about="for a whole order")
@@ -103,7 +119,9 @@
     default: str = key("", about="the certificate for clients that name none; empty: the first one")
     certificate: tuple[CertTable, ...] = key(())
     authority: tuple[AuthorityTable, ...] = key(())
-    lease_seconds: float = key(30.0, least=1.0, most=3_600, about="how long one gateway orders unasked")
+    lease_seconds: float = key(
+        30.0, least=1.0, most=3_600, about="how long one gateway orders unasked"
+    )
     clock_skew: float = key(
         2.0, least=0.01, most=600, about="by how many seconds gateways' clocks may differ"
     )
--- a/saffrongw/certs/tls_listener.py
+++ b/saffrongw/certs/tls_listener.py
@@ -70,7 +70,9 @@
 class Front:
     """The listener and all connections that are not open yet."""
 
-    def __init__(self, listen: Address, manner: Manner, bounds: Bounds, certificates: Certificates) -> None:
+    def __init__(
+        self, listen: Address, manner: Manner, bounds: Bounds, certificates: Certificates
+    ) -> None:
         self.listen, self.manner, self.certificates = listen, manner, certificates
         self.handshakes = Handshakes(bounds, 0)
         self.counts: Counter[str] = Counter()
@@ -258,7 +260,9 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _shake(self, sock: socket.socket, context: ssl.SSLContext, protocol: asyncio.Protocol) -> None:
+    async def _shake(
+        self, sock: socket.socket, context: ssl.SSLContext, protocol: asyncio.Protocol
+    ) -> None:
         left = max(0.001, self.handshakes.left(self._now(), sock) / 1e6)
         try:
             transport, _ = await self.loop.connect_accepted_socket(
@@ -269,7 +273,9 @@
                 ssl_shutdown_timeout=SHUTDOWN_WITHIN,
             )
         except (OSError, EOFError) as wrong:  # TLS errors and time-outs are among them
-            late = isinstance(wrong, TimeoutError | ConnectionAbortedError) and "timeout" in str(wrong)
+            late = isinstance(wrong, TimeoutError | ConnectionAbortedError) and "timeout" in str(
+                wrong
+            )
             self.handshakes.gone(sock, "late" if late else "failed")
             sock.close()
         else:
--- a/saffrongw/channel/component.py
+++ b/saffrongw/channel/component.py
@@ -47,7 +47,9 @@
     def __init__(self, table: ChannelTable) -> None:
         self.table = table
         self.life = secrets.randbits(62) + 1
-        self.channel = Channel(Envelope(table.name, self.life, read_keys(table.keys)), address(table.listen))
+        self.channel = Channel(
+            Envelope(table.name, self.life, read_keys(table.keys)), address(table.listen)
+        )
 
     async def start(self, driver: Driver) -> None:
         """Hear from now on."""
--- a/saffrongw/channel/signed_datagram.py
+++ b/saffrongw/channel/signed_datagram.py
@@ -142,7 +142,11 @@
         except (msgspec.DecodeError, UnicodeDecodeError):
             self.counts["foreign"] += 1
             return None
-        if letter.to != self.name or letter.sender == self.name or not 0 < len(letter.sender) <= NAME_MOST:
+        if (
+            letter.to != self.name
+            or letter.sender == self.name
+            or not 0 < len(letter.sender) <= NAME_MOST
+        ):
             self.counts["misdirected"] += 1
             return None
         if letter.to_life != self.life:
--- a/saffrongw/extension_registry.py
+++ b/saffrongw/extension_registry.py
@@ -11,7 +11,15 @@
 from saffrongw.channel.table import ChannelTable
 from saffrongw.gateway.config import Config
 from saffrongw.gateway.downstream.connection import Front
-from saffrongw.gateway.extensions import Lines, Observer, OperatorCall, Plugs, Service, SoleDuty, Stage
+from saffrongw.gateway.extensions import (
+    Lines,
+    Observer,
+    OperatorCall,
+    Plugs,
+    Service,
+    SoleDuty,
+    Stage,
+)
 from saffrongw.leases.table import LeasesTable
 from saffrongw.operator import OperatorFile, load
 from saffrongw.operator.file import AuthzServerTable, AuthzTable, LedgerTable, TlsTable
@@ -66,7 +74,9 @@
         else None
     )
     parts = tuple(stages), tuple(observers), tuple(services)
-    return Plugs(*parts, file.stages.time_share, again, tuple(fronts), tuple(figures), calls, tuple(drains))
+    return Plugs(
+        *parts, file.stages.time_share, again, tuple(fronts), tuple(figures), calls, tuple(drains)
+    )
 
 
 class Again:
@@ -74,7 +84,9 @@
 
     def __init__(self, path: str, file: OperatorFile, config: Config, stage, parts: dict) -> None:
         self.path, self.file, self.config, self.stage = path, file, config, stage
-        self.parts = {name: part for name, part in parts.items() if part}  # they change by prepare and commit
+        self.parts = {
+            name: part for name, part in parts.items() if part
+        }  # they change by prepare and commit
 
     def __call__(self) -> None:
         try:
@@ -149,9 +161,9 @@
 
 def _names(config: Config):
     from saffrongw.authz.attributes import Names
-    from saffrongw.policy.interface import Effect
+    from saffrongw.policy.settings import Idempotency
 
-    safe = [c.effect is Effect.SAFE for c in config.settings.classes]
+    safe = [c.idempotency is Idempotency.IDEMPOTENT for c in config.settings.classes]
     return Names(config.class_names, config.plan_names, tuple(safe))
 
 
@@ -175,7 +187,9 @@
                 f"authz.fail_for[{place}].class: {line.class_!r} is no class of the configuration"
             )
         if line.plan and line.plan not in names.plans:
-            raise FormError(f"authz.fail_for[{place}].plan: {line.plan!r} is no plan of the configuration")
+            raise FormError(
+                f"authz.fail_for[{place}].plan: {line.plan!r} is no plan of the configuration"
+            )
     for place, line in enumerate(table.narrow):
         for plan in (line.plan, *line.to):
             if plan not in names.plans:
@@ -229,7 +243,7 @@
         table.listen,
         _names(config),
         Fields(table.customer, table.plan, table.class_),
-        config.settings.gateways,
+        config.settings.node_count,
         config.units_most,
         table.in_flight,
         _tls(table.tls),
@@ -238,10 +252,14 @@
 
 def _ledger(table: LedgerTable, config: Config):
     from saffrongw.ledger.request_filter import Ledger
-    from saffrongw.policy.interface import Effect
+    from saffrongw.policy.settings import Idempotency
 
-    written = {Effect.UNSAFE, Effect.KEYED} if table.keyed else {Effect.UNSAFE}
-    kinds = frozenset(n for n, c in enumerate(config.settings.classes) if c.effect in written)
+    written = (
+        {Idempotency.NON_IDEMPOTENT, Idempotency.IDEMPOTENCY_KEY}
+        if table.keyed
+        else {Idempotency.NON_IDEMPOTENT}
+    )
+    kinds = frozenset(n for n, c in enumerate(config.settings.classes) if c.idempotency in written)
     classes, plans = config.class_names, config.plan_names
     keep, most = table.keep_days * 86_400, table.most_mb << 20
     return Ledger(table.state_dir, kinds, classes, plans, table.queue, keep, most, table.bodies)
--- a/saffrongw/gateway/acceptor.py
+++ b/saffrongw/gateway/acceptor.py
@@ -9,7 +9,9 @@
 import socket
 from collections.abc import Callable
 
-ACCEPT_MOST = 16  # connections accepted in one turn of the loop: a flood of them must not hold up the rest
+ACCEPT_MOST = (
+    16  # connections accepted in one turn of the loop: a flood of them must not hold up the rest
+)
 LAST_MOST = 1024  # connections accepted at the end: as many as the kernel's queue holds
 
 
--- a/saffrongw/gateway/admin_http/handlers.py
+++ b/saffrongw/gateway/admin_http/handlers.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable, Mapping
 
-from ...policy import interface as api
 from ...policy import state_transfer
+from ...policy.events import EndpointId, ExclusionChanged
 from ..config import Config
 from ..downstream.connection import Clients
 from ..driver import Driver
@@ -44,7 +44,7 @@
             lines += part()
         return text(lines)
 
-    def cordon(self, server: api.Server) -> str | None:
+    def cordon(self, server: EndpointId) -> str | None:
         """Nothing more to a host, until it is called back; why not where there is none of this id."""
         gateway = self.driver.gateway
         if not self._known(server):
@@ -55,7 +55,7 @@
         self.tell("exclusion", state_transfer.text_of(server), True)
         return None
 
-    def uncordon(self, server: api.Server) -> str | None:
+    def uncordon(self, server: EndpointId) -> str | None:
         """Use a host again; why not where there is none of this id."""
         if not self._known(server):
             return "no host has this id"
@@ -63,8 +63,8 @@
         self.tell("exclusion", state_transfer.text_of(server), False)
         return None
 
-    def _exclude(self, server: api.Server, excluded: bool) -> None:
-        self.driver.excluded(api.ExclusionChanged(server, SOURCE, excluded))
+    def _exclude(self, server: EndpointId, excluded: bool) -> None:
+        self.driver.excluded(ExclusionChanged(server, SOURCE, excluded))
 
     def told(self, message: list) -> None:
         """What operators asked of the other process of an upgrade holds here too."""
@@ -75,7 +75,7 @@
         else:
             raise ValueError(f"unknown message {message[0]!r}")
 
-    def _known(self, server: api.Server) -> bool:
+    def _known(self, server: EndpointId) -> bool:
         gateway = self.driver.gateway
         return server in gateway.hosts or SOURCE in gateway.excluded.get(server, ())
 
--- a/saffrongw/gateway/admin_http/server.py
+++ b/saffrongw/gateway/admin_http/server.py
@@ -39,7 +39,9 @@
 class Operated(Protocol):
     """What operators may ask of a gateway; ids are those of discovery."""
 
-    calls: Mapping[bytes, tuple[bytes, Callable[[bytes], tuple[int, bytes]]]]  # of what is plugged in
+    calls: Mapping[
+        bytes, tuple[bytes, Callable[[bytes], tuple[int, bytes]]]
+    ]  # of what is plugged in
 
     def able(self) -> bool:
         """Whether this process can serve."""
--- a/saffrongw/gateway/admission_queue.py
+++ b/saffrongw/gateway/admission_queue.py
@@ -28,7 +28,7 @@
         self.driver, self.loop = driver, loop
         settings = driver.gateway.s
         self.shedder = Shedder(settings.classes, settings.plans)
-        self.most_back = settings.max_retry_after
+        self.most_back = settings.max_retry_after_us
         self.turning = False  # within a turn of the loop, whose end has been asked for
         self.began = 0.0
         self.refusal = self._answer(0)  # what is shed in this turn is answered
--- a/saffrongw/gateway/bootstrap.py
+++ b/saffrongw/gateway/bootstrap.py
@@ -96,14 +96,16 @@
     sockets = max(SPARE, config.sockets - SPARE)
     client_sockets = int(CLIENT_PART * sockets)
     if plugs:
-        from .filter_chain import ExtendedDriver  # only here: a gateway without plugs does not even load it
+        from .filter_chain import (
+            ExtendedDriver,  # only here: a gateway without plugs does not even load it
+        )
 
         driver: Driver = ExtendedDriver(config.settings, config.seed, loop, plugs)
     else:
         driver = Driver(config.settings, config.seed, loop)
     driver.hosts = Hosts(
         driver,
-        config.settings.report_names,
+        config.settings.load_report_fields,
         sockets - client_sockets,
         config.idle_close,
         config.connect_timeout,
@@ -115,13 +117,13 @@
     for service in plugs.services if plugs else ():
         await service.start(driver)
     asking = Asking(
-        config.settings.gateways,
+        config.settings.node_count,
         random.Random(config.seed),
         config.known.version if config.known.hosts else None,
-        config.settings.ask_within / 1e6,
+        config.settings.notification_deadline_us / 1e6,
         has_clients=lambda: driver.last_number > 0,
-        pushed=not config.settings.asks_for_list,
-        grace=config.settings.drain_grace / 1e6,
+        pushed=not config.settings.polls_endpoint_list,
+        grace=config.settings.drain_grace_us / 1e6,
     )
     watch = Watch(loop, config.discovery, config.zones, driver.listed, asking)
     watch.start()
@@ -139,7 +141,11 @@
     clients = Clients(driver, config, client_sockets)
     operations = Operations(driver, clients, config)
     if plugs:
-        operations.more, operations.calls, operations.on_drain = plugs.figures, plugs.calls, plugs.on_drain
+        operations.more, operations.calls, operations.on_drain = (
+            plugs.figures,
+            plugs.calls,
+            plugs.on_drain,
+        )
     calls = OperatorCalls(loop, operations)
     if config.admin:
         calls.listen(config.admin)
@@ -149,8 +155,8 @@
         await either(inheritance.go.wait(), stop.wait())
     if inheritance.falls_to_us if inheritance else not stop.is_set():
         peers = None
-        if config.peer_listen and config.settings.may_tell_peers:
-            peers = Peers(driver, config.peers, config.settings.rank)
+        if config.peer_listen and config.settings.may_send_gossip:
+            peers = Peers(driver, config.peers, config.settings.node_index)
             await peers.listen(inheritance and inheritance.peers, config.peer_listen)
         await clients.listen(inheritance and inheritance.listener)
         if plugs:
--- a/saffrongw/gateway/config.py
+++ b/saffrongw/gateway/config.py
@@ -6,12 +6,17 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..policy import interface as api
+from ..policy.events import EndpointEntry, EndpointState
+from ..policy.settings import Settings
 from ..policy.settings_schema import parse_settings
 
 Address = tuple[str, int]
 
-PHASES = {"SERVING": api.Phase.READY, "DRAINING": api.Phase.DRAINING, "DELETED": api.Phase.GONE}
+ENDPOINT_STATES = {
+    "SERVING": EndpointState.READY,
+    "DRAINING": EndpointState.DRAINING,
+    "DELETED": EndpointState.REMOVED,
+}
 MS = 1_000  # microseconds
 
 
@@ -19,7 +24,7 @@
 class HostEntry:
     """One line of discovery's list: what the module is told, and where to connect."""
 
-    entry: api.ServerEntry
+    entry: EndpointEntry
     address: Address
 
 
@@ -45,7 +50,7 @@
     peer_listen: Address | None
     peers: tuple[Address, ...]
     known: HostList
-    settings: api.Settings
+    settings: Settings
     classes: dict[bytes, int]
     plans: dict[bytes, int]
     zones: tuple[str, ...]
@@ -84,12 +89,12 @@
             site, born = line["site"], int(line["born_ms"]) * MS
             if not 0 <= born < 1 << 63:
                 raise ValueError("not a time")
-            entry = api.ServerEntry(
-                server=str(line["host"]).encode(),
-                phase=PHASES[line["health"]],
+            entry = EndpointEntry(
+                endpoint_id=str(line["host"]).encode(),
+                state=ENDPOINT_STATES[line["health"]],
                 zone=zones.index(site) if site in zones else len(zones),
                 cell=int(line["block"]),
-                launched=born,
+                started_at_us=born,
                 size=float(line["share"]),
             )
             hosts.append(HostEntry(entry, address(line["dial"])))
--- a/saffrongw/gateway/discovery/client.py
+++ b/saffrongw/gateway/discovery/client.py
@@ -51,7 +51,9 @@
         if self.watch.exchange is not self:  # given up: nothing that it says counts any more
             return
         try:
-            self.http.receive_data(data)  # nothing: its end, which may be that of an answer without a length
+            self.http.receive_data(
+                data
+            )  # nothing: its end, which may be that of an answer without a length
             while (event := self.http.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
                 if isinstance(event, h11.Response):
                     self.status, self.retry_after = event.status_code, seconds(event.headers)
@@ -65,7 +67,9 @@
                         if self.status == NO_ROOM:
                             self.watch.turned_away(self.retry_after)
                         raise ValueError(f"discovery answered {self.status}")
-                    closes = self.http.our_state is not h11.DONE  # ``Connection: close``, or HTTP/1.0
+                    closes = (
+                        self.http.our_state is not h11.DONE
+                    )  # ``Connection: close``, or HTTP/1.0
                     next_call = self.watch.answered(self.watch.parse(body), closes)
                     if next_call is None:
                         self.transport.close()
@@ -106,7 +110,13 @@
         told: Callable[[HostList], None],
         asking: Asking,
     ) -> None:
-        self.loop, self.address, self.zones, self.told, self.asking = loop, address, zones, told, asking
+        self.loop, self.address, self.zones, self.told, self.asking = (
+            loop,
+            address,
+            zones,
+            told,
+            asking,
+        )
         self.news = News()
         self.exchange: Exchange | None = None
         self.opening: Exchange | None = None  # not up yet, and waited for
@@ -211,6 +221,10 @@
 
     def ask(self, call: Call) -> None:
         """One call, on the connection that is up."""
-        target = PATH if call.version is None else f"{PATH}?index={call.version}&wait={int(call.wait * 1000)}"
+        target = (
+            PATH
+            if call.version is None
+            else f"{PATH}?index={call.version}&wait={int(call.wait * 1000)}"
+        )
         self.exchange.call(target, ":".join(map(str, self.address)))
         self._look()
--- a/saffrongw/gateway/discovery/poll_schedule.py
+++ b/saffrongw/gateway/discovery/poll_schedule.py
@@ -54,7 +54,10 @@
 from dataclasses import dataclass
 
 WHOLE, CHANGES = 0.025, 0.005  # seconds of the service's worker that a call is taken to cost
-USE, WATCH_USE = 0.8, 0.1  # of the worker's time: by calls of gateways that start / by watches without news
+USE, WATCH_USE = (
+    0.8,
+    0.1,
+)  # of the worker's time: by calls of gateways that start / by watches without news
 QUEUE = 0.5  # seconds of queue at the service that a start of all may make
 PACE_MOST = 8.0
 # Seconds until what happens counts as told: since then / since a silent watch's time was over.
@@ -63,7 +66,9 @@
 PATIENCE_MOST = 4.5
 # Seconds between two tries, but for a service that has no room: connecting has its time as well.
 APART_MOST = 4.0
-AGAIN_WITHIN = 0.25  # seconds between a silence and the next call: what was missed is nearly told by then
+AGAIN_WITHIN = (
+    0.25  # seconds between a silence and the next call: what was missed is nearly told by then
+)
 WATCH_PATIENCE = (
     0.75  # seconds that an answer may be late after a watch's time: a part of ``TOLD_AFTER_WAIT``
 )
@@ -114,7 +119,9 @@
         self.gateways, self.random, self.ask_within = max(1, gateways), draw, ask_within
         self.pushed, self.grace = pushed, grace
         self.answer_within, self.has_clients = answer_within, has_clients
-        self.wait = wait if wait is not None else min(WAIT_MOST, max(WAIT, self.load(CHANGES) / WATCH_USE))
+        self.wait = (
+            wait if wait is not None else min(WAIT_MOST, max(WAIT, self.load(CHANGES) / WATCH_USE))
+        )
         self.version = version  # of the list that was heard last; None: there is none
         self.pace = 1.0
         self.failures = 0  # in a row
@@ -164,7 +171,9 @@
         least, most = (self.pace * self.load(cost) / USE for cost in (CHANGES, WHOLE))
         least, most = max(BACK_OFF, least), max(BACK_OFF_LEAST, most)
         span = self._apart(min(most, least * 2 ** min(16, self.failures)) * self._newcomer())
-        return min(span, AGAIN_WITHIN) if self.gave_up else span  # a silence has used up most of its time
+        return (
+            min(span, AGAIN_WITHIN) if self.gave_up else span
+        )  # a silence has used up most of its time
 
     def after_refusal(self, now: float) -> float:
         """Over which the next try is drawn when the service has no room; what it turns away costs it too."""
@@ -236,7 +245,9 @@
         whole = self.out is None or self.out.version is None
         if whole:
             self.confirm_at = None
-        anew = not whole and version < (self.version or 0)  # a registry that counts from the beginning
+        anew = not whole and version < (
+            self.version or 0
+        )  # a registry that counts from the beginning
         self.version = None if anew else version
         if anew or (self.confirm_at is not None and now >= self.confirm_at):
             call = Call(None, 0.0, self._patience())
@@ -259,7 +270,9 @@
         """The connection ended, never came up, or was given up."""
         if self.connect_at is not None and not self.connecting:  # refused, or closed in good order
             return
-        at_work = self.out is not None and not self.out.wait  # a watch's silence tells nothing of its load
+        at_work = (
+            self.out is not None and not self.out.wait
+        )  # a watch's silence tells nothing of its load
         if self.out is not None and self.out.wait and not self.gave_up:
             self.current_at = now  # a watch that was heard to break had told all up to then
         self._over()
@@ -279,7 +292,12 @@
         return min(PATIENCE_MOST, max(self.answer_within * self.pace, self.load(WHOLE)))
 
     def _ask(self, now: float, call: Call) -> Call:
-        self.out, self.asked_at, self.silent_at, self.last_look = call, now, now + call.within, False
+        self.out, self.asked_at, self.silent_at, self.last_look = (
+            call,
+            now,
+            now + call.within,
+            False,
+        )
         return call
 
     def _over(self) -> None:
--- a/saffrongw/gateway/discovery/watch_events.py
+++ b/saffrongw/gateway/discovery/watch_events.py
@@ -10,7 +10,7 @@
 from collections import OrderedDict
 from dataclasses import replace
 
-from ...policy import interface as api
+from ...policy.events import EndpointId, EndpointState
 from ..config import HostEntry, HostList
 
 REMEMBER = 30.0  # seconds
@@ -20,7 +20,7 @@
     """What was heard of each host lately: with which version, when, and the line itself."""
 
     def __init__(self) -> None:
-        self.heard: OrderedDict[api.Server, tuple[int, float, HostEntry | None]] = OrderedDict()
+        self.heard: OrderedDict[EndpointId, tuple[int, float, HostEntry | None]] = OrderedDict()
 
     def __len__(self) -> int:
         return len(self.heard)
@@ -34,7 +34,7 @@
             self.heard.popitem(last=False)
         hosts, named = [], set()
         for host in listed.hosts:
-            server = host.entry.server
+            server = host.entry.endpoint_id
             named.add(server)
             known = self.heard.get(server)
             if known and known[0] > listed.version:
@@ -42,7 +42,7 @@
                     hosts.append(known[2])
                 continue
             hosts.append(host)
-            gone = host.entry.phase is api.Phase.GONE
+            gone = host.entry.state is EndpointState.REMOVED
             self._note(server, listed.version, now, None if gone else host)
         if listed.whole:
             for server, (version, _, line) in list(self.heard.items()):
@@ -55,6 +55,6 @@
                     self._note(server, listed.version, now, None)
         return replace(listed, hosts=tuple(hosts))
 
-    def _note(self, server: api.Server, version: int, now: float, line: HostEntry | None) -> None:
+    def _note(self, server: EndpointId, version: int, now: float, line: HostEntry | None) -> None:
         self.heard[server] = version, now, line
         self.heard.move_to_end(server)
--- a/saffrongw/gateway/downstream/connection.py
+++ b/saffrongw/gateway/downstream/connection.py
@@ -21,12 +21,21 @@
 
 BACKLOG = 1024  # connections that the kernel holds until they are accepted
 COMMAND_WITHIN = 3.0  # seconds for a whole command, from connecting or from its first byte
-IDLE_MOST = 10.0  # seconds after which a connection without a request is closed, even if there is room
-IDLE_LEAST, IDLE_PART = 0.5, 0.25  # seconds after which it is, where more than this part of all are idle
-CLOSE_WITHIN = 1.0  # seconds for a client to read what is left for it before its connection is reset
+IDLE_MOST = (
+    10.0  # seconds after which a connection without a request is closed, even if there is room
+)
+IDLE_LEAST, IDLE_PART = (
+    0.5,
+    0.25,
+)  # seconds after which it is, where more than this part of all are idle
+CLOSE_WITHIN = (
+    1.0  # seconds for a client to read what is left for it before its connection is reset
+)
 SWEEP = 0.25  # seconds between two looks at these limits
 UNREAD = 0.1  # seconds between two looks whether those that are not read from have gone
-LOOK_AT = 16  # connections of each sort that are asked whether they make room: bounds the work in a flood
+LOOK_AT = (
+    16  # connections of each sort that are asked whether they make room: bounds the work in a flood
+)
 NEW_FOR = 0.3  # seconds after it came up in which a connection is taken to be there for a command
 GONE = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 WAITING_MOST = 128  # commands of one connection that wait for their answers; more are left unread
@@ -91,7 +100,10 @@
 
     def answer(self, reply: bytes | LongValue) -> None:
         """The answer is known; it is written once those before it are."""
-        self.reply, self.call = reply, None  # else they would hold each other until the collector comes by
+        self.reply, self.call = (
+            reply,
+            None,
+        )  # else they would hold each other until the collector comes by
         if isinstance(reply, bytes):  # a long value is open until it is written
             self.client.clients.numbers.discard(self.number)
         self.client.flush()
@@ -157,7 +169,9 @@
         try:
             if self.clients.heir is None:  # else whoever gets the connection takes what is left
                 self._take_all()
-        except Malformed as wrong:  # one that makes no sense ends its connection: the rest is not looked at
+        except (
+            Malformed
+        ) as wrong:  # one that makes no sense ends its connection: the rest is not looked at
             self.end(str(wrong))
         self.taking = False
         self._throttle()
@@ -174,7 +188,9 @@
     def _take_all(self) -> None:
         clients, reader, slots = self.clients, self.reader, self.slots
         form, shut, shed = clients.form, clients.intake.shut, 0
-        while not self.closing and len(reader) and (len(slots) < WAITING_MOST or self._may_refuse()):
+        while (
+            not self.closing and len(reader) and (len(slots) < WAITING_MOST or self._may_refuse())
+        ):
             # The cheapest refusal comes before the work: what is certain to be refused in this turn is not even read.
             if (
                 shut
@@ -201,7 +217,10 @@
     def _may_refuse(self) -> bool:
         """Under pressure what is beyond the most that may wait is taken all the same, to be refused while it is new."""
         last = self.slots[-1].reply
-        return self.clients.intake.pressed and len(last if isinstance(last, bytes) else b"") < REFUSED_MOST
+        return (
+            self.clients.intake.pressed
+            and len(last if isinstance(last, bytes) else b"") < REFUSED_MOST
+        )
 
     def _request(self, terms: Terms, parts: tuple[bytes, ...]) -> None:
         """Begin a request, or let it wait for its turn, or refuse it."""
@@ -222,7 +241,9 @@
             slot.terms, slot.parts = terms, parts
             clients.numbers.add(parts[2])
             self.slots.append(slot)
-            slot.waiting = clients.intake.wait(terms, _group(parts), parts[1], slot.begin, slot.refuse)
+            slot.waiting = clients.intake.wait(
+                terms, _group(parts), parts[1], slot.begin, slot.refuse
+            )
 
     def _shed(self, terms: Terms, reply: bytes) -> None:
         """Refuse a request that was read and is not even begun."""
@@ -254,7 +275,9 @@
         slots = self.slots
         while slots and self.long is None and slots[0].reply is not None:
             if isinstance(slots[0].reply, LongValue):
-                if slots[0].reply.broken:  # guards the answers behind it: nobody would ever say so again
+                if slots[
+                    0
+                ].reply.broken:  # guards the answers behind it: nobody would ever say so again
                     self.clients.numbers.discard(slots[0].number)
                     slots[0].reply = FAILED
                     continue
@@ -367,7 +390,9 @@
 
     async def listen(self, listener: socket.socket | None = None) -> None:
         """Serve from now on, on a socket that listens already if there is one; others may listen beside it."""
-        listener = listener or socket.create_server(self.config.listen, backlog=BACKLOG, reuse_port=True)
+        listener = listener or socket.create_server(
+            self.config.listen, backlog=BACKLOG, reuse_port=True
+        )
         self.acceptor = Acceptor(self.loop, listener, self.make_room, lambda: Client(self))
         self.acceptor.start()
         self._sweep()
@@ -513,7 +538,9 @@
         """Close what has exceeded its time."""
         now = self.loop.time()
         for client in _older(self.waiting, now - COMMAND_WITHIN):
-            if _has_sent(client):  # the process may have stood still: what came in time is read first
+            if _has_sent(
+                client
+            ):  # the process may have stood still: what came in time is read first
                 continue
             if len(client.reader):
                 client.end("a command was not whole in time")
@@ -553,7 +580,7 @@
         if self.ends_since is None:
             began = self.ends_since = self.loop.time()
             self.loop.call_at(began + SERVE_FOR - END_MARGIN, self._begin_nothing)
-            longest = max(c.deadline for c in self.config.settings.classes) / 1e6
+            longest = max(c.deadline_us for c in self.config.settings.classes) / 1e6
             self.loop.call_at(
                 began + SERVE_FOR + min(KILLED_AFTER, longest) - END_MARGIN, self.driver.fail_all
             )
--- a/saffrongw/gateway/driver.py
+++ b/saffrongw/gateway/driver.py
@@ -13,8 +13,33 @@
 from dataclasses import dataclass, field
 from typing import ClassVar, NamedTuple, Protocol
 
-from ..policy import interface as api
+from ..policy.actions import (
+    Action,
+    CancelAttempt,
+    CheckHealth,
+    FailRequest,
+    FetchEndpointList,
+    RejectRequest,
+    SendAttempt,
+    SendGossip,
+    SetTimer,
+    SubscribeEndpointList,
+)
+from ..policy.events import (
+    AttemptEnded,
+    AttemptOutcome,
+    ClientDisconnected,
+    EndpointId,
+    EndpointListKind,
+    EndpointListReceived,
+    Event,
+    ExclusionChanged,
+    GossipReceived,
+    RequestArrived,
+    TimerFired,
+)
 from ..policy.rules import Gateway
+from ..policy.settings import Settings
 from .config import HostList
 from .metrics import Figures
 from .signals import began
@@ -44,15 +69,17 @@
     units: float
     spread: int
     first: int
-    is_repeat: bool
+    is_retry: bool
 
 
 @dataclass(slots=True, eq=False)
 class Call:
     """A client's request: what goes to hosts, and how it stands."""
 
-    event: api.RequestArrived
-    parts: tuple[bytes, ...]  # command, customer, id, terms before and after the value of ``d``, perhaps body
+    event: RequestArrived
+    parts: tuple[
+        bytes, ...
+    ]  # command, customer, id, terms before and after the value of ``d``, perhaps body
     until: int  # clock time by which it must be answered
     answer: Callable[[bytes | LongValue], None]
     attempts: list[Attempt] = field(default_factory=list)
@@ -66,9 +93,9 @@
 
     call: Call
     number: int
-    server: api.Server
+    endpoint_id: EndpointId
     sent: int
-    give_up_at: int
+    deadline_us: int
     timer: asyncio.TimerHandle | None = None
     link: object = None  # where hosts.py keeps what carries it
     whole: bool = False  # its last byte has left: from then on it may run
@@ -87,7 +114,7 @@
     def told(self, listed: HostList) -> list[Attempt]:
         """Discovery's list has changed; the attempts that can't begin any more."""
 
-    def rest_at(self, server: api.Server) -> list[Attempt]:
+    def rest_at(self, endpoint_id: EndpointId) -> list[Attempt]:
         """A host is taken out by hand: its idle connections are closed; the attempts that can't begin."""
 
     def take_back(self, attempt: Attempt) -> bool:
@@ -107,7 +134,7 @@
 class Driver:
     """The one Gateway with its clock and timers, and the bookkeeping of answers owed."""
 
-    def __init__(self, settings: api.Settings, seed: int, loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(self, settings: Settings, seed: int, loop: asyncio.AbstractEventLoop) -> None:
         self.loop, self.clock = loop, Clock()
         self.gateway = Gateway(settings, seed, self.clock())
         self.figures = Figures(len(settings.classes))
@@ -115,7 +142,7 @@
         self.tell_peer: Callable[[int, bytes], None] = lambda rank, body: None
         self.calls: dict[int, Call] = {}
         self.last_number = 0
-        self.pending: deque[api.Event] = deque()
+        self.pending: deque[Event] = deque()
         self.feeding = False
         self.succeeds = False  # another process with our addresses still runs, and gives way
         self.pressed: Callable[[], bool] = lambda: False  # whether requests wait for the core
@@ -128,17 +155,21 @@
 
     # -- events ---------------------------------------------------------------------------------------------
 
-    def arrived(self, terms: Terms, parts: tuple[bytes, ...], answer: Callable[[bytes], None]) -> Call:
+    def arrived(
+        self, terms: Terms, parts: tuple[bytes, ...], answer: Callable[[bytes], None]
+    ) -> Call:
         """A client's request, its last byte just read; the client's own ids stay outside the module."""
         call = self._take(terms, parts, answer)
         self.feed(call.event)
         return call
 
-    def _take(self, terms: Terms, parts: tuple[bytes, ...], answer: Callable[[bytes], None]) -> Call:
+    def _take(
+        self, terms: Terms, parts: tuple[bytes, ...], answer: Callable[[bytes], None]
+    ) -> Call:
         """From here on an answer is owed: counted, listed and guarded."""
         self.last_number += 1
         left = max(MS, terms.wait - ON_THE_WAY)
-        event = api.RequestArrived(
+        event = RequestArrived(
             self.last_number,
             terms.customer,
             terms.plan,
@@ -147,7 +178,7 @@
             left,
             terms.first,
             terms.spread,
-            terms.is_repeat,
+            terms.is_retry,
         )
         call = Call(event, parts, self.clock() + left, answer)
         self.calls[self.last_number] = call
@@ -158,15 +189,15 @@
         """The client has closed its connection: nothing is owed any more."""
         if not call.finished:
             self._close(call)
-            self.feed(api.ClientGone(call.event.request))
+            self.feed(ClientDisconnected(call.event.request))
             for attempt in tuple(call.attempts):  # also where what has begun may not be called off
                 if not attempt.ended and self.hosts.take_back(attempt):
-                    self.attempt_ended(attempt, api.Outcome.NEVER_SENT)
+                    self.attempt_ended(attempt, AttemptOutcome.NOT_SENT)
 
     def attempt_ended(
         self,
         attempt: Attempt,
-        outcome: api.Outcome,
+        outcome: AttemptOutcome,
         value: bytes | LongValue | None = None,
         report: tuple[float, ...] = (),
     ) -> None:
@@ -184,10 +215,10 @@
             self._finish(call, value)
         took = self.clock() - attempt.sent
         self.feed(
-            api.AttemptEnded(
+            AttemptEnded(
                 call.event.request,
                 attempt.number,
-                attempt.server,
+                attempt.endpoint_id,
                 outcome,
                 took,
                 call.finished,
@@ -201,25 +232,27 @@
 
     def listed(self, listed: HostList, cached: bool = False) -> None:
         """Discovery told something."""
-        kind = api.ListKind.WHOLE if listed.whole else api.ListKind.CHANGES
+        kind = EndpointListKind.COMPLETE if listed.whole else EndpointListKind.DELTA
         if cached:
-            kind = api.ListKind.CACHED
+            kind = EndpointListKind.CACHED
         stranded = self.hosts.told(listed)
-        self.feed(api.ServerListed(kind, listed.version, tuple(host.entry for host in listed.hosts)))
+        self.feed(
+            EndpointListReceived(kind, listed.version, tuple(host.entry for host in listed.hosts))
+        )
         for attempt in stranded:  # only now: where they go next depends on the list
-            self.attempt_ended(attempt, api.Outcome.NOT_CONNECTED)
+            self.attempt_ended(attempt, AttemptOutcome.CONNECT_FAILED)
 
-    def excluded(self, event: api.ExclusionChanged) -> None:
+    def excluded(self, event: ExclusionChanged) -> None:
         """A host is taken out by hand, or put back."""
         self.feed(event)
-        for attempt in self.hosts.rest_at(event.server) if event.excluded else ():
-            self.attempt_ended(attempt, api.Outcome.NOT_CONNECTED)
+        for attempt in self.hosts.rest_at(event.endpoint_id) if event.excluded else ():
+            self.attempt_ended(attempt, AttemptOutcome.CONNECT_FAILED)
 
     def peer_said(self, sender: int, body: bytes) -> None:
         """A datagram of another gateway."""
-        self.feed(api.PeerMessage(sender, body))
+        self.feed(GossipReceived(sender, body))
 
-    def feed(self, event: api.Event) -> None:
+    def feed(self, event: Event) -> None:
         """One event to the module; what an action leads to at once waits until all of them are done."""
         self.pending.append(event)
         if self.feeding:
@@ -231,77 +264,83 @@
         finally:
             self.feeding = False
 
-    def _handle(self, event: api.Event) -> None:
+    def _handle(self, event: Event) -> None:
         try:
             actions = self.gateway.handle(self.clock(), event)
-        except Exception:  # guards against a fault of the decisions taking all held requests with it
+        except (
+            Exception
+        ):  # guards against a fault of the decisions taking all held requests with it
             log.exception("the decisions failed on %s", event.topic)
-            number = event.token - 1 if isinstance(event, api.TimerFired) else getattr(event, "request", 0)
+            number = (
+                event.token - 1 if isinstance(event, TimerFired) else getattr(event, "request", 0)
+            )
             call = self.calls.get(number)
             if call is not None and not call.finished:
                 self._fail_for_good(call)
             # Guards the gossip's own timer, which it sets anew before all else.
-            actions = [action for action in self.gateway.actions if isinstance(action, api.SetTimer)]
+            actions = [action for action in self.gateway.actions if isinstance(action, SetTimer)]
         self._carry_out(actions)
 
     # -- actions --------------------------------------------------------------------------------------------
 
-    def _carry_out(self, actions: list[api.Action]) -> None:
+    def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
             self._DO[type(action)](self, action)
 
-    def _send(self, action: api.Send) -> None:
+    def _send(self, action: SendAttempt) -> None:
         call = self.calls.get(action.request)
         if call is None:
             return
         now = self.clock()
-        give_up_at = min(action.give_up_at or call.until, call.until)
-        attempt = Attempt(call, len(call.attempts), action.server, now, give_up_at)
+        deadline_us = min(action.deadline_us or call.until, call.until)
+        attempt = Attempt(call, len(call.attempts), action.endpoint_id, now, deadline_us)
         call.attempts.append(attempt)
         # Guards rule 1: nothing more after the final answer, nor too late for one.
         if call.finished or now >= call.until:
-            self.attempt_ended(attempt, api.Outcome.NEVER_SENT)
+            self.attempt_ended(attempt, AttemptOutcome.NOT_SENT)
             return
-        if give_up_at < call.until:  # else the call's own timer ends it: one less for every attempt
-            attempt.timer = self._at(give_up_at, self._timed_out, attempt)
+        if (
+            deadline_us < call.until
+        ):  # else the call's own timer ends it: one less for every attempt
+            attempt.timer = self._at(deadline_us, self._timed_out, attempt)
         self.hosts.send(attempt)
 
-    def _cancel(self, action: api.Cancel) -> None:
+    def _cancel(self, action: CancelAttempt) -> None:
         call = self.calls.get(action.request)
         if call is None or action.attempt >= len(call.attempts):
             return
         attempt = call.attempts[action.attempt]
         if not attempt.ended:
             self.hosts.give_up(attempt)
-            self.attempt_ended(attempt, api.Outcome.CANCELLED)
+            self.attempt_ended(attempt, AttemptOutcome.CANCELLED)
 
-    def _refuse(self, action: api.Refuse) -> None:
+    def _refuse(self, action: RejectRequest) -> None:
         if call := self.calls.get(action.request):
-            self._finish(call, busy(action.retry_after))
+            self._finish(call, busy(action.retry_after_us))
 
-    def _fail(self, action: api.Fail) -> None:
+    def _fail(self, action: FailRequest) -> None:
         if call := self.calls.get(action.request):
             self._finish(call, FAILED)
 
-    def _set_timer(self, action: api.SetTimer) -> None:
-        self._after(action.span, self.feed, api.TimerFired(action.token))
+    def _set_timer(self, action: SetTimer) -> None:
+        self._after(action.delay_us, self.feed, TimerFired(action.token))
 
-    def _tell(self, action: api.TellPeer) -> None:
+    def _tell(self, action: SendGossip) -> None:
         self.tell_peer(action.peer, action.body)
 
-    def _nothing(self, action: api.Action) -> None:
+    def _nothing(self, action: Action) -> None:
         """The watch on discovery runs in any case, and these decisions send no probes."""
 
     _DO: ClassVar = {
-        api.Send: _send,
-        api.Cancel: _cancel,
-        api.Refuse: _refuse,
-        api.Fail: _fail,
-        api.SetTimer: _set_timer,
-        api.TellPeer: _tell,
-        api.AskList: _nothing,
-        api.FetchList: _nothing,
-        api.Probe: _nothing,
+        SendAttempt: _send,
+        CancelAttempt: _cancel,
+        RejectRequest: _refuse,
+        FailRequest: _fail,
+        SetTimer: _set_timer,
+        SendGossip: _tell,
+        SubscribeEndpointList: _nothing,
+        FetchEndpointList: _nothing,
+        CheckHealth: _nothing,
     }
 
     # -- answers and deadlines ------------------------------------------------------------------------------
@@ -319,7 +358,9 @@
     def _close(self, call: Call) -> None:
         call.finished = True
         for attempt in call.attempts:
-            if not attempt.ended:  # a Cancel of what is still out may follow: kept for one turn of the loop
+            if (
+                not attempt.ended
+            ):  # a Cancel of what is still out may follow: kept for one turn of the loop
                 self.loop.call_soon(self.calls.pop, call.event.request, None)
                 return
         call.guard.cancel()
@@ -329,7 +370,7 @@
         """Nothing came in time. What never left whole has certainly not run."""
         if not attempt.ended:
             self.hosts.give_up(attempt)
-            outcome = api.Outcome.TIMED_OUT if attempt.whole else api.Outcome.NOT_CONNECTED
+            outcome = AttemptOutcome.TIMED_OUT if attempt.whole else AttemptOutcome.CONNECT_FAILED
             self.attempt_ended(attempt, outcome)
 
     def _time_up(self, call: Call) -> None:
@@ -349,7 +390,7 @@
     def _fail_for_good(self, call: Call) -> None:
         """Answered without the decisions, which forget it."""
         self._finish(call, FAILED)
-        self.feed(api.ClientGone(call.event.request))
+        self.feed(ClientDisconnected(call.event.request))
 
     def _after(self, span: int, callback: Callable, *args) -> asyncio.TimerHandle:
         """Call back no earlier than a span from now: the loop counts whole milliseconds."""
--- a/saffrongw/gateway/extensions.py
+++ b/saffrongw/gateway/extensions.py
@@ -11,12 +11,15 @@
 from enum import Enum
 from typing import Any, Protocol
 
-from ..policy import interface as api
+from ..policy.actions import Action
+from ..policy.events import AttemptOutcome, Event
 from .downstream.connection import Front
 from .driver import Attempt, Call, Driver, Terms
 
 MS = 1_000  # microseconds
-MAY_CHANGE = frozenset({"plan", "wait"})  # of a request's terms: a plan by its number, a shorter wait
+MAY_CHANGE = frozenset(
+    {"plan", "wait"}
+)  # of a request's terms: a plan by its number, a shorter wait
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,16 +80,16 @@
 
     name = "observer"
 
-    def event_in(self, now: int, event: api.Event) -> None:
+    def event_in(self, now: int, event: Event) -> None:
         """The decision module is about to be told this; now in us of the gateway's clock."""
 
-    def actions_out(self, now: int, event: api.Event, actions: tuple[api.Action, ...]) -> None:
+    def actions_out(self, now: int, event: Event, actions: tuple[Action, ...]) -> None:
         """What it answered, before any of it is carried out."""
 
     def attempt_began(self, attempt: Attempt) -> None:
         """An attempt is about to be sent."""
 
-    def attempt_ended(self, attempt: Attempt, outcome: api.Outcome) -> None:
+    def attempt_ended(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         """An attempt has its outcome."""
 
     def answered(self, call: Call, reply: bytes) -> None:
@@ -135,11 +138,17 @@
     observers: tuple[Observer, ...] = ()
     services: tuple[Service, ...] = ()
     time_share: float = 0.4
-    again: Callable[[], None] | None = None  # on SIGHUP: read the operator file anew; it raises nothing
+    again: Callable[[], None] | None = (
+        None  # on SIGHUP: read the operator file anew; it raises nothing
+    )
     fronts: tuple[Front, ...] = ()
     figures: tuple[Lines, ...] = ()
-    calls: Mapping[bytes, OperatorCall] = field(default_factory=dict)  # by path, at the operators' address
-    on_drain: tuple[Callable[[bool], None], ...] = ()  # told when draining begins, and when it is taken back
+    calls: Mapping[bytes, OperatorCall] = field(
+        default_factory=dict
+    )  # by path, at the operators' address
+    on_drain: tuple[
+        Callable[[bool], None], ...
+    ] = ()  # told when draining begins, and when it is taken back
 
     def __bool__(self) -> bool:
         return bool(self.stages or self.observers or self.services or self.fronts)
--- a/saffrongw/gateway/filter_chain.py
+++ b/saffrongw/gateway/filter_chain.py
@@ -14,7 +14,9 @@
 from dataclasses import dataclass, field, replace
 from typing import ClassVar
 
-from ..policy import interface as api
+from ..policy.actions import Action, AdmitRequest, RejectRequest
+from ..policy.events import AdmissionCheckArrived, AttemptOutcome, EndpointId, Event
+from ..policy.settings import Settings
 from .config import HostList
 from .driver import FAILED, MS, ON_THE_WAY, Attempt, Call, Driver, Hosts, Terms, busy
 from .extensions import (
@@ -62,7 +64,7 @@
         """Discovery's list has changed; the attempts that can't begin any more."""
         return self.inner.told(listed)
 
-    def rest_at(self, server: api.Server) -> list[Attempt]:
+    def rest_at(self, server: EndpointId) -> list[Attempt]:
         """A host is taken out by hand: its idle connections are closed; the attempts that can't begin."""
         return self.inner.rest_at(server)
 
@@ -87,13 +89,13 @@
     """A ``Driver`` whose requests pass stages first, and whose doings observers are told."""
 
     def __init__(
-        self, settings: api.Settings, seed: int, loop: asyncio.AbstractEventLoop, plugs: Plugs
+        self, settings: Settings, seed: int, loop: asyncio.AbstractEventLoop, plugs: Plugs
     ) -> None:
         self.plugs = plugs
         super().__init__(settings, seed, loop)
         self.runs: dict[Call, Run] = {}  # for as long as their calls are open
         # Checks for others that are being decided.
-        self.decided: dict[int, api.Admit | api.Refuse | None] = {}
+        self.decided: dict[int, AdmitRequest | RejectRequest | None] = {}
         self.leaving: Call | None = None  # whose client has just gone
         self.faults: Counter[str] = Counter()  # by stage or observer
         if plugs.observers:
@@ -102,7 +104,9 @@
 
     # -- stages ---------------------------------------------------------------------------------------------
 
-    def arrived(self, terms: Terms, parts: tuple[bytes, ...], answer: Callable[[bytes], None]) -> Call:
+    def arrived(
+        self, terms: Terms, parts: tuple[bytes, ...], answer: Callable[[bytes], None]
+    ) -> Call:
         """A client's request: counted and guarded first, then the stages, then the decision module."""
         call = self._take(terms, parts, answer)
         if not self.plugs.stages:
@@ -142,7 +146,9 @@
             if run.call.finished:  # by us: its end was told
                 raise
             # ``_too_late`` cancelled it, or the stage's own work was cancelled: a stage that took too long.
-            verdict = self._faulty(stage, TimeoutError("no verdict in its share of the request's time"))
+            verdict = self._faulty(
+                stage, TimeoutError("no verdict in its share of the request's time")
+            )
         except Exception as wrong:
             verdict = self._faulty(stage, wrong)
         run.task = None
@@ -168,9 +174,11 @@
             try:
                 result = apply(self._faulty(stage, wrong), terms, plans)
             except StageError:
-                result = Refuse()  # not even its fallback is a verdict; nothing was sent, so this is harmless
+                result = (
+                    Refuse()
+                )  # not even its fallback is a verdict; nothing was sent, so this is harmless
         if isinstance(result, Refuse):
-            self._finish(run.call, busy(min(result.retry_after, self.gateway.s.max_retry_after)))
+            self._finish(run.call, busy(min(result.retry_after, self.gateway.s.max_retry_after_us)))
             return None
         if isinstance(result, Fail):
             self._finish(run.call, FAILED)
@@ -186,9 +194,9 @@
             run.late.cancel()
             run.late = None
         rest = max(0, call.until - self.clock())
-        spent = call.event.time_left - rest
+        spent = call.event.time_left_us - rest
         left = max(MS, min(rest, terms.wait - ON_THE_WAY - spent))
-        call.event = call.event._replace(plan=terms.plan, time_left=left)
+        call.event = call.event._replace(plan=terms.plan, time_left_us=left)
         until = self.clock() + left
         if until < call.until:  # a stage shortened the wait
             call.until = until
@@ -224,25 +232,25 @@
 
     def decide(
         self, customer: int, plan: int, kind: int, units: float, first: int, spread: int
-    ) -> api.Admit | api.Refuse | None:
+    ) -> AdmitRequest | RejectRequest | None:
         """Whether a request that somebody else sends on is let in, by the same counts; None: not decided."""
         self.last_number += 1
         number = self.last_number
         self.decided[number] = None
-        self.feed(api.CheckArrived(number, customer, plan, kind, units, first, spread))
+        self.feed(AdmissionCheckArrived(number, customer, plan, kind, units, first, spread))
         return self.decided.pop(number)
 
-    def _admit(self, action: api.Admit) -> None:
+    def _admit(self, action: AdmitRequest) -> None:
         if action.request in self.decided:
             self.decided[action.request] = action
 
-    def _refuse(self, action: api.Refuse) -> None:
+    def _refuse(self, action: RejectRequest) -> None:
         if action.request in self.decided:
             self.decided[action.request] = action
         else:
             super()._refuse(action)
 
-    _DO: ClassVar = Driver._DO | {api.Admit: _admit, api.Refuse: _refuse}
+    _DO: ClassVar = Driver._DO | {AdmitRequest: _admit, RejectRequest: _refuse}
 
     # -- observers ------------------------------------------------------------------------------------------
 
@@ -253,7 +261,7 @@
             except Exception as wrong:  # guards the path: an observer can't raise into it
                 self._faulty(observer, wrong)
 
-    def _judge(self, now: int, event: api.Event) -> list[api.Action]:
+    def _judge(self, now: int, event: Event) -> list[Action]:
         self._tell_observers("event_in", now, event)
         actions = self._decide_plainly(now, event)
         self._tell_observers("actions_out", now, event, tuple(actions))
@@ -275,7 +283,7 @@
     def attempt_ended(
         self,
         attempt: Attempt,
-        outcome: api.Outcome,
+        outcome: AttemptOutcome,
         value: bytes | LongValue | None = None,
         report: tuple[float, ...] = (),
     ) -> None:
@@ -286,5 +294,7 @@
 
     def _finish(self, call: Call, reply: bytes | LongValue) -> None:
         if not call.finished:
-            self._tell_observers("answered", call, reply if isinstance(reply, bytes) else reply.head)
+            self._tell_observers(
+                "answered", call, reply if isinstance(reply, bytes) else reply.head
+            )
         super()._finish(call, reply)
--- a/saffrongw/gateway/gossip_transport.py
+++ b/saffrongw/gateway/gossip_transport.py
@@ -23,7 +23,9 @@
         """Hear and tell from now on, on a socket that is bound already if there is one."""
         if sock is None:
             sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)  # a new version binds beside this one
+            sock.setsockopt(
+                socket.SOL_SOCKET, socket.SO_REUSEPORT, 1
+            )  # a new version binds beside this one
             sock.bind(address)
         sock.setblocking(False)
         self.sock = sock
--- a/saffrongw/gateway/hot_restart/channel.py
+++ b/saffrongw/gateway/hot_restart/channel.py
@@ -235,7 +235,9 @@
             self.channel = None
 
 
-async def find_incumbent(loop: asyncio.AbstractEventLoop, path: Path | None) -> socket.socket | None:
+async def find_incumbent(
+    loop: asyncio.AbstractEventLoop, path: Path | None
+) -> socket.socket | None:
     """A connection to the process that serves this address; None where there is none, or it does not answer."""
     if path is None or not path.exists():
         return None
--- a/saffrongw/gateway/hot_restart/successor.py
+++ b/saffrongw/gateway/hot_restart/successor.py
@@ -7,8 +7,8 @@
 import socket
 from collections.abc import Coroutine
 
-from ...policy import interface as api
 from ...policy import state_transfer
+from ...policy.events import EndpointEntry, EndpointId, EndpointState
 from ..admin_http.handlers import Operations
 from ..config import HostEntry, HostList
 from ..downstream.connection import Clients
@@ -39,7 +39,9 @@
         self.driver, self.hosts, self.clients = driver, hosts, clients
         self.operations, self.peers, self.accept_for = operations, peers, accept_for
         path = path_for(clients.config.listen)
-        self.incumbent = Incumbent(driver.loop, path, self._greet, operations.told) if path else None
+        self.incumbent = (
+            Incumbent(driver.loop, path, self._greet, operations.told) if path else None
+        )
 
     def listen(self) -> None:
         """Be found by a successor from now on."""
@@ -98,7 +100,9 @@
         """All counts, and then the word; False where nobody takes them."""
         for rows in packed(state_transfer.export(self.driver.gateway)):
             channel.tell("rows", rows)
-            if len(channel.waiting) >= AT_ONCE and not await _sent(channel):  # more than the queue holds
+            if len(channel.waiting) >= AT_ONCE and not await _sent(
+                channel
+            ):  # more than the queue holds
                 break
         if not channel.tell("go") or not channel.open:
             channel.end()
@@ -113,9 +117,11 @@
             channel.tell("begun", begun[at : at + CHUNK].decode("latin-1"))
         return True
 
-    def _give_host(self, server: api.Server, born: int, fd: int) -> bool:
+    def _give_host(self, server: EndpointId, born: int, fd: int) -> bool:
         channel = self.incumbent.channel
-        return channel is not None and channel.tell("host", state_transfer.text_of(server), born, fds=(fd,))
+        return channel is not None and channel.tell(
+            "host", state_transfer.text_of(server), born, fds=(fd,)
+        )
 
 
 async def _sent(channel: Channel) -> bool:
@@ -141,9 +147,14 @@
 def _listed(hosts, pools: Hosts):
     """The list of hosts as rows: as discovery tells it, and where to connect."""
     for host in hosts:
-        entry, pool = host.entry, pools.pools.get(host.entry.server)
+        entry, pool = host.entry, pools.pools.get(host.entry.endpoint_id)
         if pool:
-            place = [state_transfer.text_of(entry.server), entry.phase.value, entry.zone, entry.cell]
+            place = [
+                state_transfer.text_of(entry.endpoint_id),
+                entry.state.value,
+                entry.zone,
+                entry.cell,
+            ]
             yield [*place, pool.born, entry.size, *pool.address]
 
 
@@ -160,13 +171,17 @@
         self.greeted, self.go = asyncio.Event(), asyncio.Event()
         self.lost = self.replaced = False
         self.parts: tuple[Driver, Hosts, Clients, Operations] | None = None
-        self.begun: tuple[socket.socket, int, bytearray] | None = None  # a client's connection still to come
+        self.begun: tuple[socket.socket, int, bytearray] | None = (
+            None  # a client's connection still to come
+        )
         self.adopted: list[tuple] = []  # connections that came before this process listens
         self.serving = False
         self.channel = Channel(loop, sock, self._told, self._lost)
 
     @classmethod
-    async def of(cls, loop: asyncio.AbstractEventLoop, listen: tuple[str, int]) -> Inheritance | None:
+    async def of(
+        cls, loop: asyncio.AbstractEventLoop, listen: tuple[str, int]
+    ) -> Inheritance | None:
         """What the running process gives; None where there is none that answers."""
         sock = await find_incumbent(loop, path_for(listen))
         if sock is None:
@@ -197,7 +212,9 @@
         """The list as the running process has it."""
         return HostList(0, True, tuple(self.hosts)) if self.hosts else None
 
-    def attach(self, driver: Driver, hosts: Hosts, clients: Clients, operations: Operations) -> None:
+    def attach(
+        self, driver: Driver, hosts: Hosts, clients: Clients, operations: Operations
+    ) -> None:
         """The parts are there: take over what was told so far, and all that follows."""
         self.parts = driver, hosts, clients, operations
         rows, self.rows = self.rows, []
@@ -283,7 +300,12 @@
 
 def _entry(row: list) -> HostEntry:
     server, phase, zone, cell, born, size, host, port = row
-    entry = api.ServerEntry(
-        state_transfer.server_of(str(server)), api.Phase(phase), int(zone), int(cell), int(born), float(size)
+    entry = EndpointEntry(
+        state_transfer.server_of(str(server)),
+        EndpointState(phase),
+        int(zone),
+        int(cell),
+        int(born),
+        float(size),
     )
     return HostEntry(entry, (str(host), int(port)))
--- a/saffrongw/gateway/request_parser.py
+++ b/saffrongw/gateway/request_parser.py
@@ -4,7 +4,7 @@
 
 import re
 
-from ..policy.interface import Effect
+from ..policy.settings import Idempotency
 from .config import Config
 from .driver import Terms
 from .resp import VALUE_MOST, Malformed
@@ -67,14 +67,14 @@
     kind, plan = config.classes.get(terms.get(b"c")), config.plans.get(terms.get(b"t"))
     if kind is None or plan is None:
         raise Malformed("unknown class or plan")
-    effect, gateways = config.settings.classes[kind].effect, config.settings.gateways
-    if (name == b"CALL.GET") != (effect is Effect.SAFE):
+    effect, gateways = config.settings.classes[kind].idempotency, config.settings.node_count
+    if (name == b"CALL.GET") != (effect is Idempotency.IDEMPOTENT):
         raise Malformed("this class is served by the other command")
-    wanted = _TERMS | {b"k"} if effect is Effect.KEYED else _TERMS
+    wanted = _TERMS | {b"k"} if effect is Idempotency.IDEMPOTENCY_KEY else _TERMS
     repeat = terms.pop(b"r", None)
     if terms.keys() != wanted or repeat not in (None, b"1"):
         raise Malformed("a term is missing, or one too many")
-    if effect is Effect.KEYED and not _KEY.fullmatch(terms[b"k"]):
+    if effect is Idempotency.IDEMPOTENCY_KEY and not _KEY.fullmatch(terms[b"k"]):
         raise Malformed("term k is malformed")
     wait, units, spread, first = (terms[term] for term in (b"d", b"units", b"spread", b"first"))
     if not _WAIT.fullmatch(wait) or int(wait) > WAIT_MOST:
@@ -99,13 +99,15 @@
 
     def __init__(self, config: Config) -> None:
         self.classes, self.plans = config.classes, config.plans
-        self.effects = tuple(c.effect for c in config.settings.classes)
-        self.gateways, self.units_most = config.settings.gateways, config.units_most
+        self.effects = tuple(c.idempotency for c in config.settings.classes)
+        self.gateways, self.units_most = config.settings.node_count, config.units_most
         # Texts that come again and again, by their meaning.
-        self.groups: dict[bytes, tuple[int, int, Effect]] = {}  # only those that the settings name
+        self.groups: dict[
+            bytes, tuple[int, int, Idempotency]
+        ] = {}  # only those that the settings name
         self.amounts: dict[bytes, tuple[float, int, int, bool]] = {}
 
-    def _group(self, text: bytes) -> tuple[int, int, Effect] | None:
+    def _group(self, text: bytes) -> tuple[int, int, Idempotency] | None:
         """``c=CLASS,t=PLAN,d=`` as numbers of class and plan, and the class's effect."""
         if (known := self.groups.get(text)) is None:
             kind_name, plan_name = _GROUP.fullmatch(text).groups()
@@ -135,7 +137,11 @@
         if found is None:
             return None
         post, customer, id_size, number, size, text, group, body_size = found.groups()
-        if len(number) != int(id_size) or len(text) != int(size) or (post is None) != (body_size is None):
+        if (
+            len(number) != int(id_size)
+            or len(text) != int(size)
+            or (post is None) != (body_size is None)
+        ):
             return None
         if post is None:
             return found.end(), customer, group
@@ -147,15 +153,33 @@
         found = _USUAL.match(data, at)
         if found is None:
             return None
-        get, post, customer, id_size, number, size, text, before, wait, after, key, amounts, body_size = (
-            found.groups()
-        )
-        if len(number) != int(id_size) or len(text) != int(size) or (post is None) != (body_size is None):
+        (
+            get,
+            post,
+            customer,
+            id_size,
+            number,
+            size,
+            text,
+            before,
+            wait,
+            after,
+            key,
+            amounts,
+            body_size,
+        ) = found.groups()
+        if (
+            len(number) != int(id_size)
+            or len(text) != int(size)
+            or (post is None) != (body_size is None)
+        ):
             return None
         if (group := self._group(before)) is None or (given := self._amounts(amounts)) is None:
             return None
         kind, plan, effect = group
-        if (post is None) != (effect is Effect.SAFE) or (key is None) != (effect is not Effect.KEYED):
+        if (post is None) != (effect is Idempotency.IDEMPOTENT) or (key is None) != (
+            effect is not Idempotency.IDEMPOTENCY_KEY
+        ):
             return None
         if (span := int(wait)) > WAIT_MOST:
             return None
--- a/saffrongw/gateway/streaming_reply.py
+++ b/saffrongw/gateway/streaming_reply.py
@@ -14,7 +14,9 @@
 from .metrics import Figures
 
 AHEAD_MOST = 64 * 1024  # bytes taken from the host before the client's turn for them
-STALL = 5.0  # seconds without a byte from the host, or taken by the client, after which it is given up
+STALL = (
+    5.0  # seconds without a byte from the host, or taken by the client, after which it is given up
+)
 
 
 class Source(Protocol):
--- a/saffrongw/gateway/upstream/cluster.py
+++ b/saffrongw/gateway/upstream/cluster.py
@@ -16,7 +16,7 @@
 
 import hiredis
 
-from ...policy import interface as api
+from ...policy.events import AttemptOutcome, EndpointId, EndpointState
 from ..config import Address, HostList
 from ..driver import Attempt, Driver
 from ..resp import Answer, AnswerReader, Malformed
@@ -24,12 +24,14 @@
 
 log = logging.getLogger(__name__)
 
-IDLE_PART = 0.6  # of the hosts' idle limit: ours are closed clearly earlier, so none meets a closing one
+IDLE_PART = (
+    0.6  # of the hosts' idle limit: ours are closed clearly earlier, so none meets a closing one
+)
 SWEEPS = 10  # looks at idle connections in that time
 REST = 0.02  # seconds before a connection is used again: what comes behind an answer comes in this time
 REST_WITHIN = 0.5  # seconds for the rest of an answer that has begun
 CLOSING_MOST = 24  # connections closed in this turn of the loop whose descriptors are not free yet
-LINES = {b"-ERR failed": api.Outcome.ERROR, b"-BUSY": api.Outcome.FULL}
+LINES = {b"-ERR failed": AttemptOutcome.ERROR, b"-BUSY": AttemptOutcome.OVERLOADED}
 REPORTS_MOST = 256  # texts of reports whose figures are kept
 MS = 1_000
 
@@ -53,7 +55,7 @@
 def pack_request(attempt: Attempt, now: int) -> bytes:
     """The client's command as it came, but for how long the gateway will wait."""
     command, customer, number, before, after, *body = attempt.call.parts
-    left = max(1, (attempt.give_up_at - now) // MS)
+    left = max(1, (attempt.deadline_us - now) // MS)
     terms = before + b"%d" % left + after
     return hiredis.pack_command((command, customer, number, terms, *body))
 
@@ -70,7 +72,9 @@
         self.idle_since = 0.0
         self.counted = False
         self.poll = select.poll()
-        self.rest: asyncio.TimerHandle | None = None  # ends an answer that has begun and does not go on
+        self.rest: asyncio.TimerHandle | None = (
+            None  # ends an answer that has begun and does not go on
+        )
         self.long: LongValue | None = None  # on its way to a client
         self.held = False  # nothing is read for now
 
@@ -88,7 +92,9 @@
         """Write an attempt's request."""
         self.attempt, attempt.link = attempt, self
         self.transport.write(pack_request(attempt, now))
-        attempt.whole = not self.transport.get_write_buffer_size() and not self.transport.is_closing()
+        attempt.whole = (
+            not self.transport.get_write_buffer_size() and not self.transport.is_closing()
+        )
         self.pool.hosts.driver.figures.attempts += attempt.whole
 
     def pause_writing(self) -> None:
@@ -145,7 +151,7 @@
         self.attempt = None
         hosts = self.pool.hosts
         value = self.long = LongValue(hosts.loop, self, length)
-        hosts.driver.attempt_ended(attempt, api.Outcome.SERVED, value)
+        hosts.driver.attempt_ended(attempt, AttemptOutcome.SERVED, value)
         if value.figures is None:  # nobody waits for it any more
             value.drop()
         else:
@@ -219,7 +225,9 @@
         attempt, self.attempt = self.attempt, None
         if attempt:
             # Guards rule 2: a reset may come after the host ran it, unless the last byte never left.
-            outcome = api.Outcome.BROKEN if attempt.whole else api.Outcome.NOT_CONNECTED
+            outcome = (
+                AttemptOutcome.CONNECTION_LOST if attempt.whole else AttemptOutcome.CONNECT_FAILED
+            )
             self.pool.hosts.driver.attempt_ended(attempt, outcome)
 
     def abort(self) -> None:
@@ -245,7 +253,7 @@
 class Pool:
     """The connections to one host; the one used last is used first, so that surplus ones grow idle."""
 
-    def __init__(self, hosts: Hosts, server: api.Server, address: Address, born: int) -> None:
+    def __init__(self, hosts: Hosts, server: EndpointId, address: Address, born: int) -> None:
         self.hosts, self.server, self.address, self.born = hosts, server, address, born
         self.idle: list[Connection] = []
         self.opening: set[asyncio.Task] = set()
@@ -261,7 +269,7 @@
         with an answer of its own in between would do more, but hosts close after it.)
         """
         if self.shut:  # it was decided before the list came, and something kept it since
-            self.hosts.driver.attempt_ended(attempt, api.Outcome.NOT_CONNECTED)
+            self.hosts.driver.attempt_ended(attempt, AttemptOutcome.CONNECT_FAILED)
             return
         rested = self.hosts.loop.time() - REST
         for place in range(len(self.idle) - 1, -1, -1):
@@ -274,7 +282,7 @@
                 return
             connection.abort()
         if not self.hosts.make_room():
-            self.hosts.driver.attempt_ended(attempt, api.Outcome.NOT_CONNECTED)
+            self.hosts.driver.attempt_ended(attempt, AttemptOutcome.CONNECT_FAILED)
             return
         self.hosts.sockets += 1  # here, not in the task: a burst comes before any of them has run
         self.waiting.append(attempt)
@@ -307,7 +315,9 @@
             connection.late = True
             self.hosts.sockets -= 1
             if self.waiting:
-                self.hosts.driver.attempt_ended(self.waiting.popleft(), api.Outcome.NOT_CONNECTED)
+                self.hosts.driver.attempt_ended(
+                    self.waiting.popleft(), AttemptOutcome.CONNECT_FAILED
+                )
 
     def ready(self, connection: Connection) -> None:
         """It is up: the attempt that waits longest takes it."""
@@ -392,17 +402,19 @@
         self.keep_idle = IDLE_PART * idle_close
         self.sockets = 0  # open or opening
         self.closing: set[Connection] = set()
-        self.pools: dict[api.Server, Pool] = {}
-        self.heir: Callable[[api.Server, int, int], bool] | None = None  # who gets connections that fall idle
+        self.pools: dict[EndpointId, Pool] = {}
+        self.heir: Callable[[EndpointId, int, int], bool] | None = (
+            None  # who gets connections that fall idle
+        )
         self._sweep()
 
-    def hand_over(self, heir: Callable[[api.Server, int, int], bool]) -> None:
+    def hand_over(self, heir: Callable[[EndpointId, int, int], bool]) -> None:
         """Connections go to the successor as they fall idle; heir gets host, its launch and a descriptor."""
         self.heir = heir
         for pool in self.pools.values():
             pool.hand_over()
 
-    def adopt(self, server: api.Server, born: int, sock: socket.socket) -> None:
+    def adopt(self, server: EndpointId, born: int, sock: socket.socket) -> None:
         """A connection to a host that another process has opened, if it still leads to the same life of it."""
         pool = self.pools.get(server)
         if pool is None or pool.born != born or self.heir or not self.make_room():
@@ -418,25 +430,27 @@
         waited for one are given back."""
         stranded = []
         if listed.whole:
-            named = {host.entry.server for host in listed.hosts}
+            named = {host.entry.endpoint_id for host in listed.hosts}
             for server in [server for server in self.pools if server not in named]:
                 stranded += self.pools.pop(server).retire()
         for host in listed.hosts:
-            entry, pool = host.entry, self.pools.get(host.entry.server)
-            gone = entry.phase is api.Phase.GONE
-            if pool and (gone or pool.address != host.address or entry.launched > pool.born):
-                stranded += self.pools.pop(entry.server).retire()
+            entry, pool = host.entry, self.pools.get(host.entry.endpoint_id)
+            gone = entry.state is EndpointState.REMOVED
+            if pool and (gone or pool.address != host.address or entry.started_at_us > pool.born):
+                stranded += self.pools.pop(entry.endpoint_id).retire()
             if gone:
                 continue
-            if (pool := self.pools.get(entry.server)) is None:
-                pool = self.pools[entry.server] = Pool(self, entry.server, host.address, entry.launched)
-            if entry.phase is api.Phase.DRAINING:
+            if (pool := self.pools.get(entry.endpoint_id)) is None:
+                pool = self.pools[entry.endpoint_id] = Pool(
+                    self, entry.endpoint_id, host.address, entry.started_at_us
+                )
+            if entry.state is EndpointState.DRAINING:
                 stranded += pool.shuts()
             else:
                 pool.shut = False
         return stranded
 
-    def rest_at(self, server: api.Server) -> list[Attempt]:
+    def rest_at(self, server: EndpointId) -> list[Attempt]:
         """An operator takes a host out: connections that carry nothing are closed, it will be restarted. The attempts
         that waited for one are given back."""
         pool = self.pools.get(server)
@@ -444,10 +458,10 @@
 
     def send(self, attempt: Attempt) -> None:
         """Begin an attempt."""
-        if pool := self.pools.get(attempt.server):
+        if pool := self.pools.get(attempt.endpoint_id):
             pool.send(attempt)
         else:
-            self.driver.attempt_ended(attempt, api.Outcome.NOT_CONNECTED)
+            self.driver.attempt_ended(attempt, AttemptOutcome.CONNECT_FAILED)
 
     def give_up(self, attempt: Attempt) -> None:
         """Stop waiting for an attempt; closing its connection tells the host."""
@@ -464,11 +478,11 @@
             attempt.link.waiting.remove(attempt)
         return waits
 
-    def meaning(self, answer: Answer) -> tuple[api.Outcome, bytes | None, tuple[float, ...]]:
+    def meaning(self, answer: Answer) -> tuple[AttemptOutcome, bytes | None, tuple[float, ...]]:
         """A host's answer as outcome, value and report: only the exact forms mean something."""
         if (line := answer.line) is None:
             value, report = answer.value, self._report(answer.report)
-            return api.Outcome.SERVED, b"$%d\r\n%b\r\n" % (len(value), value), report
+            return AttemptOutcome.SERVED, b"$%d\r\n%b\r\n" % (len(value), value), report
         for known, outcome in LINES.items():
             if line == known:
                 return outcome, None, ()
@@ -490,14 +504,16 @@
 
     def spoilt(self, attempt: Attempt, why: str) -> None:
         """An answer that can't be believed: the attempt has failed and may have run, its host answers."""
-        log.warning("spoilt answer of %s: %s", attempt.server.decode(errors="replace"), why)
-        self.driver.attempt_ended(attempt, api.Outcome.ERROR)
+        log.warning("spoilt answer of %s: %s", attempt.endpoint_id.decode(errors="replace"), why)
+        self.driver.attempt_ended(attempt, AttemptOutcome.ERROR)
 
     def make_room(self) -> bool:
         """Whether one more connection may be opened; if need be the one longest idle makes room."""
         if self.sockets >= self.most:
             oldest = min(
-                (p for p in self.pools.values() if p.idle), key=lambda p: p.idle[0].idle_since, default=None
+                (p for p in self.pools.values() if p.idle),
+                key=lambda p: p.idle[0].idle_since,
+                default=None,
             )
             if oldest:
                 oldest.idle[0].abort()
--- a/saffrongw/leases/acceptor.py
+++ b/saffrongw/leases/acceptor.py
@@ -91,7 +91,14 @@
         self.seen = floor  # the highest number met anywhere
         self.entries: dict[str, Entry] = {}
         self.swept = now
-        self.counts = {"granted": 0, "refused": 0, "expired": 0, "released": 0, "offered": 0, "dropped": 0}
+        self.counts = {
+            "granted": 0,
+            "refused": 0,
+            "expired": 0,
+            "released": 0,
+            "offered": 0,
+            "dropped": 0,
+        }
         self._sweep(now)
 
     # -- time ------------------------------------------------------------------------------------------------------
@@ -104,7 +111,9 @@
             self.known_from = wall
             self.floor = max(self.floor, self.seen, wall // MS)
             for entry in self.entries.values():
-                entry.offer_at = now + self.timing.push_every  # voters that started together end together
+                entry.offer_at = (
+                    now + self.timing.push_every
+                )  # voters that started together end together
         return False
 
     def be_silent(self, now: int) -> None:
@@ -233,10 +242,14 @@
         if not self.standing.known(about.lease):
             return self._refuse(about, Why.UNKNOWN)
         if hold := self.holds.on(about.lease, wall):
-            return self._refuse(about, Why.HOLD, left=int((hold.until - wall / 1e6) * 1e6), holder=hold.who)
+            return self._refuse(
+                about, Why.HOLD, left=int((hold.until - wall / 1e6) * 1e6), holder=hold.who
+            )
         return None
 
-    def _prepare(self, now: int, wall: int, sender: str, life: int, asked: Prepare) -> Promise | Refuse:
+    def _prepare(
+        self, now: int, wall: int, sender: str, life: int, asked: Prepare
+    ) -> Promise | Refuse:
         if barred := self._barred(wall, sender, life, asked):
             return barred
         entry = self._entry(now, asked.lease)
@@ -249,9 +262,13 @@
             return self._refuse(asked, Why.OLDER, n=entry.promised[0])
         entry.promised, entry.touched = asked.ballot, now
         notes = tuple(entry.notes.values()) if asked.fresh else ()
-        return Promise(asked.lease, asked.ballot, max(entry.mark, self.floor), self.known_from, notes)
+        return Promise(
+            asked.lease, asked.ballot, max(entry.mark, self.floor), self.known_from, notes
+        )
 
-    def _propose(self, now: int, wall: int, sender: str, life: int, asked: Propose) -> Accept | Refuse:
+    def _propose(
+        self, now: int, wall: int, sender: str, life: int, asked: Propose
+    ) -> Accept | Refuse:
         if barred := self._barred(wall, sender, life, asked):
             return barred
         if asked.span > self.timing.span:
@@ -270,7 +287,9 @@
             # release of that time, later still, would give away what is held now.
             return self._refuse(asked, Why.OLDER, n=entry.ballot[0])
         if asked.ballot[1:] == entry.gone[1:] and asked.ballot <= entry.gone:
-            return self._refuse(asked, Why.OLDER, n=entry.gone[0])  # a late copy of what was given back
+            return self._refuse(
+                asked, Why.OLDER, n=entry.gone[0]
+            )  # a late copy of what was given back
         if asked.fresh and asked.ballot < entry.promised:
             return self._refuse(asked, Why.OLDER, n=entry.promised[0])
         new = asked.fresh and entry.ballot[1:] != (sender, life)
@@ -278,7 +297,9 @@
             return self._refuse(asked, Why.NUMBERS)  # they only grow, for the same reason
         entry.touched = now
         if entry.until > now and entry.ballot == asked.ballot and asked.round < entry.round:
-            return Accept(asked.lease, asked.ballot, asked.round)  # a late copy: it lengthens nothing
+            return Accept(
+                asked.lease, asked.ballot, asked.round
+            )  # a late copy: it lengthens nothing
         entry.promised, entry.ballot = max(entry.promised, asked.ballot), asked.ballot
         entry.round, entry.number, entry.until = asked.round, asked.number, now + self.timing.span
         entry.mark = max(entry.mark, asked.number)
@@ -315,7 +336,12 @@
         left = 0 if self.known_from else max(0, self.silent_until - now)
         if told.shards != self.standing.shards:
             # Another number of shards means other leases for the same tasks: it gets none here.
-            return [(sender, Roster(self.timing.stand_every, (), (), left, self.standing.shards, 0, told.at))]
+            return [
+                (
+                    sender,
+                    Roster(self.timing.stand_every, (), (), left, self.standing.shards, 0, told.at),
+                )
+            ]
         self.holds.merge(told.holds, wall)
         if told.leaving:
             self.standing.leave(sender)
@@ -328,12 +354,22 @@
             return []
         if not self.entries or self.standing.named != before:
             self._sweep(now)
-        held = [lease for lease, e in self.entries.items() if e.until > now and e.holder == (sender, life)]
+        held = [
+            lease
+            for lease, e in self.entries.items()
+            if e.until > now and e.holder == (sender, life)
+        ]
         settled = self.timing.span
         move = () if silent else self.standing.moves(now, sender, held, settled)[:MOVED_AT_ONCE]
         barred = [lease for lease in held if self.holds.on(lease, wall)]
         roster = Roster(
-            again, (*barred, *move), self.holds.all(wall), left, self.standing.shards, self.seen, told.at
+            again,
+            (*barred, *move),
+            self.holds.all(wall),
+            left,
+            self.standing.shards,
+            self.seen,
+            told.at,
         )
         return [(sender, roster)]
 
@@ -343,4 +379,9 @@
         """Lease, holder (empty: none), number, us that are left of the grant."""
         for lease, entry in self.entries.items():
             held = entry.until > now
-            yield lease, entry.ballot[1] if held else "", entry.mark, entry.until - now if held else 0
+            yield (
+                lease,
+                entry.ballot[1] if held else "",
+                entry.mark,
+                entry.until - now if held else 0,
+            )
--- a/saffrongw/leases/candidates.py
+++ b/saffrongw/leases/candidates.py
@@ -106,11 +106,17 @@
     def order(self, lease: str) -> list[str]:
         """Whom to offer it, the first one first."""
         able = (
-            self.all if lease in self._shard_set else [n for n, one in self.all.items() if lease in one.named]
+            self.all
+            if lease in self._shard_set
+            else [n for n, one in self.all.items() if lease in one.named]
         )
         return sorted(
             able,
-            key=lambda name: (self.all[name].doubtful, self.all[name].pressed, -weight(lease, name)),
+            key=lambda name: (
+                self.all[name].doubtful,
+                self.all[name].pressed,
+                -weight(lease, name),
+            ),
         )
 
     def moves(self, now: int, name: str, held: Iterable[str], settled: int) -> tuple[str, ...]:
--- a/saffrongw/leases/clock_drift.py
+++ b/saffrongw/leases/clock_drift.py
@@ -11,9 +11,7 @@
 
 from .timing import Timing
 
-KEPT_FOR = (
-    600_000_000  # us after which a first reading is taken anew: rates change with temperature and hosts
-)
+KEPT_FOR = 600_000_000  # us after which a first reading is taken anew: rates change with temperature and hosts
 
 
 @dataclass(frozen=True, slots=True)
