--- a/saffrongw/leases/component.py
+++ b/saffrongw/leases/component.py
@@ -82,7 +82,9 @@
         self.queue: deque[Call] = deque()
         self.wanted: set[str] = set()
         self.outran: dict[str, int] = {}  # by lease: when a receiver last had a higher number
-        self.ended: dict[str, tuple[int, Ended]] = {}  # by task: turn, and how our last call of it went
+        self.ended: dict[
+            str, tuple[int, Ended]
+        ] = {}  # by task: turn, and how our last call of it went
         self.said: dict[str, int] = {}
         self.store = LeaseStore(Path(table.state_dir)) if table.state_dir else None
         self.reserving = False
@@ -181,8 +183,12 @@
             self._do(self.turns.change(now, new.by_lease()))
             # A task that is new under a lease that we hold begins with what is known of it: nothing.
             for claim in self.member.asker.held(now):
-                specs = [s for s in new.by_lease().get(claim.lease, []) if s.name not in self.turns.tasks]
-                self.turns.gained(now, self.wall(now), claim.lease, claim.number, specs, {}, self.wall(now))
+                specs = [
+                    s for s in new.by_lease().get(claim.lease, []) if s.name not in self.turns.tasks
+                ]
+                self.turns.gained(
+                    now, self.wall(now), claim.lease, claim.number, specs, {}, self.wall(now)
+                )
             if not new.stand:
                 for claim in self.member.asker.held(now):
                     self.wanted.add(claim.lease)
@@ -199,7 +205,9 @@
             self.counts["malformed"] += 1
             return
         now = self.clock()
-        self.member.pressed = self.driver.pressed()  # then it takes nothing that it is offered, and says so
+        self.member.pressed = (
+            self.driver.pressed()
+        )  # then it takes nothing that it is offered, and says so
         self._after(self.member.receive(now, self.wall(now), sender, life, packet))
 
     def _turn(self) -> None:
@@ -236,7 +244,9 @@
                 at = min(at, soonest)
             if self.timer:
                 self.timer.cancel()
-            self.timer = self.loop.call_later(max(0.0, (at - self.clock()) / 1e6) + 0.000_5, self._turn)
+            self.timer = self.loop.call_later(
+                max(0.0, (at - self.clock()) / 1e6) + 0.000_5, self._turn
+            )
 
     def _event(self, event: Gained | Lost | Wanted | Confirmed) -> None:
         now = self.clock()
@@ -267,16 +277,20 @@
                 f"voter {name}: its clock runs at {least:.4f} to {most:.4f} of ours: not believed",
             )
         if member.other_set > member.own.number:
-            text = (
-                f"this gateway's file has set {member.own.number} of voters, others have {member.other_set}"
-            )
+            text = f"this gateway's file has set {member.own.number} of voters, others have {member.other_set}"
             self._say(now, "set", text)
         if member.other_shards:
             self._say(
-                now, "shards", f"voters have {member.other_shards} shards, this gateway {self.table.shards}"
+                now,
+                "shards",
+                f"voters have {member.other_shards} shards, this gateway {self.table.shards}",
             )
         if self.unstored:
-            self._say(now, "store", f"numbers can't be reserved, so nothing is granted here: {self.unstored}")
+            self._say(
+                now,
+                "store",
+                f"numbers can't be reserved, so nothing is granted here: {self.unstored}",
+            )
 
     def _say(self, now: int, about: str, text: str) -> None:
         if now - self.said.get(about, -SAY_EVERY) >= SAY_EVERY and len(self.said) < 64:
@@ -386,7 +400,9 @@
         member, now = self.member, self.clock()
         held = member.asker.held(now)
         since = member.since_majority(now)
-        oldest = max((now - (claim.held_until - member.timing.held) for claim in held), default=-1_000)
+        oldest = max(
+            (now - (claim.held_until - member.timing.held) for claim in held), default=-1_000
+        )
         found = [
             ("leases.held", len(held)),
             ("leases.oldest_confirmation_ms", oldest // 1_000),
@@ -397,7 +413,10 @@
             ("leases.set_seen", max(member.other_set, member.own.number)),
             ("leases.set_is_sealed", int(member.succession.done())),
             ("leases.holds", len(member.holds.all(self.wall(now)))),
-            *((f"leases.{name.replace(' ', '_')}", count) for name, count in member.asker.counts.items()),
+            *(
+                (f"leases.{name.replace(' ', '_')}", count)
+                for name, count in member.asker.counts.items()
+            ),
             *((f"leases.{name}", count) for name, count in member.counts.items()),
             *((f"leases.{name}", count) for name, count in self.counts.items()),
             *((f"tasks.{name}", count) for name, count in self.turns.counts.items()),
@@ -424,7 +443,12 @@
         rows = {}
         if voter:
             for lease, holder, number, left in voter.rows(now):
-                rows[lease] = {"lease": lease, "holder": holder, "number": number, "left_ms": left // 1_000}
+                rows[lease] = {
+                    "lease": lease,
+                    "holder": holder,
+                    "number": number,
+                    "left_ms": left // 1_000,
+                }
         for claim in member.asker.held(now):
             rows[claim.lease] = {
                 "lease": claim.lease,
@@ -464,7 +488,9 @@
             "sealed": member.succession.done(),
             "voters": list(member.own.voters),
             "is_voter": voter is not None,
-            "silent_ms": max(0, voter.silent_until - now) // 1_000 if voter and not voter.known_from else 0,
+            "silent_ms": max(0, voter.silent_until - now) // 1_000
+            if voter and not voter.known_from
+            else 0,
             "since_majority_ms": since // 1_000 if since is not None else None,
             "standing": sorted(voter.standing.all) if voter else [],
             "clock": member.asker.stopped,
@@ -483,7 +509,10 @@
     def calls(self) -> dict[bytes, OperatorCall]:
         """At the operators' address."""
         return {
-            b"/admin/leases": (b"GET", lambda body: (200, json.dumps(self.state()).encode() + b"\n")),
+            b"/admin/leases": (
+                b"GET",
+                lambda body: (200, json.dumps(self.state()).encode() + b"\n"),
+            ),
             b"/admin/leases/release": (b"POST", self._release),
             b"/admin/leases/hold": (b"POST", self._hold),
         }
@@ -507,7 +536,9 @@
             other = row["holder"] if row and row["holder"] else "nobody that this gateway knows of"
             return 409, f"{lease}: held by {other}, not by this gateway\n".encode()
         span = 2 * self.member.timing.span
-        self._after(self.member.give_back(now, self.wall(now), lease, "an operator released it", span))
+        self._after(
+            self.member.give_back(now, self.wall(now), lease, "an operator released it", span)
+        )
         return 200, f"{lease}: given back\n".encode()
 
     def _hold(self, body: bytes) -> tuple[int, bytes]:
--- a/saffrongw/leases/messages.py
+++ b/saffrongw/leases/messages.py
@@ -14,7 +14,9 @@
 NAMED_MOST = 16  # leases that a gateway stands for beside the shards
 LARGEST = 1 << 62  # of every number that only grows
 
-Ballot = tuple[int, str, int]  # a number, who asks, which life of it: no two askers ever use the same one
+Ballot = tuple[
+    int, str, int
+]  # a number, who asks, which life of it: no two askers ever use the same one
 NO_BALLOT: Ballot = (0, "", 0)
 
 
@@ -47,7 +49,11 @@
 
     def later_than(self, other: Note | None) -> bool:
         """Whether this one tells more."""
-        return other is None or (self.turn, self.state, self.number) > (other.turn, other.state, other.number)
+        return other is None or (self.turn, self.state, self.number) > (
+            other.turn,
+            other.state,
+            other.number,
+        )
 
 
 class Hold(msgspec.Struct, frozen=True, array_like=True):
--- a/saffrongw/leases/node.py
+++ b/saffrongw/leases/node.py
@@ -135,7 +135,9 @@
             self.voter = None
         elif self.voter is None:
             standing = Standing(self.shards)
-            self.voter = Voter(self.name, self.timing, standing, self.holds, now, self.floor, self.reserved)
+            self.voter = Voter(
+                self.name, self.timing, standing, self.holds, now, self.floor, self.reserved
+            )
         else:
             self.voter.be_silent(now)
         self.succession.told(self.name, own.number)
@@ -182,7 +184,9 @@
 
     def next_at(self) -> int:
         """When ``due`` has something to do, at the latest."""
-        times = [stand.at for stand in self.stands.values()] if self.asks and not self.leaving else []
+        times = (
+            [stand.at for stand in self.stands.values()] if self.asks and not self.leaving else []
+        )
         times += [telling.at for telling in self.tellings.values()]
         if (at := self.asker.next_at()) is not None:
             times.append(at)
@@ -210,7 +214,9 @@
         for voter, stand in self.stands.items():
             if stand.at <= now:
                 out.append((voter, self._stand(now, wall, stand.clock)))
-                wait = min(self.timing.stand_every, self.timing.again_after * 2 ** min(stand.tries, 12))
+                wait = min(
+                    self.timing.stand_every, self.timing.again_after * 2 ** min(stand.tries, 12)
+                )
                 stand.at = now + int(wait * (1 + self.draw()))
                 stand.tries += 1
         return out
@@ -226,7 +232,9 @@
             return []
         telling.at = now + self.timing.again_after
         return [
-            (v, Tell(lease, telling.tag, telling.notes)) for v in self.own.voters if v not in telling.heard
+            (v, Tell(lease, telling.tag, telling.notes))
+            for v in self.own.voters
+            if v not in telling.heard
         ]
 
     def _told_all(self, now: int, lease: str, telling: Telling, noted: bool) -> None:
@@ -251,7 +259,9 @@
                 self.counts["from_other_sets"] += 1
                 self.other_set = max(self.other_set, min(packet.set, LARGEST))
                 if packet.set < self.own.number and isinstance(message, FOR_VOTERS):
-                    out.append((sender, Sealed(self.own.number)))  # so it hears that its file is old
+                    out.append(
+                        (sender, Sealed(self.own.number))
+                    )  # so it hears that its file is old
             elif isinstance(message, FOR_VOTERS):
                 if self.voter and self.succession.done():
                     out += self.voter.handle(now, wall, sender, life, message)
@@ -267,7 +277,9 @@
         if self.voter and not before and self.succession.done():
             self.voter.be_silent(now)
 
-    def _answer(self, now: int, wall: int, sender: str, life: int, clock: int, message: Message) -> Out:
+    def _answer(
+        self, now: int, wall: int, sender: str, life: int, clock: int, message: Message
+    ) -> Out:
         stand = self.stands.get(sender)
         if stand is None:
             self.counts["strange"] += 1
@@ -299,7 +311,9 @@
         if claim.ballot != message.ballot:
             return False
         if claim.stage is Stage.PREPARING:
-            return isinstance(message, Promise) or (isinstance(message, Refuse) and not message.round)
+            return isinstance(message, Promise) or (
+                isinstance(message, Refuse) and not message.round
+            )
         return claim.stage is Stage.PROPOSING and getattr(message, "round", 0) == claim.round
 
     def _read_clock(self, now: int, voter: str, life: int, clock: int, asked: int) -> None:
@@ -309,7 +323,9 @@
         self.rates.read(voter, life, Reading(clock, asked, now))
         wrong = self.rates.ours_is_wrong(self.own.majority)
         self.asker.distrusted = frozenset() if wrong else frozenset(self.rates.wrong)
-        self.asker.stopped = "our clock runs at another rate than most voters' clocks" if wrong else ""
+        self.asker.stopped = (
+            "our clock runs at another rate than most voters' clocks" if wrong else ""
+        )
 
     def _free(self, now: int, told: Free) -> None:
         lease = told.lease
@@ -369,9 +385,9 @@
             self.events += self.asker.events
             self.asker.events.clear()
         if self.asker.stopped and self.asker.claims:
-            return self._out(now, wall, self.asker.give_all_back(now, self.asker.stopped)) + self._packed(
-                groups, now
-            )
+            return self._out(
+                now, wall, self.asker.give_all_back(now, self.asker.stopped)
+            ) + self._packed(groups, now)
         return self._packed(groups, now)
 
     def _packed(self, groups: dict[str, list[Message]], now: int) -> Packets:
--- a/saffrongw/leases/proposer.py
+++ b/saffrongw/leases/proposer.py
@@ -220,7 +220,9 @@
                 out += self._released(claim)
             elif claim.at <= now:
                 out += self._next(now, claim)
-        if any(claim.stage is Stage.PROPOSING and claim.began == now for claim in self.claims.values()):
+        if any(
+            claim.stage is Stage.PROPOSING and claim.began == now for claim in self.claims.values()
+        ):
             # Renewals that are nearly due go in the same datagrams, and stay together from then on.
             soon = now + self.timing.renew_after // 4
             for claim in list(self.claims.values()):
@@ -246,7 +248,12 @@
         if claim.stage is Stage.PREPARING:
             return Prepare(claim.lease, claim.ballot, not claim.held_until, self.seen)
         return Propose(
-            claim.lease, claim.ballot, claim.round, self.timing.span, claim.number, not claim.held_until
+            claim.lease,
+            claim.ballot,
+            claim.round,
+            self.timing.span,
+            claim.number,
+            not claim.held_until,
         )
 
     def _begin(self, now: int, claim: Claim, stage: Stage) -> Out:
@@ -272,9 +279,14 @@
     def _again(self, now: int, claim: Claim) -> Out:
         """A round has come to nothing."""
         claim.tries += 1
-        if claim.held_until:  # there is time yet: the next round, not faster than answers can be expected
+        if (
+            claim.held_until
+        ):  # there is time yet: the next round, not faster than answers can be expected
             claim.outbid = claim.outbid or claim.stage is Stage.PREPARING
-            claim.stage, claim.at = Stage.RESTING, max(now, claim.began + self.timing.again_after // 2)
+            claim.stage, claim.at = (
+                Stage.RESTING,
+                max(now, claim.began + self.timing.again_after // 2),
+            )
             return [] if claim.at > now else self._next(now, claim)
         if claim.tries >= TRIES or self.stopped:
             self._drop(now, claim, "")
@@ -321,7 +333,9 @@
         return []
 
     def _promised(self, now: int, voter: str, claim: Claim, told: Promise) -> Out:
-        if now >= claim.ends:  # a process that stood still: what was promised then may be forgotten by now
+        if (
+            now >= claim.ends
+        ):  # a process that stood still: what was promised then may be forgotten by now
             return self._again(now, claim)
         claim.answered.add(voter)
         claim.mark = max(claim.mark, min(told.mark, LARGEST // 2))
@@ -332,7 +346,9 @@
                 claim.notes[note.task] = note
         if len(claim.answered) < self.majority:
             return []
-        if not claim.held_until:  # one that is held keeps its number: nobody else can have held a higher one
+        if (
+            not claim.held_until
+        ):  # one that is held keeps its number: nobody else can have held a higher one
             claim.number = max(claim.mark, self.seen, self.floors.get(claim.lease, 0)) + 1
             self.saw(claim.number)
         return self._propose(now, claim)
@@ -347,7 +363,11 @@
             return self._again(now, claim)
         claim.tries = 0
         # A voter that refused the first time is won soon: until then it offers the lease to others.
-        soon = self.timing.again_after if claim.against and not claim.held_until else self.timing.renew_after
+        soon = (
+            self.timing.again_after
+            if claim.against and not claim.held_until
+            else self.timing.renew_after
+        )
         claim.stage, claim.at = Stage.RESTING, claim.began + soon
         if claim.held_until:
             self.counts["renewed"] += 1
@@ -373,7 +393,9 @@
             self._drop(now, claim, "")  # it is offered again when it is free
             return self._released(claim)
         if claim.held_until and told.why != Why.OLDER:
-            claim.at = min(now + self.timing.again_after, claim.ends)  # on hold: to its end and no longer
+            claim.at = min(
+                now + self.timing.again_after, claim.ends
+            )  # on hold: to its end and no longer
             if told.why == Why.HOLD:
                 self.events.append(Wanted(claim.lease))
             return []
--- a/saffrongw/leases/table.py
+++ b/saffrongw/leases/table.py
@@ -53,10 +53,14 @@
     call: str = key(form=URL, about="where it is posted to")
     once: str = key("at-least", choices=("at-least", "at-most"), about="a turn")
     needs_s: float = key(5.0, least=0.01, most=3_600, about="how long a call may take")
-    jitter: float = key(0.1, least=0.0, most=1.0, about="part of every_s over which tasks are spread")
+    jitter: float = key(
+        0.1, least=0.0, most=1.0, about="part of every_s over which tasks are spread"
+    )
     retry: bool = key(True, about="within its turn, where it is at-least")
     on_loss: str = key(
-        "abandon", choices=("abandon", "finish"), about="what becomes of a call when the lease is lost"
+        "abandon",
+        choices=("abandon", "finish"),
+        about="what becomes of a call when the lease is lost",
     )
 
     @property
@@ -71,10 +75,14 @@
     """``[leases]``: tasks that one gateway of the fleet does."""
 
     voter: tuple[VoterTable, ...] = key(about="the same on every gateway")
-    set: int = key(1, least=1, most=1_000_000, about="number of this set of voters; higher with each change")
+    set: int = key(
+        1, least=1, most=1_000_000, about="number of this set of voters; higher with each change"
+    )
     former: tuple[FormerTable, ...] = key(())
     span_s: float = key(10.0, least=0.5, most=300, about="how long a lease lasts unrenewed")
-    drift: float = key(0.01, least=0.0, most=DRIFT_MOST, about="part by which clocks' rates may be off")
+    drift: float = key(
+        0.01, least=0.0, most=DRIFT_MOST, about="part by which clocks' rates may be off"
+    )
     shards: int = key(16, least=1, most=1_024, about="leases that all tasks are spread over")
     stand: bool = key(True, about="this gateway does tasks")
     state_dir: str = key("", about="a folder of its own on a disk that lasts; empty: none")
--- a/saffrongw/leases/task_client.py
+++ b/saffrongw/leases/task_client.py
@@ -47,13 +47,17 @@
             ]
             data = http.send(h11.Request(method="POST", target=target, headers=headers))
             data += http.send(h11.EndOfMessage())
-            if not token.valid():  # connecting may have taken long, and so may this process have stood still
+            if (
+                not token.valid()
+            ):  # connecting may have taken long, and so may this process have stood still
                 return Ended(Outcome.LATE, detail="the lease ran out before the call was sent")
             sent = True
             writer.write(data)
             return await _answer(http, reader)
     except TimeoutError:
-        return Ended(Outcome.UNKNOWN if sent else Outcome.FAILED, detail=f"no answer within {within:.2f} s")
+        return Ended(
+            Outcome.UNKNOWN if sent else Outcome.FAILED, detail=f"no answer within {within:.2f} s"
+        )
     except OSError as wrong:
         return Ended(Outcome.UNKNOWN if sent else Outcome.FAILED, detail=str(wrong))
     except h11.RemoteProtocolError as wrong:
@@ -87,5 +91,7 @@
     if 200 <= status < 300:
         return Ended(Outcome.DONE)
     if status in OLDER:
-        return Ended(Outcome.OUTRUN, seen, f"status {status}: the receiver has seen a higher number")
+        return Ended(
+            Outcome.OUTRUN, seen, f"status {status}: the receiver has seen a higher number"
+        )
     return Ended(Outcome.FAILED, detail=f"status {status}")
--- a/saffrongw/leases/task_schedule.py
+++ b/saffrongw/leases/task_schedule.py
@@ -95,7 +95,17 @@
         self.tasks: dict[str, Task] = {}
         self.strays: dict[str, Task] = {}  # calls that are let finish though their lease is lost
         self.last: dict[str, tuple[int, str]] = {}  # by task: turn and end that we saw ourselves
-        names = ("begun", "done", "failed", "unknown", "outrun", "late", "missed", "left_out", "clock_behind")
+        names = (
+            "begun",
+            "done",
+            "failed",
+            "unknown",
+            "outrun",
+            "late",
+            "missed",
+            "left_out",
+            "clock_behind",
+        )
         self.counts = dict.fromkeys(names, 0)
 
     # -- leases ----------------------------------------------------------------------------------------------------
@@ -113,7 +123,9 @@
         """A lease is ours, with these tasks."""
         for spec in specs:
             self.strays.pop(spec.name, None)
-            self.tasks[spec.name] = Task(spec, lease, number, known_from, notes.get(spec.id), at=now)
+            self.tasks[spec.name] = Task(
+                spec, lease, number, known_from, notes.get(spec.id), at=now
+            )
 
     def lost(self, lease: str) -> list[Do]:
         """It is ours no more."""
@@ -214,7 +226,9 @@
 
     # -- what came of it -------------------------------------------------------------------------------------------
 
-    def confirmed(self, now: int, lease: str, notes: Iterable[Note], left: Callable[[str], int]) -> list[Do]:
+    def confirmed(
+        self, now: int, lease: str, notes: Iterable[Note], left: Callable[[str], int]
+    ) -> list[Do]:
         """A majority has noted this."""
         todo: list[Do] = []
         told = set(notes)
@@ -242,7 +256,9 @@
             if (
                 stray and outcome is Outcome.DONE
             ):  # let finish, and it did: whoever holds the lease now may hear of it
-                return [Say(stray.lease, (Note(stray.spec.id, turn, stray.number, int(State.DONE)),))]
+                return [
+                    Say(stray.lease, (Note(stray.spec.id, turn, stray.number, int(State.DONE)),))
+                ]
             return []
         spec = task.spec
         if outcome is Outcome.DONE:
@@ -250,7 +266,11 @@
             return self._say(task, Phase.ENDING, State.DONE)
         over = wall >= spec.due_at(turn + 1) and not task.behind
         if spec.once == "at-least" and spec.retry and not over and outcome is not Outcome.OUTRUN:
-            wait = min(RETRY_MOST, RETRY_LEAST * 2 ** min(task.tries, 20), max(RETRY_LEAST, spec.every // 4))
+            wait = min(
+                RETRY_MOST,
+                RETRY_LEAST * 2 ** min(task.tries, 20),
+                max(RETRY_LEAST, spec.every // 4),
+            )
             task.phase, task.at = Phase.WAITING, now + wait
             return []
         task.known_from = 0
--- a/saffrongw/ledger/entries.py
+++ b/saffrongw/ledger/entries.py
@@ -12,7 +12,11 @@
 from hashlib import blake2b
 from typing import Any
 
-NOT_RUN = {"full", "not connected", "never sent"}  # outcomes after which an attempt has certainly not run
+NOT_RUN = {
+    "full",
+    "not connected",
+    "never sent",
+}  # outcomes after which an attempt has certainly not run
 SUM_BYTES = 8
 
 
@@ -153,7 +157,9 @@
     @property
     def settled(self) -> bool:
         """Whether nothing is left to find out: what may have run is open until a host's list says."""
-        return self.meaning is not Meaning.MAY_HAVE_RUN and bool(self.answer or self.classed or self.imported)
+        return self.meaning is not Meaning.MAY_HAVE_RUN and bool(
+            self.answer or self.classed or self.imported
+        )
 
 
 def entries_of(events: Iterable[Event]) -> dict[tuple[int, int], Entry]:
@@ -170,7 +176,13 @@
 def recover(entries: Iterable[Entry], life: int, now: int) -> list[Event]:
     """What a new life writes of the entries of older ones that were left open. It sends nothing."""
     return [
-        Event(entry.life, entry.number, Kind.CLASSED, now, {"meaning": entry.meaning.value, "by": life})
+        Event(
+            entry.life,
+            entry.number,
+            Kind.CLASSED,
+            now,
+            {"meaning": entry.meaning.value, "by": life},
+        )
         for entry in entries
         if entry.life < life and not entry.classed and not entry.answer
     ]
@@ -191,7 +203,9 @@
             elif one.outcome != "served":
                 text += ", so it may have run"
         else:
-            text += "; the gateway ended before it knew more, so it may have been sent and may have run"
+            text += (
+                "; the gateway ended before it knew more, so it may have been sent and may have run"
+            )
         said.append(text + ".")
     answers = {
         Meaning.ANSWERED: f"Its good answer was given to the client at {when(entry.answered)}: it ran, once.",
--- a/saffrongw/ledger/reconcile.py
+++ b/saffrongw/ledger/reconcile.py
@@ -61,7 +61,9 @@
     return found
 
 
-def reconcile(entries: Mapping[tuple[int, int], Entry], issued: Iterable[Issued], now: int) -> Result:
+def reconcile(
+    entries: Mapping[tuple[int, int], Entry], issued: Iterable[Issued], now: int
+) -> Result:
     """What the list says of the entries. One that contradicts them settles nothing."""
     by_request: dict[tuple[int, str], list[Entry]] = defaultdict(list)
     for entry in entries.values():
@@ -79,7 +81,9 @@
             continue
         (line,) = lines
         if not found:
-            wrong.append(f"{what} was issued by {line.host} (line {line.line}) and stands in no entry")
+            wrong.append(
+                f"{what} was issued by {line.host} (line {line.line}) and stands in no entry"
+            )
             continue
         open_ = [e for e in found if e.meaning is Meaning.MAY_HAVE_RUN]
         ran = [e for e in found if e.meaning in (Meaning.RAN, Meaning.ANSWERED)]
--- a/saffrongw/ledger/request_filter.py
+++ b/saffrongw/ledger/request_filter.py
@@ -12,13 +12,16 @@
 from saffrongw.gateway.extensions import Ending, Observer, Pass, Refuse, StagedRequest, Verdict
 from saffrongw.gateway.filter_chain import ExtendedDriver, WrappedHosts
 
-from ..policy import interface as api
+from ..policy.events import AttemptOutcome
 from .entries import Event, Kind
 from .store import now_us
 from .writer import Writer
 
 DIGEST_BYTES = 16
-WHOLE_FIRST, WHOLE_MOST = 0.002, 0.2  # seconds between two looks whether a request's last byte has left
+WHOLE_FIRST, WHOLE_MOST = (
+    0.002,
+    0.2,
+)  # seconds between two looks whether a request's last byte has left
 UP_WITHIN = 0.5  # seconds at the start for the ledger to open before clients are served
 
 
@@ -70,7 +73,9 @@
     async def start(self, driver: ExtendedDriver) -> None:
         """Open the ledger; a gateway whose ledger can't be opened serves all but unsafe requests."""
         self.driver = driver
-        self.writer = Writer(self.folder, asyncio.get_running_loop(), self.queue_most, self.keep, self.most)
+        self.writer = Writer(
+            self.folder, asyncio.get_running_loop(), self.queue_most, self.keep, self.most
+        )
         driver.wrap_hosts(lambda inner: _GatedHosts(inner, self))
         self.writer.start()
         for _ in range(int(UP_WITHIN / 0.01)):
@@ -101,7 +106,7 @@
         number, ordinal = call.event.request, attempt.number
         data = {
             "ordinal": ordinal,
-            "host": attempt.server.decode("utf-8", "replace"),
+            "host": attempt.endpoint_id.decode("utf-8", "replace"),
             "born": self._born(attempt),
         }
         entered = self.entered.get(number)
@@ -113,14 +118,14 @@
 
         def done(good: bool) -> None:
             if not good:
-                self.driver.attempt_ended(attempt, api.Outcome.NEVER_SENT)
+                self.driver.attempt_ended(attempt, AttemptOutcome.NOT_SENT)
                 return
             self.entered.setdefault(number, _Entered(life)).ordinals.add(ordinal)
             # Its time may have been up, or its client gone, before it was written.
             if attempt.ended or call.finished:
                 self._follow(number, Kind.OUTCOME, ordinal=ordinal, outcome="never sent")
                 if not attempt.ended:
-                    self.driver.attempt_ended(attempt, api.Outcome.NEVER_SENT)
+                    self.driver.attempt_ended(attempt, AttemptOutcome.NOT_SENT)
                 if call.finished:
                     self._forget(call)
                 return
@@ -129,7 +134,9 @@
             self._whole(attempt, WHOLE_FIRST)
 
         if not self.writer.intend(event, done):
-            asyncio.get_running_loop().call_soon(self.driver.attempt_ended, attempt, api.Outcome.NEVER_SENT)
+            asyncio.get_running_loop().call_soon(
+                self.driver.attempt_ended, attempt, AttemptOutcome.NOT_SENT
+            )
 
     def _whole(self, attempt: Attempt, wait: float) -> None:
         """Record when the last byte has left: at once as a rule, else where a connection has to be opened first."""
@@ -137,11 +144,13 @@
             if self._recorded(attempt):
                 self._follow(attempt.call.event.request, Kind.WHOLE, ordinal=attempt.number)
         elif not attempt.ended:
-            asyncio.get_running_loop().call_later(wait, self._whole, attempt, min(2 * wait, WHOLE_MOST))
+            asyncio.get_running_loop().call_later(
+                wait, self._whole, attempt, min(2 * wait, WHOLE_MOST)
+            )
 
     def _born(self, attempt: Attempt) -> int:
-        host = self.driver.gateway.hosts.get(attempt.server)
-        return host.entry.launched if host else 0
+        host = self.driver.gateway.hosts.get(attempt.endpoint_id)
+        return host.entry.started_at_us if host else 0
 
     def _terms(self, call: Call) -> dict:
         event, parts = call.event, call.parts
@@ -172,11 +181,14 @@
 
     # -- the observer -----------------------------------------------------------------------------------------------
 
-    def attempt_ended(self, attempt: Attempt, outcome: api.Outcome) -> None:
+    def attempt_ended(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         """Recorded in a group: it delays nobody."""
         number = attempt.call.event.request
         if self._recorded(attempt):
-            never = not attempt.whole and outcome in (api.Outcome.TIMED_OUT, api.Outcome.CANCELLED)
+            never = not attempt.whole and outcome in (
+                AttemptOutcome.TIMED_OUT,
+                AttemptOutcome.CANCELLED,
+            )
             # What was given up before its last byte had left has not run: hosts begin at the last byte.
             said = "not connected" if never else outcome.value
             self._follow(number, Kind.OUTCOME, ordinal=attempt.number, outcome=said)
@@ -187,6 +199,12 @@
         """The final answer is about to be written."""
         number = call.event.request
         if number in self.entered:
-            kind = "served" if reply[:1] == b"$" else "refused" if reply.startswith(b"-BUSY") else "failed"
+            kind = (
+                "served"
+                if reply[:1] == b"$"
+                else "refused"
+                if reply.startswith(b"-BUSY")
+                else "failed"
+            )
             self._follow(number, Kind.ANSWER, answer=kind)
             self._forget(call)
--- a/saffrongw/ledger/store.py
+++ b/saffrongw/ledger/store.py
@@ -26,7 +26,11 @@
 )
 
 SCHEMA = 1
-INBOX, INBOX_FILES, INBOX_LINES = "inbox", 4, 10_000  # folder; files at once / lines of a file that are taken
+INBOX, INBOX_FILES, INBOX_LINES = (
+    "inbox",
+    4,
+    10_000,
+)  # folder; files at once / lines of a file that are taken
 LOOK_AT = 500  # entries that one ``trim`` looks at
 FILE, LOCK = "ledger.sqlite", "ledger.lock"
 TABLES = """
@@ -69,7 +73,9 @@
             new = not self.path.exists() or not self.path.stat().st_size
             if new:
                 os.close(os.open(self.path, os.O_CREAT | os.O_RDWR, 0o600))
-            self.db = sqlite3.connect(self.path, isolation_level=None, timeout=1.0, check_same_thread=False)
+            self.db = sqlite3.connect(
+                self.path, isolation_level=None, timeout=1.0, check_same_thread=False
+            )
             self.db.execute("PRAGMA journal_mode=WAL")
             self.db.execute("PRAGMA synchronous=FULL")
             self.db.execute("PRAGMA wal_autocheckpoint=2000")
@@ -173,7 +179,8 @@
         for path in sorted((self.folder / INBOX).glob("*.jsonl"))[:INBOX_FILES]:
             try:
                 events = [
-                    self._fitting(json.loads(line)) for line in path.read_text().splitlines()[:INBOX_LINES]
+                    self._fitting(json.loads(line))
+                    for line in path.read_text().splitlines()[:INBOX_LINES]
                 ]
             except (OSError, ValueError, KeyError, TypeError, AttributeError):
                 path.rename(path.with_suffix(".bad"))
@@ -192,7 +199,9 @@
         hosts = {one.host for one in entry.tries.values()} if entry else set()
         if entry is None or entry.meaning is not Meaning.MAY_HAVE_RUN or raw["host"] not in hosts:
             return None
-        return Event(*key, Kind.IMPORTED, now_us(), {"host": str(raw["host"]), "issued": int(raw["issued"])})
+        return Event(
+            *key, Kind.IMPORTED, now_us(), {"host": str(raw["host"]), "issued": int(raw["issued"])}
+        )
 
     # -- bounds ---------------------------------------------------------------------------------------------------
 
@@ -230,7 +239,10 @@
 
     def compact(self, before: int, most: int) -> int:
         """Forget all that ``trim`` may, and give the room back to the disk; how many entries went."""
-        gone, rounds = 0, 2 + self.db.execute("SELECT count(*) FROM events").fetchone()[0] // LOOK_AT
+        gone, rounds = (
+            0,
+            2 + self.db.execute("SELECT count(*) FROM events").fetchone()[0] // LOOK_AT,
+        )
         for _ in range(rounds):
             gone += self.trim(before, most)
         with self._closing_on_failure():
--- a/saffrongw/ledger/writer.py
+++ b/saffrongw/ledger/writer.py
@@ -25,7 +25,10 @@
 AGAIN = 1.0  # seconds between two tries to open a store that failed
 LATER_MOST = 20_000  # records that may follow and wait for a disk that is away
 LOOK = 1.0  # seconds between two looks into the inbox
-TRIM_EVERY, TRIM_NEXT = 60.0, 1.0  # seconds between two looks for what to forget, while there was some
+TRIM_EVERY, TRIM_NEXT = (
+    60.0,
+    1.0,
+)  # seconds between two looks for what to forget, while there was some
 Done = Callable[[bool], None]
 
 
--- a/saffrongw/operator/file.py
+++ b/saffrongw/operator/file.py
@@ -18,7 +18,9 @@
 class StagesTable:
     """``[stages]``: what holds for all stages together."""
 
-    time_share: float = key(0.4, least=0.01, most=0.9, about="of a request's time, for all stages together")
+    time_share: float = key(
+        0.4, least=0.01, most=0.9, about="of a request's time, for all stages together"
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,7 +28,8 @@
     """Files of TLS, PEM; they are read again when they change."""
 
     ca: str = toml_schema.key(
-        "", about="authorities that the other side's certificate must come from; empty: the system's"
+        "",
+        about="authorities that the other side's certificate must come from; empty: the system's",
     )
     cert: str = toml_schema.key("", about="our own certificate")
     key: str = toml_schema.key("", about="its key")
@@ -82,15 +85,24 @@
     fail: str = key("closed", choices=MODES, about="where none was reached")
     fail_for: tuple[FailTable, ...] = key(())
     narrow: tuple[NarrowTable, ...] = key(())
-    time_share: float = key(0.25, least=0.01, most=0.9, about="of a request's own time that a check may take")
+    time_share: float = key(
+        0.25, least=0.01, most=0.9, about="of a request's own time that a check may take"
+    )
     timeout_ms: int = key(500, least=1, most=60_000, about="and never longer")
     in_flight: int = key(
-        256, least=1, most=10_000, about="checks out at once; beyond it the fail mode counts at once"
+        256,
+        least=1,
+        most=10_000,
+        about="checks out at once; beyond it the fail mode counts at once",
     )
     cache_entries: int = key(10_000, least=0, most=1_000_000)
-    cache_most_ms: int = key(60_000, least=0, most=3_600_000, about="of the lifetime that an answer states")
+    cache_most_ms: int = key(
+        60_000, least=0, most=3_600_000, about="of the lifetime that an answer states"
+    )
     coalesce: bool = key(True, about="equal checks that are out together are asked once")
-    hedge_ms: int = key(0, least=0, most=60_000, about="after which a second authoriser is asked; 0: never")
+    hedge_ms: int = key(
+        0, least=0, most=60_000, about="after which a second authoriser is asked; 0: never"
+    )
     tls: TlsTable | None = key(None)
     breaker: BreakerTable = key(BreakerTable())
 
@@ -112,7 +124,9 @@
     )
     plan: str = key("plan")
     class_: str = key("class")
-    tls: TlsTable | None = key(None, about="cert and key are needed; with ca clients must prove themselves")
+    tls: TlsTable | None = key(
+        None, about="cert and key are needed; with ca clients must prove themselves"
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -121,9 +135,13 @@
 
     state_dir: Path = key(about="a folder of its own for each gateway, on a disk that lasts")
     keyed: bool = key(False, about="keyed classes too")
-    queue: int = key(2000, least=1, most=100_000, about="intents that wait for the disk; beyond it refused")
+    queue: int = key(
+        2000, least=1, most=100_000, about="intents that wait for the disk; beyond it refused"
+    )
     keep_days: float = key(90.0, least=0.001, most=36_500, about="settled entries")
-    most_mb: int = key(512, least=1, most=1_000_000, about="beyond it the oldest settled entries go")
+    most_mb: int = key(
+        512, least=1, most=1_000_000, about="beyond it the oldest settled entries go"
+    )
     bodies: bool = key(False, about="keep bodies, not only their digest and length")
 
 
--- a/saffrongw/policy/gossip_codec.py
+++ b/saffrongw/policy/gossip_codec.py
@@ -29,8 +29,8 @@
 
     customer: int
     plan: int
-    set_first: int
-    set_size: int
+    replica_set_first: int
+    replica_set_size: int
     reach: int
     room: float
     total: float
@@ -71,11 +71,13 @@
 
 def pack_row(row: Row, sent: int, ranks: int) -> bytes:
     """One row as bytes; starts are told as ages at the send time."""
-    out, first, ticks = bytearray(), row.set_first, sent // TICK
-    _put(out, row.customer, row.plan, first, row.set_size, row.reach)
-    _put(out, int(row.room * SCALE), int(row.total * SCALE), int(row.rights * SCALE), len(row.counts))
-    for rank, start, value in row.counts:
-        _put(out, (rank - first) % ranks, max(0, ticks - start), int(value * SCALE))
+    out, first, ticks = bytearray(), row.replica_set_first, sent // TICK
+    _put(out, row.customer, row.plan, first, row.replica_set_size, row.reach)
+    _put(
+        out, int(row.room * SCALE), int(row.total * SCALE), int(row.rights * SCALE), len(row.counts)
+    )
+    for node_index, start, value in row.counts:
+        _put(out, (node_index - first) % ranks, max(0, ticks - start), int(value * SCALE))
     return bytes(out)
 
 
@@ -113,7 +115,13 @@
                 value, at = _read_varint(body, at)
                 head.append(value)
             customer, plan, first, size, reach, room, total, rights, number = head
-            if plan >= plans or first >= ranks or not 1 <= size <= ranks or reach >= size or number > size:
+            if (
+                plan >= plans
+                or first >= ranks
+                or not 1 <= size <= ranks
+                or reach >= size
+                or number > size
+            ):
                 return None
             counts = []
             for _ in range(number):
--- a/saffrongw/policy/load_shedding.py
+++ b/saffrongw/policy/load_shedding.py
@@ -14,7 +14,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from . import interface as api
+from .settings import Plan, RequestClass
 
 MS = 1_000
 WAIT_PART = 0.15  # of its aim that a request may wait to be begun
@@ -85,15 +85,19 @@
 class Shedder:
     """All requests of one gateway that wait to be begun."""
 
-    def __init__(self, classes: Sequence[api.RequestClass], plans: Sequence[api.Plan]) -> None:
-        self.most_wait = [int(WAIT_PART * c.aim) for c in classes]
-        worths = sorted({c.worth for c in classes}, reverse=True)
-        self.level = [worths.index(c.worth) for c in classes]  # by class; 0: what is worth most
+    def __init__(self, classes: Sequence[RequestClass], plans: Sequence[Plan]) -> None:
+        self.most_wait = [int(WAIT_PART * c.latency_objective_us) for c in classes]
+        worths = sorted({c.priority_weight for c in classes}, reverse=True)
+        self.level = [
+            worths.index(c.priority_weight) for c in classes
+        ]  # by class; 0: what is worth most
         self.price = [max(1e-6, plan.price) for plan in plans]
         self.lanes = [[_Lane() for _ in worths] for _ in plans]
         self.ages: list[deque[Waiting]] = [deque() for _ in classes]  # each in the order of arrival
         self.of: dict[int, int] = {}  # customer -> how many it has waiting
-        self.served = [0.0] * len(plans)  # what each plan has been given, by its price: the least is next
+        self.served = [0.0] * len(
+            plans
+        )  # what each plan has been given, by its price: the least is next
         self.asked = [0.0] * len(plans)  # how much each asked lately: its weight
         self.count = 0
         self.rate = 0.0  # begun a second, smoothed
@@ -128,7 +132,11 @@
         one.since = now
         if not self.lanes[one.plan][self.level[one.kind]].count:
             # Who has not asked for a while has not saved up turns by it.
-            busy = [given for given, lanes in zip(self.served, self.lanes, strict=True) if self._any(lanes)]
+            busy = [
+                given
+                for given, lanes in zip(self.served, self.lanes, strict=True)
+                if self._any(lanes)
+            ]
             if busy and not self._any(self.lanes[one.plan]):
                 self.served[one.plan] = max(self.served[one.plan], min(busy))
         self.lanes[one.plan][self.level[one.kind]].put(one)
@@ -150,7 +158,9 @@
         """What gives way: of the plan with most waiting for its weight, the lowest worth."""
         waiting = [sum(lane.count for lane in lanes) for lanes in self.lanes]
         waiting[new.plan] += 1
-        plan = max(range(len(waiting)), key=lambda p: waiting[p] / (self.price[p] * (1 + self.asked[p])))
+        plan = max(
+            range(len(waiting)), key=lambda p: waiting[p] / (self.price[p] * (1 + self.asked[p]))
+        )
         for level in range(len(self.lanes[plan]) - 1, -1, -1):
             if plan == new.plan and level == self.level[new.kind]:
                 return new
@@ -191,7 +201,11 @@
     def clear(self) -> list[Waiting]:
         """All that wait; they are out."""
         found = [
-            one for lanes in self.lanes for lane in lanes for flow in lane.flows.values() for one in flow
+            one
+            for lanes in self.lanes
+            for lane in lanes
+            for flow in lane.flows.values()
+            for one in flow
         ]
         for one in found:
             self.drop(one)
--- /dev/null
+++ b/saffrongw/policy/settings.py
@@ -0,0 +1,95 @@
+"""The settings of a gateway, as the platform hands them out.
+
+Durations are integers in microseconds, rates are units a second. The types hold values only;
+``settings_schema.py`` reads them from JSON.
+"""
+
+from __future__ import annotations
+
+import enum
+from dataclasses import dataclass
+
+
+class Idempotency(enum.Enum):
+    """What a repeat of a request does."""
+
+    IDEMPOTENT = "safe"
+    IDEMPOTENCY_KEY = "keyed"
+    NON_IDEMPOTENT = "unsafe"
+
+
+class DeduplicationScope(enum.Enum):
+    """Which servers together drop the repeats of a keyed request."""
+
+    ALL = "all"
+    ZONE = "zone"
+    CELL = "cell"
+
+
+class LoadReportSource(enum.Enum):
+    """Where load reports come from."""
+
+    INLINE = "inline"
+    HEALTH_CHECK = "on probe"
+    NONE = "none"
+
+
+@dataclass(frozen=True, slots=True)
+class RequestClass:
+    """One class of requests."""
+
+    latency_objective_us: int
+    deadline_us: int
+    priority_weight: float
+    late_priority_weight: float
+    idempotency: Idempotency
+    deduplication_scope: DeduplicationScope
+    deduplication_window_us: int
+
+
+@dataclass(frozen=True, slots=True)
+class Plan:
+    """One plan; zero rate, open or ceiling_rate means no such limit."""
+
+    rate: float
+    burst: float
+    concurrency_limit: int
+    price: float
+    over_quota_revenue: float
+    over_quota_cost: float
+    ceiling_rate: float
+    ceiling_burst: float
+    ceiling_slack: float
+
+
+@dataclass(frozen=True, slots=True)
+class Settings:
+    """All that a gateway is told when it starts."""
+
+    node_index: int
+    node_count: int
+    zone: int
+    classes: tuple[RequestClass, ...]
+    plans: tuple[Plan, ...]
+    may_send_gossip: bool
+    may_probe: bool
+    may_cancel: bool
+    may_hedge: bool
+    max_attempts: int
+    max_retry_after_us: int
+    gossip_intake: float
+    gossip_cost: float
+    health_check_cost: float
+    wasted_attempt_cost: float
+    cross_zone_cost: float
+    has_shared_counter: bool
+    polls_endpoint_list: bool
+    notification_deadline_us: int
+    load_report_source: LoadReportSource
+    load_report_fields: tuple[str, ...]
+    slow_start_weight: float
+    slow_start_duration_us: int
+    overload_multiple: float
+    overload_duration_us: int
+    drain_grace_us: int
+    connect_timeout_us: int = 0  # us: how long after it was decided a send may begin
--- a/saffrongw/policy/settings_schema.py
+++ b/saffrongw/policy/settings_schema.py
@@ -7,17 +7,32 @@
 
 import json
 
-from . import interface as api
+from .settings import (
+    DeduplicationScope,
+    Idempotency,
+    LoadReportSource,
+    Plan,
+    RequestClass,
+    Settings,
+)
 
-EFFECTS = {"repeatable": api.Effect.SAFE, "by_key": api.Effect.KEYED, "once": api.Effect.UNSAFE}
-REPORTS = {"inline": api.Reports.INLINE, "on_probe": api.Reports.ON_PROBE, "off": api.Reports.NONE}
+EFFECTS = {
+    "repeatable": Idempotency.IDEMPOTENT,
+    "by_key": Idempotency.IDEMPOTENCY_KEY,
+    "once": Idempotency.NON_IDEMPOTENT,
+}
+REPORTS = {
+    "inline": LoadReportSource.INLINE,
+    "on_probe": LoadReportSource.HEALTH_CHECK,
+    "off": LoadReportSource.NONE,
+}
 
 
 class SettingsError(Exception):
     """The settings are not JSON, lack a key or have a value of the wrong kind."""
 
 
-def parse_settings(raw: bytes) -> api.Settings:
+def parse_settings(raw: bytes) -> Settings:
     """The settings text as our own type; unknown keys are passed over, missing ones named."""
     try:
         s = json.loads(raw)
@@ -31,7 +46,7 @@
         raise SettingsError(f"settings have a value of the wrong kind: {wrong}") from None
 
 
-def _settings(s: dict) -> api.Settings:
+def _settings(s: dict) -> Settings:
     info, may, rules, charges, report = (
         s["familyInfo"],
         s["permissions"],
@@ -39,57 +54,57 @@
         s["charges"],
         s["loadReport"],
     )
-    return api.Settings(
-        rank=int(s["rank"]),
-        gateways=int(s["balancers"]),
+    return Settings(
+        node_index=int(s["rank"]),
+        node_count=int(s["balancers"]),
         zone=int(s["locality"]),
         classes=tuple(_request_class(c) for c in s["classes"]),
         plans=tuple(_plan(p) for p in s["packages"]),
-        may_tell_peers=bool(may["peers"]),
+        may_send_gossip=bool(may["peers"]),
         may_probe=bool(may["probes"]),
         may_cancel=bool(may["cancel"]),
-        may_copy=bool(may["secondCopies"]),
+        may_hedge=bool(may["secondCopies"]),
         max_attempts=int(may["maxAttempts"]),
-        max_retry_after=int(may["maxRetryAfter"]) if may["retryAfter"] else 0,
-        peer_intake=float(info["peerIntake"]),
-        peer_charge=float(charges["peer"]),
-        probe_charge=float(charges["probe"]),
-        waste_charge=float(charges["waste"]),
-        cross_zone_charge=float(charges["crossZone"]),
-        has_counter=bool(info["sharedCounter"]),
-        asks_for_list=s["discovery"] == "on_request",
-        ask_within=int(rules["askWithin"]),
-        reports=REPORTS[report["how"]],
-        report_names=tuple(report["names"]),
-        cold_from=float(rules["coldFrom"]),
-        warm_within=int(rules["warmWithin"]),
-        fall_multiple=float(rules["fallMultiple"]),
-        overload_for=int(rules["overloadFor"]),
-        drain_grace=int(rules["drainGrace"]),
-        connect_timeout=int(may.get("connectTimeout", 0)),
+        max_retry_after_us=int(may["maxRetryAfter"]) if may["retryAfter"] else 0,
+        gossip_intake=float(info["peerIntake"]),
+        gossip_cost=float(charges["peer"]),
+        health_check_cost=float(charges["probe"]),
+        wasted_attempt_cost=float(charges["waste"]),
+        cross_zone_cost=float(charges["crossZone"]),
+        has_shared_counter=bool(info["sharedCounter"]),
+        polls_endpoint_list=s["discovery"] == "on_request",
+        notification_deadline_us=int(rules["askWithin"]),
+        load_report_source=REPORTS[report["how"]],
+        load_report_fields=tuple(report["names"]),
+        slow_start_weight=float(rules["coldFrom"]),
+        slow_start_duration_us=int(rules["warmWithin"]),
+        overload_multiple=float(rules["fallMultiple"]),
+        overload_duration_us=int(rules["overloadFor"]),
+        drain_grace_us=int(rules["drainGrace"]),
+        connect_timeout_us=int(may.get("connectTimeout", 0)),
     )
 
 
-def _request_class(c: dict) -> api.RequestClass:
-    return api.RequestClass(
-        aim=int(c["target"]),
-        deadline=int(c["deadline"]),
-        worth=float(c["credit"]),
-        late_worth=float(c["lateWorth"]),
-        effect=EFFECTS[c["effect"]],
-        group=api.Group(c["group"]),
-        window=int(c["dedupWindow"]),
+def _request_class(c: dict) -> RequestClass:
+    return RequestClass(
+        latency_objective_us=int(c["target"]),
+        deadline_us=int(c["deadline"]),
+        priority_weight=float(c["credit"]),
+        late_priority_weight=float(c["lateWorth"]),
+        idempotency=EFFECTS[c["effect"]],
+        deduplication_scope=DeduplicationScope(c["group"]),
+        deduplication_window_us=int(c["dedupWindow"]),
     )
 
 
-def _plan(p: dict) -> api.Plan:
-    return api.Plan(
+def _plan(p: dict) -> Plan:
+    return Plan(
         rate=float(p["perSecond"]),
         burst=float(p["peakUnits"]),
-        open=int(p["open"]),
+        concurrency_limit=int(p["open"]),
         price=float(p["pays"]),
-        beyond_earns=float(p["beyondEarns"]),
-        beyond_costs=float(p["overrunCost"]),
+        over_quota_revenue=float(p["beyondEarns"]),
+        over_quota_cost=float(p["overrunCost"]),
         ceiling_rate=float(p["hardRate"]),
         ceiling_burst=float(p["capDepth"]),
         ceiling_slack=float(p["capSlack"]),
--- a/saffrongw/policy/state.py
+++ b/saffrongw/policy/state.py
@@ -6,7 +6,18 @@
 from collections import deque
 from dataclasses import dataclass, field, replace
 
-from . import interface as api
+from .actions import Action
+from .events import (
+    AdmissionCheckArrived,
+    EndpointEntry,
+    EndpointId,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    ExclusionChanged,
+    RequestArrived,
+)
+from .settings import DeduplicationScope, Plan, RequestClass
 
 
 @dataclass(slots=True)
@@ -28,12 +39,16 @@
     ceiling: float = 0.0  # units that its ceiling lets us send
     asked: float = 0.0  # rights asked for and not yet given
     given_at: int = 0  # ms: when those that came last were sent
-    waiting: dict[int, float] = field(default_factory=dict)  # requests that wait for rights: their units
+    waiting: dict[int, float] = field(
+        default_factory=dict
+    )  # requests that wait for rights: their units
     owed: dict[int, tuple[int, float]] = field(
         default_factory=dict
     )  # as their keeper: rank -> since when, rights
     used: int = 0  # when it was last let in
-    part: float | None = None  # of its use that was ours, while the others were heard; None: not known
+    part: float | None = (
+        None  # of its use that was ours, while the others were heard; None: not known
+    )
     closed: bool = False  # it was fast and spent nearly all: refused until a good part is back
 
     @property
@@ -81,16 +96,20 @@
 class Host(Known):
     """A server: what discovery says and what requests met."""
 
-    entry: api.ServerEntry = field(kw_only=True)
+    entry: EndpointEntry = field(kw_only=True)
     out: int = 0
     active: int = 0  # last answer, or when the first of those out was sent
     typical: float = 2.0  # load that its answer times were met under
     busy: float = 1.0  # part of its cores in use, by its last report
     told: int = 0  # when that came
 
-    def shares(self, group: api.Group) -> int:
+    def shares(self, deduplication_scope: DeduplicationScope) -> int:
         """What two servers have in common that drop each other's repeats."""
-        return {api.Group.ALL: 0, api.Group.ZONE: self.entry.zone, api.Group.CELL: self.entry.cell}[group]
+        return {
+            DeduplicationScope.ALL: 0,
+            DeduplicationScope.ZONE: self.entry.zone,
+            DeduplicationScope.CELL: self.entry.cell,
+        }[deduplication_scope]
 
 
 class Pool:
@@ -98,22 +117,22 @@
 
     def __init__(self) -> None:
         self.hosts: list[Host] = []
-        self.places: dict[api.Server, int] = {}
+        self.places: dict[EndpointId, int] = {}
 
     def add(self, host: Host) -> None:
         """Put a server in, once."""
-        if host.entry.server not in self.places:
-            self.places[host.entry.server] = len(self.hosts)
+        if host.entry.endpoint_id not in self.places:
+            self.places[host.entry.endpoint_id] = len(self.hosts)
             self.hosts.append(host)
 
-    def remove(self, server: api.Server) -> None:
+    def remove(self, endpoint_id: EndpointId) -> None:
         """Take a server out; the last one fills its place."""
-        place = self.places.pop(server, None)
+        place = self.places.pop(endpoint_id, None)
         if place is not None:
             last = self.hosts.pop()
             if place < len(self.hosts):
                 self.hosts[place] = last
-                self.places[last.entry.server] = place
+                self.places[last.entry.endpoint_id] = place
 
 
 @dataclass(slots=True)
@@ -131,8 +150,8 @@
 class Request:
     """A request that is owed an answer."""
 
-    event: api.RequestArrived | api.CheckArrived
-    cls: api.RequestClass
+    event: RequestArrived | AdmissionCheckArrived
+    cls: RequestClass
     until: int
     lot: float = 0.0  # drawn anew for each attempt: which cold server it may try
     account: Account | None = None  # known once it is admitted
@@ -145,7 +164,7 @@
         """Those of its attempts that have no outcome yet."""
         return [attempt for attempt in self.attempts if attempt.out]
 
-    def back_in(self, plans: tuple[api.Plan, ...], reopen: float, most: float) -> int:
+    def back_in(self, plans: tuple[Plan, ...], reopen: float, most: float) -> int:
         """How long until its customer's quota holds enough to let it in; 0: not known, or more than most."""
         if (account := self.account) is None or not (plan := plans[account.plan]).rate:
             return 0
@@ -163,26 +182,34 @@
         self.changed: dict[int, None] = {}  # customers whose counts changed since they were told
         self.heard: dict[int, int] = {}  # rank -> when it was last heard
         self.mute: dict[int, int] = {}  # rank -> answers in a row that it owed and did not give
-        self.due: dict[int, dict[int, int]] = {}  # keeper's rank -> customers, which of their keepers it is
+        self.due: dict[
+            int, dict[int, int]
+        ] = {}  # keeper's rank -> customers, which of their keepers it is
         self.pushing = False  # a timer for what is due is set
-        self.spent_last: dict[int, None] = {}  # customers whose quota is nearly spent, the latest last
-        self.asked: deque[tuple[int, int, list]] = deque()  # when, rank, customers and which of their keepers
+        self.spent_last: dict[
+            int, None
+        ] = {}  # customers whose quota is nearly spent, the latest last
+        self.asked: deque[tuple[int, int, list]] = (
+            deque()
+        )  # when, rank, customers and which of their keepers
         self.owing: dict[int, None] = {}  # customers to whose gateways rights are owed
-        self.hosts: dict[api.Server, Host] = {}
+        self.hosts: dict[EndpointId, Host] = {}
         self.met = Known(0)  # by all servers together
         self.zones_met: dict[int, Known] = {}  # by those of one zone
         self.warm, self.cold = Pool(), Pool()
         self.cells: dict[int, Pool] = {}
         self.zones: dict[int, Pool] = {}
-        self.warming: deque[Host] = deque()  # servers in the order of their listing, until they are warm
-        self.excluded: dict[api.Server, dict[str, int]] = {}  # source -> since when
+        self.warming: deque[Host] = (
+            deque()
+        )  # servers in the order of their listing, until they are warm
+        self.excluded: dict[EndpointId, dict[str, int]] = {}  # source -> since when
         self.returned: dict[
-            api.Server, tuple[int, int]
+            EndpointId, tuple[int, int]
         ] = {}  # excluded from / until: taken to start at its end
-        self.untried: dict[api.Server, None] = {}  # put back and not sent to since
+        self.untried: dict[EndpointId, None] = {}  # put back and not sent to since
         self.requests: dict[int, Request] = {}
         self.attempts: dict[tuple[int, int], tuple[Attempt, Request]] = {}
-        self.actions: list[api.Action] = []
+        self.actions: list[Action] = []
 
     def begin(self, request: Request, attempt: Attempt) -> None:
         """Count one more attempt in."""
@@ -199,53 +226,55 @@
         of.account.out -= 1
         return attempt, of.event.kind
 
-    def apply_list(self, event: api.ServerListed, now: int) -> list[Host]:
+    def apply_list(self, event: EndpointListReceived, now: int) -> list[Host]:
         """Bring the servers up to date with discovery; those that are ready and new or started anew."""
-        if event.kind is not api.ListKind.CHANGES:
-            told = {entry.server for entry in event.entries}
-            for server in [s for s in self.hosts if s not in told]:
-                self._forget(self.hosts[server])
+        if event.kind is not EndpointListKind.DELTA:
+            told = {entry.endpoint_id for entry in event.entries}
+            for endpoint_id in [s for s in self.hosts if s not in told]:
+                self._forget(self.hosts[endpoint_id])
         fresh = []
         for entry in event.entries:
-            host = self.hosts.get(entry.server)
-            if entry.phase is api.Phase.GONE:
+            host = self.hosts.get(entry.endpoint_id)
+            if entry.state is EndpointState.REMOVED:
                 if host is not None:
                     self._forget(host)
                 continue
             if (
-                entry.launched > now
+                entry.started_at_us > now
             ):  # guards against a start to come, which would keep the server cold for good
-                entry = replace(entry, launched=now)
-            if (span := self.returned.get(entry.server)) and entry.launched < span[0]:
-                entry = replace(entry, launched=span[1])  # the list is late: it was restarted meanwhile
-            anew = host is None or entry.launched > host.entry.launched
-            was_ready = host is not None and host.entry.phase is api.Phase.READY
-            if host is not None and (anew or entry.phase is not api.Phase.READY):
+                entry = replace(entry, started_at_us=now)
+            if (span := self.returned.get(entry.endpoint_id)) and entry.started_at_us < span[0]:
+                entry = replace(
+                    entry, started_at_us=span[1]
+                )  # the list is late: it was restarted meanwhile
+            anew = host is None or entry.started_at_us > host.entry.started_at_us
+            was_ready = host is not None and host.entry.state is EndpointState.READY
+            if host is not None and (anew or entry.state is not EndpointState.READY):
                 self._take_out(host)
             if host is None or anew:
-                host = self.hosts[entry.server] = Host(now, entry=entry)
+                host = self.hosts[entry.endpoint_id] = Host(now, entry=entry)
             host.entry = entry
             self.zones_met.setdefault(entry.zone, Known(0))
-            if entry.server in self.excluded:
+            if entry.endpoint_id in self.excluded:
                 continue
-            if entry.phase is api.Phase.READY and (anew or not was_ready):
+            if entry.state is EndpointState.READY and (anew or not was_ready):
                 self.cells.setdefault(entry.cell, Pool()).add(host)
                 self.zones.setdefault(entry.zone, Pool()).add(host)
                 fresh.append(host)
         return fresh
 
-    def exclude(self, event: api.ExclusionChanged, now: int, remember: int) -> Host | None:
+    def exclude(self, event: ExclusionChanged, now: int, remember: int) -> Host | None:
         """Take a server out for a source, or no longer; the server, where that puts it back.
 
         ``remember`` (us): for how long a server put back is taken to have started then, for want of news.
         """
-        for server in [s for s, span in self.returned.items() if now - span[1] >= remember]:
-            del self.returned[server]
-        host, sources = self.hosts.get(event.server), self.excluded.get(event.server)
+        for endpoint_id in [s for s, span in self.returned.items() if now - span[1] >= remember]:
+            del self.returned[endpoint_id]
+        host, sources = self.hosts.get(event.endpoint_id), self.excluded.get(event.endpoint_id)
         if event.excluded:
             if sources is None:
-                self.excluded[event.server] = {event.source: event.since or now}
-                self.untried.pop(event.server, None)
+                self.excluded[event.endpoint_id] = {event.source: event.since or now}
+                self.untried.pop(event.endpoint_id, None)
                 if host:
                     self._take_out(host)
             else:
@@ -256,48 +285,51 @@
         since = sources.pop(event.source)
         if sources:
             return None
-        del self.excluded[event.server]
-        self.returned[event.server] = since, now
-        if host is None or host.entry.phase is not api.Phase.READY:
+        del self.excluded[event.endpoint_id]
+        self.returned[event.endpoint_id] = since, now
+        if host is None or host.entry.state is not EndpointState.READY:
             return None
         self.warming = deque(other for other in self.warming if other is not host)
-        launched = host.entry.launched if host.entry.launched >= since else now
-        entry = replace(host.entry, launched=launched)
-        back = self.hosts[event.server] = Host(now, entry=entry)
+        started_at_us = host.entry.started_at_us if host.entry.started_at_us >= since else now
+        entry = replace(host.entry, started_at_us=started_at_us)
+        back = self.hosts[event.endpoint_id] = Host(now, entry=entry)
         self.cells.setdefault(entry.cell, Pool()).add(back)
         self.zones.setdefault(entry.zone, Pool()).add(back)
-        self.untried[event.server] = None
+        self.untried[event.endpoint_id] = None
         return back
 
     def _forget(self, host: Host) -> None:
         """A server that is gone: what is still out at it keeps its record until it ends."""
         self._take_out(host)
-        self.untried.pop(host.entry.server, None)
-        host.entry = replace(host.entry, phase=api.Phase.GONE)
-        del self.hosts[host.entry.server]
+        self.untried.pop(host.entry.endpoint_id, None)
+        host.entry = replace(host.entry, state=EndpointState.REMOVED)
+        del self.hosts[host.entry.endpoint_id]
         self.warming = deque(other for other in self.warming if other is not host)
 
     def warm_first(self) -> None:
         """The server that was listed first joins the warm ones, if it still runs."""
         host = self.warming.popleft()
-        known = self.hosts.get(host.entry.server) is host and host.entry.server not in self.excluded
-        if known and host.entry.phase is api.Phase.READY:
-            self.cold.remove(host.entry.server)
+        known = (
+            self.hosts.get(host.entry.endpoint_id) is host
+            and host.entry.endpoint_id not in self.excluded
+        )
+        if known and host.entry.state is EndpointState.READY:
+            self.cold.remove(host.entry.endpoint_id)
             self.warm.add(host)
 
-    def near(self, host: Host, group: api.Group) -> list[Host]:
+    def near(self, host: Host, deduplication_scope: DeduplicationScope) -> list[Host]:
         """The servers that share the group with this one, those that are cold too."""
-        if group is api.Group.ALL:
+        if deduplication_scope is DeduplicationScope.ALL:
             return self.warm.hosts
-        pools = self.cells if group is api.Group.CELL else self.zones
-        pool = pools.get(host.shares(group))
+        pools = self.cells if deduplication_scope is DeduplicationScope.CELL else self.zones
+        pool = pools.get(host.shares(deduplication_scope))
         return pool.hosts if pool else []
 
     def _take_out(self, host: Host) -> None:
-        self.warm.remove(host.entry.server)
-        self.cold.remove(host.entry.server)
+        self.warm.remove(host.entry.endpoint_id)
+        self.cold.remove(host.entry.endpoint_id)
         for pools, place in ((self.cells, host.entry.cell), (self.zones, host.entry.zone)):
             if pool := pools.get(place):
-                pool.remove(host.entry.server)
+                pool.remove(host.entry.endpoint_id)
                 if not pool.hosts:  # cells are ever new where servers are replaced
                     del pools[place]
--- a/saffrongw/policy/state_transfer.py
+++ b/saffrongw/policy/state_transfer.py
@@ -10,7 +10,14 @@
 
 from collections.abc import Iterator
 
-from . import interface as api
+from .events import (
+    EndpointEntry,
+    EndpointId,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    ExclusionChanged,
+)
 from .rules import Gateway
 from .state import Account, Known
 
@@ -21,12 +28,12 @@
     """A row that no process of this version writes."""
 
 
-def text_of(server: api.Server) -> str:
+def text_of(endpoint_id: EndpointId) -> str:
     """A server's id as JSON holds it, whatever its bytes."""
-    return server.decode("latin-1")
+    return endpoint_id.decode("latin-1")
 
 
-def server_of(text: str) -> api.Server:
+def server_of(text: str) -> EndpointId:
     """The id again; ``UnicodeError`` where it is none."""
     return text.encode("latin-1")
 
@@ -34,15 +41,22 @@
 def export(gateway: Gateway) -> Iterator[Row]:
     """All rows. From the first on nothing new may be begun by this gateway."""
     gateway.handed_over = True
-    yield ["learnt", gateway.usual, gateway.learnt, gateway.budget, gateway.unheard, gateway.started]
-    yield ["heard", [[rank, at] for rank, at in gateway.heard.items()]]
+    yield [
+        "learnt",
+        gateway.usual,
+        gateway.learnt,
+        gateway.budget,
+        gateway.unheard,
+        gateway.started,
+    ]
+    yield ["heard", [[node_index, at] for node_index, at in gateway.heard.items()]]
     yield ["met", *_marks(gateway.met)]
     for zone, known in gateway.zones_met.items():
         yield ["zone", zone, *_marks(known)]
     yield from exclusions(gateway)
-    for server, host in gateway.hosts.items():
+    for endpoint_id, host in gateway.hosts.items():
         if host.seen:
-            yield ["host", text_of(server), *_marks(host), host.typical]
+            yield ["host", text_of(endpoint_id), *_marks(host), host.typical]
     for account in gateway.accounts.values():
         yield [
             "account",
@@ -50,7 +64,7 @@
             list(account.key),
             account.limit,
             account.risen,
-            [[rank, start, value] for rank, (start, value) in account.counts.items()],
+            [[node_index, start, value] for node_index, (start, value) in account.counts.items()],
             account.spent,
             account.total,
             list(account.news),
@@ -66,10 +80,10 @@
 
 def exclusions(gateway: Gateway) -> Iterator[Row]:
     """What is out by hand, and what was put back lately."""
-    for server, sources in gateway.excluded.items():
-        yield ["excluded", text_of(server), sources]
-    for server, (since, until) in gateway.returned.items():
-        yield ["returned", text_of(server), since, until]
+    for endpoint_id, sources in gateway.excluded.items():
+        yield ["excluded", text_of(endpoint_id), sources]
+    for endpoint_id, (since, until) in gateway.returned.items():
+        yield ["returned", text_of(endpoint_id), since, until]
 
 
 def _marks(known: Known) -> tuple[int, float, float]:
@@ -86,7 +100,13 @@
 
 
 def _learnt(
-    gateway: Gateway, now: int, usual: list, learnt: list, budget: float, unheard: float, started: int
+    gateway: Gateway,
+    now: int,
+    usual: list,
+    learnt: list,
+    budget: float,
+    unheard: float,
+    started: int,
 ) -> None:
     if len(usual) == len(learnt) == len(gateway.usual):
         gateway.usual = [float(span) for span in usual]
@@ -96,8 +116,8 @@
 
 
 def _heard(gateway: Gateway, now: int, heard: list) -> None:
-    for rank, at in heard:
-        gateway.heard[int(rank)] = max(int(at), gateway.heard.get(rank, 0))
+    for node_index, at in heard:
+        gateway.heard[int(node_index)] = max(int(at), gateway.heard.get(node_index, 0))
 
 
 def _known(known: Known, seen: int, slow: float, fails: float) -> None:
@@ -113,29 +133,40 @@
     _known(gateway.zones_met.setdefault(int(zone), Known(0)), *marks)
 
 
-def _excluded(gateway: Gateway, now: int, server: str, sources: dict) -> None:
+def _excluded(gateway: Gateway, now: int, endpoint_id: str, sources: dict) -> None:
     for source, since in sources.items():
-        gateway.handle(now, api.ExclusionChanged(server_of(server), str(source), True, int(since)))
+        gateway.handle(now, ExclusionChanged(server_of(endpoint_id), str(source), True, int(since)))
 
 
-def _returned(gateway: Gateway, now: int, server: str, since: int, until: int) -> None:
+def _returned(gateway: Gateway, now: int, endpoint_id: str, since: int, until: int) -> None:
     """It is taken to have started when it was put back, as the old process takes it."""
-    name = server_of(server)
+    name = server_of(endpoint_id)
     if name in gateway.excluded:
         return
     gateway.returned[name] = int(since), int(until)
     host = gateway.hosts.get(name)
-    if host and host.entry.launched < since:
+    if host and host.entry.started_at_us < since:
         entry = host.entry
-        gone = api.ServerEntry(name, api.Phase.GONE, entry.zone, entry.cell, entry.launched, entry.size)
-        for line in (gone, entry):  # listed anew, it gets its launch and its pool by the ordinary way
-            gateway.handle(now, api.ServerListed(api.ListKind.CHANGES, 0, (line,)))
+        gone = EndpointEntry(
+            name, EndpointState.REMOVED, entry.zone, entry.cell, entry.started_at_us, entry.size
+        )
+        for line in (
+            gone,
+            entry,
+        ):  # listed anew, it gets its launch and its pool by the ordinary way
+            gateway.handle(now, EndpointListReceived(EndpointListKind.DELTA, 0, (line,)))
 
 
 def _host(
-    gateway: Gateway, now: int, server: str, seen: int, slow: float, fails: float, typical: float
+    gateway: Gateway,
+    now: int,
+    endpoint_id: str,
+    seen: int,
+    slow: float,
+    fails: float,
+    typical: float,
 ) -> None:
-    if host := gateway.hosts.get(server_of(server)):
+    if host := gateway.hosts.get(server_of(endpoint_id)):
         _known(host, seen, slow, fails)
         host.typical = float(typical)
 
@@ -162,14 +193,22 @@
     plan, first, size = (int(part) for part in key)
     if customer in gateway.accounts or not 0 <= plan < len(gateway.s.plans):
         return
-    if not 0 <= first < gateway.s.gateways or not 1 <= size <= gateway.s.gateways:
+    if not 0 <= first < gateway.s.node_count or not 1 <= size <= gateway.s.node_count:
         raise ValueError("the set is out of range")
     account = Account(int(customer), (plan, first, size), float(limit), int(risen), used=int(used))
-    account.counts = {int(rank): (int(start), float(value)) for rank, start, value in counts}
+    account.counts = {
+        int(node_index): (int(start), float(value)) for node_index, start, value in counts
+    }
     account.spent, account.total, account.ceiling = float(spent), float(total), float(ceiling)
-    account.news, account.fresh, account.closed = tuple(int(rank) for rank in news), bool(fresh), bool(closed)
+    account.news, account.fresh, account.closed = (
+        tuple(int(node_index) for node_index in news),
+        bool(fresh),
+        bool(closed),
+    )
     # What is out at the old process is taken to be out for as long as usual, like what others approved.
-    account.others = (*(int(at) for at in others), *[now] * int(out))[-max(1, gateway.s.plans[plan].open) :]
+    account.others = (*(int(at) for at in others), *[now] * int(out))[
+        -max(1, gateway.s.plans[plan].concurrency_limit) :
+    ]
     gateway.accounts[account.customer] = account
     gateway.idle_queue.append(account.customer)
     if changed:
--- a/saffrongw/simulator/__main__.py
+++ b/saffrongw/simulator/__main__.py
@@ -5,7 +5,8 @@
 import sys
 from typing import BinaryIO
 
-from ..policy import interface as api
+from ..policy.actions import Action
+from ..policy.events import Event
 from ..policy.rules import Gateway
 from . import codec
 
@@ -33,7 +34,9 @@
                 raise codec.WireError(f"event for gateway {number}, which never started")
             try:
                 actions = _decide(gateways, number, event, now)
-            except Exception as failure:  # the wire wants every failure of the decisions as a record
+            except (
+                Exception
+            ) as failure:  # the wire wants every failure of the decisions as a record
                 encoder.bug(number, f"{type(failure).__name__}: {failure}")
                 continue
             for action in actions:
@@ -43,8 +46,8 @@
 
 
 def _decide(
-    gateways: dict[int, Gateway], number: int, event: codec.Start | api.Event, now: int
-) -> list[api.Action]:
+    gateways: dict[int, Gateway], number: int, event: codec.Start | Event, now: int
+) -> list[Action]:
     if isinstance(event, codec.Start):
         gateways[number] = Gateway(event.settings, event.seed, now)
         return gateways[number].start()
--- a/saffrongw/simulator/codec.py
+++ b/saffrongw/simulator/codec.py
@@ -5,7 +5,35 @@
 import struct
 from dataclasses import dataclass, field
 
-from ..policy import interface as api
+from ..policy.actions import (
+    Action,
+    CancelAttempt,
+    CheckHealth,
+    FailRequest,
+    FetchEndpointList,
+    RejectRequest,
+    SendAttempt,
+    SendGossip,
+    SetTimer,
+    SubscribeEndpointList,
+)
+from ..policy.events import (
+    AttemptEnded,
+    AttemptOutcome,
+    ClientDisconnected,
+    EndpointEntry,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    Event,
+    GossipReceived,
+    HealthCheckEnded,
+    RequestArrived,
+    SharedCounterAnswered,
+    StreamStarted,
+    TimerFired,
+)
+from ..policy.settings import Settings
 from ..policy.settings_schema import SettingsError, parse_settings
 
 HEADER = struct.Struct("<IIQ")
@@ -16,7 +44,7 @@
 
 _INIT = struct.Struct("<HQII")
 _LIST = struct.Struct("<HII")
-_LIST_NEWS = struct.Struct("<HBHQ")
+_LIST_RECEIVED = struct.Struct("<HBHQ")
 _REQUEST = struct.Struct("<HIBHQIfffH")
 _GATEWAY = struct.Struct("<H")
 _PROBED = struct.Struct("<HIH6sB4f")
@@ -29,26 +57,26 @@
 
 _SEND = struct.Struct("<BHI6sQ")
 _CANCEL = struct.Struct("<BHIH")
-_SERVER_ONLY = struct.Struct("<BH6s")
+_CHECK_HEALTH = struct.Struct("<BH6s")
 _BARE = struct.Struct("<BH")
 _SET_TIMER = struct.Struct("<BHIQ")
 _TEXT = struct.Struct("<BHII")
 _FINAL = struct.Struct("<BHI")
-_TELL = struct.Struct("<BHHII")
-_WATCH = struct.Struct("<BHB")
-_REFUSE = struct.Struct("<BHII")
+_GOSSIP = struct.Struct("<BHHII")
+_SUBSCRIBE = struct.Struct("<BHB")
+_REJECT = struct.Struct("<BHII")
 
-BIT_REPEAT = 2
+RETRY_BIT = 2
 
 OUTCOMES = {
-    100: api.Outcome.SERVED,
-    301: api.Outcome.ERROR,
-    302: api.Outcome.FULL,
-    303: api.Outcome.TIMED_OUT,
-    304: api.Outcome.NOT_CONNECTED,
-    305: api.Outcome.BROKEN,
-    306: api.Outcome.CANCELLED,
-    307: api.Outcome.NEVER_SENT,
+    100: AttemptOutcome.SERVED,
+    301: AttemptOutcome.ERROR,
+    302: AttemptOutcome.OVERLOADED,
+    303: AttemptOutcome.TIMED_OUT,
+    304: AttemptOutcome.CONNECT_FAILED,
+    305: AttemptOutcome.CONNECTION_LOST,
+    306: AttemptOutcome.CANCELLED,
+    307: AttemptOutcome.NOT_SENT,
 }
 
 
@@ -60,7 +88,7 @@
 class Start:
     """A gateway comes up."""
 
-    settings: api.Settings
+    settings: Settings
     seed: int
 
 
@@ -73,9 +101,9 @@
 class Decoder:
     """Decodes frames; keeps the numbered server lists, which travel once for each process."""
 
-    lists: dict[int, tuple[api.ServerEntry, ...]] = field(default_factory=dict)
+    lists: dict[int, tuple[EndpointEntry, ...]] = field(default_factory=dict)
 
-    def frame(self, count: int, body: bytes) -> list[tuple[int, Start | Stop | api.Event]]:
+    def frame(self, count: int, body: bytes) -> list[tuple[int, Start | Stop | Event]]:
         """All events of one batch, each with its gateway's number."""
         if len(body) < count * EVENT_SIZE:
             raise WireError(f"frame of {len(body)} bytes is too short for {count} records")
@@ -95,18 +123,20 @@
 
 def _cut(tail: bytes, offset: int, length: int) -> bytes:
     if offset + length > len(tail):
-        raise WireError(f"offset {offset} with length {length} lies outside a tail of {len(tail)} bytes")
+        raise WireError(
+            f"offset {offset} with length {length} lies outside a tail of {len(tail)} bytes"
+        )
     return tail[offset : offset + length]
 
 
-def _outcome(code: int) -> api.Outcome:
+def _outcome(code: int) -> AttemptOutcome:
     try:
         return OUTCOMES[code]
     except KeyError:
         raise WireError(f"unknown outcome {code}") from None
 
 
-def _init(_: Decoder, body: bytes, at: int, tail: bytes):
+def _start(_: Decoder, body: bytes, at: int, tail: bytes):
     gateway, seed, offset, length = _INIT.unpack_from(body, at)
     try:
         settings = parse_settings(_cut(tail, offset, length))
@@ -115,91 +145,105 @@
     return gateway, Start(settings, seed)
 
 
-def _roster(decoder: Decoder, body: bytes, at: int, tail: bytes) -> None:
+def _endpoint_list(decoder: Decoder, body: bytes, at: int, tail: bytes) -> None:
     number, offset, count = _LIST.unpack_from(body, at)
     raw = _cut(tail, offset, count * ENTRY.size)
     entries = []
-    for share, _kind, server, zone, launched, phase, cell in ENTRY.iter_unpack(raw):
-        if phase > 2:
-            raise WireError(f"unknown phase {phase}")
-        entries.append(api.ServerEntry(server, api.Phase(phase), zone, cell, launched, share))
+    for share, _kind, endpoint_id, zone, started_at_us, state, cell in ENTRY.iter_unpack(raw):
+        if state > 2:
+            raise WireError(f"unknown phase {state}")
+        entries.append(
+            EndpointEntry(endpoint_id, EndpointState(state), zone, cell, started_at_us, share)
+        )
     decoder.lists[number] = tuple(entries)
 
 
-def _roster_change(decoder: Decoder, body: bytes, at: int, _: bytes):
-    gateway, kind, number, version = _LIST_NEWS.unpack_from(body, at)
+def _endpoint_list_received(decoder: Decoder, body: bytes, at: int, _: bytes):
+    gateway, kind, number, version = _LIST_RECEIVED.unpack_from(body, at)
     if kind > 3:
         raise WireError(f"unknown kind of list {kind}")
-    kind = api.ListKind(kind)
-    if kind is api.ListKind.FAILED:
-        return gateway, api.ServerListed(kind, version, ())
+    kind = EndpointListKind(kind)
+    if kind is EndpointListKind.FAILED:
+        return gateway, EndpointListReceived(kind, version, ())
     if number not in decoder.lists:
         raise WireError(f"list {number} was never sent")
-    return gateway, api.ServerListed(kind, version, decoder.lists[number])
+    return gateway, EndpointListReceived(kind, version, decoder.lists[number])
 
 
-def _order(_: Decoder, body: bytes, at: int, __: bytes):
-    gateway, request, kind, plan, customer, left, units, size, first, bits = _REQUEST.unpack_from(body, at)
-    return gateway, api.RequestArrived(
-        request, customer, plan, kind, units, left, int(first), int(size), bool(bits & BIT_REPEAT)
+def _request_arrived(_: Decoder, body: bytes, at: int, __: bytes):
+    gateway, request, kind, plan, customer, left, units, size, first, bits = _REQUEST.unpack_from(
+        body, at
+    )
+    return gateway, RequestArrived(
+        request, customer, plan, kind, units, left, int(first), int(size), bool(bits & RETRY_BIT)
     )
 
 
-def _teardown(_: Decoder, body: bytes, at: int, __: bytes):
+def _stop(_: Decoder, body: bytes, at: int, __: bytes):
     return _GATEWAY.unpack_from(body, at)[0], Stop()
 
 
-def _probed(_: Decoder, body: bytes, at: int, __: bytes):
-    gateway, took, reason, server, n, *values = _PROBED.unpack_from(body, at)
-    return gateway, api.ProbeEnded(server, _outcome(reason), took, tuple(values[:n]))
+def _health_check_ended(_: Decoder, body: bytes, at: int, __: bytes):
+    gateway, duration_us, reason, endpoint_id, n, *values = _PROBED.unpack_from(body, at)
+    return gateway, HealthCheckEnded(endpoint_id, _outcome(reason), duration_us, tuple(values[:n]))
 
 
-def _client_gone(_: Decoder, body: bytes, at: int, __: bytes):
+def _client_disconnected(_: Decoder, body: bytes, at: int, __: bytes):
     gateway, request = _CALL.unpack_from(body, at)
-    return gateway, api.ClientGone(request)
+    return gateway, ClientDisconnected(request)
 
 
-def _counted(_: Decoder, body: bytes, at: int, __: bytes):
-    gateway, value, took, reason, name = _COUNTED.unpack_from(body, at)
-    return gateway, api.CounterAnswered(name, _outcome(reason), value, took)
+def _shared_counter_answered(_: Decoder, body: bytes, at: int, __: bytes):
+    gateway, value, duration_us, reason, name = _COUNTED.unpack_from(body, at)
+    return gateway, SharedCounterAnswered(name, _outcome(reason), value, duration_us)
 
 
-def _neighbour(_: Decoder, body: bytes, at: int, tail: bytes):
+def _gossip_received(_: Decoder, body: bytes, at: int, tail: bytes):
     gateway, sender, offset, length = _PEER.unpack_from(body, at)
-    return gateway, api.PeerMessage(sender, _cut(tail, offset, length))
+    return gateway, GossipReceived(sender, _cut(tail, offset, length))
 
 
-def _flowing(_: Decoder, body: bytes, at: int, __: bytes):
-    gateway, request, attempt, server, took = _STREAM.unpack_from(body, at)
-    return gateway, api.StreamStarted(request, attempt, server, took)
+def _stream_started(_: Decoder, body: bytes, at: int, __: bytes):
+    gateway, request, attempt, endpoint_id, duration_us = _STREAM.unpack_from(body, at)
+    return gateway, StreamStarted(request, attempt, endpoint_id, duration_us)
 
 
-def _bell(_: Decoder, body: bytes, at: int, __: bytes):
+def _timer_fired(_: Decoder, body: bytes, at: int, __: bytes):
     gateway, token = _TIMER.unpack_from(body, at)
-    return gateway, api.TimerFired(token)
+    return gateway, TimerFired(token)
 
 
-def _answer(_: Decoder, body: bytes, at: int, __: bytes):
+def _attempt_ended(_: Decoder, body: bytes, at: int, __: bytes):
     fields = _OUTCOME.unpack_from(body, at)
-    gateway, request, attempt, server, reason, took, settled, use, cost, n, *values = fields
-    return gateway, api.AttemptEnded(
-        request, attempt, server, _outcome(reason), took, bool(settled), use, float(cost), tuple(values[:n])
+    gateway, request, attempt, endpoint_id, reason, duration_us, settled, use, cost, n, *values = (
+        fields
+    )
+    return gateway, AttemptEnded(
+        request,
+        attempt,
+        endpoint_id,
+        _outcome(reason),
+        duration_us,
+        bool(settled),
+        use,
+        float(cost),
+        tuple(values[:n]),
     )
 
 
 _READERS = {
-    1: _bell,
-    2: _neighbour,
-    3: _client_gone,
-    4: _flowing,
-    5: _order,
-    6: _answer,
-    7: _init,
-    8: _teardown,
-    9: _roster_change,
-    10: _counted,
-    11: _probed,
-    12: _roster,
+    1: _timer_fired,
+    2: _gossip_received,
+    3: _client_disconnected,
+    4: _stream_started,
+    5: _request_arrived,
+    6: _attempt_ended,
+    7: _start,
+    8: _stop,
+    9: _endpoint_list_received,
+    10: _shared_counter_answered,
+    11: _health_check_ended,
+    12: _endpoint_list,
 }
 
 
@@ -210,26 +254,28 @@
     records: list[bytes] = field(default_factory=list)
     tail: bytearray = field(default_factory=bytearray)
 
-    def add(self, gateway: int, action: api.Action) -> None:
+    def add(self, gateway: int, action: Action) -> None:
         """One action of one gateway."""
         match action:
-            case api.Send():
-                raw = _SEND.pack(65, gateway, action.request, action.server, action.give_up_at)
-            case api.Refuse():
-                raw = _REFUSE.pack(66, gateway, action.request, action.retry_after)
-            case api.Fail():
+            case SendAttempt():
+                raw = _SEND.pack(
+                    65, gateway, action.request, action.endpoint_id, action.deadline_us
+                )
+            case RejectRequest():
+                raw = _REJECT.pack(66, gateway, action.request, action.retry_after_us)
+            case FailRequest():
                 raw = _FINAL.pack(67, gateway, action.request)
-            case api.Cancel():
+            case CancelAttempt():
                 raw = _CANCEL.pack(68, gateway, action.request, action.attempt)
-            case api.SetTimer():
-                raw = _SET_TIMER.pack(69, gateway, action.span, action.token)
-            case api.Probe():
-                raw = _SERVER_ONLY.pack(70, gateway, action.server)
-            case api.TellPeer():
-                raw = _TELL.pack(72, gateway, action.peer, *self._put(action.body))
-            case api.AskList():
-                raw = _WATCH.pack(75, gateway, 1)
-            case api.FetchList():
+            case SetTimer():
+                raw = _SET_TIMER.pack(69, gateway, action.delay_us, action.token)
+            case CheckHealth():
+                raw = _CHECK_HEALTH.pack(70, gateway, action.endpoint_id)
+            case SendGossip():
+                raw = _GOSSIP.pack(72, gateway, action.peer, *self._put(action.body))
+            case SubscribeEndpointList():
+                raw = _SUBSCRIBE.pack(75, gateway, 1)
+            case FetchEndpointList():
                 raw = _BARE.pack(76, gateway)
             case _:
                 raise TypeError(f"no action of the wire: {action!r}")
@@ -237,7 +283,9 @@
 
     def bug(self, gateway: int, text: str) -> None:
         """The decisions failed."""
-        self.records.append(_TEXT.pack(74, gateway, *self._put(text.encode())).ljust(ACTION_SIZE, b"\0"))
+        self.records.append(
+            _TEXT.pack(74, gateway, *self._put(text.encode())).ljust(ACTION_SIZE, b"\0")
+        )
 
     def reply(self) -> bytes:
         """The whole reply frame."""
--- a/testbed/__main__.py
+++ b/testbed/__main__.py
@@ -40,7 +40,12 @@
         counts, up = world.clients.counts, sum(g.ready for g in world.gateways)
         hosts = sum(h.up for h in world.fleet.hosts.values())
         fault = next(
-            (f for f in reversed(list(world.scenario.fault)) if f.at <= gone <= f.at + max(f.for_s, 2)), None
+            (
+                f
+                for f in reversed(list(world.scenario.fault))
+                if f.at <= gone <= f.at + max(f.for_s, 2)
+            ),
+            None,
         )
         line = (
             f"[{'#' * round(BAR * done):<{BAR}}] {min(gone, length):5.1f}/{length:g} s  "
@@ -83,7 +88,9 @@
         )
         counts["passed" if status == 0 else "failed"] += 1
         worst = max(worst, status)
-    print(f"{counts['passed']} passed, {counts['failed']} failed in {time.monotonic() - began:.0f} s")
+    print(
+        f"{counts['passed']} passed, {counts['failed']} failed in {time.monotonic() - began:.0f} s"
+    )
     return worst
 
 
@@ -101,7 +108,9 @@
     for name in files:
         found = scenario.load(scenario.named(name))
         arrivals = draw(found)
-        print(f"{name}: good; {len(arrivals)} requests in {found.length_s:g} s, arrivals {digest(arrivals)}")
+        print(
+            f"{name}: good; {len(arrivals)} requests in {found.length_s:g} s, arrivals {digest(arrivals)}"
+        )
     return 0
 
 
@@ -115,7 +124,10 @@
     run.add_argument("--jobs", type=int, default=4, help="how many at once (default 4)")
     run.add_argument("--quiet", action="store_true", help="one line only")
     run.add_argument(
-        "--folder", type=Path, default=None, help=f"for reports and evidence (default {FOLDER}/NAME)"
+        "--folder",
+        type=Path,
+        default=None,
+        help=f"for reports and evidence (default {FOLDER}/NAME)",
     )
     run.add_argument("--run", default=None, metavar="LINE", help="start gateways by this line")
     demo = commands.add_parser("demo", help="30 s of a fleet with a gateway killed and a host lost")
@@ -140,7 +152,11 @@
 
             seeds = range(given.seeds[0], given.seeds[1] + 1)
             return many(
-                seeds, given.jobs, given.folder.resolve(), given.run, lambda line: print(line, flush=True)
+                seeds,
+                given.jobs,
+                given.folder.resolve(),
+                given.run,
+                lambda line: print(line, flush=True),
             )
         if given.command == "list":
             return _list()
--- a/testbed/acme_server/issuer.py
+++ b/testbed/acme_server/issuer.py
@@ -51,14 +51,27 @@
     """Signs what it is asked to sign. Names: ``Stand-in Root``, ``Stand-in Root B``, ``Stand-in Intermediate``."""
 
     def __init__(self, now: float) -> None:
-        self.root_key, self.other_key, self.key = (ec.generate_private_key(ec.SECP256R1()) for _ in range(3))
+        self.root_key, self.other_key, self.key = (
+            ec.generate_private_key(ec.SECP256R1()) for _ in range(3)
+        )
         self.root = _authority("Stand-in Root", "Stand-in Root", self.root_key, self.root_key, now)
-        self.other = _authority("Stand-in Root B", "Stand-in Root B", self.other_key, self.other_key, now)
-        self.middle = _authority("Stand-in Intermediate", "Stand-in Root", self.key, self.root_key, now)
-        self.crossed = _authority("Stand-in Intermediate", "Stand-in Root B", self.key, self.other_key, now)
+        self.other = _authority(
+            "Stand-in Root B", "Stand-in Root B", self.other_key, self.other_key, now
+        )
+        self.middle = _authority(
+            "Stand-in Intermediate", "Stand-in Root", self.key, self.root_key, now
+        )
+        self.crossed = _authority(
+            "Stand-in Intermediate", "Stand-in Root B", self.key, self.other_key, now
+        )
 
     def sign(
-        self, csr: x509.CertificateSigningRequest, names: list[str], start: float, end: float, key=None
+        self,
+        csr: x509.CertificateSigningRequest,
+        names: list[str],
+        start: float,
+        end: float,
+        key=None,
     ) -> x509.Certificate:
         """A leaf for these names; ``key``: another public key than the request's (a fault)."""
         return (
@@ -69,11 +82,14 @@
             .serial_number(x509.random_serial_number())
             .not_valid_before(_when(start))
             .not_valid_after(_when(end))
-            .add_extension(x509.SubjectAlternativeName([x509.DNSName(n) for n in names]), critical=False)
+            .add_extension(
+                x509.SubjectAlternativeName([x509.DNSName(n) for n in names]), critical=False
+            )
             .add_extension(x509.ExtendedKeyUsage([ExtendedKeyUsageOID.SERVER_AUTH]), critical=False)
             .add_extension(x509.BasicConstraints(ca=False, path_length=None), critical=True)
             .add_extension(
-                x509.AuthorityKeyIdentifier.from_issuer_public_key(self.key.public_key()), critical=False
+                x509.AuthorityKeyIdentifier.from_issuer_public_key(self.key.public_key()),
+                critical=False,
             )
             .sign(self.key, hashes.SHA256())
         )
--- a/testbed/acme_server/model.py
+++ b/testbed/acme_server/model.py
@@ -148,7 +148,9 @@
         name = path.strip("/").split("/")[0] or "nothing"
         self.counts[f"{method} {name}"] += 1
         if self.faults.status:
-            return Reply(self.faults.status, b"<html>not today</html>", {"content-type": "text/html"})
+            return Reply(
+                self.faults.status, b"<html>not today</html>", {"content-type": "text/html"}
+            )
         try:
             reply = self._route(method, path, body)
         except Problem as wrong:
@@ -165,7 +167,9 @@
             if parts == ["dir"]:
                 return self._directory()
             if parts == ["new-nonce"]:
-                return Reply(200 if method == "HEAD" else 204, headers={"cache-control": "no-store"})
+                return Reply(
+                    200 if method == "HEAD" else 204, headers={"cache-control": "no-store"}
+                )
             if parts[0] == "renewal-info" and len(parts) == 2 and self.ari:
                 return self._window(parts[1])
             raise Problem(404 if method == "GET" else 405, "malformed", "not here")
@@ -196,7 +200,9 @@
         return act()
 
     def _json(self, status: int, value: Any, **headers: str) -> Reply:
-        return Reply(status, json.dumps(value).encode(), {"content-type": "application/json"} | headers)
+        return Reply(
+            status, json.dumps(value).encode(), {"content-type": "application/json"} | headers
+        )
 
     def _url(self, *parts: object) -> str:
         return "/".join([self.base, *map(str, parts)])
@@ -274,7 +280,9 @@
         if "jwk" not in head:
             raise Problem(400, "malformed", "jwk is needed here")
         key = jwk.JWK(**head["jwk"])
-        old = next((a for a in self.accounts.values() if a.key.thumbprint() == key.thumbprint()), None)
+        old = next(
+            (a for a in self.accounts.values() if a.key.thumbprint() == key.thumbprint()), None
+        )
         if old:
             if old.status != "valid":
                 raise Problem(401, "unauthorized", f"the account is {old.status}")
@@ -300,7 +308,9 @@
         token.allowed_algs = ["HS256"]
         try:
             token.deserialize(json.dumps(binding))
-            token.verify(jwk.JWK(kty="oct", k=base64.urlsafe_b64encode(secret).rstrip(b"=").decode()))
+            token.verify(
+                jwk.JWK(kty="oct", k=base64.urlsafe_b64encode(secret).rstrip(b"=").decode())
+            )
         except JWException as wrong:
             raise Problem(403, "unauthorized", f"the binding is wrong: {wrong}") from None
         if jwk.JWK(**json.loads(token.payload)).thumbprint() != key.thumbprint():
@@ -354,7 +364,9 @@
             if "invalid" in states:
                 order.status = "invalid"
                 bad = next(
-                    a for a in (self.authorisations[p] for p in order.authorisations) if a.status == "invalid"
+                    a
+                    for a in (self.authorisations[p] for p in order.authorisations)
+                    if a.status == "invalid"
                 )
                 order.error = next((c.error for c in bad.challenges if c.error), None)
             elif all(s == "valid" for s in states):
@@ -417,7 +429,9 @@
         if one.status == "pending":
             one.status = "processing"
             authorisation = f"{one.token}.{account.key.thumbprint()}"
-            self.checks.append(Check(f"{place}/{at}", one.type, found.name, one.token, authorisation))
+            self.checks.append(
+                Check(f"{place}/{at}", one.type, found.name, one.token, authorisation)
+            )
         text = {"type": one.type, "url": self._url("challenge", place, at), "token": one.token}
         return self._json(200, text | {"status": one.status})
 
@@ -460,7 +474,9 @@
             start, end = now + 86_400, now + 86_400 + self.life
         if self.faults.expired:
             start, end = now - self.life, now - 60
-        key = ec.generate_private_key(ec.SECP256R1()).public_key() if self.faults.wrong_key else None
+        key = (
+            ec.generate_private_key(ec.SECP256R1()).public_key() if self.faults.wrong_key else None
+        )
         shown = ["elsewhere.example"] if self.faults.wrong_name else names
         leaf = self.issuer.sign(csr, shown, start, end, key)
         order.certificate = str(len(self.certificates) + 1)
@@ -487,7 +503,9 @@
         if leaf is None:
             raise Problem(404, "malformed", "no such certificate")
         end = leaf.not_valid_after_utc.timestamp()
-        start, stop = self.windows.get(name, (end - self.life / 3, end - self.life / 3 + self.life / 45))
+        start, stop = self.windows.get(
+            name, (end - self.life / 3, end - self.life / 3 + self.life / 45)
+        )
         text = {"suggestedWindow": {"start": _text(start), "end": _text(stop)}}
         return self._json(200, text, **{"retry-after": self.faults.retry_after or "21600"})
 
--- a/testbed/acme_server/server.py
+++ b/testbed/acme_server/server.py
@@ -141,7 +141,11 @@
                 body += more
             if not head.startswith(b"HTTP/1.1 200"):
                 return f"{check.name}: {head[:40]!r}"
-            return "" if body.strip().decode() == check.authorisation else f"{check.name}: {body[:40]!r}"
+            return (
+                ""
+                if body.strip().decode() == check.authorisation
+                else f"{check.name}: {body[:40]!r}"
+            )
         finally:
             writer.close()
 
--- a/testbed/checker/lease_rules.py
+++ b/testbed/checker/lease_rules.py
@@ -95,7 +95,9 @@
     spans: int
     tenures: int
     calls: int
-    older_arrived: int  # calls with an older number that came after a newer one: refused, or a breach
+    older_arrived: (
+        int  # calls with an older number that came after a newer one: refused, or a breach
+    )
     repeated: int
 
     def rules(self) -> set[str]:
@@ -153,7 +155,9 @@
     findings: list[Finding] = []
 
     def tell(rule: str, at: int, what: str) -> None:
-        during = "; ".join(words for begin, end, words in seen.faults if begin <= at <= end + 2 * SECOND)
+        during = "; ".join(
+            words for begin, end, words in seen.faults if begin <= at <= end + 2 * SECOND
+        )
         findings.append(Finding(rule, at, what, during))
 
     for a, b in overlaps(spans):
@@ -210,10 +214,16 @@
         if call.accepted:
             highest[call.task] = max(call.number, highest.get(call.task, 0))
         lease = seen.lease_of.get(call.task, "")
-        newer = [one for one in tenures.get(lease, ()) if one[1] > call.number and one[0] < call.at - GRACE]
+        newer = [
+            one
+            for one in tenures.get(lease, ())
+            if one[1] > call.number and one[0] < call.at - GRACE
+        ]
         name = call.holder.partition("/")[0]
         excused = any(s.gateway == name and s.begin <= call.at <= s.end + STALL for s in seen.still)
-        excused = excused or any(begin - GRACE <= call.at <= end + GRACE for begin, end in seen.late)
+        excused = excused or any(
+            begin - GRACE <= call.at <= end + GRACE for begin, end in seen.late
+        )
         if newer and not excused:
             tell(
                 "call outside",
@@ -227,6 +237,11 @@
     """At the end of a quiet span each task's lease is held again."""
     if not seen.finished:
         return
-    held = {lease for one in seen.stated if one.answered > seen.finished - SECOND for lease, _, _ in one.held}
+    held = {
+        lease
+        for one in seen.stated
+        if one.answered > seen.finished - SECOND
+        for lease, _, _ in one.held
+    }
     for lease in sorted(set(seen.lease_of.values()) - held):
         tell("service", seen.finished, f"{lease}: nobody holds it, long after the last fault")
--- a/testbed/checker/report.py
+++ b/testbed/checker/report.py
@@ -27,7 +27,8 @@
     widths = [max(len(row[i]) for row in texts) for i in range(len(texts[0]))]
     return "\n".join(
         "  ".join(
-            c.ljust(w) if i == 0 else c.rjust(w) for i, (c, w) in enumerate(zip(row, widths, strict=True))
+            c.ljust(w) if i == 0 else c.rjust(w)
+            for i, (c, w) in enumerate(zip(row, widths, strict=True))
         )
         for row in texts
     )
@@ -45,7 +46,18 @@
     return [[str(cell) for cell in row] for row in rows]
 
 
-HEADS = ["", "offered", "served", "in time", "refused", "failed", "service", "p50 ms", "p90 ms", "p99 ms"]
+HEADS = [
+    "",
+    "offered",
+    "served",
+    "in time",
+    "refused",
+    "failed",
+    "service",
+    "p50 ms",
+    "p90 ms",
+    "p99 ms",
+]
 
 
 def one_line(scenario: Scenario, verdict: Verdict, tries: int = 1) -> str:
@@ -103,7 +115,9 @@
 
 def as_json(scenario: Scenario, verdict: Verdict) -> str:
     """The verdict as JSON."""
-    return json.dumps({"scenario": scenario.name, "seed": scenario.seed, **verdict.as_json()}, indent=1)
+    return json.dumps(
+        {"scenario": scenario.name, "seed": scenario.seed, **verdict.as_json()}, indent=1
+    )
 
 
 # -- the page ---------------------------------------------------------------------------------------------------
@@ -164,7 +178,9 @@
         out.append(
             f'<rect x="{x:.1f}" y="{_TOP}" width="{w:.1f}" height="{span}" fill="#f4c7c3" opacity=".45"><title>{label}</title></rect>'
         )
-        out.append(f'<text x="{min(x, _W - 260):.1f}" y="{y}" font-size="11" fill="#8c2f27">{label}</text>')
+        out.append(
+            f'<text x="{min(x, _W - 260):.1f}" y="{y}" font-size="11" fill="#8c2f27">{label}</text>'
+        )
         out.append(
             f'<line x1="{x:.1f}" x2="{x:.1f}" y1="{y + 3}" y2="{floor}" stroke="#c0352b" stroke-dasharray="2 3"/>'
         )
@@ -174,7 +190,9 @@
             out.append(
                 f'<circle cx="{x:.1f}" cy="{floor + 6}" r="3" fill="#334"><title>n{event.gateway} {html.escape(event.what)}</title></circle>'
             )
-    for second in range(0, int((end - begin) / SECOND) + 1, max(1, round((end - begin) / SECOND / 12))):
+    for second in range(
+        0, int((end - begin) / SECOND) + 1, max(1, round((end - begin) / SECOND / 12))
+    ):
         x = _x(begin + second * SECOND, begin, end, _W, _LEFT)
         out.append(
             f'<text x="{x:.1f}" y="{_H - 6}" font-size="11" text-anchor="middle" fill="#5b6b7c">{second} s</text>'
@@ -191,7 +209,9 @@
             f"{_x(begin + i * BIN + BIN // 2, begin, end, _W, _LEFT):.1f},{floor - span * value / top:.1f}"
             for i, value in enumerate(values)
         )
-        out.append(f'<polyline points="{points}" fill="none" stroke="{_COLOURS[name]}" stroke-width="1.8"/>')
+        out.append(
+            f'<polyline points="{points}" fill="none" stroke="{_COLOURS[name]}" stroke-width="1.8"/>'
+        )
     for finding in verdict.findings[:60]:
         x = _x(min(max(begin, finding.at), end), begin, end, _W, _LEFT)
         colour = "#b3261e" if finding.certain else "#8a5a00"
@@ -215,7 +235,9 @@
     def x(at: int) -> float:
         return _x(at, begin, end, width, left)
 
-    out = [f'<svg viewBox="0 0 {width} {height}" role="img" aria-label="use of customer {use.customer}">']
+    out = [
+        f'<svg viewBox="0 0 {width} {height}" role="img" aria-label="use of customer {use.customer}">'
+    ]
     lines = [(plan.burst, quota, "#1f8a4c", "quota")]
     if ceiling and ceiling <= top:
         lines.append((plan.burst * plan.ceiling, ceiling, "#c0352b", "ceiling"))
@@ -226,7 +248,9 @@
     step = max(1, len(use.curve) // 300)
     points = [f"{x(begin):.1f},{y(0):.1f}"]
     points += [f"{x(at):.1f},{y(units):.1f}" for at, units in use.curve[::step]]
-    out.append(f'<polyline points="{" ".join(points)}" fill="none" stroke="#2457a6" stroke-width="1.6"/>')
+    out.append(
+        f'<polyline points="{" ".join(points)}" fill="none" stroke="#2457a6" stroke-width="1.6"/>'
+    )
     label = f"customer {use.customer}, {use.plan}: asked {use.asked}, sent on {use.sent:.0f}, beyond {use.beyond:.0f}"
     out.append(f'<text x="{left}" y="13" font-size="11" fill="#1d2733">{html.escape(label)}</text>')
     return "".join(out) + "</svg>"
@@ -251,7 +275,9 @@
     uses = sorted(verdict.uses, key=lambda u: -(u.asked / asked[u.plan]))[:CURVES]
     counts = Counter(verdict.counts)
     rules = [(rule, why, str(counts.get(rule, 0))) for rule, why in RULES.items()]
-    legend = "".join(f'<span><i style="background:{c}"></i>{name}</span>' for name, c in _COLOURS.items())
+    legend = "".join(
+        f'<span><i style="background:{c}"></i>{name}</span>' for name, c in _COLOURS.items()
+    )
     parts = [
         '<!doctype html><html lang="en"><head><meta charset="utf-8">',
         f"<title>{html.escape(scenario.name)}: {verdict.outcome}</title><style>{_STYLE}</style></head><body>",
--- a/testbed/checker/rules.py
+++ b/testbed/checker/rules.py
@@ -132,7 +132,10 @@
     if not latencies:
         return {}
     ordered = sorted(latencies)
-    return {f"p{p}": ordered[min(len(ordered) - 1, len(ordered) * p // 100)] / 1000 for p in (50, 90, 99)}
+    return {
+        f"p{p}": ordered[min(len(ordered) - 1, len(ordered) * p // 100)] / 1000
+        for p in (50, 90, 99)
+    }
 
 
 class _Spans:
@@ -202,7 +205,9 @@
 
     def _stood(self, gateway: int, begin: int, at: int) -> bool:
         """Whether a gateway was stopped within a span and had no time since to make up for it."""
-        return any(a <= at and c >= begin and at <= c + AFTER_STOP for a, c in self.stops.get(gateway, ()))
+        return any(
+            a <= at and c >= begin and at <= c + AFTER_STOP for a, c in self.stops.get(gateway, ())
+        )
 
     def _lives(self) -> dict[int, list[tuple[int, int, str]]]:
         """From start to end of each life of each gateway, and how it ended: kill, term or crash."""
@@ -279,7 +284,16 @@
         late = sum(amount for _, _, amount in self.late.spans)
         starved = sum(r.delay for r in self.log.of(Starved))
         return Verdict(
-            outcome, self.findings, dict(self.counts), service, plans, classes, uses, late, starved, totals
+            outcome,
+            self.findings,
+            dict(self.counts),
+            service,
+            plans,
+            classes,
+            uses,
+            late,
+            starved,
+            totals,
         )
 
     def _answers(self) -> None:
@@ -299,7 +313,11 @@
             if len(answers.get(request, ())) > 1:
                 second = answers[request][1]
                 self._find(
-                    "answer", second.at, "more than one final answer", request=request, gateway=second.gateway
+                    "answer",
+                    second.at,
+                    "more than one final answer",
+                    request=request,
+                    gateway=second.gateway,
                 )
         for r in self.log.of(Extra):
             self._find(
@@ -320,7 +338,9 @@
         over = r.at - sent.at - sent.wait - ON_SOCKETS
         if over > 0 and not self._stood(r.gateway, sent.at, r.at):
             excuse = self._excuse(r.gateway, sent.at, r.at)
-            evidence = f"sent at {sent.at}, waits {sent.wait} us; the machine may account for {excuse} us"
+            evidence = (
+                f"sent at {sent.at}, waits {sent.wait} us; the machine may account for {excuse} us"
+            )
             what = f"answered {over + ON_SOCKETS} us after its time was up"
             self._find("answer", r.at, what, self._sure(excuse, over), evidence=evidence, **where)
         if r.kind == "garbled":
@@ -328,7 +348,11 @@
         elif r.kind == "served" and made.get(r.value, r.at + 1) > r.at:
             evidence = f"served {r.value!r}; made for it: {', '.join(made) or 'nothing'}"
             self._find(
-                "answer", r.at, "served with a value that no host made for it", evidence=evidence, **where
+                "answer",
+                r.at,
+                "served with a value that no host made for it",
+                evidence=evidence,
+                **where,
             )
         for attempt in self.attempts.get(r.request, ()):
             if attempt.gateway == r.gateway and attempt.began > r.at + ON_SOCKETS:
@@ -350,14 +374,17 @@
         if self._killed(sent.gateway, sent.at, end.at + ON_SOCKETS):
             return  # what it held when it was killed is the client's to retry
         # Those of the same request after it was sent once more belong to that.
-        until = min([s.at for s in self.sents[sent.request] if s.at > sent.at], default=end.at + ON_SOCKETS)
+        until = min(
+            [s.at for s in self.sents[sent.request] if s.at > sent.at], default=end.at + ON_SOCKETS
+        )
         began = [a for a in self.attempts.get(sent.request, ()) if sent.at <= a.began < until]
         evidence = f"sent at {sent.at} on connection {sent.conn}, " + (
             f"{len(began)} attempts of it came to hosts" if began else "no host saw it"
         )
         if end.by == "gave_up":
             if not any(
-                start <= sent.at and at >= end.at for start, at, _ in self.lives.get(sent.gateway, ())
+                start <= sent.at and at >= end.at
+                for start, at, _ in self.lives.get(sent.gateway, ())
             ):
                 return  # it was not there, or ended meanwhile: its connection's end is what counts
             if self._stood(sent.gateway, sent.at, sent.at + sent.wait):
@@ -407,7 +434,9 @@
                 )
         for r in self.log.of(Answered):
             attempts = [
-                a for a in self.attempts.get(r.request, ()) if self._may_have_run(a) and a.began <= r.at
+                a
+                for a in self.attempts.get(r.request, ())
+                if self._may_have_run(a) and a.began <= r.at
             ]
             if r.kind != "refused" or not attempts:
                 continue
@@ -425,9 +454,7 @@
 
     def _again(self, cls: Any, before: Attempt, attempt: Attempt) -> None:
         where = {"request": attempt.request, "gateway": attempt.gateway, "host": attempt.host}
-        evidence = (
-            f"came whole to {before.host} (rack {before.rack}) at {before.at}, which did not turn it away"
-        )
+        evidence = f"came whole to {before.host} (rack {before.rack}) at {before.at}, which did not turn it away"
         if cls.effect == "unsafe":
             what = "an unsafe request was sent again though it may have run"
             self._find("effect", attempt.began, what, evidence=evidence, **where)
@@ -438,7 +465,9 @@
             over = attempt.began - before.began - cls.window_ms * 1000 - ON_SOCKETS
             if over >= 0:
                 what = f"a keyed request was sent again {over + ON_SOCKETS} us after the window had closed"
-                certain = self._sure(self._excuse(attempt.gateway, before.began, attempt.began), over)
+                certain = self._sure(
+                    self._excuse(attempt.gateway, before.began, attempt.began), over
+                )
                 self._find("effect", attempt.began, what, certain, evidence=evidence, **where)
 
     def _drains(self) -> None:
@@ -567,7 +596,9 @@
         for number, firsts in by_customer.items():
             if number not in uses:
                 self._find(
-                    "form", firsts[0].at, f"a host got a request of customer {number}, who asked nothing"
+                    "form",
+                    firsts[0].at,
+                    f"a host got a request of customer {number}, who asked nothing",
                 )
                 continue
             firsts.sort(key=lambda a: a.at)
@@ -591,7 +622,9 @@
                 use.beyond += attempt.units
             if plan.ceiling:
                 ceiling = min(top, ceiling + plan.rate * plan.ceiling * span) - attempt.units
-                use.ceiling_low = ceiling if use.ceiling_low is None else min(ceiling, use.ceiling_low)
+                use.ceiling_low = (
+                    ceiling if use.ceiling_low is None else min(ceiling, use.ceiling_low)
+                )
                 if ceiling < -low - 1e-9 and not broken:
                     broken = True
                     late = self.late.within(attempt.at - 5 * SECOND, attempt.at) / SECOND
@@ -624,7 +657,13 @@
         told_to_end: set[int] = set()  # SIGTERM was sent, and it has not ended yet
         for r in self.log.of(GatewayEvent):
             if r.what == "exit" and r.detail.startswith("crashed"):
-                self._find("running", r.at, "a gateway ended by itself", gateway=r.gateway, evidence=r.detail)
+                self._find(
+                    "running",
+                    r.at,
+                    "a gateway ended by itself",
+                    gateway=r.gateway,
+                    evidence=r.detail,
+                )
             elif r.what == "kill" and r.gateway in told_to_end:
                 self._find("running", r.at, "a gateway did not end on SIGTERM", gateway=r.gateway)
             if r.what == "term":
@@ -634,7 +673,11 @@
         for r in self.log.of(HostEvent):
             if r.what == "syntax":
                 self._find(
-                    "form", r.at, "a command that is not of the protocol", host=r.host, evidence=r.detail
+                    "form",
+                    r.at,
+                    "a command that is not of the protocol",
+                    host=r.host,
+                    evidence=r.detail,
                 )
 
     # -- service ----------------------------------------------------------------------------------------------
--- a/testbed/ext_authz_server/server.py
+++ b/testbed/ext_authz_server/server.py
@@ -80,7 +80,9 @@
     return response
 
 
-def deny(status: int = 403, retry_after: int | None = None, cache_ms: float = 0) -> published.CheckResponse:
+def deny(
+    status: int = 403, retry_after: int | None = None, cache_ms: float = 0
+) -> published.CheckResponse:
     """An answer that does not; retry_after in seconds."""
     response = published.CheckResponse()
     response.status.code = 8 if status == 429 else 7
@@ -120,7 +122,11 @@
 
     def flush(self) -> None:
         """Write what the state machine has to say."""
-        if self.transport and not self.transport.is_closing() and (data := self.http.data_to_send()):
+        if (
+            self.transport
+            and not self.transport.is_closing()
+            and (data := self.http.data_to_send())
+        ):
             self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
@@ -165,7 +171,9 @@
 
     def __init__(
         self,
-        decide: Callable[[published.CheckRequest], published.CheckResponse] = lambda request: allow(),
+        decide: Callable[[published.CheckRequest], published.CheckResponse] = lambda request: (
+            allow()
+        ),
         seed: str = "authoriser",
         behaviour: Behaviour | None = None,
     ) -> None:
@@ -188,7 +196,9 @@
     async def start(self) -> Authoriser:
         """Listen, at the same port as before if there was one: nobody is given it while this one is away."""
         self.port = self.port or free_port()
-        self.server = await self.loop.create_server(lambda: _Connection(self), LOCAL, self.port, ssl=self.ssl)
+        self.server = await self.loop.create_server(
+            lambda: _Connection(self), LOCAL, self.port, ssl=self.ssl
+        )
         return self
 
     def stop(self) -> None:
--- a/testbed/model/arrivals.py
+++ b/testbed/model/arrivals.py
@@ -79,7 +79,10 @@
             at += self.random.uniform(*clients.shift_s)
             changes.append(at)
         for number, fault in enumerate(scenario.fault):
-            chosen = random.Random(f"{scenario.seed}:shift:{number}:{customer.number}").random() < fault.share
+            chosen = (
+                random.Random(f"{scenario.seed}:shift:{number}:{customer.number}").random()
+                < fault.share
+            )
             if fault.kind == "shift" and chosen:
                 changes.append(fault.at)
         self.starts = sorted(changes)
@@ -122,15 +125,24 @@
             cls = min(bisect.bisect_right(shares, random_.random() * shares[-1]), len(shares) - 1)
             deadline, tries = scenario.cls[cls].deadline_ms * 1000, []
             for number in range(clients.retries + 1):
-                pause = random_.uniform(*clients.backoff_ms) * 1000 * 2 ** (number - 1) if number else 0
+                pause = (
+                    random_.uniform(*clients.backoff_ms) * 1000 * 2 ** (number - 1) if number else 0
+                )
                 wait = int(deadline * random_.uniform(*clients.patience))
-                leaves = int(wait * random_.uniform(0.02, 0.9)) if random_.random() < clients.leave else 0
+                leaves = (
+                    int(wait * random_.uniform(0.02, 0.9))
+                    if random_.random() < clients.leave
+                    else 0
+                )
                 gateway = weights.gateway(at, random_.random())
                 tries.append(Try(gateway, int(pause), wait // 1000 * 1000, leaves))
             key = f"{random_.getrandbits(64):016x}"
             found.append(Arrival(int(at * 1e6), 0, customer, cls, key, tuple(tries)))
     found.sort(key=lambda arrival: (arrival.at, arrival.customer.number))
-    return [Arrival(a.at, number, a.customer, a.cls, a.key, a.tries) for number, a in enumerate(found, 1)]
+    return [
+        Arrival(a.at, number, a.customer, a.cls, a.key, a.tries)
+        for number, a in enumerate(found, 1)
+    ]
 
 
 def denied(scenario: Scenario, customer: int) -> bool:
--- a/testbed/model/endpoint_model.py
+++ b/testbed/model/endpoint_model.py
@@ -103,7 +103,9 @@
         if not self.cold or self.f.cold_s <= 0:
             return 1.0
         return min(
-            1.0, self.f.cold_from + (1 - self.f.cold_from) * (now - self.born) / (self.f.cold_s * SECOND)
+            1.0,
+            self.f.cold_from
+            + (1 - self.f.cold_from) * (now - self.born) / (self.f.cold_s * SECOND),
         )
 
     def capacity(self, now: int) -> float:
@@ -116,7 +118,12 @@
         if not number:
             return 0.0
         crowd = max(0.0, number / self.f.cores - 2)
-        return min(1.0, self.f.cores / number) * self.speed * self.ramp(now) / (1 + self.f.thrash * crowd)
+        return (
+            min(1.0, self.f.cores / number)
+            * self.speed
+            * self.ramp(now)
+            / (1 + self.f.thrash * crowd)
+        )
 
     # -- time -----------------------------------------------------------------------------------------------
 
--- a/testbed/model/lease_day.py
+++ b/testbed/model/lease_day.py
@@ -7,7 +7,12 @@
 
 KINDS = ("stop", "kill", "term", "voters", "split", "one_way", "delay", "noise", "loss", "receiver")
 
-LENGTHS = {"stop": (0.3, 3.0), "kill": (0.05, 1.5), "term": (0.05, 1.0), "voters": (0.05, 0.5)}  # seconds
+LENGTHS = {
+    "stop": (0.3, 3.0),
+    "kill": (0.05, 1.5),
+    "term": (0.05, 1.0),
+    "voters": (0.05, 0.5),
+}  # seconds
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,7 +72,9 @@
             whom = tuple(sorted(draw.sample(range(gateways), draw.randint(1, gateways - 1))))
         elif kind == "voters":
             whom = tuple(range(day.voters))
-        size = {"delay": draw.choice((0.1, 0.5, 2.0, 10.0)), "loss": draw.uniform(0.1, 0.5)}.get(kind, 0.3)
+        size = {"delay": draw.choice((0.1, 0.5, 2.0, 10.0)), "loss": draw.uniform(0.1, 0.5)}.get(
+            kind, 0.3
+        )
         faults.append(LeaseFault(kind, at, for_s, whom, size))
     faults.sort(key=lambda fault: fault.at)
     return LeaseDay(seed, gateways, day.voters, faults=tuple(faults))
--- a/testbed/model/registry.py
+++ b/testbed/model/registry.py
@@ -9,7 +9,9 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-LOG_MOST = 2_000  # changes an agent keeps for watches; a watch that is further back gets the whole list
+LOG_MOST = (
+    2_000  # changes an agent keeps for watches; a watch that is further back gets the whole list
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,7 +89,9 @@
             cut = len(self.log) - LOG_MOST
             del self.log[:cut]
             self.dropped += cut
-            self.places = {seq: place for seq, place in self.places.items() if place >= self.dropped}
+            self.places = {
+                seq: place for seq, place in self.places.items() if place >= self.dropped
+            }
 
     @property
     def count(self) -> int:
--- a/testbed/model/scenario.py
+++ b/testbed/model/scenario.py
@@ -81,7 +81,9 @@
     speed: Span = key((0.85, 1.1), least=0.01)
     slots: int = key(8, least=1, about="requests in work at once")
     queue: int = key(20, least=0)
-    thrash: float = key(0.1, least=0, about="capacity lost for each request in work beyond two a core")
+    thrash: float = key(
+        0.1, least=0, about="capacity lost for each request in work beyond two a core"
+    )
     cold_from: float = key(0.3, least=0.01, most=1)
     cold_s: float = key(6.0, least=0)
     fall_multiple: float = key(3.0, least=1)
@@ -89,7 +91,9 @@
     report_period_ms: Span = key((160.0, 730.0), least=1)
     idle_close_s: float = key(30.0, least=0.1)
     error_share: float = key(0.0005, least=0, most=1)
-    drops_cancelled: bool = key(True, about="waiting requests whose connection has ended are dropped")
+    drops_cancelled: bool = key(
+        True, about="waiting requests whose connection has ended are dropped"
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -110,7 +114,9 @@
     backoff_ms: Span = key((40.0, 320.0), least=1)
     heed: float = key(0.6, least=0, most=1, about="share of customers that heed -BUSY MS")
     leave: float = key(0.01, least=0, most=1, about="share of tries whose client leaves early")
-    patience: Span = key((0.5, 1.0), least=0.01, most=1, about="of the class's deadline that a try waits")
+    patience: Span = key(
+        (0.5, 1.0), least=0.01, most=1, about="of the class's deadline that a try waits"
+    )
     notice_s: Span = key((0.8, 2.0), least=0, about="until the front notices a dead gateway")
     shift_s: Span = key((12.0, 24.0), least=0.1, about="until a customer's weights change")
     skew: float = key(0.7, least=0)
@@ -138,7 +144,9 @@
     kind: str = key(choices=tuple(FAULTS))
     for_s: float = key(0.0, least=0)
     gateways: tuple[int, ...] = key((), least=0, about="which; empty: share of all")
-    hosts: tuple[int, ...] = key((), least=0, about="by place in the first list; empty: share of all")
+    hosts: tuple[int, ...] = key(
+        (), least=0, about="by place in the first list; empty: share of all"
+    )
     rack: int = key(-1, least=-1)
     share: float = key(0.0, least=0, most=1)
     batch: float = key(0.15, least=0.01, most=1)
@@ -158,8 +166,12 @@
 class Expect:
     """What the scenario itself asks for beside the rules."""
 
-    service: float = key(0.0, least=0, most=1, about="worth served in time of that offered inside the quotas")
-    quota_slack: float = key(0.15, least=0, about="of burst + rate x time that may be sent on beyond it")
+    service: float = key(
+        0.0, least=0, most=1, about="worth served in time of that offered inside the quotas"
+    )
+    quota_slack: float = key(
+        0.15, least=0, about="of burst + rate x time that may be sent on beyond it"
+    )
 
 
 CLASSES = (
@@ -210,12 +222,16 @@
                 )
             for place in (*fault.gateways, *fault.a, *fault.b):
                 if place >= self.gateways:
-                    raise ValueError(f"fault[{number}] names gateway {place}, there are {self.gateways}")
+                    raise ValueError(
+                        f"fault[{number}] names gateway {place}, there are {self.gateways}"
+                    )
             if fault.kind.startswith("authoriser") and not self.authoriser.count:
                 raise ValueError(f"fault[{number}] needs authorisers, authoriser.count is 0")
             for place in fault.hosts:
                 if place >= self.hosts.count:
-                    raise ValueError(f"fault[{number}] names host {place}, there are {self.hosts.count}")
+                    raise ValueError(
+                        f"fault[{number}] names host {place}, there are {self.hosts.count}"
+                    )
 
     def spread(self, plan: Plan) -> tuple[int, int]:
         """The sizes of sets of this plan's customers, within the gateways that there are."""
@@ -262,7 +278,11 @@
             }
             for c in scenario.cls
         ],
-        "familyInfo": {"peerIntake": scenario.network.peers_per_s, "sharedCounter": False, "unitsTop": 1},
+        "familyInfo": {
+            "peerIntake": scenario.network.peers_per_s,
+            "sharedCounter": False,
+            "unitsTop": 1,
+        },
         "loadReport": {"how": "inline", "names": ["util", "latency_ms", "inflight"]},
         "packages": [
             {
--- a/testbed/net/clients.py
+++ b/testbed/net/clients.py
@@ -92,17 +92,23 @@
             self._over("served", now, reply.decode("ascii", "replace"))
         elif isinstance(reply, hiredis.ReplyError) and str(reply).split(" ")[0] == "BUSY":
             words = str(reply).split(" ")
-            self._over("refused", now, after=int(words[1]) if len(words) == 2 and words[1].isdigit() else 0)
+            self._over(
+                "refused", now, after=int(words[1]) if len(words) == 2 and words[1].isdigit() else 0
+            )
         else:
             self._over("failed", now, str(reply)[:80])
         if self.reader.has_data():
-            self.clients.log.add(Extra(now, self.gateway, self.number, self.last, "behind an answer"))
+            self.clients.log.add(
+                Extra(now, self.gateway, self.number, self.last, "behind an answer")
+            )
             self.transport.abort()
 
     def _over(self, kind: str, now: int, value: str = "", after: int = 0) -> None:
         call, self.call = self.call, None
         self.last = call.request
-        self.clients.log.add(Answered(now, call.request, self.gateway, self.number, kind, value, after))
+        self.clients.log.add(
+            Answered(now, call.request, self.gateway, self.number, kind, value, after)
+        )
         if not call.done.done():
             call.done.set_result((kind, after))
         self.clients.free(self)
@@ -117,7 +123,9 @@
         call, self.call = self.call, None
         reused = self.used > 1
         self.clients.log.add(
-            Closed(self.clients.clock(), call.request, self.gateway, self.number, by, reused, self.part)
+            Closed(
+                self.clients.clock(), call.request, self.gateway, self.number, by, reused, self.part
+            )
         )
         if not call.done.done():
             crossed = by == "gateway" and reused and not self.part and not call.resent
@@ -127,7 +135,9 @@
 class ClientSide:
     """All clients, and the front that deals their requests out among the gateways."""
 
-    def __init__(self, scenario: Scenario, clock, log: Log, addresses: list[tuple[str, int]]) -> None:
+    def __init__(
+        self, scenario: Scenario, clock, log: Log, addresses: list[tuple[str, int]]
+    ) -> None:
         self.scenario, self.clock, self.log, self.addresses = scenario, clock, log, addresses
         self.loop = asyncio.get_running_loop()
         self.idle: list[list[_Connection]] = [[] for _ in addresses]
@@ -182,7 +192,9 @@
         self.counts["tries"] += 1
         request = f"{arrival.intent:08x}{self.requests:08x}"
         gateway = self._gateway(arrival, this.gateway)
-        call = Call(arrival, number, request, this, self._command(arrival, number, request, this), gateway)
+        call = Call(
+            arrival, number, request, this, self._command(arrival, number, request, this), gateway
+        )
         while True:
             call.done = self.loop.create_future()
             connection = await self._connection(gateway, new=call.resent)
@@ -211,7 +223,9 @@
         terms = f"c={cls.name},t={customer.plan.name},d={this.wait // 1000}"
         if cls.effect == "keyed":
             terms += f",k={arrival.key}"
-        terms += f",units=1,spread={customer.spread},first={customer.first}" + (",r=1" if number else "")
+        terms += f",units=1,spread={customer.spread},first={customer.first}" + (
+            ",r=1" if number else ""
+        )
         words = [
             "CALL.GET" if cls.effect == "safe" else "CALL.POST",
             f"{customer.number:016x}",
--- a/testbed/net/endpoints.py
+++ b/testbed/net/endpoints.py
@@ -52,7 +52,9 @@
         self.held = b""  # came while the host stood still
         self.idle: asyncio.TimerHandle | None = None
         self.port, self.life = 0, host.life
-        self.way: tuple[int, Session] | None = None  # the gateway, and the relay's session that carries it
+        self.way: tuple[int, Session] | None = (
+            None  # the gateway, and the relay's session that carries it
+        )
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self.transport = transport
@@ -174,7 +176,9 @@
         for relay in self.relays:
             relay.set(None)
         fleet.log.add(
-            HostEvent(now, self.name, self.life, "up", f"rack {self.rack_number}{' cold' if cold else ''}")
+            HostEvent(
+                now, self.name, self.life, "up", f"rack {self.rack_number}{' cold' if cold else ''}"
+            )
         )
 
     def new_address(self) -> None:
@@ -248,7 +252,9 @@
                 return gateway, session
         return None
 
-    def take(self, connection: _HostConnection, slot: _Slot, command: list, began: int, last: int) -> None:
+    def take(
+        self, connection: _HostConnection, slot: _Slot, command: list, began: int, last: int
+    ) -> None:
         """A request has come whole."""
         fleet, now = self.fleet, self.fleet.clock()
         parsed = self._parse(command)
@@ -352,7 +358,9 @@
             self.timer.cancel()
             self.timer = None
         if self.server and (due := self.model.due()) is not None:
-            self.timer = self.fleet.loop.call_later(max(0, due - self.fleet.clock()) / 1e6, self._advance)
+            self.timer = self.fleet.loop.call_later(
+                max(0, due - self.fleet.clock()) / 1e6, self._advance
+            )
 
     def _serve(self, slot: _Slot, value: str) -> None:
         """The answer to one command, good or spoilt."""
--- a/testbed/net/relay.py
+++ b/testbed/net/relay.py
@@ -91,7 +91,9 @@
         self.up, self.down = _Side(self, True), _Side(self, False)
         self.early: list[bytes] = []  # came before the target was connected
         self.passed = 0  # bytes taken from ``up``
-        self.chunks: deque[tuple[int, int]] = deque(maxlen=CHUNKS_MOST)  # (bytes by then, when) from ``up``
+        self.chunks: deque[tuple[int, int]] = deque(
+            maxlen=CHUNKS_MOST
+        )  # (bytes by then, when) from ``up``
         self.queues: dict[bool, deque[bytes]] = {
             True: deque(),
             False: deque(),
@@ -220,7 +222,9 @@
 class TcpRelay:
     """A listener on loopback whose connections go on to a target."""
 
-    def __init__(self, clock: Callable[[], int], target: Callable[[], Address | None], seed: str) -> None:
+    def __init__(
+        self, clock: Callable[[], int], target: Callable[[], Address | None], seed: str
+    ) -> None:
         self.clock, self.target, self.random = clock, target, random.Random(seed)
         self.loop = asyncio.get_running_loop()
         self.fault: TcpFault | None = None
@@ -401,7 +405,9 @@
     def _plan(self) -> None:
         if self.timer:
             self.timer.cancel()
-        self.timer = self.loop.call_later(max(0.0, self.late[0][0] - self.loop.time()), self._deliver)
+        self.timer = self.loop.call_later(
+            max(0.0, self.late[0][0] - self.loop.time()), self._deliver
+        )
 
     def _deliver(self) -> None:
         self.timer = None
--- a/testbed/runner/lease_runs.py
+++ b/testbed/runner/lease_runs.py
@@ -33,7 +33,9 @@
     return seed, tuple(f.kind for f in day.faults), verdict, world.crashes(), world.relay.counts
 
 
-def many(seeds: range, jobs: int, folder: Path, line: str | None, say: Callable[[str], None]) -> int:
+def many(
+    seeds: range, jobs: int, folder: Path, line: str | None, say: Callable[[str], None]
+) -> int:
     """All of them; 1 where one has a finding or a crash."""
     began, totals, kinds, bad = time.monotonic(), Counter(), Counter(), 0
     with ProcessPoolExecutor(jobs) as pool:
@@ -56,12 +58,17 @@
                 totals[f"findings: {rule}"] += sum(f.rule == rule for f in verdict.findings)
             totals["crashes"] += len(crashes)
             for finding in verdict.findings:
-                say(f"day {seed}: {finding.rule}: {finding.what} (during: {finding.during or 'nothing'})")
+                say(
+                    f"day {seed}: {finding.rule}: {finding.what} (during: {finding.during or 'nothing'})"
+                )
             for crash in crashes:
                 say(f"day {seed}: {crash}")
             bad += bool(verdict.findings or crashes)
     for name, count in totals.items():
         say(f"{name:<32} {count:>9}")
-    say("faults                           " + ", ".join(f"{kind} {n}" for kind, n in sorted(kinds.items())))
+    say(
+        "faults                           "
+        + ", ".join(f"{kind} {n}" for kind, n in sorted(kinds.items()))
+    )
     say(f"{len(seeds) - bad} passed, {bad} failed in {time.monotonic() - began:.0f} s")
     return 1 if bad else 0
--- a/testbed/runner/lease_world.py
+++ b/testbed/runner/lease_world.py
@@ -130,7 +130,8 @@
         seen = self.seen
         seen.finished = self.clock() if self.day.settles else 0
         seen.calls = [
-            Calling(c.at, c.task, c.turn, c.number, c.holder, c.accepted) for c in self.receiver.calls
+            Calling(c.at, c.task, c.turn, c.number, c.holder, c.accepted)
+            for c in self.receiver.calls
         ]
         stopped: dict[int, int] = {}
         for one in self.log.of(GatewayEvent):
@@ -176,7 +177,8 @@
         reader, writer = await asyncio.open_connection(*self.admins[number])
         try:
             writer.write(
-                f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
+                f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n".encode()
+                + body
             )
             answer = await reader.read()
         finally:
@@ -292,7 +294,9 @@
 
     def crashes(self) -> list[str]:
         """Gateways that ended by themselves, and tracebacks in their logs."""
-        found = [f"n{e.gateway}: {e.detail}" for e in self.log.of(GatewayEvent) if "crashed" in e.detail]
+        found = [
+            f"n{e.gateway}: {e.detail}" for e in self.log.of(GatewayEvent) if "crashed" in e.detail
+        ]
         for gateway in self.gateways:
             path = self.folder / f"n{gateway.number}.log"
             if path.exists() and "Traceback" in path.read_text(errors="replace"):
--- a/testbed/runner/processes.py
+++ b/testbed/runner/processes.py
@@ -65,7 +65,9 @@
 class GatewayProcess:
     """One gateway: its files, its process, its lives."""
 
-    def __init__(self, number: int, folder: Path, clock: Callable[[], int], log: Log, run: str) -> None:
+    def __init__(
+        self, number: int, folder: Path, clock: Callable[[], int], log: Log, run: str
+    ) -> None:
         self.number, self.folder, self.clock, self.log, self.run = number, folder, clock, log, run
         self.listen = (LOCAL, free_port())
         self.peer_listen = (LOCAL, free_port(socket.SOCK_DGRAM))
@@ -104,7 +106,8 @@
             self.process = await asyncio.create_subprocess_exec(
                 *("/bin/sh", "-c", self.run),
                 cwd=ROOT,
-                env={k: v for k, v in os.environ.items() if not k.startswith("SAFFRONGW")} | variables,
+                env={k: v for k, v in os.environ.items() if not k.startswith("SAFFRONGW")}
+                | variables,
                 stdin=asyncio.subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
--- a/testbed/runner/runs.py
+++ b/testbed/runner/runs.py
@@ -73,7 +73,16 @@
     def one(name: str) -> tuple[str, int, float, str]:
         began = time.monotonic()
         done = subprocess.run(
-            [sys.executable, "-m", "testbed", "run", name, "--quiet", "--folder", str(folder / name)],
+            [
+                sys.executable,
+                "-m",
+                "testbed",
+                "run",
+                name,
+                "--quiet",
+                "--folder",
+                str(folder / name),
+            ],
             capture_output=True,
             text=True,
             timeout=900,
--- a/testbed/runner/world.py
+++ b/testbed/runner/world.py
@@ -25,7 +25,9 @@
 from .processes import GatewayProcess, run_line, watch
 
 REFUSE = TcpFault("refuse")
-NOTICED_DEAD = 1.0  # seconds until the registry sees that a process has gone, before its news travel
+NOTICED_DEAD = (
+    1.0  # seconds until the registry sees that a process has gone, before its news travel
+)
 TERM_NOTICE = 0.3  # seconds after SIGTERM until the front sends no new connections
 LATE_EXTRA = 2.0  # seconds over which late news come in after a silence
 SETTLE = 0.3  # seconds between ready and the first arrival
@@ -36,7 +38,9 @@
 class World:
     """All parts of one run. ``run`` leaves the log; ``close`` ends everything that was started, in any case."""
 
-    def __init__(self, scenario: Scenario, folder: Path, run: str | None = None, operator: str = "") -> None:
+    def __init__(
+        self, scenario: Scenario, folder: Path, run: str | None = None, operator: str = ""
+    ) -> None:
         self.operator = operator  # the operator file of all gateways; none where it is empty
         self.scenario, self.folder = scenario, folder
         self.loop = asyncio.get_running_loop()
@@ -84,7 +88,9 @@
             )
             await server.listen()
             self.servers.append(server)
-            self.gateways.append(GatewayProcess(number, self.folder, self.clock, self.log, self.run_line))
+            self.gateways.append(
+                GatewayProcess(number, self.folder, self.clock, self.log, self.run_line)
+            )
             self.locks.append(asyncio.Lock())
         if s.authoriser.count:
             await self._open_authorisers()
@@ -134,7 +140,9 @@
         hosts = [line.shown(self._dial(line.host, number)) for line in agent.lines.values()]
         return {"seq": seq, "whole": True, "hosts": hosts}
 
-    async def _start_gateway(self, gateway: GatewayProcess, known: dict[str, Any] | None = None) -> None:
+    async def _start_gateway(
+        self, gateway: GatewayProcess, known: dict[str, Any] | None = None
+    ) -> None:
         number, udp = gateway.number, self.udp
         known = known or self._known(number)
         peers = [udp.address(number, other) for other in range(self.scenario.gateways)]
@@ -153,7 +161,9 @@
             }
         )
         hosts = tuple((line["host"], line["health"], line["born_ms"]) for line in known["hosts"])
-        await gateway.start(lambda: self.log.add(Told(self.clock(), number, known["seq"], True, hosts)))
+        await gateway.start(
+            lambda: self.log.add(Told(self.clock(), number, known["seq"], True, hosts))
+        )
         self.clients.down.discard(number)
 
     # -- the day --------------------------------------------------------------------------------------------
@@ -170,7 +180,9 @@
             self.log.add(Began(self.begin))
             arrive = self.loop.create_task(self._arrive())
             self.tasks += [arrive, *map(self.loop.create_task, (heart.run(), watch(self.gateways)))]
-            faults = [self.loop.create_task(self._fault(n, f)) for n, f in enumerate(self.scenario.fault)]
+            faults = [
+                self.loop.create_task(self._fault(n, f)) for n, f in enumerate(self.scenario.fault)
+            ]
             self.tasks += faults
             if progress:
                 self.tasks.append(self.loop.create_task(self._progress(progress)))
@@ -246,13 +258,17 @@
         until = self.clock() + int(fault.for_s * 1e6) if fault.for_s else 0
         detail = []
         if fault.gateways or fault.kind in ("kill", "restart", "stop", "reload"):
-            detail.append("gateways " + " ".join(f"n{g.number}" for g in self._gateways(number, fault)))
+            detail.append(
+                "gateways " + " ".join(f"n{g.number}" for g in self._gateways(number, fault))
+            )
         if fault.kind.startswith("host_") or fault.kind == "links":
             detail.append(f"{len(self._hosts(number, fault))} hosts")
         if fault.kind == "links":
             detail.append(fault.mode)
         self.log.add(FaultBegan(self.clock(), fault.kind, until, ", ".join(detail)))
-        handler: Callable[[int, Fault], Awaitable[None]] | None = getattr(self, f"_{fault.kind}", None)
+        handler: Callable[[int, Fault], Awaitable[None]] | None = getattr(
+            self, f"_{fault.kind}", None
+        )
         if handler:  # bursts and shifts are in the arrivals
             await handler(number, fault)
 
@@ -284,7 +300,9 @@
             async with self.locks[gateway.number]:
                 await gateway.kill()
                 notice = self.loop.create_task(
-                    self._front_notices(gateway, self.random.uniform(*self.scenario.clients.notice_s))
+                    self._front_notices(
+                        gateway, self.random.uniform(*self.scenario.clients.notice_s)
+                    )
                 )
                 self.tasks.append(notice)
                 await asyncio.sleep(fault.for_s)
@@ -326,7 +344,9 @@
         everyone = range(self.scenario.gateways)
         a = fault.a or (0,)
         b = fault.b or tuple(g for g in everyone if g not in a)
-        ways = [(x, y) for x in a for y in b] + ([] if fault.one_way else [(y, x) for x in a for y in b])
+        ways = [(x, y) for x in a for y in b] + (
+            [] if fault.one_way else [(y, x) for x in a for y in b]
+        )
         for way in ways:
             self.udp.ways[way].cut = True
         await asyncio.sleep(fault.for_s)
@@ -336,7 +356,9 @@
     async def _peer_noise(self, number: int, fault: Fault) -> None:
         old = dict(self.udp.ways)
         for way, plain in old.items():
-            self.udp.ways[way] = dataclasses.replace(plain, loss=fault.share or 0.2, double=0.1, reorder=0.2)
+            self.udp.ways[way] = dataclasses.replace(
+                plain, loss=fault.share or 0.2, double=0.1, reorder=0.2
+            )
         await asyncio.sleep(fault.for_s)
         self.udp.ways.update(old)
 
@@ -393,7 +415,9 @@
 
     async def _on_links(self, number: int, fault: Fault, how: TcpFault) -> None:
         # For links the share is the part of the connections that suffer, not of the hosts.
-        hosts = self._hosts(number, dataclasses.replace(fault, share=0.0) if fault.kind == "links" else fault)
+        hosts = self._hosts(
+            number, dataclasses.replace(fault, share=0.0) if fault.kind == "links" else fault
+        )
         for host in hosts:
             for relay in host.relays:
                 relay.set(how)
@@ -445,7 +469,9 @@
 
     async def _deploy(self, number: int, fault: Fault) -> None:
         standing = [self.fleet.hosts[name] for name in self.registry.lines]
-        hosts = [host for host in standing if host.up and not host.draining]  # not those of another deploy
+        hosts = [
+            host for host in standing if host.up and not host.draining
+        ]  # not those of another deploy
         hosts = hosts[: max(1, round((fault.share or 1.0) * len(hosts)))]
         size = max(1, round(fault.batch * len(hosts)))
         batches = [hosts[i : i + size] for i in range(0, len(hosts), size)]
--- a/testbed/simulation/clock.py
+++ b/testbed/simulation/clock.py
@@ -69,13 +69,17 @@
         self.counts: Counter[str] = Counter()
         self.told: deque[tuple[int, str]] = deque(maxlen=TOLD_MOST)
         self.watchers: list[Callable[[int, Node], None]] = []  # called after each step of a node
-        self.size: Callable[[Any], int] | None = None  # bytes of a message, where they are to be counted
+        self.size: Callable[[Any], int] | None = (
+            None  # bytes of a message, where they are to be counted
+        )
         self.sent: Counter[str] = Counter()
         self.got: Counter[str] = Counter()
 
     # -- making it ---------------------------------------------------------------------------------------------------
 
-    def add(self, name: str, make: Make, rate: float = 1.0, offset: int = 0, start: int | None = 0) -> Node:
+    def add(
+        self, name: str, make: Make, rate: float = 1.0, offset: int = 0, start: int | None = 0
+    ) -> Node:
         """One more node; started at a true time, or not at all."""
         node = Node(name, make, random.Random(f"{self.seed}:{name}"), rate, offset)
         self.nodes[name] = node
@@ -150,7 +154,9 @@
             for a in left
             for b in right
         ]
-        self.tell(f"cut{' one way' if one_way else ''}: {' | '.join(' '.join(side) for side in sides)}")
+        self.tell(
+            f"cut{' one way' if one_way else ''}: {' | '.join(' '.join(side) for side in sides)}"
+        )
         for way in ways:
             self.link(*way).cut = True
 
--- a/testbed/task_receiver/server.py
+++ b/testbed/task_receiver/server.py
@@ -90,7 +90,9 @@
         accepted = (newer or not self.fences) and not fails
         if accepted:
             self.highest[task] = max(number, self.highest.get(task, 0))
-        call = Called(self.clock(), -1, task, int(told["turn"]), number, told["holder"], accepted, False)
+        call = Called(
+            self.clock(), -1, task, int(told["turn"]), number, told["holder"], accepted, False
+        )
         self.calls.append(call)
         cut = self.random.random() < manner.cut
         await asyncio.sleep(self.random.uniform(*manner.delay))
--- a/tests/admin/test_cli.py
+++ b/tests/admin/test_cli.py
@@ -36,7 +36,11 @@
 @pytest.mark.parametrize(
     ("name", "text", "expected"),
     [
-        ("o.toml", "[stages]\ntime_shar = 1\n", "o.toml:2: stages.time_shar: unknown key; did you mean"),
+        (
+            "o.toml",
+            "[stages]\ntime_shar = 1\n",
+            "o.toml:2: stages.time_shar: unknown key; did you mean",
+        ),
         (
             "o.toml",
             "[stages]\ntime_share = 2\n",
@@ -65,7 +69,12 @@
 def run(*words: str, **variables: str) -> subprocess.CompletedProcess:
     clean = {k: v for k, v in os.environ.items() if k not in ("LB_CONFIG", "SAFFRONGW_OPERATOR")}
     return subprocess.run(
-        [sys.executable, *words], cwd=ROOT, env=clean | variables, capture_output=True, text=True, timeout=60
+        [sys.executable, *words],
+        cwd=ROOT,
+        env=clean | variables,
+        capture_output=True,
+        text=True,
+        timeout=60,
     )
 
 
--- a/tests/authz/test_attributes.py
+++ b/tests/authz/test_attributes.py
@@ -113,10 +113,16 @@
 TEXT = st.text(max_size=20)
 
 
-@given(st.dictionaries(st.sampled_from(["customer", "plan", "class", "units", "spread", "first"]), TEXT))
+@given(
+    st.dictionaries(
+        st.sampled_from(["customer", "plan", "class", "units", "spread", "first"]), TEXT
+    )
+)
 def test_no_texts_give_anything_but_a_question_or_a_bad_request(extensions):
     request = published.CheckRequest()
-    for name, value in ({"customer": "0" * 16, "plan": "team", "class": "read"} | extensions).items():
+    for name, value in (
+        {"customer": "0" * 16, "plan": "team", "class": "read"} | extensions
+    ).items():
         request.attributes.context_extensions[name] = value
     try:
         asked = asked_of(request.SerializeToString(), NAMES, Fields(), 3, 1.0)
@@ -178,5 +184,5 @@
         ("first", 0),
     ):
         assert key_of(replace(REQUEST, terms=TERMS._replace(**{name: value}))) != base
-    assert key_of(replace(REQUEST, terms=TERMS._replace(is_repeat=False))) != base
+    assert key_of(replace(REQUEST, terms=TERMS._replace(is_retry=False))) != base
     assert key_of(replace(REQUEST, body_bytes=13)) != base
--- a/tests/authz/test_checks.py
+++ b/tests/authz/test_checks.py
@@ -156,7 +156,10 @@
     c = checks()
     first = asked(c.enter(0, 1, "k", S))
     assert c.enter(1, 2, "k", S) == []
-    assert settled(c.answered(9, first.flight, DENY)) == [(1, Kind.DENY, "asked"), (2, Kind.DENY, "joined")]
+    assert settled(c.answered(9, first.flight, DENY)) == [
+        (1, Kind.DENY, "asked"),
+        (2, Kind.DENY, "joined"),
+    ]
 
 
 def test_who_has_less_time_than_the_check_that_is_out_asks_anew():
@@ -312,7 +315,11 @@
             else:
                 out.remove(flight)
                 reply = Reply(Kind.ALLOW, lifetime=place * 50 * MS)
-                take(c.answered(now, flight, reply) if kind == "answer" else c.failed(now, flight, "x"))
+                take(
+                    c.answered(now, flight, reply)
+                    if kind == "answer"
+                    else c.failed(now, flight, "x")
+                )
         assert len(c.flights) == len(out) <= 5
     while out:
         take(c.failed(now, out.pop(0), "end"))
--- a/tests/authz/test_extension_registry.py
+++ b/tests/authz/test_extension_registry.py
@@ -24,7 +24,10 @@
     [
         ("[authz]\n", "o.toml:1: authz: the key 'authorisers' is missing"),
         ("[authz]\nauthorisers = []\n", "o.toml:1: authz: authorisers is empty"),
-        ('[authz]\nauthorisers = ["x"]\n', "o.toml:2: authz.authorisers[0]: 'x' does not have the form"),
+        (
+            '[authz]\nauthorisers = ["x"]\n',
+            "o.toml:2: authz.authorisers[0]: 'x' does not have the form",
+        ),
         ('[authz]\nauthorisers = ["a:1", "a:1"]\n', "an authoriser stands twice"),
         (
             '[authz]\nauthorisers = ["a:1"]\nfail = "maybe"\n',
@@ -77,14 +80,22 @@
 
 
 def test_an_operator_file_without_the_table_loads_no_library():
-    text = {"listen": "a:1", "discovery": "a:1", "seed": "1", "limits": {"sockets": 9}, "settings": SITE}
+    text = {
+        "listen": "a:1",
+        "discovery": "a:1",
+        "seed": "1",
+        "limits": {"sockets": 9},
+        "settings": SITE,
+    }
     code = (
         "import sys\nfrom saffrongw.admin import cli\nfrom saffrongw import operator, wiring\n"
         "from saffrongw.gateway.config import parse\n"
         f"wiring.plugs_of(operator.OperatorFile(), parse({json.dumps(text)!r}))\n"
         "print([m for m in sys.modules if m.split('.')[0] in ('grpc', 'google') or m.startswith('saffrongw.authz')])"
     )
-    done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
+    done = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60
+    )
     assert done.stdout.strip() == "[]", done.stderr
 
 
--- a/tests/authz/test_request_filter.py
+++ b/tests/authz/test_request_filter.py
@@ -92,7 +92,12 @@
     http, more = attributes.request.http, dict(attributes.context_extensions)
     assert (http.id, http.method, http.path, http.size) == ("id7", "POST", "/put", 4)
     assert attributes.source.principal == more["customer"] == "0000000000000007"
-    assert (more["class"], more["plan"], more["units"], more["wait_ms"]) == ("put", "team", "1", "1500")
+    assert (more["class"], more["plan"], more["units"], more["wait_ms"]) == (
+        "put",
+        "team",
+        "1",
+        "1500",
+    )
     assert attributes.request.time.seconds > 1_600_000_000
     await until(world.empty)
 
@@ -239,7 +244,12 @@
     callers[5].call(number=b"n5")
     assert await callers[5].replied() == [b"ok"]
     assert len(authoriser.asked) == 1
-    assert dict(world.stage.asker.checks.counts) == {"asked": 1, "joined": 4, "cached": 1, "allow": 6}
+    assert dict(world.stage.asker.checks.counts) == {
+        "asked": 1,
+        "joined": 4,
+        "cached": 1,
+        "allow": 6,
+    }
 
 
 @world_test
@@ -308,10 +318,15 @@
 async def test_an_authoriser_narrows_a_plan_only_where_it_may(open_):
     names = Names(NAMES.classes, ("team", "small"), NAMES.safe)
     for rules, plan in ((Rules(may_narrow_plan={"team": ("small",)}), 1), (Rules(), 0)):
-        world = await open_(await Authoriser(lambda r: allow(plan="small")).start(), rules=rules, names=names)
+        world = await open_(
+            await Authoriser(lambda r: allow(plan="small")).start(), rules=rules, names=names
+        )
         package = world.rig.config.settings.plans
         world.rig.driver.gateway.s = type(world.rig.config.settings)(
-            **{f: getattr(world.rig.config.settings, f) for f in world.rig.config.settings.__slots__}
+            **{
+                f: getattr(world.rig.config.settings, f)
+                for f in world.rig.config.settings.__slots__
+            }
             | {"plans": (*package, *package)}
         )
         caller = await world.caller()
@@ -323,7 +338,9 @@
 
 @world_test
 async def test_the_fail_mode_goes_by_class_and_plan(open_):
-    rules = Rules("closed", {("read", ""): "open", ("read", "team"): "closed", ("bill", ""): "open"})
+    rules = Rules(
+        "closed", {("read", ""): "open", ("read", "team"): "closed", ("bill", ""): "open"}
+    )
     gone = await Authoriser().start()
     gone.stop()
     world = await open_(gone, rules=rules)
@@ -338,7 +355,8 @@
 async def test_any_mix_of_faults_leaves_one_answer_each_and_nothing_behind(open_):
     mix = {mode: 0.06 for mode in MODES if mode != "answer"}
     authorisers = [
-        await Authoriser(seed=f"mix{n}", behaviour=Behaviour(dict(mix), (0.0, 0.3))).start() for n in (1, 2)
+        await Authoriser(seed=f"mix{n}", behaviour=Behaviour(dict(mix), (0.0, 0.3))).start()
+        for n in (1, 2)
     ]
     breaker = BreakerFigures(in_a_row=50, share=0.95, open_for=20 * MS)
     world = await open_(
@@ -359,7 +377,9 @@
 
 
 @world_test
-async def test_figures_and_authorisers_change_in_service_and_what_is_out_ends_by_the_old_ones(open_):
+async def test_figures_and_authorisers_change_in_service_and_what_is_out_ends_by_the_old_ones(
+    open_,
+):
     old = await Authoriser(behaviour=Behaviour({"delay": 1.0}, (0.3, 0.3))).start()
     new = await Authoriser(lambda request: deny()).start()
     world = await open_(old)
@@ -380,7 +400,9 @@
     world = await open_(await Authoriser().start())
     asker = world.stage.asker
     with pytest.raises(OSError, match="none"):
-        world.stage.change(Figures(), Rules("open"), lambda: [Channel("127.0.0.1:1", Tls(ca="/none.pem"))])
+        world.stage.change(
+            Figures(), Rules("open"), lambda: [Channel("127.0.0.1:1", Tls(ca="/none.pem"))]
+        )
     assert world.stage.asker is asker
     assert world.stage.rules.fail == "closed"
     caller = await world.caller()
@@ -457,7 +479,9 @@
             authoriser = Authoriser()
             authoriser.ssl = context
             await authoriser.start()
-            world = await open_(authoriser, tls=Tls(str(own.ca_file), server_name="authoriser.test"))
+            world = await open_(
+                authoriser, tls=Tls(str(own.ca_file), server_name="authoriser.test")
+            )
             caller = await world.caller()
             caller.call(wait=1000)
             assert error((await caller.replied())[0]) == "BUSY"
--- a/tests/authz/test_server.py
+++ b/tests/authz/test_server.py
@@ -21,7 +21,12 @@
 
 def question(**changes) -> published.CheckRequest:
     request = published.CheckRequest()
-    fields = {"customer": "0000000000000009", "plan": "team", "class": "read", "spread": "1"} | changes
+    fields = {
+        "customer": "0000000000000009",
+        "plan": "team",
+        "class": "read",
+        "spread": "1",
+    } | changes
     for name, value in fields.items():
         if value is not None:
             request.attributes.context_extensions[name] = value
@@ -33,7 +38,9 @@
     """A gateway that answers checks: the rig, and how to ask."""
     host = await FakeHost("a").listen()
     server = AuthzServer("127.0.0.1:0", NAMES, Fields(), 2, 1.0, in_flight)
-    rig = Rig(host, driver=lambda *given: ExtendedDriver(*given, Plugs((), (), (server,))), **changes)
+    rig = Rig(
+        host, driver=lambda *given: ExtendedDriver(*given, Plugs((), (), (server,))), **changes
+    )
     await server.start(rig.driver)
     channel = Channel("127.0.0.1", server.port)
     method = UnaryUnaryMethod(channel, METHOD, published.CheckRequest, published.CheckResponse)
@@ -50,7 +57,11 @@
 
 def plan(rate: float, burst: float, hard=0.0) -> dict:
     package = SITE["packages"][0] | {"perSecond": rate, "peakUnits": burst}
-    return {"packages": [package | {"hardRate": hard, "capDepth": 3.0 if hard else 0.0, "capSlack": 1.0}]}
+    return {
+        "packages": [
+            package | {"hardRate": hard, "capDepth": 3.0 if hard else 0.0, "capSlack": 1.0}
+        ]
+    }
 
 
 @asyncio_test
--- a/tests/certs/acme_rig.py
+++ b/tests/certs/acme_rig.py
@@ -54,7 +54,9 @@
 
     async def start(self) -> Member:
         self.host = await FakeHost("h1").listen()
-        self.rig = Rig(self.host, self.host.line(host="h2"), lines=[self.host.line(host=n) for n in "abcdef"])
+        self.rig = Rig(
+            self.host, self.host.line(host="h2"), lines=[self.host.line(host=n) for n in "abcdef"]
+        )
         self.part = CertsPart(self.table, self.seed, self.clock)
         await self.rig.clients.listen()
         await self.part.start(self.rig.driver)
@@ -78,10 +80,14 @@
         await until(lambda: NAME in self.part.agent.keeper.names.contexts, within)
 
 
-async def secure_caller(port: int, name: str | None, context: ssl.SSLContext | None = None) -> Caller:
+async def secure_caller(
+    port: int, name: str | None, context: ssl.SSLContext | None = None
+) -> Caller:
     """A client's connection by TLS; the certificate is not verified here."""
     loop, tls = asyncio.get_running_loop(), context or trusting()
-    made = await loop.create_connection(Caller, "127.0.0.1", port, ssl=tls, server_hostname=name or "")
+    made = await loop.create_connection(
+        Caller, "127.0.0.1", port, ssl=tls, server_hostname=name or ""
+    )
     return made[1]
 
 
--- a/tests/certs/test_certificate_store.py
+++ b/tests/certs/test_certificate_store.py
@@ -222,7 +222,8 @@
 
 
 @pytest.mark.parametrize(
-    ("number", "words"), [(errno.ENOSPC, "disk is full"), (errno.EROFS, "read-only"), (errno.EDQUOT, "quota")]
+    ("number", "words"),
+    [(errno.ENOSPC, "disk is full"), (errno.EROFS, "read-only"), (errno.EDQUOT, "quota")],
 )
 def test_a_disk_that_takes_nothing_is_told_and_what_serves_stays(world, monkeypatch, number, words):
     world.install()
--- a/tests/certs/test_certs_table.py
+++ b/tests/certs/test_certs_table.py
@@ -31,14 +31,23 @@
     ("text", "expected"),
     [
         ('[certs]\nstate_dir = "/s"\n', "o.toml:1: certs: the key 'listen' is missing"),
-        ('[certs]\nlisten = "x"\nstate_dir = "/s"\n', "o.toml:2: certs.listen: 'x' does not have the form"),
+        (
+            '[certs]\nlisten = "x"\nstate_dir = "/s"\n',
+            "o.toml:2: certs.listen: 'x' does not have the form",
+        ),
         (HEAD + CERT, "there is no [[certs.authority]]"),
         (
             HEAD + AUTHORITY + "[[certs.certificate]]\nnames = []\n",
             "o.toml:6: certs.certificate[0]: names is empty",
         ),
-        (HEAD + AUTHORITY + '[[certs.certificate]]\nnames = ["*.a.example"]\n', "does not have the form"),
-        (HEAD + AUTHORITY + '[[certs.certificate]]\nnames = ["A.example"]\n', "does not have the form"),
+        (
+            HEAD + AUTHORITY + '[[certs.certificate]]\nnames = ["*.a.example"]\n',
+            "does not have the form",
+        ),
+        (
+            HEAD + AUTHORITY + '[[certs.certificate]]\nnames = ["A.example"]\n',
+            "does not have the form",
+        ),
         (HEAD + AUTHORITY + '[[certs.certificate]]\nnames = ["a..b"]\n', "does not have the form"),
         (HEAD + AUTHORITY + '[[certs.certificate]]\nnames = ["a", "a"]\n', "a name stands twice"),
         (HEAD + AUTHORITY + CERT + CERT, "two certificates begin with the same name"),
@@ -71,8 +80,12 @@
         "print([m for m in sys.modules if m.split('.')[0] in ('cryptography', 'joserfc', 'ssl', 'sqlite3')"
         " or (m.startswith('saffrongw.certs') and m not in ('saffrongw.certs', 'saffrongw.certs.table'))])"
     )
-    done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60)
-    assert done.stdout.strip() in ("[]", "['ssl']"), done.stderr  # the loop's library may load the last one
+    done = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60
+    )
+    assert done.stdout.strip() in ("[]", "['ssl']"), (
+        done.stderr
+    )  # the loop's library may load the last one
 
 
 async def said(*words: str) -> tuple[int, str, str]:
@@ -152,8 +165,14 @@
         store.install(name, pem, key, note, None)
     assert cli.main(["certs", "--state", str(tmp_path / "state"), "list"]) == 1
     lines = capsys.readouterr().out.splitlines()
-    assert [line.split()[0] for line in lines[1:4]] == ["over.example", "late.example", "fine.example"]
-    assert "ended" in lines[1] and "critical" in lines[2] and "authority away: no answer" in lines[2]
+    assert [line.split()[0] for line in lines[1:4]] == [
+        "over.example",
+        "late.example",
+        "fine.example",
+    ]
+    assert (
+        "ended" in lines[1] and "critical" in lines[2] and "authority away: no answer" in lines[2]
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/certs/test_chain.py
+++ b/tests/certs/test_chain.py
@@ -42,7 +42,11 @@
     assert (facts.start, facts.end, facts.chain) == (NOW - DAY, NOW + DAY, 2)
     assert facts.issuer == "Stand-in Intermediate"
     assert facts.ari == ari_name(x509.load_pem_x509_certificates(pem)[0])
-    assert facts.covers("gw.example") and not facts.covers("b.example") and not facts.covers("x.y.b.example")
+    assert (
+        facts.covers("gw.example")
+        and not facts.covers("b.example")
+        and not facts.covers("x.y.b.example")
+    )
 
 
 def test_each_fault_is_told_as_what_it_is():
--- a/tests/certs/test_handshakes.py
+++ b/tests/certs/test_handshakes.py
@@ -70,7 +70,9 @@
 
 def test_a_flood_costs_no_more_than_the_share():
     """10,000 a second for 4 s: begun full handshakes take a quarter of the core and the burst, no more."""
-    bounds = Bounds(half_open=256, within=1_000_000, share=0.25, burst=50_000, full=1_000, resumed=300)
+    bounds = Bounds(
+        half_open=256, within=1_000_000, share=0.25, burst=50_000, full=1_000, resumed=300
+    )
     shakes, begun = Handshakes(bounds, 0), 0
     for now in range(0, 4_000_000, 100):
         stays, _ = shakes.accept(now, now)
@@ -87,7 +89,10 @@
 @settings(max_examples=200, deadline=None)
 @given(
     st.lists(
-        st.tuples(st.sampled_from(["accept", "ready", "begin", "done", "gone", "late"]), st.integers(0, 12)),
+        st.tuples(
+            st.sampled_from(["accept", "ready", "begin", "done", "gone", "late"]),
+            st.integers(0, 12),
+        ),
         max_size=120,
     )
 )
--- a/tests/certs/test_http.py
+++ b/tests/certs/test_http.py
@@ -64,11 +64,23 @@
         (b"HTTP/1.1 200 OK\r\nx: " + b"y" * (HEAD_MOST + 99), None, 20, Kind.UNUSABLE, "no HTTP"),
         (b"HTTP/1.1 200 OK\r\ncontent-length: -1\r\n\r\n", None, 20, Kind.UNUSABLE, "no HTTP"),
         (b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nab", None, 20, Kind.AWAY, "ended within"),
-        (b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nzz\r\n", None, 20, Kind.UNUSABLE, "no HTTP"),
+        (
+            b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nzz\r\n",
+            None,
+            20,
+            Kind.UNUSABLE,
+            "no HTTP",
+        ),
         (b"", None, 20, Kind.AWAY, "ended within"),
         (b"HTTP/1.1 200 OK\r\n\r\n", endless, 20, Kind.UNUSABLE, "longer than"),
         (b"", silent, 0.2, Kind.AWAY, "no answer within"),
-        (b"HTTP/1.1 200 OK\r\ncontent-length: 1000\r\n\r\n", dripping, 0.3, Kind.AWAY, "no answer within"),
+        (
+            b"HTTP/1.1 200 OK\r\ncontent-length: 1000\r\n\r\n",
+            dripping,
+            0.3,
+            Kind.AWAY,
+            "no answer within",
+        ),
     ],
 )
 def test_what_is_no_answer_ends_in_its_own_error(tmp_path, data, then, within, kind, said):
--- a/tests/certs/test_lease.py
+++ b/tests/certs/test_lease.py
@@ -74,7 +74,9 @@
                 lease = what.lease
             believed[who] = lease.term if lease.holder == str(who) else 0
         acting = [
-            w for w, term in believed.items() if term and held(now + offsets[w], str(w), term, lease, TERMS)
+            w
+            for w, term in believed.items()
+            if term and held(now + offsets[w], str(w), term, lease, TERMS)
         ]
         assert len(acting) <= 1
         # Also by what each believes alone, without a look: its lease may have ended, but no other's has begun.
--- a/tests/certs/test_order_flow.py
+++ b/tests/certs/test_order_flow.py
@@ -72,7 +72,10 @@
         checks, self.authority.checks = self.authority.checks, []
         for check in checks:
             self.authority.checked(check, self.look(check))
-        links = [(link.partition('rel="')[2].rstrip('"'), link[1:].partition(">")[0]) for link in reply.links]
+        links = [
+            (link.partition('rel="')[2].rstrip('"'), link[1:].partition(">")[0])
+            for link in reply.links
+        ]
         return Answer(reply.status, reply.headers, reply.body, tuple(links))
 
     def look(self, check: Check) -> str:
@@ -90,11 +93,18 @@
         return session
 
     def obtain(self, session: Session | None = None, **changes) -> bytes:
-        wanted = {"names": NAMES, "challenge": "tls-alpn-01", "csr": chain.csr(KEY, NAMES)} | changes
+        wanted = {
+            "names": NAMES,
+            "challenge": "tls-alpn-01",
+            "csr": chain.csr(KEY, NAMES),
+        } | changes
         made = session or self.session()
         return self.run(
             order_flow.obtain(
-                made, self.note, order_flow.Wanted(**wanted), lambda pem: chain.issuer_names(chain.parse(pem))
+                made,
+                self.note,
+                order_flow.Wanted(**wanted),
+                lambda pem: chain.issuer_names(chain.parse(pem)),
             )
         )
 
@@ -132,7 +142,9 @@
             assert orders <= 2, f"step {cut_at}"
             assert world.authority.counts["accounts"] == 1
             further += orders - 1
-    assert further == 0  # this authority lists orders, so even one whose answer was lost is found again
+    assert (
+        further == 0
+    )  # this authority lists orders, so even one whose answer was lost is found again
 
 
 def test_where_the_authority_lists_no_orders_one_further_order_is_the_most():
@@ -297,7 +309,9 @@
     with pytest.raises(Cut):
         world.obtain()
     world.cut_at = -1
-    chain.check(world.obtain(names=NAMES[:1], csr=chain.csr(KEY, NAMES[:1])), KEY, NAMES[:1], world.now)
+    chain.check(
+        world.obtain(names=NAMES[:1], csr=chain.csr(KEY, NAMES[:1])), KEY, NAMES[:1], world.now
+    )
 
 
 # -- spoilt answers ------------------------------------------------------------------------------------------------
@@ -323,7 +337,9 @@
 
 def header(name: str, value: str | None):
     def spoil(reply: Reply) -> Reply:
-        headers = {k: v for k, v in reply.headers.items() if k != name} | ({name: value} if value else {})
+        headers = {k: v for k, v in reply.headers.items() if k != name} | (
+            {name: value} if value else {}
+        )
         return Reply(reply.status, reply.body, headers, reply.links)
 
     return spoil
@@ -413,7 +429,14 @@
     world.authority.faults.spoil = once
     wrong = failing(world)
     assert done, "the fault was never met"
-    assert wrong.kind in (Kind.UNUSABLE, Kind.ORDER, Kind.CHALLENGE, Kind.REJECTED, Kind.ACCOUNT, Kind.AWAY)
+    assert wrong.kind in (
+        Kind.UNUSABLE,
+        Kind.ORDER,
+        Kind.CHALLENGE,
+        Kind.REJECTED,
+        Kind.ACCOUNT,
+        Kind.AWAY,
+    )
     assert wrong.detail.isprintable() and 5 < len(wrong.detail) <= 300
     assert world.steps < 60
     assert world.shown == {}
--- a/tests/certs/test_order_kills.py
+++ b/tests/certs/test_order_kills.py
@@ -56,7 +56,8 @@
                 sys.executable,
                 *run,
                 cwd=ROOT,
-                env=os.environ | {"LB_CONFIG": str(self.config), "SAFFRONGW_OPERATOR": str(self.operator)},
+                env=os.environ
+                | {"LB_CONFIG": str(self.config), "SAFFRONGW_OPERATOR": str(self.operator)},
                 stdout=log,
                 stderr=log,
                 preexec_fn=die_with_parent,
@@ -129,7 +130,9 @@
 def test_killed_at_every_step_of_a_first_order(tmp_path, batch):
     @asyncio_test
     async def run():
-        await asyncio.gather(*(killed(tmp_path / str(step), step) for step in range(batch + 1, batch + 9)))
+        await asyncio.gather(
+            *(killed(tmp_path / str(step), step) for step in range(batch + 1, batch + 9))
+        )
 
     run()
 
@@ -149,6 +152,8 @@
     @asyncio_test
     async def run():
         steps = range(batch, batch + 16, 2)
-        await asyncio.gather(*(killed(tmp_path / str(step), step, with_an_old_one) for step in steps))
+        await asyncio.gather(
+            *(killed(tmp_path / str(step), step, with_an_old_one) for step in steps)
+        )
 
     run()
--- a/tests/certs/test_renewal.py
+++ b/tests/certs/test_renewal.py
@@ -113,7 +113,9 @@
     tries, done = lived(outcome, START + LIFE, authorities=2)
     assert [a for _, a in tries] == [0, 0, 0, 1]
     assert done - tries[0][0] < 15 * MINUTE
-    limited, _ = lived(lambda now, a: (Kind.RATE, 3 * DAY) if a == 0 else None, START + LIFE, authorities=2)
+    limited, _ = lived(
+        lambda now, a: (Kind.RATE, 3 * DAY) if a == 0 else None, START + LIFE, authorities=2
+    )
     assert [a for _, a in limited] == [0, 1]
     assert limited[1][0] - limited[0][0] <= 2 * MINUTE  # the second has not asked us to wait
 
@@ -127,7 +129,9 @@
 
 def test_a_clock_that_was_ahead_does_not_silence_us():
     """A failure was kept by a clock a year ahead; it came back."""
-    ahead = failed(START + 365 * DAY, replace(FRESH, end=START + 366 * DAY), Kind.AWAY, "", 0, 0.5, 1)
+    ahead = failed(
+        START + 365 * DAY, replace(FRESH, end=START + 366 * DAY), Kind.AWAY, "", 0, 0.5, 1
+    )
     standing = replace(FRESH, failures=ahead)
     now = START + 70 * DAY
     assert next_try(now, standing, RULES) <= now + 1.25 * HOUR
@@ -180,7 +184,8 @@
     import random
 
     dues = sorted(
-        due_at(replace(FRESH, draw=random.Random(f"n{i}.example").random()), RULES) for i in range(500)
+        due_at(replace(FRESH, draw=random.Random(f"n{i}.example").random()), RULES)
+        for i in range(500)
     )
     assert dues[-1] - dues[0] > 8 * DAY
     busiest = max(sum(1 for d in dues if at <= d < at + HOUR) for at in dues)
--- a/tests/certs/test_renewal_loop.py
+++ b/tests/certs/test_renewal_loop.py
@@ -278,7 +278,9 @@
             member.part.change(wrong)
     assert member.part.agent.table is member.table
     member.part.change(more)()
-    await until(lambda: {"new.example", "x.example"} <= set(member.part.agent.keeper.names.contexts), 20)
+    await until(
+        lambda: {"new.example", "x.example"} <= set(member.part.agent.keeper.names.contexts), 20
+    )
     assert await member.shown("new.example") == await member.shown(NAME)
     await world.close()
 
@@ -288,7 +290,12 @@
     world = await World(tmp_path, PACE).open(**SLOW)
     await world.first.serves()
     world.clock.ahead += 62 * DAY
-    faults = [{"status": 500}, {"problem": "serverInternal"}, {"rate_limited": 60.0}, {"pending": True}]
+    faults = [
+        {"status": 500},
+        {"problem": "serverInternal"},
+        {"rate_limited": 60.0},
+        {"pending": True},
+    ]
     for fault in faults:
         for name, value in fault.items():
             setattr(world.faults, name, value)
@@ -296,7 +303,8 @@
         world.first.part.agent.store.want(NAME)
         await until(
             lambda before=before: (
-                sum(n for k, n in world.first.part.agent.counts.items() if k.startswith("failed")) > before
+                sum(n for k, n in world.first.part.agent.counts.items() if k.startswith("failed"))
+                > before
             ),
             30,
         ) if "pending" not in fault else await asyncio.sleep(0.3)
--- a/tests/certs/test_tls_listener.py
+++ b/tests/certs/test_tls_listener.py
@@ -32,7 +32,9 @@
 class World:
     """A gateway with a TLS listener whose certificates a test writes."""
 
-    def __init__(self, tmp_path, manner: Manner | None = None, bounds: Bounds | None = None) -> None:
+    def __init__(
+        self, tmp_path, manner: Manner | None = None, bounds: Bounds | None = None
+    ) -> None:
         self.store = Store(tmp_path / "state")
         self.store.open()
         self.issuer = Issuer(time.time())
@@ -50,7 +52,9 @@
         """A new certificate; its serial number."""
         key = chain.new_key("ecdsa-p256")
         leaf = self.issuer.sign(csr(key), list(names), time.time() - 60, time.time() + days * DAY)
-        self.store.install(names[0].replace("*.", ""), self.issuer.chain(leaf), key, CertNote(names), None)
+        self.store.install(
+            names[0].replace("*.", ""), self.issuer.chain(leaf), key, CertNote(names), None
+        )
         self.keeper.load()
         return leaf.serial_number
 
@@ -180,7 +184,11 @@
     world.install("a.example")
     await world.open()
     loop = asyncio.get_running_loop()
-    for data in (b"*1\r\n$4\r\nPING\r\n", b"GET / HTTP/1.1\r\n\r\n", b"\x16\x03\x01\x40\x01" + b"\x01" * 100):
+    for data in (
+        b"*1\r\n$4\r\nPING\r\n",
+        b"GET / HTTP/1.1\r\n\r\n",
+        b"\x16\x03\x01\x40\x01" + b"\x01" * 100,
+    ):
         with world.raw() as sock:
             sock.setblocking(False)
             await loop.sock_sendall(sock, data)
@@ -206,7 +214,11 @@
     for sock in socks[:20]:
         sock.sendall(hello)  # and never an answer to ours
     await until(
-        lambda: world.front.handshakes.counts["made room"] + world.front.handshakes.counts["turned away"] > 0
+        lambda: (
+            world.front.handshakes.counts["made room"]
+            + world.front.handshakes.counts["turned away"]
+            > 0
+        )
     )
     assert world.front.opening <= 16
     serial = world.install("a.example", days=2)
@@ -274,7 +286,9 @@
     world.install("a.example")
     await world.open()
     with pytest.raises(OSError):
-        world.front.change(Manner(client_ca=str(tmp_path / "none.pem"), clients="required"), Bounds())
+        world.front.change(
+            Manner(client_ca=str(tmp_path / "none.pem"), clients="required"), Bounds()
+        )
     manner = replace(world.front.manner, minimum="1.3")
     commit = world.front.change(manner, Bounds())
     world.keeper.manner = manner
--- a/tests/channel/test_signed_datagram.py
+++ b/tests/channel/test_signed_datagram.py
@@ -70,7 +70,12 @@
 
 
 def test_keys_turn_in_two_steps_without_a_lost_letter():
-    steps = [((OLD,), (OLD, NEW)), ((OLD, NEW), (NEW, OLD)), ((NEW, OLD), (NEW, OLD)), ((NEW,), (NEW, OLD))]
+    steps = [
+        ((OLD,), (OLD, NEW)),
+        ((OLD, NEW), (NEW, OLD)),
+        ((NEW, OLD), (NEW, OLD)),
+        ((NEW,), (NEW, OLD)),
+    ]
     a, b = pair()
     for ours, theirs in steps:
         a.turn_keys(ours)
@@ -98,7 +103,9 @@
         numbers[begin : begin + 50] = part
     assert all(window.take(number) for number in numbers)
     assert not any(window.take(number) for number in numbers)
-    assert window.take(10**9) and not window.take(10**9 - WINDOW) and window.take(10**9 - WINDOW + 1)
+    assert (
+        window.take(10**9) and not window.take(10**9 - WINDOW) and window.take(10**9 - WINDOW + 1)
+    )
 
 
 def test_keys_that_can_not_be_used_are_named(tmp_path):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -18,110 +18,149 @@
 from saffrongw.gateway.downstream.connection import Clients
 from saffrongw.gateway.driver import Driver
 from saffrongw.gateway.upstream.cluster import Hosts
-from saffrongw.policy import interface as api
+from saffrongw.policy.actions import Action, SetTimer
+from saffrongw.policy.events import (
+    AttemptEnded,
+    AttemptOutcome,
+    EndpointEntry,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointState,
+    Event,
+    RequestArrived,
+    TimerFired,
+)
 from saffrongw.policy.rules import Gateway
+from saffrongw.policy.settings import (
+    DeduplicationScope,
+    Idempotency,
+    LoadReportSource,
+    Plan,
+    RequestClass,
+    Settings,
+)
 from testbed.runner.processes import die_with_parent, free_port
 
 SECOND = 1_000_000
 T0 = 1_000 * SECOND  # a clock time well after any start
 
-SAFE = api.RequestClass(500_000, 2 * SECOND, 1.0, 0.0, api.Effect.SAFE, api.Group.ALL, 0)
-KEYED_CELL = api.RequestClass(500_000, 4 * SECOND, 1.0, 0.0, api.Effect.KEYED, api.Group.CELL, SECOND)
-UNSAFE = api.RequestClass(500_000, 2 * SECOND, 1.0, 0.0, api.Effect.UNSAFE, api.Group.ALL, 0)
-KEYED_ALL = dataclasses.replace(KEYED_CELL, group=api.Group.ALL)
-KEYED_ZONE = dataclasses.replace(KEYED_CELL, group=api.Group.ZONE)
-PLAIN = api.Plan(2.0, 10.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
-CAPPED = api.Plan(2.0, 10.0, 2, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
-CEILED = api.Plan(4.0, 8.0, 0, 1.0, 0.0, 1.0, 8.0, 16.0, 2.0)
-IDLE_EARNS = api.Plan(2.0, 10.0, 0, 1.0, 0.5, 0.0, 0.0, 0.0, 0.0)
-
-SETTINGS = api.Settings(
-    rank=0,
-    gateways=3,
+SAFE = RequestClass(
+    500_000, 2 * SECOND, 1.0, 0.0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0
+)
+KEYED_CELL = RequestClass(
+    500_000, 4 * SECOND, 1.0, 0.0, Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL, SECOND
+)
+UNSAFE = RequestClass(
+    500_000, 2 * SECOND, 1.0, 0.0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0
+)
+KEYED_ALL = dataclasses.replace(KEYED_CELL, deduplication_scope=DeduplicationScope.ALL)
+KEYED_ZONE = dataclasses.replace(KEYED_CELL, deduplication_scope=DeduplicationScope.ZONE)
+PLAIN = Plan(2.0, 10.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
+CAPPED = Plan(2.0, 10.0, 2, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
+CEILED = Plan(4.0, 8.0, 0, 1.0, 0.0, 1.0, 8.0, 16.0, 2.0)
+IDLE_EARNS = Plan(2.0, 10.0, 0, 1.0, 0.5, 0.0, 0.0, 0.0, 0.0)
+
+SETTINGS = Settings(
+    node_index=0,
+    node_count=3,
     zone=0,
     classes=(SAFE, KEYED_CELL, UNSAFE, KEYED_ALL, KEYED_ZONE),
     plans=(PLAIN, CAPPED, CEILED, IDLE_EARNS),
-    may_tell_peers=True,
+    may_send_gossip=True,
     may_probe=True,
     may_cancel=True,
-    may_copy=True,
+    may_hedge=True,
     max_attempts=4,
-    max_retry_after=SECOND,
-    peer_intake=50.0,
-    peer_charge=0.01,
-    probe_charge=0.01,
-    waste_charge=0.03,
-    cross_zone_charge=0.0,
-    has_counter=False,
-    asks_for_list=False,
-    ask_within=10 * SECOND,
-    reports=api.Reports.NONE,
-    report_names=(),
-    cold_from=0.25,
-    warm_within=10 * SECOND,
-    fall_multiple=2.0,
-    overload_for=2 * SECOND,
-    drain_grace=SECOND // 2,
+    max_retry_after_us=SECOND,
+    gossip_intake=50.0,
+    gossip_cost=0.01,
+    health_check_cost=0.01,
+    wasted_attempt_cost=0.03,
+    cross_zone_cost=0.0,
+    has_shared_counter=False,
+    polls_endpoint_list=False,
+    notification_deadline_us=10 * SECOND,
+    load_report_source=LoadReportSource.NONE,
+    load_report_fields=(),
+    slow_start_weight=0.25,
+    slow_start_duration_us=10 * SECOND,
+    overload_multiple=2.0,
+    overload_duration_us=2 * SECOND,
+    drain_grace_us=SECOND // 2,
 )
 
 
-def entry(number: int, phase=api.Phase.READY, cell=0, zone=0, launched=0) -> api.ServerEntry:
+def entry(number: int, state=EndpointState.READY, cell=0, zone=0, started_at_us=0) -> EndpointEntry:
     """A line of a server list."""
-    return api.ServerEntry(bytes((10, 0, 0, number, 0, 80)), phase, zone, cell, launched, 1.0)
+    return EndpointEntry(bytes((10, 0, 0, number, 0, 80)), state, zone, cell, started_at_us, 1.0)
 
 
-def listed(*entries: api.ServerEntry, kind=api.ListKind.WHOLE) -> api.ServerListed:
+def listed(*entries: EndpointEntry, kind=EndpointListKind.COMPLETE) -> EndpointListReceived:
     """News of discovery."""
-    return api.ServerListed(kind, 1, tuple(entries))
+    return EndpointListReceived(kind, 1, tuple(entries))
 
 
 class Bench:
     """One gateway with a clock, its requests numbered from 1."""
 
-    def __init__(self, servers=4, now=T0, seed=1, **changes) -> None:
+    def __init__(self, endpoints=4, now=T0, seed=1, **changes) -> None:
         self.now = now
         self.settings = dataclasses.replace(SETTINGS, **changes)
         self.gateway = Gateway(self.settings, seed, now)
-        self.log: list[api.Action] = list(self.gateway.start())
+        self.log: list[Action] = list(self.gateway.start())
         self.timers: list[tuple[int, int]] = []
         self._note(self.log)
-        if servers:
-            self.feed(listed(*(entry(i) for i in range(servers))))
+        if endpoints:
+            self.feed(listed(*(entry(i) for i in range(endpoints))))
 
     def _note(self, actions) -> None:
         for action in actions:
-            if isinstance(action, api.SetTimer):
-                self.timers.append((self.now + action.span, action.token))
+            if isinstance(action, SetTimer):
+                self.timers.append((self.now + action.delay_us, action.token))
 
-    def feed(self, event: api.Event) -> list[api.Action]:
+    def feed(self, event: Event) -> list[Action]:
         """One event now; the actions that it led to."""
         actions = list(self.gateway.handle(self.now, event))
         self._note(actions)
         self.log += actions
         return actions
 
-    def run(self, span: int) -> list[api.Action]:
+    def run(self, span: int) -> list[Action]:
         """Let time pass and the timers fire."""
         end, done = self.now + span, []
         while due := [t for t in self.timers if t[0] <= end]:
             first = min(due)
             self.timers.remove(first)
             self.now = max(self.now, first[0])
-            done += self.feed(api.TimerFired(first[1]))
+            done += self.feed(TimerFired(first[1]))
         self.now = end
         return done
 
-    def ask(self, request: int, kind=0, customer=7, plan=0, units=1.0, left=2 * SECOND, first=0, size=3):
+    def ask(
+        self, request: int, kind=0, customer=7, plan=0, units=1.0, left=2 * SECOND, first=0, size=3
+    ):
         """A client's request."""
-        return self.feed(api.RequestArrived(request, customer, plan, kind, units, left, first, size, False))
+        return self.feed(
+            RequestArrived(request, customer, plan, kind, units, left, first, size, False)
+        )
 
     def outcome(
-        self, request: int, server: bytes, outcome: api.Outcome, attempt=0, took=50_000, answered=None
+        self,
+        request: int,
+        endpoint_id: bytes,
+        outcome: AttemptOutcome,
+        attempt=0,
+        duration_us=50_000,
+        is_answered=None,
     ):
         """How an attempt ended."""
-        if answered is None:
-            answered = outcome is api.Outcome.SERVED
-        return self.feed(api.AttemptEnded(request, attempt, server, outcome, took, answered, 0, 0.0, ()))
+        if is_answered is None:
+            is_answered = outcome is AttemptOutcome.SERVED
+        return self.feed(
+            AttemptEnded(
+                request, attempt, endpoint_id, outcome, duration_us, is_answered, 0, 0.0, ()
+            )
+        )
 
 
 def of(actions, kind) -> list:
@@ -145,9 +184,15 @@
     "zones": ["hall-a", "hall-b"],
     "charges": {"crossZone": 0.01, "peer": 0.01, "probe": 0.01, "waste": 0.03},
     "classes": [
-        {"name": name, "effect": effect, "group": group, "target": 500_000, "deadline": 3_000_000}
+        {
+            "name": name,
+            "effect": idempotency,
+            "group": deduplication_scope,
+            "target": 500_000,
+            "deadline": 3_000_000,
+        }
         | {"dedupWindow": 5_000_000, "credit": 1.0, "lateWorth": 0.0}
-        for name, effect, group in (
+        for name, idempotency, deduplication_scope in (
             ("read", "repeatable", "all"),
             ("put", "by_key", "cell"),
             ("bill", "once", "all"),
@@ -156,12 +201,35 @@
     "familyInfo": {"peerIntake": 40.0, "sharedCounter": False, "unitsTop": 1},
     "loadReport": {"how": "inline", "names": ["util", "latency_ms"]},
     "packages": [
-        {"name": "team", "perSecond": 100.0, "peakUnits": 100.0, "open": 0, "pays": 1.0, "beyondEarns": 0.0}
+        {
+            "name": "team",
+            "perSecond": 100.0,
+            "peakUnits": 100.0,
+            "open": 0,
+            "pays": 1.0,
+            "beyondEarns": 0.0,
+        }
         | {"overrunCost": 1.0, "hardRate": 0.0, "capDepth": 0.0, "capSlack": 0.0}
     ],
-    "permissions": {"peers": True, "probes": True, "cancel": True, "secondCopies": True, "retryAfter": True}
-    | {"maxAttempts": 4, "maxRetryAfter": 1_000_000, "idleClose": 30_000_000, "connectTimeout": 250_000},
-    "rules": {"askWithin": 10_000_000, "coldFrom": 0.25, "warmWithin": 10_000_000, "fallMultiple": 3.0}
+    "permissions": {
+        "peers": True,
+        "probes": True,
+        "cancel": True,
+        "secondCopies": True,
+        "retryAfter": True,
+    }
+    | {
+        "maxAttempts": 4,
+        "maxRetryAfter": 1_000_000,
+        "idleClose": 30_000_000,
+        "connectTimeout": 250_000,
+    },
+    "rules": {
+        "askWithin": 10_000_000,
+        "coldFrom": 0.25,
+        "warmWithin": 10_000_000,
+        "fallMultiple": 3.0,
+    }
     | {"overloadFor": 3_000_000, "drainGrace": 1_000_000},
 }
 
@@ -304,7 +372,7 @@
         self.driver.gateway._patience = lambda request: float("inf")
         self.hosts = self.driver.hosts = Hosts(
             self.driver,
-            self.config.settings.report_names,
+            self.config.settings.load_report_fields,
             sockets,
             self.config.idle_close,
             self.config.connect_timeout,
--- a/tests/faults/test_flood.py
+++ b/tests/faults/test_flood.py
@@ -53,7 +53,10 @@
     callers = [await connect() for _ in range(16)]
     for place, caller in enumerate(callers):
         caller.transport.write(
-            b"".join(command(b"%d-%d" % (place, n), place * 1000 + n, bill=n % 3 == 0) for n in range(1000))
+            b"".join(
+                command(b"%d-%d" % (place, n), place * 1000 + n, bill=n % 3 == 0)
+                for n in range(1000)
+            )
         )
     await until(lambda: all(len(caller.replies) >= 1000 for caller in callers), within=50)
     served, refused = judged(callers, host, 1000)
--- a/tests/faults/test_hot_restart.py
+++ b/tests/faults/test_hot_restart.py
@@ -251,7 +251,9 @@
 
 
 @asyncio_test
-async def test_a_process_that_stands_still_or_a_stranger_does_not_keep_a_new_one_from_serving(tmp_path):
+async def test_a_process_that_stands_still_or_a_stranger_does_not_keep_a_new_one_from_serving(
+    tmp_path,
+):
     place = Place(tmp_path, await FakeHost("a").listen())
     stranger = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     with address_of(place.socket) as address:
@@ -345,7 +347,9 @@
 
 
 @asyncio_test
-async def test_a_successor_that_is_lost_behind_the_go_leaves_its_clients_to_an_ordinary_end(tmp_path):
+async def test_a_successor_that_is_lost_behind_the_go_leaves_its_clients_to_an_ordinary_end(
+    tmp_path,
+):
     """It has the word and dies: what it did not get yet, and who comes now, used to meet a closed door."""
     host = await FakeHost("a").listen()
     held = holds_the_slow(host)
@@ -378,7 +382,9 @@
     for _ in range(8):
         terms = b"c=bill,t=team,d=9000,units=1,spread=2,first=0"
         head = hiredis.pack_command((b"CALL.POST", b"0" * 15 + b"7", b"half", terms))
-        (await place.caller()).transport.write(head.replace(b"*4", b"*5") + b"$60000\r\n" + b"\x01" * 50_000)
+        (await place.caller()).transport.write(
+            head.replace(b"*4", b"*5") + b"$60000\r\n" + b"\x01" * 50_000
+        )
     heir = Heir(place)
     heir.hears("greeted")
     await until_ready_is_read(old)
@@ -466,7 +472,9 @@
     got, lost = [], []
     here, there = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     sender = Channel(loop, here, lambda *told: None, lambda: lost.append("sender"))
-    receiver = Channel(loop, there, lambda message, sockets: got.append(message[1]), lambda: lost.append(1))
+    receiver = Channel(
+        loop, there, lambda message, sockets: got.append(message[1]), lambda: lost.append(1)
+    )
     for number in range(3 * QUEUED_MOST):
         assert sender.tell("n", number)
         if len(sender.waiting) >= 256:
--- a/tests/faults/test_leases.py
+++ b/tests/faults/test_leases.py
@@ -21,7 +21,10 @@
         LeaseDay(
             12,
             *(6, 3),
-            faults=(LeaseFault("double", 1.0, 8.0, size=1.0), LeaseFault("split", 2.0, 6.0, (0, 3, 4))),
+            faults=(
+                LeaseFault("double", 1.0, 8.0, size=1.0),
+                LeaseFault("split", 2.0, 6.0, (0, 3, 4)),
+            ),
             length_s=9.0,
             voters_stand=False,
         ),
@@ -64,7 +67,9 @@
     named = [one for one in verdict.findings if one.rule == rule]
     assert all(one.what.count("n") >= 2 for one in named)
     # Who works without a token is found as soon as a lease moves, before anything is broken.
-    assert variant == "works-without-asking-its-token" or any("split" in one.during for one in named)
+    assert variant == "works-without-asking-its-token" or any(
+        "split" in one.during for one in named
+    )
 
 
 @pytest.mark.parametrize("variant", PLANTED)
@@ -88,10 +93,13 @@
 def test_killed_at_every_step_of_a_grant_another_takes_over(tmp_path):
     """Twelve gateways that each end at another step, and two that do not."""
     steps = range(1, 13)
-    day = LeaseDay(14, 3 + len(steps) + 2, 3, length_s=14.0, span_s=0.6, voters_stand=False, tasks=2)
+    day = LeaseDay(
+        14, 3 + len(steps) + 2, 3, length_s=14.0, span_s=0.6, voters_stand=False, tasks=2
+    )
     go = str(tmp_path / "go")
     lines = {
-        3 + n: line_of("tests.faults.variants", "killed-at", str(step), go) for n, step in enumerate(steps)
+        3 + n: line_of("tests.faults.variants", "killed-at", str(step), go)
+        for n, step in enumerate(steps)
     }
 
     async def run():
@@ -142,7 +150,10 @@
     fell = [*HELD[2:], told("n2", 15 * S, ("s0/1", 4, S))]
     assert {one.rule for one in judge(Seen(stated=fell)).findings} == {"numbers"}
     seen = Seen(stated=HELD, lease_of={"t": "s0/1"})
-    seen.calls = [Calling(13 * S, "t", 2, 6, "n1/1", True), Calling(13 * S + 1, "t", 2, 5, "n0/1", True)]
+    seen.calls = [
+        Calling(13 * S, "t", 2, 6, "n1/1", True),
+        Calling(13 * S + 1, "t", 2, 5, "n0/1", True),
+    ]
     assert {one.rule for one in judge(seen).findings} == {"older number", "call outside"}
     seen.still = [Still("n0", 11 * S, 13 * S)]
     seen.calls[1] = dataclasses.replace(seen.calls[1], accepted=False)
--- a/tests/faults/test_scenarios.py
+++ b/tests/faults/test_scenarios.py
@@ -98,6 +98,8 @@
     ],
 )
 def test_faults_that_overlap_are_played(faults, tmp_path):
-    done = runs.run(toml_schema.loads(Scenario, 'name = "overlap"\nlength_s = 6\n' + faults), tmp_path)
+    done = runs.run(
+        toml_schema.loads(Scenario, 'name = "overlap"\nlength_s = 6\n' + faults), tmp_path
+    )
     assert [f for f in done.verdict.findings if f.certain] == []
     assert done.verdict.totals["served"] > 0
--- a/tests/faults/variants.py
+++ b/tests/faults/variants.py
@@ -14,8 +14,10 @@
 from saffrongw.gateway import driver as driving
 from saffrongw.gateway.driver import Attempt, Driver
 from saffrongw.gateway.upstream import cluster as hosting
-from saffrongw.policy import interface as api
+from saffrongw.policy.actions import FailRequest, RejectRequest
+from saffrongw.policy.events import EndpointState
 from saffrongw.policy.rules import Gateway
+from saffrongw.policy.settings import DeduplicationScope, Idempotency
 
 VARIANTS: dict[str, Callable[[], None]] = {}
 
@@ -44,7 +46,9 @@
 
     def init(self, settings, seed, now) -> None:
         for name, change in changes.items():
-            settings = replace(settings, **{name: tuple(change(item) for item in getattr(settings, name))})
+            settings = replace(
+                settings, **{name: tuple(change(item) for item in getattr(settings, name))}
+            )
         plain(self, settings, seed, now)
 
     Gateway.__init__ = init
@@ -110,7 +114,9 @@
         plain(self, call, reply)
         if first and call.attempts and due():
             now = self.clock()
-            again = Attempt(call, len(call.attempts), call.attempts[0].server, now, now + 2_000_000)
+            again = Attempt(
+                call, len(call.attempts), call.attempts[0].endpoint_id, now, now + 2_000_000
+            )
             self.loop.call_later(0.25, self.hosts.send, again)
 
     Driver._finish = finish
@@ -136,18 +142,22 @@
 
 @variant
 def repeats_unsafe() -> None:
-    safe = api.Effect.SAFE
-    change_settings(classes=lambda c: replace(c, effect=safe) if c.effect is api.Effect.UNSAFE else c)
+    safe = Idempotency.IDEMPOTENT
+    change_settings(
+        classes=lambda c: (
+            replace(c, idempotency=safe) if c.idempotency is Idempotency.NON_IDEMPOTENT else c
+        )
+    )
 
 
 @variant
 def repeats_keyed_anywhere() -> None:
-    change_settings(classes=lambda c: replace(c, group=api.Group.ALL))
+    change_settings(classes=lambda c: replace(c, group=DeduplicationScope.ALL))
 
 
 @variant
 def refuses_what_may_have_run() -> None:
-    Driver._DO[api.Fail] = lambda self, action: self._refuse(api.Refuse(action.request, 0))
+    Driver._DO[FailRequest] = lambda self, action: self._refuse(RejectRequest(action.request, 0))
 
 
 # -- drains ----------------------------------------------------------------------------------------------
@@ -158,9 +168,11 @@
     plain = Driver.listed
 
     def listed(self, told, cached=False) -> None:
-        ready = api.Phase.READY
+        ready = EndpointState.READY
         hosts = tuple(
-            replace(h, entry=replace(h.entry, phase=ready)) if h.entry.phase is api.Phase.DRAINING else h
+            replace(h, entry=replace(h.entry, state=ready))
+            if h.entry.state is EndpointState.DRAINING
+            else h
             for h in told.hosts
         )
         plain(self, replace(told, hosts=hosts), cached)
@@ -199,7 +211,7 @@
 
     def choose(self, request):
         hosts = [h for h in (*self.warm.hosts, *self.cold.hosts) if self._may_send(request, h)]
-        return max(hosts, key=lambda host: host.entry.launched, default=None)
+        return max(hosts, key=lambda host: host.entry.started_at_us, default=None)
 
     Gateway._choose = choose
     Gateway._patience = lambda self, request: float("inf")
@@ -221,7 +233,7 @@
 
 @variant
 def deaf_to_peers() -> None:
-    Gateway._peer_message = lambda self, event: None
+    Gateway._gossip_received = lambda self, event: None
     Gateway._share = lambda self, account: 1.0
 
 
