--- a/toml_schema/__init__.py
+++ b/toml_schema/__init__.py
@@ -97,8 +97,12 @@
         values = {}
         for name, spec in fields.items():
             if name in raw:
-                values[spec.name] = self.value(hints[spec.name], spec.metadata, raw[name], (*place, name))
-            elif spec.default is dataclasses.MISSING and spec.default_factory is dataclasses.MISSING:
+                values[spec.name] = self.value(
+                    hints[spec.name], spec.metadata, raw[name], (*place, name)
+                )
+            elif (
+                spec.default is dataclasses.MISSING and spec.default_factory is dataclasses.MISSING
+            ):
                 raise self.wrong(place, f"the key {name!r} is missing")
         try:
             return schema(**values)
@@ -135,7 +139,9 @@
         if hint is Path and isinstance(raw, str):
             raw = Path(raw)
         if not isinstance(raw, hint) or (hint is not bool and isinstance(raw, bool)):
-            raise self.wrong(place, f"{_NAMES.get(hint, hint.__name__)} is needed, not {_kind(raw)}")
+            raise self.wrong(
+                place, f"{_NAMES.get(hint, hint.__name__)} is needed, not {_kind(raw)}"
+            )
         choices, least, most = rules.get("choices"), rules.get("least"), rules.get("most")
         if choices and raw not in choices:
             raise self.wrong(place, f"{raw!r} is not one of {', '.join(map(str, choices))}")
@@ -152,7 +158,13 @@
         return raw
 
 
-_NAMES = {str: "text", int: "a whole number", float: "a number", bool: "true or false", Path: "a path"}
+_NAMES = {
+    str: "text",
+    int: "a whole number",
+    float: "a number",
+    bool: "true or false",
+    Path: "a path",
+}
 
 
 def _kind(raw: Any) -> str:
