--- a/benchmarks/fleet/lease_days.py
+++ b/benchmarks/fleet/lease_days.py
@@ -21,13 +21,13 @@
 
 from benchmarks.fleet.leases import Field
 from saffrongw.leases.candidates import shard_name
-from saffrongw.leases.spec import Spec
+from saffrongw.leases.spec import LeaseSpec
 from saffrongw.leases.timing import SECOND, Timing
 from testbed.simulation.clock import Link
 
 DAY, FROM, UNTIL = 120 * SECOND, 20 * SECOND, 90 * SECOND
 SPECS = tuple(
-    Spec(f"{once}-{n}", (2 + n) * SECOND, once, SECOND // 2)
+    LeaseSpec(f"{once}-{n}", (2 + n) * SECOND, once, SECOND // 2)
     for once in ("at-least", "at-most")
     for n in range(2)
 )
@@ -290,7 +290,7 @@
         table.add_column(name, justify="right")
     for gateways in (3, 20, 200):
         for tasks, shards in ((1, 1), (50, 16), (500, 32)):
-            specs = tuple(Spec(f"t{n}", 60 * SECOND) for n in range(tasks))
+            specs = tuple(LeaseSpec(f"t{n}", 60 * SECOND) for n in range(tasks))
             link = Link(delay=(200, 2_000))
             field = Field("traffic", 3, gateways - 3, shards, Timing(), specs, link, True)
             fleet = field.fleet
--- a/benchmarks/fleet/lease_explorer.py
+++ b/benchmarks/fleet/lease_explorer.py
@@ -13,17 +13,17 @@
 from dataclasses import dataclass, replace
 from itertools import combinations, combinations_with_replacement
 
-from saffrongw.leases.acceptor import Entry, Voter
-from saffrongw.leases.candidates import Standing
+from saffrongw.leases.acceptor import Acceptor, Entry
+from saffrongw.leases.candidates import Candidates
 from saffrongw.leases.messages import Accept, Message, Prepare, Promise, Propose, Refuse, Release
-from saffrongw.leases.proposer import Asker, Claim, Gained, Stage
-from saffrongw.leases.suspensions import Holds
+from saffrongw.leases.proposer import Claim, Gained, Proposer, Stage
+from saffrongw.leases.suspensions import Suspensions
 from saffrongw.leases.timing import SECOND, Timing
 
 LEASE = "s0/1"
 WALL = 1_700_000_000 * SECOND
 TICK = SECOND
-STILL = Standing(1)  # nobody stands: nothing is offered, askers begin by themselves
+STILL = Candidates(1)  # nobody stands: nothing is offered, askers begin by themselves
 
 
 class CaseTiming(Timing):
@@ -54,8 +54,8 @@
 class State:
     """Everything at one moment; nodes are never changed, only replaced."""
 
-    voters: tuple[Voter, ...]
-    askers: tuple[Asker, ...]
+    voters: tuple[Acceptor, ...]
+    askers: tuple[Proposer, ...]
     mail: frozenset[Mail]
     tick: int
     restarts: int
@@ -66,7 +66,7 @@
     gives_back: int = 0
 
 
-def copied_voter(voter: Voter) -> Voter:
+def copied_voter(voter: Acceptor) -> Acceptor:
     """One to change."""
     new = copy.copy(voter)
     new.entries = {lease: copy.copy(entry) for lease, entry in voter.entries.items()}
@@ -74,7 +74,7 @@
     return new
 
 
-def copied_asker(asker: Asker) -> Asker:
+def copied_asker(asker: Proposer) -> Proposer:
     """One to change."""
     new = copy.copy(asker)
     new.claims = {}
@@ -105,8 +105,8 @@
         span: int = 2 * TICK,
         drift: float = 0.2,
         rates: tuple[float, float] | None = None,
-        voter: Callable[..., Voter] = Voter,
-        asker: Callable[..., Asker] = Asker,
+        voter: Callable[..., Acceptor] = Acceptor,
+        asker: Callable[..., Proposer] = Proposer,
         timing: type[Timing] = CaseTiming,
         regain: bool = False,
         first_asks: bool = False,  # the others only after the first one has held the lease
@@ -145,7 +145,7 @@
         now = self.voter_now(0)
         voters = []
         for name in self.names:
-            one = self.voter(name, self.timing, STILL, Holds(), now - self.timing.silence)
+            one = self.voter(name, self.timing, STILL, Suspensions(), now - self.timing.silence)
             one.due(now, self.wall(0))
             voters.append(one)
         askers = [self.asker(name, 1, self.names, self.timing, half) for name in self.asking]
@@ -210,7 +210,7 @@
         if state.restarts:
             for place, voter in enumerate(state.voters):
                 fresh = self.voter(
-                    voter.name, self.timing, STILL, Holds(), self.voter_now(state.tick)
+                    voter.name, self.timing, STILL, Suspensions(), self.voter_now(state.tick)
                 )
                 voters = self._put(state.voters, place, fresh)
                 after = replace(state, voters=voters, restarts=state.restarts - 1)
@@ -303,7 +303,7 @@
         sent = mine.handle(self.asker_now(state.tick), sender, message)
         return self._with_asker(state, place, mine, sent)
 
-    def _with_asker(self, state: State, place: int, asker: Asker, out: list) -> State:
+    def _with_asker(self, state: State, place: int, asker: Proposer, out: list) -> State:
         wrong, highest = state.wrong, state.highest
         for event in asker.events:
             if isinstance(event, Gained):
@@ -471,7 +471,7 @@
         return 6, message.ballot, message.round, message.why
 
     @staticmethod
-    def _voter(voter: Voter, now: int, rank: dict[int, int]) -> tuple:
+    def _voter(voter: Acceptor, now: int, rank: dict[int, int]) -> tuple:
         entry = voter.entries.get(LEASE) or Entry()
         silent = 0 if voter.known_from else max(1, voter.silent_until - now)
         left = max(0, entry.until - now)
@@ -509,7 +509,7 @@
 # -- planted faults ---------------------------------------------------------------------------------------------------
 
 
-class NotSilent(Voter):
+class NotSilent(Acceptor):
     """Answers at once after a start."""
 
     def __init__(self, name, timing, standing, holds, now, **more) -> None:
@@ -517,7 +517,7 @@
         self.silent_until = now
 
 
-class Backwards(Voter):
+class Backwards(Acceptor):
     """Takes a late renewal under a ballot from before its holder had the lease anew."""
 
     def _propose(self, now, wall, sender, life, asked):
@@ -540,7 +540,7 @@
         return self.span
 
 
-class Minority(Asker):
+class Minority(Proposer):
     """One voter less than a majority is enough."""
 
     @property
@@ -548,7 +548,7 @@
         return len(self.voters) // 2
 
 
-class Careless(Voter):
+class Careless(Acceptor):
     """Looks at no numbers."""
 
     def _propose(self, now, wall, sender, life, asked):
@@ -559,7 +559,7 @@
         return answer
 
 
-class SameNumber(Asker):
+class SameNumber(Proposer):
     """Takes the number that it was told instead of the next one."""
 
     def _promised(self, now, voter, claim, told):
@@ -595,7 +595,7 @@
         return self.times
 
 
-class CountsTwice(Asker):
+class CountsTwice(Proposer):
     """Counts answers, not voters."""
 
     def _begin(self, now, claim, stage):
--- a/benchmarks/fleet/leases.py
+++ b/benchmarks/fleet/leases.py
@@ -14,10 +14,10 @@
 import msgspec
 
 from saffrongw.leases.candidates import shard_of
-from saffrongw.leases.node import Confirmed, Member
+from saffrongw.leases.node import Confirmed, LeaseNode
 from saffrongw.leases.proposer import Gained, Lost, Wanted
-from saffrongw.leases.spec import Spec
-from saffrongw.leases.task_schedule import Call, Cancel, Do, Outcome, Say, Turns
+from saffrongw.leases.spec import LeaseSpec
+from saffrongw.leases.task_schedule import Call, Cancel, Do, Outcome, Say, TaskSchedule
 from saffrongw.leases.timing import SECOND, Timing
 from saffrongw.leases.voter_set import VoterSet
 from testbed.simulation.clock import Fleet, Link, Node
@@ -66,14 +66,14 @@
         return Outcome.DONE if accepted else Outcome.OUTRUN
 
 
-class LeaseNode:
+class SimulatedNode:
     """A member and its tasks as a machine of the virtual clock."""
 
     def __init__(self, field: Field, name: str, life: int, now: int, draw: random.Random) -> None:
         self.field, self.name, self.life, self.draw = field, name, life, draw
         self.wall_by = field.walls.get(name, 0)
         self.member = field.member(name, life, now, draw)
-        self.turns = Turns()
+        self.turns = TaskSchedule()
         self.calls: list[tuple[int, Call]] = []  # when each ends
         self.now = now
         self.wanted: set[str] = set()
@@ -173,7 +173,7 @@
         askers: int = 5,
         shards: int = 1,
         timing: Timing | None = None,
-        specs: tuple[Spec, ...] = (),
+        specs: tuple[LeaseSpec, ...] = (),
         link: Link | None = None,
         sizes: bool = False,
         start_within: int = SECOND,
@@ -185,7 +185,7 @@
         self.names = (*self.voters, *(f"a{n}" for n in range(askers)))
         self.set = VoterSet(1, self.voters)
         self.specs = {spec.name: spec for spec in specs}
-        self.by_lease: dict[str, list[Spec]] = {}
+        self.by_lease: dict[str, list[LeaseSpec]] = {}
         for spec in specs:
             self.by_lease.setdefault(shard_of(spec.name, shards), []).append(spec)
         self.walls: dict[str, int] = {}
@@ -198,7 +198,7 @@
         self.breaches: list[Breach] = []
         self.gains: list[tuple[int, str, str, int]] = []  # when, lease, node, number
         self.highest: dict[str, int] = {}
-        self.member: Callable[[str, int, int, random.Random], Member] = self.plain_member
+        self.member: Callable[[str, int, int, random.Random], LeaseNode] = self.plain_member
         self.fleet.watchers.append(self._look)
         if sizes:
             encoder = msgspec.msgpack.Encoder()
@@ -208,12 +208,12 @@
             start = int(self.random.random() * start_within)
             self.fleet.add(name, self._make, rate, self.random.randrange(10**9), start)
 
-    def _make(self, name: str, life: int, now: int, draw: random.Random) -> LeaseNode:
-        return LeaseNode(self, name, life, now, draw)
+    def _make(self, name: str, life: int, now: int, draw: random.Random) -> SimulatedNode:
+        return SimulatedNode(self, name, life, now, draw)
 
-    def plain_member(self, name: str, life: int, now: int, draw: random.Random) -> Member:
+    def plain_member(self, name: str, life: int, now: int, draw: random.Random) -> LeaseNode:
         """A member as the program makes it."""
-        return Member(name, life, self.set, self.timing, self.shards, draw.random, now)
+        return LeaseNode(name, life, self.set, self.timing, self.shards, draw.random, now)
 
     def _look(self, at: int, node: Node) -> None:
         """Who holds what, by true time, after each step of a node."""
--- a/benchmarks/fleet/lists.py
+++ b/benchmarks/fleet/lists.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from saffrongw.gateway.discovery.poll_schedule import Asking, Call
+from saffrongw.gateway.discovery.poll_schedule import PollRequest, PollSchedule
 from testbed.model.list_service import Costs, Desk, Said
 from testbed.simulation.clock import Fleet, Link
 from testbed.simulation.machine import Sent
@@ -65,7 +65,7 @@
 class Gateway:
     """One gateway's watch. A connection is a number: what comes on an older one is not heard."""
 
-    def __init__(self, asking: Asking, alive: Callable[[], bool], now: int) -> None:
+    def __init__(self, asking: PollSchedule, alive: Callable[[], bool], now: int) -> None:
         self.asking, self.alive, self.connection = asking, alive, 0
         self.current_at: int | None = None
         self.calls = 0
@@ -75,7 +75,7 @@
         at = self.asking.next_at()
         return NEVER if at is None else int(at * SECOND) + 1
 
-    def _call(self, call: Call) -> Sent:
+    def _call(self, call: PollRequest) -> Sent:
         self.calls += not call.wait
         return [(SERVICE, (self.connection, call.version, call.wait))]
 
@@ -105,7 +105,7 @@
         return self._call(self.asking.answered(now / SECOND, VERSION))
 
 
-class Before(Asking):
+class Before(PollSchedule):
     """The waits of the version before: at once, the whole list, again within a second, or within ``ask_within``."""
 
     refusals = 0  # in a row
@@ -127,11 +127,11 @@
         super().begin(now, at_once)
         self.version, self.wait, self.confirm_at = None, 2.0, None
 
-    def answered(self, now: float, version: int, closes: bool = False) -> Call | None:
+    def answered(self, now: float, version: int, closes: bool = False) -> PollRequest | None:
         self.refusals = 0
         return super().answered(now, version, closes)
 
-    def connected(self, now: float) -> Call:
+    def connected(self, now: float) -> PollRequest:
         if not self.refusals:
             self.version = None
         return super().connected(now)
@@ -146,7 +146,7 @@
 
     gateways: int
     costs: Costs = field(default_factory=Costs)
-    kind: type[Asking] = Asking
+    kind: type[PollSchedule] = PollSchedule
     stale: bool = True  # a list is known from before: what is newer is enough
     clients: float = 1.0  # share of gateways that have clients at once
     twice_after: float = 0.0  # all are killed and start again after so many seconds
@@ -266,7 +266,9 @@
 }
 
 
-def table(kind: type[Asking], sizes: tuple[int, ...], out: Callable[[str], None] = print) -> None:
+def table(
+    kind: type[PollSchedule], sizes: tuple[int, ...], out: Callable[[str], None] = print
+) -> None:
     """One row for each story and size."""
     out(f"{'start':30} {'fleet':>5} {'calls':>6} {'each':>5} {'busiest':>7} {'away':>5} {'half s':>7} {'nine s':>7} "
         f"{'last s':>7} {'clients':>7} {'least s':>7} {'x least':>7} {'idle':>5} {'not':>4}")  # fmt: skip
@@ -286,7 +288,7 @@
     parser.add_argument("--before", action="store_true")
     parser.add_argument("--sizes", type=int, nargs="+", default=[3, 50, 200, 1000])
     chosen = parser.parse_args()
-    table(Before if chosen.before else Asking, tuple(chosen.sizes))
+    table(Before if chosen.before else PollSchedule, tuple(chosen.sizes))
 
 
 if __name__ == "__main__":
--- a/saffrongw/__main__.py
+++ b/saffrongw/__main__.py
@@ -8,7 +8,7 @@
 from .gateway import signals  # first, to note when the process began
 
 if __name__ == "__main__":
-    signals.hold_hang_ups()  # loading the rest takes its time
+    signals.block_sighup()  # loading the rest takes its time
 
 from .gateway.bootstrap import run  # isort: skip
 
--- a/saffrongw/admin/certs.py
+++ b/saffrongw/admin/certs.py
@@ -23,7 +23,7 @@
 from saffrongw.certs.renewal_loop import Agent, Row
 from saffrongw.certs.table import REASONS, AuthorityTable, CertsTable
 from saffrongw.certs.tls_listener import Manner
-from toml_schema import FormError
+from toml_schema import SchemaError
 
 ALARM_STATUS = 1  # exit status of ``list`` where something is urgent
 
@@ -247,7 +247,7 @@
             return unusable(f"{store.folder}: there is no such folder")
         store.open()
         return act[given.what](Site(store, table), given)
-    except FormError as wrong:
+    except SchemaError as wrong:
         return unusable(wrong)
     except (AcmeError, DocumentError) as wrong:
         return unusable(getattr(wrong, "detail", None) or wrong)
--- a/saffrongw/admin/cli.py
+++ b/saffrongw/admin/cli.py
@@ -12,9 +12,9 @@
 from saffrongw import __version__, operator
 from saffrongw.admin import leases, unusable
 from saffrongw.certs.table import REASONS
-from saffrongw.extension_registry import plugs_of
+from saffrongw.extension_registry import build_extensions
 from saffrongw.gateway import bootstrap
-from saffrongw.gateway.config import parse
+from saffrongw.gateway.config import parse_config
 
 
 def serve(config: str | None = None, operator_file: str | None = None) -> int:
@@ -22,16 +22,18 @@
     name = operator_file or os.environ.get("SAFFRONGW_OPERATOR")
     try:
         file = operator.load(name) if name else None
-    except toml_schema.FormError as wrong:
+    except toml_schema.SchemaError as wrong:
         return unusable(wrong)
     if config is None and "LB_CONFIG" not in os.environ:
         return unusable(
             "no configuration: name one with --config or LB_CONFIG (`make demo` shows a whole fleet)"
         )
     try:
-        return bootstrap.run(config, (lambda read: plugs_of(file, read, name)) if file else None)
+        return bootstrap.run(
+            config, (lambda read: build_extensions(file, read, name)) if file else None
+        )
     except (
-        toml_schema.FormError
+        toml_schema.SchemaError
     ) as wrong:  # a name that the configuration does not have, or a file of TLS
         return unusable(f"{name}: {wrong}")
 
@@ -42,12 +44,12 @@
         if path.suffix == ".toml":
             operator.load(path)
         elif path.suffix == ".json":
-            config = parse(path.read_text())
+            config = parse_config(path.read_text())
             if config.known.odd:
                 return unusable(f"{path}: known.hosts: {config.known.odd} entries make no sense")
         else:
             return unusable(f"{path}: neither an operator file (.toml) nor a configuration (.json)")
-    except toml_schema.FormError as wrong:
+    except toml_schema.SchemaError as wrong:
         return unusable(wrong)
     except OSError as wrong:
         return unusable(f"{path}: can't be read: {wrong.strerror or wrong}")
--- a/saffrongw/admin/leases.py
+++ b/saffrongw/admin/leases.py
@@ -10,7 +10,7 @@
 from datetime import UTC, datetime
 
 from saffrongw.admin import columns, unusable
-from saffrongw.gateway.config import address
+from saffrongw.gateway.config import parse_address
 
 WITHIN = 5.0  # seconds for an answer
 ALARM_STATUS = 1  # exit status of ``list`` where no majority is heard, or a clock is wrong
@@ -164,7 +164,7 @@
 def run(given: argparse.Namespace) -> int:
     """Carry one of them out; 2 where that can't be done."""
     try:
-        at = address(given.admin)
+        at = parse_address(given.admin)
     except ValueError as wrong:
         return unusable(wrong)
     try:
--- a/saffrongw/authz/attributes.py
+++ b/saffrongw/authz/attributes.py
@@ -11,7 +11,7 @@
 from google.protobuf.message import DecodeError
 from google.protobuf.struct_pb2 import Struct
 
-from saffrongw.gateway.extensions import StagedRequest
+from saffrongw.gateway.extensions import FilteredRequest
 
 from . import check_pb2 as pb
 from .checks import Kind, Reply
@@ -39,7 +39,7 @@
     safe: tuple[bool, ...]
 
 
-def key_of(request: StagedRequest) -> Hashable:
+def key_of(request: FilteredRequest) -> Hashable:
     """What the answer may hang on: all that the authoriser is shown but the id, the time and the wait."""
     terms = request.terms
     return (
@@ -54,7 +54,7 @@
     )
 
 
-def check_of(request: StagedRequest, names: Names, gateway: str, at: int) -> bytes:
+def check_of(request: FilteredRequest, names: Names, gateway: str, at: int) -> bytes:
     """The message that asks; at in us of Unix time."""
     terms = request.terms
     message = pb.CheckRequest()
--- a/saffrongw/authz/request_filter.py
+++ b/saffrongw/authz/request_filter.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from saffrongw.gateway.driver import Driver
-from saffrongw.gateway.extensions import Ending, Fail, Pass, Refuse, StagedRequest, Verdict
+from saffrongw.gateway.extensions import Abort, Continue, Ending, FilteredRequest, Reject, Verdict
 
 from .attributes import BadReply, Names, check_of, key_of, reply_of
 from .channel import Channel, ChannelError
@@ -56,7 +56,7 @@
         self.rules, self.names, self.gateway, self.channels = rules, names, gateway, channels
         self.loop = asyncio.get_running_loop()
         self.checks = Checks(figures, [channel.name for channel in channels], seed)
-        self.waiting: dict[int, tuple[StagedRequest, asyncio.Future[Verdict]]] = {}
+        self.waiting: dict[int, tuple[FilteredRequest, asyncio.Future[Verdict]]] = {}
         self.out: dict[int, asyncio.Task] = {}  # by flight
         self.messages: dict[int, bytes] = {}  # by flight, for hedges
         self.timers: dict[int, asyncio.TimerHandle] = {}
@@ -83,7 +83,7 @@
 
     # -- requests -------------------------------------------------------------------------------------------------
 
-    def ask(self, request: StagedRequest) -> Verdict | asyncio.Future[Verdict]:
+    def ask(self, request: FilteredRequest) -> Verdict | asyncio.Future[Verdict]:
         """Settled at once from the cache or where no check may be sent; else when the check has ended."""
         number = request.number
         left = request.terms.wait
@@ -100,26 +100,28 @@
         if self.waiting.pop(number, None):
             self._run(self.checks.leave(number))
 
-    def _verdict(self, request: StagedRequest, reply: Reply) -> Verdict:
+    def _verdict(self, request: FilteredRequest, reply: Reply) -> Verdict:
         """By the rules: a denial is a refusal only if trying again is harmless and useful. Nothing was sent yet, so it
         is harmless; the authoriser says whether it is of use."""
         terms = request.terms
         plan = self.names.plans[terms.plan]
         if reply.kind is Kind.ALLOW:
             if reply.plan and reply.plan != plan and self.rules.narrows(plan, reply.plan):
-                return Pass({"plan": self.names.plans.index(reply.plan)})
-            return Pass()
+                return Continue({"plan": self.names.plans.index(reply.plan)})
+            return Continue()
         if reply.kind is Kind.LATER:
-            return Refuse(reply.retry_after)
+            return Reject(reply.retry_after)
         if reply.kind is Kind.DENY:
-            return Fail()
+            return Abort()
         return (
-            Pass() if self.rules.mode(self.names.classes[terms.kind], plan) == "open" else Refuse()
+            Continue()
+            if self.rules.mode(self.names.classes[terms.kind], plan) == "open"
+            else Reject()
         )
 
     # -- effects --------------------------------------------------------------------------------------------------
 
-    def _run(self, effects: list[Effect], request: StagedRequest | None = None) -> None:
+    def _run(self, effects: list[Effect], request: FilteredRequest | None = None) -> None:
         for effect in effects:
             if isinstance(effect, Settle):
                 if waits := self.waiting.pop(effect.request, None):
@@ -181,7 +183,7 @@
             log.warning("authz: no answer of %s: %.200s", name, str(wrong) or type(wrong).__name__)
 
 
-class AuthzStage:
+class AuthzFilter:
     """The stage of one gateway, and a service of its process. Figures, rules and channels can change in service: what
     is out ends by the old ones."""
 
@@ -198,7 +200,7 @@
     ) -> None:
         self.names, self.gateway, self.seed = names, gateway, seed
         self.figures, self.rules, self.make = figures, rules, channels
-        self.fallback: Verdict = Refuse()
+        self.fallback: Verdict = Reject()
         self.asker: Asker | None = None
         self.askers: dict[int, Asker] = {}  # by request that waits
         self.retiring: set[asyncio.Task] = set()
@@ -213,13 +215,13 @@
         self.asker = Asker(figures, rules, self.names, channels(), self.gateway, self.seed)
         self.figures, self.rules, self.make = figures, rules, channels
         # What holds where this stage itself fails or the stages' share of time is over.
-        self.fallback = Pass() if rules.fail == "open" else Refuse()
+        self.fallback = Continue() if rules.fail == "open" else Reject()
         if old:
             task = asyncio.get_running_loop().create_task(old.retire())
             self.retiring.add(task)
             task.add_done_callback(self.retiring.discard)
 
-    def on_request(self, request: StagedRequest) -> Verdict | Awaitable[Verdict]:
+    def on_request(self, request: FilteredRequest) -> Verdict | Awaitable[Verdict]:
         """A verdict at once, or when the check has ended."""
         asker = self.asker
         verdict = asker.ask(request)
@@ -227,7 +229,7 @@
             self.askers[request.number] = asker
         return verdict
 
-    def on_end(self, request: StagedRequest, ending: Ending) -> None:
+    def on_end(self, request: FilteredRequest, ending: Ending) -> None:
         """The request is over."""
         if asker := self.askers.pop(request.number, None):
             asker.leave(request.number)
--- a/saffrongw/authz/server.py
+++ b/saffrongw/authz/server.py
@@ -11,7 +11,7 @@
 
 import grpc
 
-from saffrongw.gateway.filter_chain import ExtendedDriver
+from saffrongw.gateway.filter_chain import FilteringDriver
 
 from ..policy.actions import AdmitRequest, RejectRequest
 from .attributes import METHOD, BadRequest, Fields, Names, asked_of, let_in, turned_away
@@ -57,7 +57,7 @@
         self.port = 0
         self.stamp: tuple = ()
 
-    async def start(self, driver: ExtendedDriver) -> None:
+    async def start(self, driver: FilteringDriver) -> None:
         """Listen; ``OSError`` where that is not possible."""
         self.driver = driver
         self.server = grpc.aio.server(options=OPTIONS, maximum_concurrent_rpcs=self.in_flight)
--- a/saffrongw/certs/certificate_store.py
+++ b/saffrongw/certs/certificate_store.py
@@ -27,7 +27,7 @@
 from dataclasses import asdict, dataclass, replace
 from pathlib import Path
 
-from saffrongw.gateway.extensions import SoleDuty
+from saffrongw.gateway.extensions import LeaderGuard
 
 from . import chain, documents
 from .documents import Account, CertNote, DocumentError
@@ -102,7 +102,7 @@
         now: Callable[[], float] = time.time,
         terms: Terms | None = None,
         step: Callable[[str], None] | None = None,
-        duty: SoleDuty | None = None,
+        duty: LeaderGuard | None = None,
     ) -> None:
         self.folder, self.now, self.terms, self.duty = folder, now, terms or Terms(), duty
         self.step = step or (lambda name: None)
@@ -236,7 +236,7 @@
             assert isinstance(what, Wait)
             return 0, what.until
 
-    def _take_under_duty(self, me: str, duty: SoleDuty) -> tuple[int, float]:
+    def _take_under_duty(self, me: str, duty: LeaderGuard) -> tuple[int, float]:
         number, again_at = duty.number(), self.terms.span / 2
         again = self.now() + DUTY_LOOK
         if not number:
--- a/saffrongw/certs/component.py
+++ b/saffrongw/certs/component.py
@@ -6,9 +6,9 @@
 import socket
 from collections.abc import Callable
 
-from saffrongw.gateway.config import address
+from saffrongw.gateway.config import parse_address
 from saffrongw.gateway.driver import Driver
-from saffrongw.gateway.extensions import SoleDuty
+from saffrongw.gateway.extensions import LeaderGuard
 
 from .handshakes import SECOND, Bounds
 from .renewal_loop import Agent, Clock, Row
@@ -33,11 +33,15 @@
     )
 
 
-class CertsPart:
+class CertsComponent:
     """Service, front, figures and rows in one."""
 
     def __init__(
-        self, table: CertsTable, seed: int, clock: Clock | None = None, duty: SoleDuty | None = None
+        self,
+        table: CertsTable,
+        seed: int,
+        clock: Clock | None = None,
+        duty: LeaderGuard | None = None,
     ) -> None:
         self.table = table
         manner = manner_of(table.tls)
@@ -45,9 +49,9 @@
         # New with each start: a gateway that comes back is not the one that held the lease.
         me = f"{socket.gethostname()}-{os.getpid()}-{seed:x}"[:120]
         self.agent = Agent(table, me, manner, clock, duty=duty)
-        self.front = Front(address(table.listen), manner, bounds_of(table.tls), self.agent)
+        self.front = Front(parse_address(table.listen), manner, bounds_of(table.tls), self.agent)
         self.responder = (
-            Responder(address(table.http_listen), self.agent.key_authorisation)
+            Responder(parse_address(table.http_listen), self.agent.key_authorisation)
             if table.http_listen
             else None
         )
--- a/saffrongw/certs/renewal_loop.py
+++ b/saffrongw/certs/renewal_loop.py
@@ -23,7 +23,7 @@
 from pathlib import Path
 from typing import Any
 
-from saffrongw.gateway.extensions import SoleDuty
+from saffrongw.gateway.extensions import LeaderGuard
 
 from . import chain, order_flow, renewal
 from .certificate_store import CHALLENGE_FOR, LostLease, Pair, Proof, Store, StoreError
@@ -164,7 +164,7 @@
         clock: Clock | None = None,
         step: Callable[[str], None] | None = None,
         https: Callable[[str], Https] = Https,
-        duty: SoleDuty | None = None,
+        duty: LeaderGuard | None = None,
     ) -> None:
         self.table, self.me, self.clock, self.https = table, me, clock or Clock(), https
         terms = Terms(table.lease_seconds, table.clock_skew)
--- a/saffrongw/certs/tls_listener.py
+++ b/saffrongw/certs/tls_listener.py
@@ -20,7 +20,7 @@
 
 from saffrongw.gateway.acceptor import ACCEPT_MOST
 from saffrongw.gateway.config import Address
-from saffrongw.gateway.downstream.connection import BACKLOG, Client, Clients
+from saffrongw.gateway.downstream.connection import BACKLOG, ClientConnection, ClientConnections
 
 from . import client_hello
 from .handshakes import Bounds, Handshakes
@@ -77,7 +77,7 @@
         self.handshakes = Handshakes(bounds, 0)
         self.counts: Counter[str] = Counter()
         self.loop: asyncio.AbstractEventLoop | None = None
-        self.clients: Clients | None = None
+        self.clients: ClientConnections | None = None
         self.listener: socket.socket | None = None
         self.tasks: set[asyncio.Task] = set()
         self.timer: asyncio.TimerHandle | None = None
@@ -92,7 +92,7 @@
         self.listener.setblocking(False)
         self._renew_base(0.0)
 
-    async def open(self, clients: Clients) -> None:
+    async def open(self, clients: ClientConnections) -> None:
         """Serve from now on."""
         self.clients, self.loop = clients, clients.loop
         self._renew_base(self.loop.time())
@@ -248,7 +248,7 @@
         if self.loop.time() - self.born > self.manner.tickets:
             self._renew_base(self.loop.time())
         for sock in self.handshakes.begin(now):
-            self._run(self._shake(sock, self.base, Client(self.clients)))
+            self._run(self._shake(sock, self.base, ClientConnection(self.clients)))
         if self.timer:
             self.timer.cancel()
             self.timer = None
@@ -281,7 +281,7 @@
         else:
             done = transport.get_extra_info("ssl_object")
             self.handshakes.done(self._now(), sock, bool(done and done.session_reused))
-            if not isinstance(protocol, Client):
+            if not isinstance(protocol, ClientConnection):
                 transport.close()  # the handshake was the answer
         self._turn()
 
--- a/saffrongw/channel/component.py
+++ b/saffrongw/channel/component.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from saffrongw.gateway.config import address
+from saffrongw.gateway.config import parse_address
 from saffrongw.gateway.driver import Driver
 
-from .signed_datagram import BadKey, Envelope, Key
+from .signed_datagram import DatagramCodec, InvalidKeyError, Key
 from .socket import Channel
 from .table import ChannelTable
 
@@ -34,21 +34,21 @@
             secret = raw
         try:
             found.append(Key(secret))
-        except BadKey as wrong:
+        except InvalidKeyError as wrong:
             raise ValueError(f"channel.keys: {path}: {wrong}") from None
     if len({key.id for key in found}) < len(found):
         raise ValueError("channel.keys: two files hold the same key")
     return found
 
 
-class ChannelPart:
+class ChannelComponent:
     """Service and figures."""
 
     def __init__(self, table: ChannelTable) -> None:
         self.table = table
         self.life = secrets.randbits(62) + 1
         self.channel = Channel(
-            Envelope(table.name, self.life, read_keys(table.keys)), address(table.listen)
+            DatagramCodec(table.name, self.life, read_keys(table.keys)), parse_address(table.listen)
         )
 
     async def start(self, driver: Driver) -> None:
--- a/saffrongw/channel/signed_datagram.py
+++ b/saffrongw/channel/signed_datagram.py
@@ -29,7 +29,7 @@
 HELLO = 0  # the kind that only tells a life
 
 
-class Letter(msgspec.Struct, frozen=True, array_like=True):
+class Datagram(msgspec.Struct, frozen=True, array_like=True):
     """What is signed."""
 
     sender: str
@@ -41,7 +41,7 @@
     payload: bytes
 
 
-class BadKey(ValueError):
+class InvalidKeyError(ValueError):
     """A key that can't be used."""
 
 
@@ -53,7 +53,7 @@
 
     def __post_init__(self) -> None:
         if len(self.secret) < KEY_LEAST:
-            raise BadKey(f"a key has at least {KEY_LEAST} bytes")
+            raise InvalidKeyError(f"a key has at least {KEY_LEAST} bytes")
 
     @property
     def id(self) -> bytes:
@@ -85,20 +85,20 @@
 class Opened:
     """A letter that is proved, for this life of ours, and new."""
 
-    letter: Letter
+    letter: Datagram
 
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
     """A proved letter that does not name this life of ours: its sender is to be told."""
 
-    letter: Letter
+    letter: Datagram
 
 
-_encode, _decode = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder(Letter).decode
+_encode, _decode = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder(Datagram).decode
 
 
-class Envelope:
+class DatagramCodec:
     """Packs and opens for one life of one gateway."""
 
     def __init__(self, name: str, life: int, keys: Sequence[Key]) -> None:
@@ -113,7 +113,7 @@
     def turn_keys(self, keys: Sequence[Key]) -> None:
         """The first signs, all are believed."""
         if not keys:
-            raise BadKey("there is no key")
+            raise InvalidKeyError("there is no key")
         self.signing = keys[0]
         self.by_id = {key.id: key for key in keys}
 
@@ -122,7 +122,7 @@
         if len(payload) > PAYLOAD_MOST:
             raise ValueError(f"a payload of {len(payload)} bytes; {PAYLOAD_MOST} at most")
         self.number += 1
-        body = _encode(Letter(self.name, self.life, to, to_life, self.number, kind, payload))
+        body = _encode(Datagram(self.name, self.life, to, to_life, self.number, kind, payload))
         head = MAGIC + bytes((VERSION,)) + self.signing.id + body
         return head + hmac.digest(self.signing.secret, head, "sha256")[:TAG]
 
--- a/saffrongw/channel/socket.py
+++ b/saffrongw/channel/socket.py
@@ -11,7 +11,7 @@
 
 from saffrongw.gateway.config import Address
 
-from .signed_datagram import HELLO, Envelope, Letter, Opened, Unknown
+from .signed_datagram import HELLO, Datagram, DatagramCodec, Opened, Unknown
 
 log = logging.getLogger(__name__)
 
@@ -24,7 +24,7 @@
 class Channel(asyncio.DatagramProtocol):
     """Sends to gateways by name, hands over what is proved and new."""
 
-    def __init__(self, envelope: Envelope, listen: Address) -> None:
+    def __init__(self, envelope: DatagramCodec, listen: Address) -> None:
         self.envelope, self.listen = envelope, listen
         self.fixed: dict[str, Address] = {}  # as the operator file has them
         self.learnt: OrderedDict[str, Address] = OrderedDict()  # where others were heard from
@@ -133,7 +133,7 @@
                 self.waiting.pop(letter.sender, None)
                 handler(letter.sender, letter.life, letter.payload)
 
-    def _greet(self, letter: Letter, source: Address) -> None:
+    def _greet(self, letter: Datagram, source: Address) -> None:
         """Tell a sender our life, by the life that it named as its own: only that one can take it as new."""
         now = asyncio.get_running_loop().time()
         if now - self.greeted.get(letter.sender, -1.0) < HELLO_EVERY:
--- a/saffrongw/extension_registry.py
+++ b/saffrongw/extension_registry.py
@@ -10,29 +10,29 @@
 from saffrongw.certs.table import CertsTable
 from saffrongw.channel.table import ChannelTable
 from saffrongw.gateway.config import Config
-from saffrongw.gateway.downstream.connection import Front
+from saffrongw.gateway.downstream.connection import Listener
 from saffrongw.gateway.extensions import (
-    Lines,
+    AdminCommand,
+    Extensions,
+    LeaderGuard,
+    MetricLines,
     Observer,
-    OperatorCall,
-    Plugs,
+    RequestFilter,
     Service,
-    SoleDuty,
-    Stage,
 )
 from saffrongw.leases.table import LeasesTable
 from saffrongw.operator import OperatorFile, load
 from saffrongw.operator.file import AuthzServerTable, AuthzTable, LedgerTable, TlsTable
-from toml_schema import FormError
+from toml_schema import SchemaError
 
 log = logging.getLogger(__name__)
 
 MS = 1_000
 
 
-def plugs_of(file: OperatorFile, config: Config, path: str = "") -> Plugs:
+def build_extensions(file: OperatorFile, config: Config, path: str = "") -> Extensions:
     """The stages and services; ``FormError`` where the file names what the configuration does not have."""
-    stages: list[Stage] = []
+    stages: list[RequestFilter] = []
     services: list[Service] = []
     stage = None
     if file.authz:
@@ -45,9 +45,9 @@
         stages.append(ledger)
         observers.append(ledger)
         services.append(ledger)
-    fronts: list[Front] = []
-    figures: list[Lines] = []
-    calls: dict[bytes, OperatorCall] = {}
+    fronts: list[Listener] = []
+    figures: list[MetricLines] = []
+    calls: dict[bytes, AdminCommand] = {}
     drains: list[Callable[[bool], None]] = []
     certs = leases = channel = None
     if file.channel:
@@ -69,17 +69,19 @@
     if file.authz_server:
         services.append(_authz_server(file.authz_server, config))
     again = (
-        Again(path, file, config, stage, {"certs": certs, "channel": channel, "leases": leases})
+        OperatorFileReloader(
+            path, file, config, stage, {"certs": certs, "channel": channel, "leases": leases}
+        )
         if path
         else None
     )
     parts = tuple(stages), tuple(observers), tuple(services)
-    return Plugs(
+    return Extensions(
         *parts, file.stages.time_share, again, tuple(fronts), tuple(figures), calls, tuple(drains)
     )
 
 
-class Again:
+class OperatorFileReloader:
     """SIGHUP: the operator file read anew. All of it is valid and takes effect, or none, and the old one stays."""
 
     def __init__(self, path: str, file: OperatorFile, config: Config, stage, parts: dict) -> None:
@@ -93,11 +95,13 @@
             new = load(self.path)
             tables = {name: table for name in self.parts if (table := getattr(new, name))}
             commits = [self.parts[name].change(table) for name, table in tables.items()]
-            built = plugs_of(replace(new, certs=None, channel=None, leases=None), self.config)
+            built = build_extensions(
+                replace(new, certs=None, channel=None, leases=None), self.config
+            )
             if self.stage and new.authz and new.authz != self.file.authz:
                 made = built.stages[0]
                 self.stage.change(made.figures, made.rules, made.make)
-        except (FormError, OSError, ValueError) as wrong:
+        except (SchemaError, OSError, ValueError) as wrong:
             log.warning("reload: the operator file that was read first stays: %s", wrong)
             return
         for commit in commits:
@@ -121,21 +125,21 @@
 
 def _channel(table: ChannelTable):
     try:
-        from saffrongw.channel.component import ChannelPart
+        from saffrongw.channel.component import ChannelComponent
     except ImportError as missing:
-        raise FormError(f"channel needs the extra saffrongw[leases]: {missing}") from None
+        raise SchemaError(f"channel needs the extra saffrongw[leases]: {missing}") from None
     try:
-        return ChannelPart(table)
+        return ChannelComponent(table)
     except ValueError as wrong:
-        raise FormError(str(wrong)) from None
+        raise SchemaError(str(wrong)) from None
 
 
 def _leases(table: LeasesTable, channel):
     try:
-        from saffrongw.leases.component import LeasesPart
+        from saffrongw.leases.component import LeasesComponent
     except ImportError as missing:
-        raise FormError(f"leases needs the extra saffrongw[leases]: {missing}") from None
-    return LeasesPart(table, channel)
+        raise SchemaError(f"leases needs the extra saffrongw[leases]: {missing}") from None
+    return LeasesComponent(table, channel)
 
 
 def _duty_of(table: CertsTable) -> str:
@@ -143,12 +147,12 @@
     return f"certs:{hashlib.blake2b(str(table.state_dir).encode(), digest_size=4).hexdigest()}"
 
 
-def _certs(table: CertsTable, config: Config, duty: SoleDuty | None = None):
+def _certs(table: CertsTable, config: Config, duty: LeaderGuard | None = None):
     try:
-        from saffrongw.certs.component import CertsPart
+        from saffrongw.certs.component import CertsComponent
     except ImportError as missing:
-        raise FormError(f"certs needs the extra saffrongw[certs]: {missing}") from None
-    return CertsPart(table, config.seed, duty=duty)
+        raise SchemaError(f"certs needs the extra saffrongw[certs]: {missing}") from None
+    return CertsComponent(table, config.seed, duty=duty)
 
 
 def _library(table: str) -> None:
@@ -156,7 +160,7 @@
         import google.protobuf  # noqa: F401
         import grpc  # noqa: F401
     except ImportError as missing:
-        raise FormError(f"{table} needs the extra saffrongw[authz]: {missing}") from None
+        raise SchemaError(f"{table} needs the extra saffrongw[authz]: {missing}") from None
 
 
 def _names(config: Config):
@@ -178,22 +182,24 @@
     from saffrongw.authz.breaker import BreakerFigures
     from saffrongw.authz.channel import Channel
     from saffrongw.authz.checks import Figures
-    from saffrongw.authz.request_filter import AuthzStage, Rules
+    from saffrongw.authz.request_filter import AuthzFilter, Rules
 
     names = _names(config)
     for place, line in enumerate(table.fail_for):
         if line.class_ and line.class_ not in names.classes:
-            raise FormError(
+            raise SchemaError(
                 f"authz.fail_for[{place}].class: {line.class_!r} is no class of the configuration"
             )
         if line.plan and line.plan not in names.plans:
-            raise FormError(
+            raise SchemaError(
                 f"authz.fail_for[{place}].plan: {line.plan!r} is no plan of the configuration"
             )
     for place, line in enumerate(table.narrow):
         for plan in (line.plan, *line.to):
             if plan not in names.plans:
-                raise FormError(f"authz.narrow[{place}]: {plan!r} is no plan of the configuration")
+                raise SchemaError(
+                    f"authz.narrow[{place}]: {plan!r} is no plan of the configuration"
+                )
     b = table.breaker
     breaker = BreakerFigures(
         b.window_ms * MS,
@@ -222,7 +228,7 @@
         {line.plan: line.to for line in table.narrow},
     )
     tls = _tls(table.tls)
-    return AuthzStage(
+    return AuthzFilter(
         figures,
         rules,
         names,
@@ -238,7 +244,7 @@
     from saffrongw.authz.server import AuthzServer
 
     if table.tls and not table.tls.cert:
-        raise FormError("authz_server.tls: cert and key are needed")
+        raise SchemaError("authz_server.tls: cert and key are needed")
     return AuthzServer(
         table.listen,
         _names(config),
@@ -251,7 +257,7 @@
 
 
 def _ledger(table: LedgerTable, config: Config):
-    from saffrongw.ledger.request_filter import Ledger
+    from saffrongw.ledger.request_filter import LedgerFilter
     from saffrongw.policy.settings import Idempotency
 
     written = (
@@ -262,4 +268,6 @@
     kinds = frozenset(n for n, c in enumerate(config.settings.classes) if c.idempotency in written)
     classes, plans = config.class_names, config.plan_names
     keep, most = table.keep_days * 86_400, table.most_mb << 20
-    return Ledger(table.state_dir, kinds, classes, plans, table.queue, keep, most, table.bodies)
+    return LedgerFilter(
+        table.state_dir, kinds, classes, plans, table.queue, keep, most, table.bodies
+    )
--- a/saffrongw/gateway/admin_http/handlers.py
+++ b/saffrongw/gateway/admin_http/handlers.py
@@ -7,23 +7,23 @@
 from ...policy import state_transfer
 from ...policy.events import EndpointId, ExclusionChanged
 from ..config import Config
-from ..downstream.connection import Clients
+from ..downstream.connection import ClientConnections
 from ..driver import Driver
-from ..extensions import Lines, OperatorCall
+from ..extensions import AdminCommand, MetricLines
 from ..metrics import text
 
 SOURCE = "operator"
 EXCLUDED_MOST = 4_096  # hosts taken out at once: each is remembered, listed or not
 
 
-class Operations:
+class AdminHandlers:
     """The gateway as its operators see it (``operators.Operated``)."""
 
-    def __init__(self, driver: Driver, clients: Clients, config: Config) -> None:
+    def __init__(self, driver: Driver, clients: ClientConnections, config: Config) -> None:
         self.driver, self.clients, self.config = driver, clients, config
         self.serving = False
-        self.more: tuple[Lines, ...] = ()  # figures of what is plugged in
-        self.calls: Mapping[bytes, OperatorCall] = {}  # and what else it can be asked
+        self.more: tuple[MetricLines, ...] = ()  # figures of what is plugged in
+        self.calls: Mapping[bytes, AdminCommand] = {}  # and what else it can be asked
         self.on_drain: tuple[Callable[[bool], None], ...] = ()
         self.tell: Callable[..., object] = lambda *message: None  # the other process of an upgrade
 
--- a/saffrongw/gateway/admin_http/server.py
+++ b/saffrongw/gateway/admin_http/server.py
@@ -65,7 +65,7 @@
 class Caller(asyncio.Protocol):
     """One connection with one call on it."""
 
-    def __init__(self, calls: OperatorCalls) -> None:
+    def __init__(self, calls: AdminServer) -> None:
         self.calls = calls
         self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=HEAD_MOST)
         self.request: h11.Request | None = None
@@ -141,7 +141,7 @@
         self.calls.closed(self)
 
 
-class OperatorCalls:
+class AdminServer:
     """The listener for operators."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, operated: Operated) -> None:
--- a/saffrongw/gateway/admission_queue.py
+++ b/saffrongw/gateway/admission_queue.py
@@ -12,7 +12,7 @@
 from time import monotonic
 
 from ..policy.load_shedding import Shedder, Waiting
-from .driver import Driver, Terms, busy
+from .driver import Driver, RequestTerms, busy_reply
 
 AT_ONCE = 0.004  # seconds of a turn in which requests are begun as they are read
 WORK = 0.010  # seconds of a turn for requests that wait, whatever reading took of it
@@ -21,7 +21,7 @@
 Refuse = Callable[[bytes], None]
 
 
-class Intake:
+class AdmissionQueue:
     """Between the clients' connections and the driver."""
 
     def __init__(self, driver: Driver, loop: asyncio.AbstractEventLoop) -> None:
@@ -50,7 +50,7 @@
         return self.shedder.count > 0
 
     def wait(
-        self, terms: Terms, group: bytes, customer: bytes, begin: Begin, refuse: Refuse
+        self, terms: RequestTerms, group: bytes, customer: bytes, begin: Begin, refuse: Refuse
     ) -> Waiting | None:
         """Let a request wait; None where it was refused at once."""
         now = self.driver.clock()
@@ -70,7 +70,7 @@
 
     def refuse_all(self) -> None:
         """Nothing is begun any more: what waits is refused."""
-        refusal = busy(0)
+        refusal = busy_reply(0)
         for one in self.shedder.clear():
             one.tag[1](refusal)
 
@@ -80,7 +80,7 @@
         return self.refusal
 
     def _answer(self, now: int) -> bytes:
-        return busy(self.shedder.back_in(now, self.most_back))
+        return busy_reply(self.shedder.back_in(now, self.most_back))
 
     def _turn(self) -> None:
         """All that came in this turn has been read: begin what waits, for a while."""
--- a/saffrongw/gateway/bootstrap.py
+++ b/saffrongw/gateway/bootstrap.py
@@ -17,18 +17,18 @@
 
 from ..policy.settings_schema import SettingsError
 from . import signals
-from .admin_http.handlers import Operations
-from .admin_http.server import OperatorCalls
-from .config import Config, address, parse
-from .discovery.client import Watch
-from .discovery.poll_schedule import Asking
-from .downstream.connection import Clients
+from .admin_http.handlers import AdminHandlers
+from .admin_http.server import AdminServer
+from .config import Config, parse_address, parse_config
+from .discovery.client import DiscoveryClient
+from .discovery.poll_schedule import PollSchedule
+from .downstream.connection import ClientConnections
 from .driver import Driver
-from .extensions import Plugs
-from .gossip_transport import Peers
-from .hot_restart.successor import Estate, Inheritance, either
-from .metrics import Figures
-from .upstream.cluster import Hosts
+from .extensions import Extensions
+from .gossip_transport import GossipTransport
+from .hot_restart.successor import PredecessorHandOver, SuccessorHandOver, either
+from .metrics import Metrics
+from .upstream.cluster import UpstreamCluster
 
 log = logging.getLogger(__name__)
 
@@ -48,7 +48,7 @@
 )
 
 
-class Bounded(logging.Filter):
+class RateLimitedLogFilter(logging.Filter):
     """Guards against a log that grows with what goes wrong: so many lines in a span, the rest are counted."""
 
     def __init__(self) -> None:
@@ -67,12 +67,12 @@
 
 def read(path: Path) -> Config:
     """The configuration's file; LB_ADMIN names the operators' address where the file doesn't."""
-    config = parse(path.read_text())
+    config = parse_config(path.read_text())
     told = os.environ.get("LB_ADMIN")
-    return replace(config, admin=address(told)) if told and config.admin is None else config
+    return replace(config, admin=parse_address(told)) if told and config.admin is None else config
 
 
-def reload(path: Path, config: Config, watch: Watch, figures: Figures) -> Config:
+def reload(path: Path, config: Config, watch: DiscoveryClient, figures: Metrics) -> Config:
     """SIGHUP: read the file again. A wrong one is logged and the old one stays; only the watch can move."""
     try:
         new = read(path)
@@ -87,7 +87,7 @@
     return replace(config, discovery=new.discovery)
 
 
-async def serve(config: Config, path: Path, plugs: Plugs | None = None) -> None:
+async def serve(config: Config, path: Path, plugs: Extensions | None = None) -> None:
     """Run until SIGTERM or SIGINT; without plugs no stage or observer is looked for at all."""
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
@@ -97,13 +97,13 @@
     client_sockets = int(CLIENT_PART * sockets)
     if plugs:
         from .filter_chain import (
-            ExtendedDriver,  # only here: a gateway without plugs does not even load it
+            FilteringDriver,  # only here: a gateway without plugs does not even load it
         )
 
-        driver: Driver = ExtendedDriver(config.settings, config.seed, loop, plugs)
+        driver: Driver = FilteringDriver(config.settings, config.seed, loop, plugs)
     else:
         driver = Driver(config.settings, config.seed, loop)
-    driver.hosts = Hosts(
+    driver.hosts = UpstreamCluster(
         driver,
         config.settings.load_report_fields,
         sockets - client_sockets,
@@ -111,12 +111,12 @@
         config.connect_timeout,
     )
     hosts = driver.hosts
-    inheritance = await Inheritance.of(loop, config.listen)
+    inheritance = await SuccessorHandOver.of(loop, config.listen)
     driver.succeeds = inheritance is not None
     driver.start((inheritance and inheritance.listed) or config.known)
     for service in plugs.services if plugs else ():
         await service.start(driver)
-    asking = Asking(
+    asking = PollSchedule(
         config.settings.node_count,
         random.Random(config.seed),
         config.known.version if config.known.hosts else None,
@@ -125,7 +125,7 @@
         pushed=not config.settings.polls_endpoint_list,
         grace=config.settings.drain_grace_us / 1e6,
     )
-    watch = Watch(loop, config.discovery, config.zones, driver.listed, asking)
+    watch = DiscoveryClient(loop, config.discovery, config.zones, driver.listed, asking)
     watch.start()
 
     def hang_up() -> None:
@@ -138,15 +138,15 @@
     signal.pthread_sigmask(
         signal.SIG_UNBLOCK, {signal.SIGHUP}
     )  # one that came since the start is carried out now
-    clients = Clients(driver, config, client_sockets)
-    operations = Operations(driver, clients, config)
+    clients = ClientConnections(driver, config, client_sockets)
+    operations = AdminHandlers(driver, clients, config)
     if plugs:
         operations.more, operations.calls, operations.on_drain = (
             plugs.figures,
             plugs.calls,
             plugs.on_drain,
         )
-    calls = OperatorCalls(loop, operations)
+    calls = AdminServer(loop, operations)
     if config.admin:
         calls.listen(config.admin)
     if inheritance:
@@ -156,7 +156,7 @@
     if inheritance.falls_to_us if inheritance else not stop.is_set():
         peers = None
         if config.peer_listen and config.settings.may_send_gossip:
-            peers = Peers(driver, config.peers, config.settings.node_index)
+            peers = GossipTransport(driver, config.peers, config.settings.node_index)
             await peers.listen(inheritance and inheritance.peers, config.peer_listen)
         await clients.listen(inheritance and inheritance.listener)
         if plugs:
@@ -164,7 +164,7 @@
         operations.serving = True
         if inheritance:
             inheritance.serve()
-        estate = Estate(driver, hosts, clients, operations, peers, ACCEPT_FOR)
+        estate = PredecessorHandOver(driver, hosts, clients, operations, peers, ACCEPT_FOR)
         estate.listen()
         gc.collect()
         gc.freeze()  # what is loaded by now stays: it need not be looked through again
@@ -185,13 +185,13 @@
 def start_log() -> None:
     """Warnings and worse on standard error, so many lines a span."""
     logging.basicConfig(level=logging.WARNING, format="%(asctime)s %(levelname)s %(message)s")
-    logging.getLogger().handlers[0].addFilter(Bounded())
+    logging.getLogger().handlers[0].addFilter(RateLimitedLogFilter())
 
 
-def run(path: str | None = None, plug: Callable[[Config], Plugs] | None = None) -> int:
+def run(path: str | None = None, plug: Callable[[Config], Extensions] | None = None) -> int:
     """Read the configuration and serve; one plain line and 1 where it is wrong. Without a path LB_CONFIG names it."""
     start_log()
-    signals.hold_hang_ups()
+    signals.block_sighup()
     try:
         file = Path(path if path is not None else os.environ["LB_CONFIG"])
         config = read(file)
--- a/saffrongw/gateway/config.py
+++ b/saffrongw/gateway/config.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HostEntry:
+class DiscoveredEndpoint:
     """One line of discovery's list: what the module is told, and where to connect."""
 
     entry: EndpointEntry
@@ -29,12 +29,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HostList:
+class EndpointList:
     """A list of hosts, or what changed in it."""
 
     version: int
     whole: bool
-    hosts: tuple[HostEntry, ...]
+    hosts: tuple[DiscoveredEndpoint, ...]
     odd: int = 0  # entries that made no sense and were left out
 
 
@@ -49,7 +49,7 @@
     sockets: int
     peer_listen: Address | None
     peers: tuple[Address, ...]
-    known: HostList
+    known: EndpointList
     settings: Settings
     classes: dict[bytes, int]
     plans: dict[bytes, int]
@@ -73,7 +73,7 @@
     return tuple(name.decode() for name, _ in sorted(numbers.items(), key=lambda item: item[1]))
 
 
-def address(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """``HOST:PORT`` as a pair."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) < 65536:
@@ -81,7 +81,7 @@
     return host, int(port)
 
 
-def parse_hosts(raw: dict[str, Any], zones: tuple[str, ...]) -> HostList:
+def parse_endpoint_list(raw: dict[str, Any], zones: tuple[str, ...]) -> EndpointList:
     """Discovery's form of a list; an odd entry is left out and counted, the others stand."""
     hosts, odd = [], 0
     for line in raw["hosts"]:
@@ -97,13 +97,13 @@
                 started_at_us=born,
                 size=float(line["share"]),
             )
-            hosts.append(HostEntry(entry, address(line["dial"])))
+            hosts.append(DiscoveredEndpoint(entry, parse_address(line["dial"])))
         except (LookupError, TypeError, ValueError, AttributeError, ArithmeticError):
             odd += 1
-    return HostList(int(raw["seq"]), bool(raw["whole"]), tuple(hosts), odd)
+    return EndpointList(int(raw["seq"]), bool(raw["whole"]), tuple(hosts), odd)
 
 
-def parse(text: str) -> Config:
+def parse_config(text: str) -> Config:
     """The whole configuration."""
     raw = json.loads(text)
     settings = raw["settings"]
@@ -111,14 +111,16 @@
     peers = raw.get("peers") or ()
     may = settings["permissions"]
     return Config(
-        listen=address(raw["listen"]),
-        discovery=address(raw["discovery"]),
-        admin=address(raw["admin"]) if raw.get("admin") else None,
+        listen=parse_address(raw["listen"]),
+        discovery=parse_address(raw["discovery"]),
+        admin=parse_address(raw["admin"]) if raw.get("admin") else None,
         seed=int(raw["seed"], 16),
         sockets=int(raw["limits"]["sockets"]),
-        peer_listen=address(raw["peer_listen"]) if peers and raw.get("peer_listen") else None,
-        peers=tuple(address(peer) for peer in peers),
-        known=parse_hosts(raw.get("known") or {"seq": 0, "whole": True, "hosts": ()}, zones),
+        peer_listen=parse_address(raw["peer_listen"]) if peers and raw.get("peer_listen") else None,
+        peers=tuple(parse_address(peer) for peer in peers),
+        known=parse_endpoint_list(
+            raw.get("known") or {"seq": 0, "whole": True, "hosts": ()}, zones
+        ),
         settings=parse_settings(json.dumps(settings).encode()),
         classes={c["name"].encode(): i for i, c in enumerate(settings["classes"])},
         plans={p["name"].encode(): i for i, p in enumerate(settings["packages"])},
--- a/saffrongw/gateway/discovery/client.py
+++ b/saffrongw/gateway/discovery/client.py
@@ -9,9 +9,9 @@
 
 import h11
 
-from ..config import Address, HostList, parse_hosts
-from .poll_schedule import Asking, Call
-from .watch_events import News
+from ..config import Address, EndpointList, parse_endpoint_list
+from .poll_schedule import PollRequest, PollSchedule
+from .watch_events import WatchEventFilter
 
 log = logging.getLogger(__name__)
 
@@ -31,7 +31,7 @@
 class Exchange(asyncio.Protocol):
     """One HTTP connection with one call out at a time."""
 
-    def __init__(self, watch: Watch) -> None:
+    def __init__(self, watch: DiscoveryClient) -> None:
         self.watch, self.http = watch, h11.Connection(h11.CLIENT)
         self.status, self.retry_after, self.body = 0, 0.0, bytearray()
         self.transport: asyncio.Transport | None = None
@@ -99,7 +99,7 @@
         self.watch.lost(self)
 
 
-class Watch:
+class DiscoveryClient:
     """Keeps the list of hosts up to date for as long as the gateway runs; ``Asking`` says when and for what."""
 
     def __init__(
@@ -107,8 +107,8 @@
         loop: asyncio.AbstractEventLoop,
         address: Address,
         zones: tuple[str, ...],
-        told: Callable[[HostList], None],
-        asking: Asking,
+        told: Callable[[EndpointList], None],
+        asking: PollSchedule,
     ) -> None:
         self.loop, self.address, self.zones, self.told, self.asking = (
             loop,
@@ -117,7 +117,7 @@
             told,
             asking,
         )
-        self.news = News()
+        self.news = WatchEventFilter()
         self.exchange: Exchange | None = None
         self.opening: Exchange | None = None  # not up yet, and waited for
         self.timer: asyncio.TimerHandle | None = None
@@ -193,11 +193,11 @@
         self.exchange, self.opening, self.task = exchange, None, None
         self.ask(self.asking.connected(self.loop.time()))
 
-    def parse(self, body: bytes) -> HostList:
+    def parse(self, body: bytes) -> EndpointList:
         """An answer as a list; raises where it is none."""
-        return parse_hosts(json.loads(body), self.zones)
+        return parse_endpoint_list(json.loads(body), self.zones)
 
-    def answered(self, listed: HostList, closes: bool) -> Call | None:
+    def answered(self, listed: EndpointList, closes: bool) -> PollRequest | None:
         """Pass on what was told, and only then count it as known: what could not be taken in is asked for again.
 
         The next call on this connection; None where it closes.
@@ -219,7 +219,7 @@
             self.asking.lost(self.loop.time())
             self._look()
 
-    def ask(self, call: Call) -> None:
+    def ask(self, call: PollRequest) -> None:
         """One call, on the connection that is up."""
         target = (
             PATH
--- a/saffrongw/gateway/discovery/poll_schedule.py
+++ b/saffrongw/gateway/discovery/poll_schedule.py
@@ -88,7 +88,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
+class PollRequest:
     """One question: what is newer than a version (None: the whole list), waiting for it; its answer is due within."""
 
     version: int | None
@@ -96,7 +96,7 @@
     within: float
 
 
-class Asking:
+class PollSchedule:
     """One gateway's watch: what it knows, what is out, when it does the next thing.
 
     It is told what happens (``connected``, ``answered``, ``refused``, ``lost``) and asked for what to do when
@@ -125,10 +125,10 @@
         self.version = version  # of the list that was heard last; None: there is none
         self.pace = 1.0
         self.failures = 0  # in a row
-        self.out: Call | None = None
+        self.out: PollRequest | None = None
         self.asked_at = 0.0
         self.connecting = False
-        self.next_call: Call | None = (
+        self.next_call: PollRequest | None = (
             None  # for the next connection, where the last one was closed in good order
         )
         self.last_look = False  # what is out is late; it may have been answered in this very turn
@@ -223,13 +223,13 @@
             return "connect"
         return ""
 
-    def connected(self, now: float) -> Call:
+    def connected(self, now: float) -> PollRequest:
         """A new connection: what changed since is not known; no waiting before the first answer."""
         self.connecting = False
         call, self.next_call = self.next_call, None
-        return self._ask(now, call or Call(self.version, 0.0, self._patience()))
+        return self._ask(now, call or PollRequest(self.version, 0.0, self._patience()))
 
-    def answered(self, now: float, version: int, closes: bool = False) -> Call | None:
+    def answered(self, now: float, version: int, closes: bool = False) -> PollRequest | None:
         """An answer has come and was taken in; the next call, which is to go out at once.
 
         None where the service ``closes`` the connection behind its answer, as HTTP allows: the call goes out on the
@@ -250,9 +250,9 @@
         )  # a registry that counts from the beginning
         self.version = None if anew else version
         if anew or (self.confirm_at is not None and now >= self.confirm_at):
-            call = Call(None, 0.0, self._patience())
+            call = PollRequest(None, 0.0, self._patience())
         else:
-            call = Call(version, self.wait, self.wait + WATCH_PATIENCE)
+            call = PollRequest(version, self.wait, self.wait + WATCH_PATIENCE)
         if not closes:
             return self._ask(now, call)
         self._over()
@@ -291,7 +291,7 @@
             return min(self.answer_within, self.grace / 2)
         return min(PATIENCE_MOST, max(self.answer_within * self.pace, self.load(WHOLE)))
 
-    def _ask(self, now: float, call: Call) -> Call:
+    def _ask(self, now: float, call: PollRequest) -> PollRequest:
         self.out, self.asked_at, self.silent_at, self.last_look = (
             call,
             now,
--- a/saffrongw/gateway/discovery/watch_events.py
+++ b/saffrongw/gateway/discovery/watch_events.py
@@ -11,21 +11,23 @@
 from dataclasses import replace
 
 from ...policy.events import EndpointId, EndpointState
-from ..config import HostEntry, HostList
+from ..config import DiscoveredEndpoint, EndpointList
 
 REMEMBER = 30.0  # seconds
 
 
-class News:
+class WatchEventFilter:
     """What was heard of each host lately: with which version, when, and the line itself."""
 
     def __init__(self) -> None:
-        self.heard: OrderedDict[EndpointId, tuple[int, float, HostEntry | None]] = OrderedDict()
+        self.heard: OrderedDict[EndpointId, tuple[int, float, DiscoveredEndpoint | None]] = (
+            OrderedDict()
+        )
 
     def __len__(self) -> int:
         return len(self.heard)
 
-    def sift(self, listed: HostList, now: float) -> HostList:
+    def sift(self, listed: EndpointList, now: float) -> EndpointList:
         """A list, or changes, without what is older than what was heard; now in seconds of any steady clock.
 
         In a whole list, hosts of which something newer was heard stand as they were heard.
@@ -55,6 +57,8 @@
                     self._note(server, listed.version, now, None)
         return replace(listed, hosts=tuple(hosts))
 
-    def _note(self, server: EndpointId, version: int, now: float, line: HostEntry | None) -> None:
+    def _note(
+        self, server: EndpointId, version: int, now: float, line: DiscoveredEndpoint | None
+    ) -> None:
         self.heard[server] = version, now, line
         self.heard.move_to_end(server)
--- a/saffrongw/gateway/downstream/connection.py
+++ b/saffrongw/gateway/downstream/connection.py
@@ -12,12 +12,12 @@
 
 from ...policy.load_shedding import Waiting
 from ..acceptor import Acceptor
-from ..admission_queue import Intake
+from ..admission_queue import AdmissionQueue
 from ..config import Config
-from ..driver import FAILED, Call, Driver, Terms, busy
-from ..request_parser import Form, parse
-from ..resp import CommandReader, Malformed
-from ..streaming_reply import LongValue
+from ..driver import FAILED, ClientRequest, Driver, RequestTerms, busy_reply
+from ..request_parser import RequestFormat, parse_request
+from ..resp import CommandReader, MalformedMessageError
+from ..streaming_reply import StreamingReply
 
 BACKLOG = 1024  # connections that the kernel holds until they are accepted
 COMMAND_WITHIN = 3.0  # seconds for a whole command, from connecting or from its first byte
@@ -56,14 +56,14 @@
     return words[0][2:] + b"," + words[1] if len(words) > 2 and words[0].startswith(b"c=") else b""
 
 
-class Front(Protocol):
+class Listener(Protocol):
     """Another way in for clients beside the plain listener; it makes a ``Client`` of each that it lets through."""
 
     @property
     def opening(self) -> int:
         """Connections that are accepted and not yet open."""
 
-    async def open(self, clients: Clients) -> None:
+    async def open(self, clients: ClientConnections) -> None:
         """Serve from now on."""
 
     def close(self) -> None:
@@ -75,10 +75,10 @@
 
     __slots__ = ("call", "client", "number", "parts", "reply", "terms", "waiting")
 
-    def __init__(self, client: Client, number: bytes | None = None) -> None:
+    def __init__(self, client: ClientConnection, number: bytes | None = None) -> None:
         self.client, self.number = client, number
-        self.reply: bytes | LongValue | None = None
-        self.call: Call | None = None
+        self.reply: bytes | StreamingReply | None = None
+        self.call: ClientRequest | None = None
         self.waiting: Waiting | None = None  # until it is begun
 
     def begin(self) -> None:
@@ -98,7 +98,7 @@
             client.flushing = True
             client.clients.loop.call_soon(client.flush)
 
-    def answer(self, reply: bytes | LongValue) -> None:
+    def answer(self, reply: bytes | StreamingReply) -> None:
         """The answer is known; it is written once those before it are."""
         self.reply, self.call = (
             reply,
@@ -109,14 +109,14 @@
         self.client.flush()
 
 
-class Client(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """One client connection: waiting for a whole command, busy with some, idle, or closing."""
 
-    def __init__(self, clients: Clients, begun: bytes = b"") -> None:
+    def __init__(self, clients: ClientConnections, begun: bytes = b"") -> None:
         self.clients = clients
         self.begun = begun  # what another process has read of it and not taken
         self.flushing = False  # once this turn is over
-        self.long: LongValue | None = None  # being written, for the first of the slots
+        self.long: StreamingReply | None = None  # being written, for the first of the slots
         self.reader = CommandReader()
         self.slots: deque[Slot] = deque()
         self.closing = False  # close once all is answered
@@ -170,7 +170,7 @@
             if self.clients.heir is None:  # else whoever gets the connection takes what is left
                 self._take_all()
         except (
-            Malformed
+            MalformedMessageError
         ) as wrong:  # one that makes no sense ends its connection: the rest is not looked at
             self.end(str(wrong))
         self.taking = False
@@ -179,11 +179,11 @@
 
     def _command(self, command: list[bytes]) -> None:
         if command[0] in (b"CALL.GET", b"CALL.POST"):
-            self._request(*parse(command, self.clients.config))
+            self._request(*parse_request(command, self.clients.config))
         elif len(command) == 1 and command[0].upper() == b"PING":
             self._reply(b"-ERR draining\r\n" if self.clients.draining else b"+PONG\r\n")
         else:
-            raise Malformed("unknown command")
+            raise MalformedMessageError("unknown command")
 
     def _take_all(self) -> None:
         clients, reader, slots = self.clients, self.reader, self.slots
@@ -222,13 +222,13 @@
             and len(last if isinstance(last, bytes) else b"") < REFUSED_MOST
         )
 
-    def _request(self, terms: Terms, parts: tuple[bytes, ...]) -> None:
+    def _request(self, terms: RequestTerms, parts: tuple[bytes, ...]) -> None:
         """Begin a request, or let it wait for its turn, or refuse it."""
         clients = self.clients
         if parts[2] in clients.numbers:
-            raise Malformed("a request with this id is open")
+            raise MalformedMessageError("a request with this id is open")
         if clients.ends:
-            self._shed(terms, busy(0))
+            self._shed(terms, busy_reply(0))
         elif clients.intake.at_once():
             slot = Slot(self, parts[2])
             clients.numbers.add(parts[2])
@@ -245,7 +245,7 @@
                 terms, _group(parts), parts[1], slot.begin, slot.refuse
             )
 
-    def _shed(self, terms: Terms, reply: bytes) -> None:
+    def _shed(self, terms: RequestTerms, reply: bytes) -> None:
         """Refuse a request that was read and is not even begun."""
         self.clients.driver.figures.busy[terms.kind] += 1
         self._refuse(reply, 1)
@@ -274,7 +274,7 @@
         self.flushing = False
         slots = self.slots
         while slots and self.long is None and slots[0].reply is not None:
-            if isinstance(slots[0].reply, LongValue):
+            if isinstance(slots[0].reply, StreamingReply):
                 if slots[
                     0
                 ].reply.broken:  # guards the answers behind it: nobody would ever say so again
@@ -356,9 +356,9 @@
         self.closing = True
         slots, self.slots = self.slots, deque()
         for slot in slots:
-            if slot.reply is None or isinstance(slot.reply, LongValue):
+            if slot.reply is None or isinstance(slot.reply, StreamingReply):
                 self.clients.numbers.discard(slot.number)
-            if isinstance(slot.reply, LongValue):
+            if isinstance(slot.reply, StreamingReply):
                 slot.reply.drop()
             if slot.waiting:
                 self.clients.intake.shedder.drop(slot.waiting)
@@ -366,26 +366,26 @@
                 self.clients.driver.client_gone(slot.call)
 
 
-class Clients:
+class ClientConnections:
     """All client connections, within the descriptors set aside for them."""
 
     def __init__(self, driver: Driver, config: Config, most: int) -> None:
         self.driver, self.config, self.most, self.loop = driver, config, most, driver.loop
-        self.form, self.intake = Form(config), Intake(driver, driver.loop)
+        self.form, self.intake = RequestFormat(config), AdmissionQueue(driver, driver.loop)
         driver.pressed = lambda: bool(self.intake.pressed)
-        self.open: set[Client] = set()
+        self.open: set[ClientConnection] = set()
         # Since when, the longest first: without a whole command, without a request, and closing.
-        self.waiting: dict[Client, float] = {}
-        self.idle: dict[Client, float] = {}
-        self.ending: dict[Client, float] = {}
+        self.waiting: dict[ClientConnection, float] = {}
+        self.idle: dict[ClientConnection, float] = {}
+        self.ending: dict[ClientConnection, float] = {}
         self.numbers: set[bytes] = set()  # ids of open requests
-        self.unread: set[Client] = set()  # those that are not read from
+        self.unread: set[ClientConnection] = set()  # those that are not read from
         self.looking = False  # at whether they have gone
         self.draining = False
         self.ends_since: float | None = None  # when the process was told to end
         self.ends = False  # nothing more is begun: it could not be finished any more
         self.acceptor: Acceptor | None = None
-        self.fronts: tuple[Front, ...] = ()  # other ways in
+        self.fronts: tuple[Listener, ...] = ()  # other ways in
         self.heir: Callable[[int, bytes], bool] | None = None  # who gets connections that fall idle
 
     async def listen(self, listener: socket.socket | None = None) -> None:
@@ -393,11 +393,13 @@
         listener = listener or socket.create_server(
             self.config.listen, backlog=BACKLOG, reuse_port=True
         )
-        self.acceptor = Acceptor(self.loop, listener, self.make_room, lambda: Client(self))
+        self.acceptor = Acceptor(
+            self.loop, listener, self.make_room, lambda: ClientConnection(self)
+        )
         self.acceptor.start()
         self._sweep()
 
-    async def open_fronts(self, fronts: tuple[Front, ...]) -> None:
+    async def open_fronts(self, fronts: tuple[Listener, ...]) -> None:
         """Serve by these as well."""
         self.fronts = fronts
         for front in fronts:
@@ -406,7 +408,7 @@
     def adopt(self, sock: socket.socket, begun: bytes) -> None:
         """Serve a connection that another process has accepted, and what it had read of the next command."""
         if self.make_room():
-            self.acceptor.adopt(sock, Client(self, begun))
+            self.acceptor.adopt(sock, ClientConnection(self, begun))
         else:
             sock.close()
 
@@ -472,31 +474,31 @@
         self.lost(victim)
         return True
 
-    def _gives_way(self, client: Client) -> bool:
+    def _gives_way(self, client: ClientConnection) -> bool:
         """Guards a request that has come and lies unread: a close would reset its connection. Who sends and sends, and
         never a whole command, is spared only while it is new."""
         spared = client in self.idle or self.is_new(client)
         return not (spared and _has_sent(client))
 
-    def opened(self, client: Client) -> None:
+    def opened(self, client: ClientConnection) -> None:
         """One more."""
         self.acceptor.opened(client)
         self.open.add(client)
         self.waiting[client] = self.loop.time()
 
-    def lost(self, client: Client) -> None:
+    def lost(self, client: ClientConnection) -> None:
         """One less."""
         self.open.discard(client)
         self.unread.discard(client)
         for group in (self.waiting, self.idle, self.ending):
             group.pop(client, None)
 
-    def heard(self, client: Client) -> None:
+    def heard(self, client: ClientConnection) -> None:
         """It has sent a whole command: its times begin anew."""
         self.waiting.pop(client, None)
         self.idle.pop(client, None)
 
-    def note(self, client: Client) -> None:
+    def note(self, client: ClientConnection) -> None:
         """Sort a connection by what it waits for; one that waits for the rest of a command keeps its time."""
         if client not in self.open:
             return
@@ -512,11 +514,11 @@
         if group is not None and client not in group:
             group[client] = self.loop.time()
 
-    def is_new(self, client: Client) -> bool:
+    def is_new(self, client: ClientConnection) -> bool:
         """Whether it has sent no whole command yet, and has not been here for long."""
         return self.waiting.get(client, 0.0) > self.loop.time() - NEW_FOR
 
-    def reads(self, client: Client, reading: bool) -> None:
+    def reads(self, client: ClientConnection, reading: bool) -> None:
         """A connection is read from no longer, or again."""
         if reading:
             self.unread.discard(client)
@@ -598,7 +600,7 @@
             front.close()
 
 
-def _ready(clients: Iterable[Client], events: int) -> list[Client]:
+def _ready(clients: Iterable[ClientConnection], events: int) -> list[ClientConnection]:
     """Those of whom the kernel says one of these, without reading."""
     poll, found = select.poll(), {}
     for client in clients:
@@ -609,12 +611,12 @@
     return [found[fd] for fd, _ in poll.poll(0)] if found else []
 
 
-def _has_sent(client: Client) -> bool:
+def _has_sent(client: ClientConnection) -> bool:
     """Whether something lies unread of a client that has not gone."""
     return bool(_ready((client,), select.POLLIN)) and not _ready((client,), GONE)
 
 
-def _older(group: dict[Client, float], than: float) -> list[Client]:
+def _older(group: dict[ClientConnection, float], than: float) -> list[ClientConnection]:
     """Those in a group since before a time; the longest stand first."""
     found = []
     for client, since in group.items():
--- a/saffrongw/gateway/driver.py
+++ b/saffrongw/gateway/driver.py
@@ -40,10 +40,10 @@
 )
 from ..policy.rules import Gateway
 from ..policy.settings import Settings
-from .config import HostList
-from .metrics import Figures
-from .signals import began
-from .streaming_reply import LongValue
+from .config import EndpointList
+from .metrics import Metrics
+from .signals import process_started_us
+from .streaming_reply import StreamingReply
 
 log = logging.getLogger(__name__)
 
@@ -53,13 +53,13 @@
 FAILED = b"-ERR failed\r\n"
 
 
-def busy(retry_after: int) -> bytes:
+def busy_reply(retry_after: int) -> bytes:
     """A refusal; retry_after in us, 0 says nothing."""
     wait = -(-retry_after // MS)  # a client that came back earlier would be refused again
     return b"-BUSY %d\r\n" % wait if wait else b"-BUSY\r\n"
 
 
-class Terms(NamedTuple):
+class RequestTerms(NamedTuple):
     """What a client's command says of its request; wait in microseconds."""
 
     customer: int
@@ -73,7 +73,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Call:
+class ClientRequest:
     """A client's request: what goes to hosts, and how it stands."""
 
     event: RequestArrived
@@ -81,17 +81,17 @@
         bytes, ...
     ]  # command, customer, id, terms before and after the value of ``d``, perhaps body
     until: int  # clock time by which it must be answered
-    answer: Callable[[bytes | LongValue], None]
-    attempts: list[Attempt] = field(default_factory=list)
+    answer: Callable[[bytes | StreamingReply], None]
+    attempts: list[UpstreamAttempt] = field(default_factory=list)
     guard: asyncio.TimerHandle | None = None
     finished: bool = False
 
 
 @dataclass(slots=True, eq=False)
-class Attempt:
+class UpstreamAttempt:
     """One send of a call to a host; it ends exactly once."""
 
-    call: Call
+    call: ClientRequest
     number: int
     endpoint_id: EndpointId
     sent: int
@@ -102,22 +102,22 @@
     ended: bool = False
 
 
-class Hosts(Protocol):
+class Upstream(Protocol):
     """What the driver needs of ``hosts.py``."""
 
-    def send(self, attempt: Attempt) -> None:
+    def send(self, attempt: UpstreamAttempt) -> None:
         """Begin an attempt."""
 
-    def give_up(self, attempt: Attempt) -> None:
+    def give_up(self, attempt: UpstreamAttempt) -> None:
         """Stop waiting for an attempt."""
 
-    def told(self, listed: HostList) -> list[Attempt]:
+    def told(self, listed: EndpointList) -> list[UpstreamAttempt]:
         """Discovery's list has changed; the attempts that can't begin any more."""
 
-    def rest_at(self, endpoint_id: EndpointId) -> list[Attempt]:
+    def rest_at(self, endpoint_id: EndpointId) -> list[UpstreamAttempt]:
         """A host is taken out by hand: its idle connections are closed; the attempts that can't begin."""
 
-    def take_back(self, attempt: Attempt) -> bool:
+    def take_back(self, attempt: UpstreamAttempt) -> bool:
         """Whether an attempt's first byte has not left yet; it never will."""
 
 
@@ -137,35 +137,35 @@
     def __init__(self, settings: Settings, seed: int, loop: asyncio.AbstractEventLoop) -> None:
         self.loop, self.clock = loop, Clock()
         self.gateway = Gateway(settings, seed, self.clock())
-        self.figures = Figures(len(settings.classes))
-        self.hosts: Hosts | None = None
+        self.figures = Metrics(len(settings.classes))
+        self.hosts: Upstream | None = None
         self.tell_peer: Callable[[int, bytes], None] = lambda rank, body: None
-        self.calls: dict[int, Call] = {}
+        self.calls: dict[int, ClientRequest] = {}
         self.last_number = 0
         self.pending: deque[Event] = deque()
         self.feeding = False
         self.succeeds = False  # another process with our addresses still runs, and gives way
         self.pressed: Callable[[], bool] = lambda: False  # whether requests wait for the core
 
-    def start(self, known: HostList) -> None:
+    def start(self, known: EndpointList) -> None:
         """The first actions, and the list as it was last known, before any client is served."""
         now = self.clock()
-        self._carry_out(self.gateway.start(now if self.succeeds else began(now)))
+        self._carry_out(self.gateway.start(now if self.succeeds else process_started_us(now)))
         self.listed(known, cached=True)
 
     # -- events ---------------------------------------------------------------------------------------------
 
     def arrived(
-        self, terms: Terms, parts: tuple[bytes, ...], answer: Callable[[bytes], None]
-    ) -> Call:
+        self, terms: RequestTerms, parts: tuple[bytes, ...], answer: Callable[[bytes], None]
+    ) -> ClientRequest:
         """A client's request, its last byte just read; the client's own ids stay outside the module."""
         call = self._take(terms, parts, answer)
         self.feed(call.event)
         return call
 
     def _take(
-        self, terms: Terms, parts: tuple[bytes, ...], answer: Callable[[bytes], None]
-    ) -> Call:
+        self, terms: RequestTerms, parts: tuple[bytes, ...], answer: Callable[[bytes], None]
+    ) -> ClientRequest:
         """From here on an answer is owed: counted, listed and guarded."""
         self.last_number += 1
         left = max(MS, terms.wait - ON_THE_WAY)
@@ -180,12 +180,12 @@
             terms.spread,
             terms.is_retry,
         )
-        call = Call(event, parts, self.clock() + left, answer)
+        call = ClientRequest(event, parts, self.clock() + left, answer)
         self.calls[self.last_number] = call
         call.guard = self._at(call.until, self._time_up, call)
         return call
 
-    def client_gone(self, call: Call) -> None:
+    def client_gone(self, call: ClientRequest) -> None:
         """The client has closed its connection: nothing is owed any more."""
         if not call.finished:
             self._close(call)
@@ -196,9 +196,9 @@
 
     def attempt_ended(
         self,
-        attempt: Attempt,
+        attempt: UpstreamAttempt,
         outcome: AttemptOutcome,
-        value: bytes | LongValue | None = None,
+        value: bytes | StreamingReply | None = None,
         report: tuple[float, ...] = (),
     ) -> None:
         """What came of an attempt; the first one served answers the client before the module is told.
@@ -230,7 +230,7 @@
         if call.finished and call.event.request not in self.calls:
             call.attempts.clear()  # attempts and call would hold each other until the collector comes by
 
-    def listed(self, listed: HostList, cached: bool = False) -> None:
+    def listed(self, listed: EndpointList, cached: bool = False) -> None:
         """Discovery told something."""
         kind = EndpointListKind.COMPLETE if listed.whole else EndpointListKind.DELTA
         if cached:
@@ -293,7 +293,7 @@
             return
         now = self.clock()
         deadline_us = min(action.deadline_us or call.until, call.until)
-        attempt = Attempt(call, len(call.attempts), action.endpoint_id, now, deadline_us)
+        attempt = UpstreamAttempt(call, len(call.attempts), action.endpoint_id, now, deadline_us)
         call.attempts.append(attempt)
         # Guards rule 1: nothing more after the final answer, nor too late for one.
         if call.finished or now >= call.until:
@@ -316,7 +316,7 @@
 
     def _refuse(self, action: RejectRequest) -> None:
         if call := self.calls.get(action.request):
-            self._finish(call, busy(action.retry_after_us))
+            self._finish(call, busy_reply(action.retry_after_us))
 
     def _fail(self, action: FailRequest) -> None:
         if call := self.calls.get(action.request):
@@ -345,7 +345,7 @@
 
     # -- answers and deadlines ------------------------------------------------------------------------------
 
-    def _finish(self, call: Call, reply: bytes | LongValue) -> None:
+    def _finish(self, call: ClientRequest, reply: bytes | StreamingReply) -> None:
         """Every final answer passes here, once for each call."""
         if not call.finished:
             self._close(call)
@@ -355,7 +355,7 @@
                 reply.answers(self.figures, call.event.kind)
             call.answer(reply)
 
-    def _close(self, call: Call) -> None:
+    def _close(self, call: ClientRequest) -> None:
         call.finished = True
         for attempt in call.attempts:
             if (
@@ -366,14 +366,14 @@
         call.guard.cancel()
         self.calls.pop(call.event.request, None)
 
-    def _timed_out(self, attempt: Attempt) -> None:
+    def _timed_out(self, attempt: UpstreamAttempt) -> None:
         """Nothing came in time. What never left whole has certainly not run."""
         if not attempt.ended:
             self.hosts.give_up(attempt)
             outcome = AttemptOutcome.TIMED_OUT if attempt.whole else AttemptOutcome.CONNECT_FAILED
             self.attempt_ended(attempt, outcome)
 
-    def _time_up(self, call: Call) -> None:
+    def _time_up(self, call: ClientRequest) -> None:
         """Ends what is out. Guards the deadline: what the module leaves unanswered then is failed."""
         for attempt in tuple(call.attempts):  # each end may add to them, or let them go
             self._timed_out(attempt)
@@ -387,7 +387,7 @@
             if not call.finished:
                 self._fail_for_good(call)
 
-    def _fail_for_good(self, call: Call) -> None:
+    def _fail_for_good(self, call: ClientRequest) -> None:
         """Answered without the decisions, which forget it."""
         self._finish(call, FAILED)
         self.feed(ClientDisconnected(call.event.request))
--- a/saffrongw/gateway/extensions.py
+++ b/saffrongw/gateway/extensions.py
@@ -13,8 +13,8 @@
 
 from ..policy.actions import Action
 from ..policy.events import AttemptOutcome, Event
-from .downstream.connection import Front
-from .driver import Attempt, Call, Driver, Terms
+from .downstream.connection import Listener
+from .driver import ClientRequest, Driver, RequestTerms, UpstreamAttempt
 
 MS = 1_000  # microseconds
 MAY_CHANGE = frozenset(
@@ -23,27 +23,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pass:
+class Continue:
     """The request goes on, perhaps with other terms: ``plan`` (its number) or ``wait`` (us, shorter only)."""
 
     changes: Mapping[str, int] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
     """Final answer ``-BUSY``: nothing was sent, so trying again is harmless; retry_after in us, 0 says nothing."""
 
     retry_after: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Fail:
+class Abort:
     """Final answer: failed."""
 
 
-Verdict = Pass | Refuse | Fail
-Lines = Callable[[], list[tuple[str, int]]]  # names and values that operators fetch
-OperatorCall = tuple[bytes, Callable[[bytes], tuple[int, bytes]]]  # method; body to status and text
+Verdict = Continue | Reject | Abort
+MetricLines = Callable[[], list[tuple[str, int]]]  # names and values that operators fetch
+AdminCommand = tuple[bytes, Callable[[bytes], tuple[int, bytes]]]  # method; body to status and text
 
 
 class Ending(Enum):
@@ -53,11 +53,11 @@
     CLIENT_GONE = "client gone"
 
 
-class StageError(Exception):
+class FilterError(Exception):
     """What a stage returned is no verdict, or changes what it must not."""
 
 
-class Stage(Protocol):
+class RequestFilter(Protocol):
     """Sees each request before the decision module does.
 
     ``fallback`` is the verdict where the stage raises, returns what is no verdict, or takes longer than its share
@@ -68,10 +68,10 @@
     name: str
     fallback: Verdict
 
-    def on_request(self, request: StagedRequest) -> Verdict | Awaitable[Verdict]:
+    def on_request(self, request: FilteredRequest) -> Verdict | Awaitable[Verdict]:
         """What becomes of this request."""
 
-    def on_end(self, request: StagedRequest, ending: Ending) -> None:
+    def on_end(self, request: FilteredRequest, ending: Ending) -> None:
         """The request has its final answer, or its client has gone."""
 
 
@@ -86,23 +86,23 @@
     def actions_out(self, now: int, event: Event, actions: tuple[Action, ...]) -> None:
         """What it answered, before any of it is carried out."""
 
-    def attempt_began(self, attempt: Attempt) -> None:
+    def attempt_began(self, attempt: UpstreamAttempt) -> None:
         """An attempt is about to be sent."""
 
-    def attempt_ended(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
+    def attempt_ended(self, attempt: UpstreamAttempt, outcome: AttemptOutcome) -> None:
         """An attempt has its outcome."""
 
-    def answered(self, call: Call, reply: bytes) -> None:
+    def answered(self, call: ClientRequest, reply: bytes) -> None:
         """The final answer is about to be written."""
 
 
 @dataclass(frozen=True, slots=True)
-class StagedRequest:
+class FilteredRequest:
     """What a stage may know of a request: its terms, the client's own id, its size; until in us of the clock."""
 
     number: int  # the gateway's own, new with each request
     client_id: bytes
-    terms: Terms
+    terms: RequestTerms
     body_bytes: int
     until: int
 
@@ -117,7 +117,7 @@
         """End, within a second or two."""
 
 
-class SoleDuty(Protocol):
+class LeaderGuard(Protocol):
     """What only one gateway of the fleet may do at a time; asked from any thread."""
 
     def number(self) -> int:
@@ -131,19 +131,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plugs:
+class Extensions:
     """All that is plugged in; time_share is the part of a request's time that all stages together may take."""
 
-    stages: tuple[Stage, ...] = ()
+    stages: tuple[RequestFilter, ...] = ()
     observers: tuple[Observer, ...] = ()
     services: tuple[Service, ...] = ()
     time_share: float = 0.4
     again: Callable[[], None] | None = (
         None  # on SIGHUP: read the operator file anew; it raises nothing
     )
-    fronts: tuple[Front, ...] = ()
-    figures: tuple[Lines, ...] = ()
-    calls: Mapping[bytes, OperatorCall] = field(
+    fronts: tuple[Listener, ...] = ()
+    figures: tuple[MetricLines, ...] = ()
+    calls: Mapping[bytes, AdminCommand] = field(
         default_factory=dict
     )  # by path, at the operators' address
     on_drain: tuple[
@@ -154,27 +154,27 @@
         return bool(self.stages or self.observers or self.services or self.fronts)
 
 
-def apply(verdict: Any, terms: Terms, plans: int) -> Terms | Refuse | Fail:
+def apply(verdict: Any, terms: RequestTerms, plans: int) -> RequestTerms | Reject | Abort:
     """The terms that a verdict leaves, or the answer that it asks for; ``StageError`` where it is none of these."""
-    if isinstance(verdict, Refuse):
+    if isinstance(verdict, Reject):
         after = verdict.retry_after
         if isinstance(after, bool) or not isinstance(after, int) or after < 0:
-            raise StageError(f"retry_after is no time in microseconds: {after!r}")
+            raise FilterError(f"retry_after is no time in microseconds: {after!r}")
         return verdict
-    if isinstance(verdict, Fail):
+    if isinstance(verdict, Abort):
         return verdict
-    if not isinstance(verdict, Pass):
-        raise StageError(f"not a verdict: {type(verdict).__name__}")
+    if not isinstance(verdict, Continue):
+        raise FilterError(f"not a verdict: {type(verdict).__name__}")
     if not verdict.changes:
         return terms
     changes = dict(verdict.changes)
     if beyond := sorted(changes.keys() - MAY_CHANGE):
-        raise StageError(f"a stage may not change {', '.join(map(str, beyond))}")
+        raise FilterError(f"a stage may not change {', '.join(map(str, beyond))}")
     for name, value in changes.items():
         if isinstance(value, bool) or not isinstance(value, int):
-            raise StageError(f"{name} is no number: {value!r}")
+            raise FilterError(f"{name} is no number: {value!r}")
     if not 0 <= changes.get("plan", terms.plan) < plans:
-        raise StageError(f"no plan has the number {changes['plan']}")
+        raise FilterError(f"no plan has the number {changes['plan']}")
     if not MS <= changes.get("wait", terms.wait) <= max(terms.wait, MS):
-        raise StageError("wait can only become shorter, down to 1 ms")
+        raise FilterError("wait can only become shorter, down to 1 ms")
     return terms._replace(**changes)
--- a/saffrongw/gateway/filter_chain.py
+++ b/saffrongw/gateway/filter_chain.py
@@ -17,86 +17,96 @@
 from ..policy.actions import Action, AdmitRequest, RejectRequest
 from ..policy.events import AdmissionCheckArrived, AttemptOutcome, EndpointId, Event
 from ..policy.settings import Settings
-from .config import HostList
-from .driver import FAILED, MS, ON_THE_WAY, Attempt, Call, Driver, Hosts, Terms, busy
+from .config import EndpointList
+from .driver import (
+    FAILED,
+    MS,
+    ON_THE_WAY,
+    ClientRequest,
+    Driver,
+    RequestTerms,
+    Upstream,
+    UpstreamAttempt,
+    busy_reply,
+)
 from .extensions import (
+    Abort,
     Ending,
-    Fail,
+    Extensions,
+    FilteredRequest,
+    FilterError,
     Observer,
-    Plugs,
-    Refuse,
-    Stage,
-    StagedRequest,
-    StageError,
+    Reject,
+    RequestFilter,
     apply,
 )
-from .streaming_reply import LongValue
+from .streaming_reply import StreamingReply
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(slots=True, eq=False)
-class Run:
+class FilterRun:
     """One request's way through the stages."""
 
-    call: Call
-    request: StagedRequest
-    seen: list[Stage] = field(default_factory=list)  # those that are owed its end
+    call: ClientRequest
+    request: FilteredRequest
+    seen: list[RequestFilter] = field(default_factory=list)  # those that are owed its end
     task: asyncio.Task | None = None
     late: asyncio.TimerHandle | None = None
 
 
-class WrappedHosts:
+class ObservedCluster:
     """Something between the driver and its hosts: all that it does not override is passed on."""
 
-    def __init__(self, inner: Hosts) -> None:
+    def __init__(self, inner: Upstream) -> None:
         self.inner = inner
 
-    def send(self, attempt: Attempt) -> None:
+    def send(self, attempt: UpstreamAttempt) -> None:
         """Begin an attempt."""
         self.inner.send(attempt)
 
-    def give_up(self, attempt: Attempt) -> None:
+    def give_up(self, attempt: UpstreamAttempt) -> None:
         """Stop waiting for an attempt."""
         self.inner.give_up(attempt)
 
-    def told(self, listed: HostList) -> list[Attempt]:
+    def told(self, listed: EndpointList) -> list[UpstreamAttempt]:
         """Discovery's list has changed; the attempts that can't begin any more."""
         return self.inner.told(listed)
 
-    def rest_at(self, server: EndpointId) -> list[Attempt]:
+    def rest_at(self, server: EndpointId) -> list[UpstreamAttempt]:
         """A host is taken out by hand: its idle connections are closed; the attempts that can't begin."""
         return self.inner.rest_at(server)
 
-    def take_back(self, attempt: Attempt) -> bool:
+    def take_back(self, attempt: UpstreamAttempt) -> bool:
         """Whether an attempt's first byte has not left yet; it never will."""
         return self.inner.take_back(attempt)
 
 
-class _ToldHosts(WrappedHosts):
+class _ToldHosts(ObservedCluster):
     """Observers are told of each attempt before it is sent."""
 
-    def __init__(self, inner: Hosts, driver: ExtendedDriver) -> None:
+    def __init__(self, inner: Upstream, driver: FilteringDriver) -> None:
         super().__init__(inner)
         self.driver = driver
 
-    def send(self, attempt: Attempt) -> None:
+    def send(self, attempt: UpstreamAttempt) -> None:
         self.driver._tell_observers("attempt_began", attempt)
         super().send(attempt)
 
 
-class ExtendedDriver(Driver):
+class FilteringDriver(Driver):
     """A ``Driver`` whose requests pass stages first, and whose doings observers are told."""
 
     def __init__(
-        self, settings: Settings, seed: int, loop: asyncio.AbstractEventLoop, plugs: Plugs
+        self, settings: Settings, seed: int, loop: asyncio.AbstractEventLoop, plugs: Extensions
     ) -> None:
         self.plugs = plugs
         super().__init__(settings, seed, loop)
-        self.runs: dict[Call, Run] = {}  # for as long as their calls are open
+        self.runs: dict[ClientRequest, FilterRun] = {}  # for as long as their calls are open
         # Checks for others that are being decided.
         self.decided: dict[int, AdmitRequest | RejectRequest | None] = {}
-        self.leaving: Call | None = None  # whose client has just gone
+        self.leaving: ClientRequest | None = None  # whose client has just gone
         self.faults: Counter[str] = Counter()  # by stage or observer
         if plugs.observers:
             self._decide_plainly = self.gateway.handle
@@ -105,20 +115,22 @@
     # -- stages ---------------------------------------------------------------------------------------------
 
     def arrived(
-        self, terms: Terms, parts: tuple[bytes, ...], answer: Callable[[bytes], None]
-    ) -> Call:
+        self, terms: RequestTerms, parts: tuple[bytes, ...], answer: Callable[[bytes], None]
+    ) -> ClientRequest:
         """A client's request: counted and guarded first, then the stages, then the decision module."""
         call = self._take(terms, parts, answer)
         if not self.plugs.stages:
             self.feed(call.event)
             return call
         body = len(parts[5]) if len(parts) > 5 else 0
-        run = Run(call, StagedRequest(call.event.request, parts[2], terms, body, call.until))
+        run = FilterRun(
+            call, FilteredRequest(call.event.request, parts[2], terms, body, call.until)
+        )
         self.runs[call] = run
         self._through(run, terms, 0)
         return call
 
-    def _through(self, run: Run, terms: Terms, place: int) -> None:
+    def _through(self, run: FilterRun, terms: RequestTerms, place: int) -> None:
         """The stages from this one on, as far as they answer at once."""
         stages = self.plugs.stages
         while place < len(stages):
@@ -139,7 +151,9 @@
             place += 1
         self._decide(run, terms)
 
-    async def _wait(self, run: Run, stage: Stage, verdict, terms: Terms, place: int) -> None:
+    async def _wait(
+        self, run: FilterRun, stage: RequestFilter, verdict, terms: RequestTerms, place: int
+    ) -> None:
         try:
             verdict = await verdict
         except asyncio.CancelledError:
@@ -155,39 +169,43 @@
         if not run.call.finished and (terms := self._apply(run, stage, verdict, terms)) is not None:
             self._through(run, terms, place + 1)
 
-    def _too_late(self, run: Run) -> None:
+    def _too_late(self, run: FilterRun) -> None:
         if run.task and not run.call.finished:
             run.late = None  # what comes after this stage gets its share of what is left
             run.task.cancel()
 
-    def _faulty(self, stage: Stage | Observer, wrong: BaseException):
+    def _faulty(self, stage: RequestFilter | Observer, wrong: BaseException):
         self.faults[stage.name] += 1
         log.warning("%s: %.200r", stage.name, wrong)
         return getattr(stage, "fallback", None)
 
-    def _apply(self, run: Run, stage: Stage, verdict, terms: Terms) -> Terms | None:
+    def _apply(
+        self, run: FilterRun, stage: RequestFilter, verdict, terms: RequestTerms
+    ) -> RequestTerms | None:
         """The terms to go on with; None where the request is answered."""
         plans = len(self.gateway.s.plans)
         try:
             result = apply(verdict, terms, plans)
-        except StageError as wrong:
+        except FilterError as wrong:
             try:
                 result = apply(self._faulty(stage, wrong), terms, plans)
-            except StageError:
+            except FilterError:
                 result = (
-                    Refuse()
+                    Reject()
                 )  # not even its fallback is a verdict; nothing was sent, so this is harmless
-        if isinstance(result, Refuse):
-            self._finish(run.call, busy(min(result.retry_after, self.gateway.s.max_retry_after_us)))
+        if isinstance(result, Reject):
+            self._finish(
+                run.call, busy_reply(min(result.retry_after, self.gateway.s.max_retry_after_us))
+            )
             return None
-        if isinstance(result, Fail):
+        if isinstance(result, Abort):
             self._finish(run.call, FAILED)
             return None
         if result is not terms:
             run.request = replace(run.request, terms=result)
         return result
 
-    def _decide(self, run: Run, terms: Terms) -> None:
+    def _decide(self, run: FilterRun, terms: RequestTerms) -> None:
         """All stages let it on: the decision module is told, with the time that is left by now."""
         call = run.call
         if run.late:
@@ -204,17 +222,17 @@
             call.guard = self._at(until, self._time_up, call)
         self.feed(call.event)
 
-    def client_gone(self, call: Call) -> None:
+    def client_gone(self, call: ClientRequest) -> None:
         """The client has closed its connection: the stages that saw the request hear so."""
         self.leaving = call
         super().client_gone(call)
         self.leaving = None
 
-    def _close(self, call: Call) -> None:
+    def _close(self, call: ClientRequest) -> None:
         super()._close(call)
         self._end_stages(call, Ending.CLIENT_GONE if call is self.leaving else Ending.ANSWERED)
 
-    def _end_stages(self, call: Call, ending: Ending) -> None:
+    def _end_stages(self, call: ClientRequest, ending: Ending) -> None:
         run = self.runs.pop(call, None)
         if run is None:
             return
@@ -267,24 +285,24 @@
         self._tell_observers("actions_out", now, event, tuple(actions))
         return actions
 
-    def wrap_hosts(self, wrap: Callable[[Hosts], Hosts]) -> None:
+    def wrap_hosts(self, wrap: Callable[[Upstream], Upstream]) -> None:
         """Put something between the driver and its hosts."""
         self._hosts = wrap(self._hosts)
 
     @property
-    def hosts(self) -> Hosts | None:
+    def hosts(self) -> Upstream | None:
         """Where attempts are sent; with observers they hear of each first."""
         return self._hosts
 
     @hosts.setter
-    def hosts(self, hosts: Hosts | None) -> None:
+    def hosts(self, hosts: Upstream | None) -> None:
         self._hosts = _ToldHosts(hosts, self) if hosts and self.plugs.observers else hosts
 
     def attempt_ended(
         self,
-        attempt: Attempt,
+        attempt: UpstreamAttempt,
         outcome: AttemptOutcome,
-        value: bytes | LongValue | None = None,
+        value: bytes | StreamingReply | None = None,
         report: tuple[float, ...] = (),
     ) -> None:
         """What came of an attempt."""
@@ -292,7 +310,7 @@
             self._tell_observers("attempt_ended", attempt, outcome)
         super().attempt_ended(attempt, outcome, value, report)
 
-    def _finish(self, call: Call, reply: bytes | LongValue) -> None:
+    def _finish(self, call: ClientRequest, reply: bytes | StreamingReply) -> None:
         if not call.finished:
             self._tell_observers(
                 "answered", call, reply if isinstance(reply, bytes) else reply.head
--- a/saffrongw/gateway/gossip_transport.py
+++ b/saffrongw/gateway/gossip_transport.py
@@ -10,7 +10,7 @@
 from .driver import Driver
 
 
-class Peers(asyncio.DatagramProtocol):
+class GossipTransport(asyncio.DatagramProtocol):
     """The UDP socket at ``peer_listen``."""
 
     def __init__(self, driver: Driver, addresses: tuple[Address, ...], own: int) -> None:
--- a/saffrongw/gateway/hot_restart/channel.py
+++ b/saffrongw/gateway/hot_restart/channel.py
@@ -54,7 +54,7 @@
     return _CREDENTIALS.unpack(raw)[1] == os.geteuid()
 
 
-class Channel:
+class HandOverChannel:
     """Packets to and from the other process; each call of ``told`` owns the sockets that it gets."""
 
     def __init__(
@@ -151,19 +151,19 @@
             await asyncio.sleep(0.002)
 
 
-class Incumbent:
+class RunningProcess:
     """The running process's side: the Unix socket, and at most one successor."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         path: Path,
-        greet: Callable[[Channel], None],
+        greet: Callable[[HandOverChannel], None],
         told: Callable[[list], None],
     ) -> None:
         self.loop, self.path, self.greet, self.told = loop, path, greet, told
         self.listener: socket.socket | None = None
-        self.channel: Channel | None = None
+        self.channel: HandOverChannel | None = None
         self.ready = False  # the successor can serve
         self.lost = asyncio.Event()  # it came, and has gone
         self.inode = 0  # of our file
@@ -202,7 +202,7 @@
             self.channel.close()
         self.ready = False
         self.lost.clear()
-        self.channel = Channel(self.loop, sock, self._hear, self._lost)
+        self.channel = HandOverChannel(self.loop, sock, self._hear, self._lost)
         self.greet(self.channel)
 
     def _hear(self, message: list, sockets: list[socket.socket]) -> None:
@@ -235,7 +235,7 @@
             self.channel = None
 
 
-async def find_incumbent(
+async def find_running_process(
     loop: asyncio.AbstractEventLoop, path: Path | None
 ) -> socket.socket | None:
     """A connection to the process that serves this address; None where there is none, or it does not answer."""
--- a/saffrongw/gateway/hot_restart/successor.py
+++ b/saffrongw/gateway/hot_restart/successor.py
@@ -9,13 +9,20 @@
 
 from ...policy import state_transfer
 from ...policy.events import EndpointEntry, EndpointId, EndpointState
-from ..admin_http.handlers import Operations
-from ..config import HostEntry, HostList
-from ..downstream.connection import Clients
+from ..admin_http.handlers import AdminHandlers
+from ..config import DiscoveredEndpoint, EndpointList
+from ..downstream.connection import ClientConnections
 from ..driver import Driver
-from ..gossip_transport import Peers
-from ..upstream.cluster import Hosts
-from .channel import ANSWER_WITHIN, Channel, Incumbent, find_incumbent, packed, path_for
+from ..gossip_transport import GossipTransport
+from ..upstream.cluster import UpstreamCluster
+from .channel import (
+    ANSWER_WITHIN,
+    HandOverChannel,
+    RunningProcess,
+    find_running_process,
+    packed,
+    path_for,
+)
 
 log = logging.getLogger(__name__)
 
@@ -24,23 +31,23 @@
 BEGUN_MOST = 8 << 20  # bytes of a command that was begun, over all that are still to come
 
 
-class Estate:
+class PredecessorHandOver:
     """The running gateway's side."""
 
     def __init__(
         self,
         driver: Driver,
-        hosts: Hosts,
-        clients: Clients,
-        operations: Operations,
-        peers: Peers | None,
+        hosts: UpstreamCluster,
+        clients: ClientConnections,
+        operations: AdminHandlers,
+        peers: GossipTransport | None,
         accept_for: float,
     ) -> None:
         self.driver, self.hosts, self.clients = driver, hosts, clients
         self.operations, self.peers, self.accept_for = operations, peers, accept_for
         path = path_for(clients.config.listen)
         self.incumbent = (
-            Incumbent(driver.loop, path, self._greet, operations.told) if path else None
+            RunningProcess(driver.loop, path, self._greet, operations.told) if path else None
         )
 
     def listen(self) -> None:
@@ -63,7 +70,7 @@
         if self.incumbent.channel:
             self.incumbent.channel.tell(*message)
 
-    def _greet(self, channel: Channel) -> None:
+    def _greet(self, channel: HandOverChannel) -> None:
         """All that a successor needs to get ready, while nothing changes hands yet."""
         fds = [self.clients.acceptor.listener.fileno()]
         if self.peers:
@@ -96,7 +103,7 @@
         self.clients.take_back()
         await self.clients.drain(self.accept_for)
 
-    async def _say_go(self, channel: Channel) -> bool:
+    async def _say_go(self, channel: HandOverChannel) -> bool:
         """All counts, and then the word; False where nobody takes them."""
         for rows in packed(state_transfer.export(self.driver.gateway)):
             channel.tell("rows", rows)
@@ -124,7 +131,7 @@
         )
 
 
-async def _sent(channel: Channel) -> bool:
+async def _sent(channel: HandOverChannel) -> bool:
     """Whether all is on its way. Guards the end: a successor that stands still takes nothing, for ever."""
     try:
         async with asyncio.timeout(ANSWER_WITHIN):
@@ -144,7 +151,7 @@
         wait.result()  # what went wrong there
 
 
-def _listed(hosts, pools: Hosts):
+def _listed(hosts, pools: UpstreamCluster):
     """The list of hosts as rows: as discovery tells it, and where to connect."""
     for host in hosts:
         entry, pool = host.entry, pools.pools.get(host.entry.endpoint_id)
@@ -158,32 +165,32 @@
             yield [*place, pool.born, entry.size, *pool.address]
 
 
-class Inheritance:
+class SuccessorHandOver:
     """The successor's side."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
         self.loop = loop
         self.listener: socket.socket | None = None
         self.peers: socket.socket | None = None
-        self.hosts: list[HostEntry] = []
+        self.hosts: list[DiscoveredEndpoint] = []
         self.rows: list[list] = []  # until the decisions are there to take them
         self.notes: list[list] = []  # and what operators asked of the other process
         self.greeted, self.go = asyncio.Event(), asyncio.Event()
         self.lost = self.replaced = False
-        self.parts: tuple[Driver, Hosts, Clients, Operations] | None = None
+        self.parts: tuple[Driver, UpstreamCluster, ClientConnections, AdminHandlers] | None = None
         self.begun: tuple[socket.socket, int, bytearray] | None = (
             None  # a client's connection still to come
         )
         self.adopted: list[tuple] = []  # connections that came before this process listens
         self.serving = False
-        self.channel = Channel(loop, sock, self._told, self._lost)
+        self.channel = HandOverChannel(loop, sock, self._told, self._lost)
 
     @classmethod
     async def of(
         cls, loop: asyncio.AbstractEventLoop, listen: tuple[str, int]
-    ) -> Inheritance | None:
+    ) -> SuccessorHandOver | None:
         """What the running process gives; None where there is none that answers."""
-        sock = await find_incumbent(loop, path_for(listen))
+        sock = await find_running_process(loop, path_for(listen))
         if sock is None:
             return None
         found = cls(loop, sock)
@@ -208,12 +215,16 @@
         return self.go.is_set() and not self.replaced
 
     @property
-    def listed(self) -> HostList | None:
+    def listed(self) -> EndpointList | None:
         """The list as the running process has it."""
-        return HostList(0, True, tuple(self.hosts)) if self.hosts else None
+        return EndpointList(0, True, tuple(self.hosts)) if self.hosts else None
 
     def attach(
-        self, driver: Driver, hosts: Hosts, clients: Clients, operations: Operations
+        self,
+        driver: Driver,
+        hosts: UpstreamCluster,
+        clients: ClientConnections,
+        operations: AdminHandlers,
     ) -> None:
         """The parts are there: take over what was told so far, and all that follows."""
         self.parts = driver, hosts, clients, operations
@@ -298,7 +309,7 @@
                 log.warning("takeover: a row is left out: %s", odd)
 
 
-def _entry(row: list) -> HostEntry:
+def _entry(row: list) -> DiscoveredEndpoint:
     server, phase, zone, cell, born, size, host, port = row
     entry = EndpointEntry(
         state_transfer.server_of(str(server)),
@@ -308,4 +319,4 @@
         int(born),
         float(size),
     )
-    return HostEntry(entry, (str(host), int(port)))
+    return DiscoveredEndpoint(entry, (str(host), int(port)))
--- a/saffrongw/gateway/metrics.py
+++ b/saffrongw/gateway/metrics.py
@@ -7,7 +7,7 @@
 PREFIX = "svc"
 
 
-class Figures:
+class Metrics:
     """Counts of final answers by class, and of attempts written whole to hosts."""
 
     __slots__ = ("attempts", "busy", "failed", "reloads", "reloads_failed", "served")
--- a/saffrongw/gateway/request_parser.py
+++ b/saffrongw/gateway/request_parser.py
@@ -6,8 +6,8 @@
 
 from ..policy.settings import Idempotency
 from .config import Config
-from .driver import Terms
-from .resp import VALUE_MOST, Malformed
+from .driver import RequestTerms
+from .resp import VALUE_MOST, MalformedMessageError
 
 CUSTOMER_BITS = 33
 WAIT_MOST = 3_600_000  # ms
@@ -41,58 +41,58 @@
     rb"(?:\$(0|[1-9][0-9]{0,4})\r\n)?"
 )
 
-Parsed = tuple[Terms, tuple[bytes, ...]]
+Parsed = tuple[RequestTerms, tuple[bytes, ...]]
 
 
-def parse(command: list[bytes], config: Config) -> Parsed:
+def parse_request(command: list[bytes], config: Config) -> Parsed:
     """A request's terms, and its parts as hosts get them: the terms are cut round the value of ``d``.
 
     Hosts void what they can't use, so that only the exact forms pass: ``int()`` and ``float()`` take ``1_0``,
     ``+1``, ``nan`` and blanks.
     """
     if len(command) != (4 if command[0] == b"CALL.GET" else 5):
-        raise Malformed("wrong number of values")
+        raise MalformedMessageError("wrong number of values")
     name, customer, number, text = command[:4]
     if not _CUSTOMER.fullmatch(customer) or (key := int(customer, 16)) >> CUSTOMER_BITS:
-        raise Malformed("customer is not 16 hex digits below 2^33")
+        raise MalformedMessageError("customer is not 16 hex digits below 2^33")
     if not _NUMBER.fullmatch(number):
-        raise Malformed("the request's id is empty, too long or malformed")
+        raise MalformedMessageError("the request's id is empty, too long or malformed")
     pairs = [pair.split(b"=", 1) for pair in text.split(b",")]
     try:
         terms = dict(pairs)
     except ValueError:
-        raise Malformed("terms are malformed") from None
+        raise MalformedMessageError("terms are malformed") from None
     if len(terms) != len(pairs):
-        raise Malformed("a term stands twice")
+        raise MalformedMessageError("a term stands twice")
     kind, plan = config.classes.get(terms.get(b"c")), config.plans.get(terms.get(b"t"))
     if kind is None or plan is None:
-        raise Malformed("unknown class or plan")
+        raise MalformedMessageError("unknown class or plan")
     effect, gateways = config.settings.classes[kind].idempotency, config.settings.node_count
     if (name == b"CALL.GET") != (effect is Idempotency.IDEMPOTENT):
-        raise Malformed("this class is served by the other command")
+        raise MalformedMessageError("this class is served by the other command")
     wanted = _TERMS | {b"k"} if effect is Idempotency.IDEMPOTENCY_KEY else _TERMS
     repeat = terms.pop(b"r", None)
     if terms.keys() != wanted or repeat not in (None, b"1"):
-        raise Malformed("a term is missing, or one too many")
+        raise MalformedMessageError("a term is missing, or one too many")
     if effect is Idempotency.IDEMPOTENCY_KEY and not _KEY.fullmatch(terms[b"k"]):
-        raise Malformed("term k is malformed")
+        raise MalformedMessageError("term k is malformed")
     wait, units, spread, first = (terms[term] for term in (b"d", b"units", b"spread", b"first"))
     if not _WAIT.fullmatch(wait) or int(wait) > WAIT_MOST:
-        raise Malformed("term d is out of range")
+        raise MalformedMessageError("term d is out of range")
     if not _UNITS.fullmatch(units) or not 0 < float(units) <= config.units_most:
-        raise Malformed("term units is out of range")
+        raise MalformedMessageError("term units is out of range")
     if not _GATEWAYS.fullmatch(spread) or not _GATEWAYS.fullmatch(first):
-        raise Malformed("terms spread and first are malformed")
+        raise MalformedMessageError("terms spread and first are malformed")
     if not 1 <= int(spread) <= gateways or not int(first) < gateways:
-        raise Malformed("terms spread and first are out of range")
+        raise MalformedMessageError("terms spread and first are out of range")
     at = (b"," + text).index(b",d=") + 2
     parts = (name, customer, number, text[:at], text[at + len(wait) :], *command[4:])
-    return Terms(
+    return RequestTerms(
         key, kind, plan, int(wait) * MS, float(units), int(spread), int(first), repeat is not None
     ), parts
 
 
-class Form:
+class RequestFormat:
     """Reads requests in their usual form in one step; what is not of it is left to the framing and ``parse``."""
 
     __slots__ = ("amounts", "classes", "effects", "gateways", "groups", "plans", "units_most")
@@ -148,7 +148,7 @@
         last = found.end() + int(body_size)
         return (last + 2, customer, group) if data[last : last + 2] == b"\r\n" else None
 
-    def read(self, data: bytes, at: int) -> tuple[int, Terms, tuple[bytes, ...]] | None:
+    def read(self, data: bytes, at: int) -> tuple[int, RequestTerms, tuple[bytes, ...]] | None:
         """Where the request at this place ends, its terms and parts; None: not whole, or not of the usual form."""
         found = _USUAL.match(data, at)
         if found is None:
@@ -184,7 +184,7 @@
         if (span := int(wait)) > WAIT_MOST:
             return None
         end = found.end()
-        terms = Terms(int(customer, 16), kind, plan, span * MS, *given)
+        terms = RequestTerms(int(customer, 16), kind, plan, span * MS, *given)
         if post is None:
             return end, terms, (get, customer, number, before, after)
         last = end + int(body_size)
--- a/saffrongw/gateway/resp.py
+++ b/saffrongw/gateway/resp.py
@@ -26,7 +26,7 @@
 _HEADER_MOST = 10  # bytes of the longest header that these take
 
 
-class Malformed(Exception):
+class MalformedMessageError(Exception):
     """Bytes that no whole message of the protocol can begin with: where the next one starts is lost."""
 
 
@@ -51,7 +51,9 @@
             return found
         if begun.fullmatch(self.data[at : at + _HEADER_MOST]):
             return None
-        raise Malformed(f"not a header of the protocol: {self.data[at : at + 2 * _HEADER_MOST]!r}")
+        raise MalformedMessageError(
+            f"not a header of the protocol: {self.data[at : at + 2 * _HEADER_MOST]!r}"
+        )
 
     def _bulk(self, at: int, most: int, null: bool = False) -> tuple[bytes | None, int] | None:
         """A bulk string and where it ends; None where it is not whole yet."""
@@ -62,11 +64,11 @@
         if length < 0:
             return None, start
         if length > most:
-            raise Malformed("a value is too long")
+            raise MalformedMessageError("a value is too long")
         end = start + length
         tail = self.data[end : end + 2]
         if not b"\r\n".startswith(tail):
-            raise Malformed("a length does not fit")
+            raise MalformedMessageError("a length does not fit")
         return (self.data[start:end], end + 2) if len(tail) == 2 else None
 
 
@@ -82,7 +84,7 @@
             return None
         words, at, number = [], head.end(), int(head[1])
         if number > WORDS_MOST:
-            raise Malformed("wrong number of values")
+            raise MalformedMessageError("wrong number of values")
         for place in range(1, number + 1):
             bulk = self._bulk(at, VALUE_MOST if place == WORDS_MOST else WORD_MOST)
             if bulk is None:
@@ -93,7 +95,7 @@
         return words
 
 
-class Answer(NamedTuple):
+class Reply(NamedTuple):
     """What a host answered: a line, or a value with the figures on use and the load report."""
 
     line: bytes | None = None
@@ -101,12 +103,12 @@
     report: bytes | None = None
 
 
-class AnswerReader(_Buffer):
+class ReplyReader(_Buffer):
     """A host's answers, one at a time."""
 
     __slots__ = ()
 
-    def _usual(self) -> Answer | None:
+    def _usual(self) -> Reply | None:
         """A served answer in its usual form (a value, no figures on use, a report) in two steps; else None."""
         data = self.data
         head = _SERVED.match(data, self.at)
@@ -117,7 +119,7 @@
         if rest is None or len(rest[2]) != int(rest[1]):
             return None
         self.at = rest.end()
-        return Answer(None, data[head.end() : end], rest[2])
+        return Reply(None, data[head.end() : end], rest[2])
 
     def long(self) -> int | None:
         """How long the value is, where the next answer begins with a long one; its head is taken, and it comes next."""
@@ -125,7 +127,7 @@
         if found is None or int(found[1]) <= VALUE_MOST:
             return None
         if int(found[1]) > LONG_MOST:
-            raise Malformed("a value is too long")
+            raise MalformedMessageError("a value is too long")
         self.at = found.end()
         return int(found[1])
 
@@ -151,7 +153,7 @@
         self.at = at
         return True
 
-    def next(self) -> Answer | None:
+    def next(self) -> Reply | None:
         """The next answer, if it is whole."""
         if (usual := self._usual()) is not None:
             return usual
@@ -160,15 +162,15 @@
             end = self.data.find(b"\r\n", self.at, self.at + LINE_MOST)
             if end < 0:
                 if len(self) >= LINE_MOST:
-                    raise Malformed("a line is too long")
+                    raise MalformedMessageError("a line is too long")
                 return None
             line, self.at = self.data[self.at : end], end + 2
-            return Answer(line)
+            return Reply(line)
         head = self._header(_COUNT, _COUNT_BEGUN, self.at)
         if head is None:
             return None
         if head[1] != b"3":
-            raise Malformed("an answer has three parts")
+            raise MalformedMessageError("an answer has three parts")
         at, parts = head.end(), []
         for place in range(3):
             bulk = self._bulk(at, WORD_MOST if place else VALUE_MOST, null=place > 0)
@@ -177,4 +179,4 @@
             parts.append(bulk[0])
             at = bulk[1]
         self.at = at
-        return Answer(None, parts[0], parts[2])
+        return Reply(None, parts[0], parts[2])
--- a/saffrongw/gateway/signals.py
+++ b/saffrongw/gateway/signals.py
@@ -9,12 +9,12 @@
 LOAD_MOST = 5_000_000  # us: a wall clock that was set meanwhile is not believed further than that
 
 
-def hold_hang_ups() -> None:
+def block_sighup() -> None:
     """SIGHUP waits until it can be carried out: ignored, it would be lost though the file may have been read before;
     unheeded, it would end the process."""
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
 
 
-def began(now: int) -> int:
+def process_started_us(now: int) -> int:
     """From when on no earlier process of this gateway can have sent anything (us; ``now`` by the wall clock)."""
     return BORN if 0 <= now - BORN <= LOAD_MOST else now
--- a/saffrongw/gateway/streaming_reply.py
+++ b/saffrongw/gateway/streaming_reply.py
@@ -11,7 +11,7 @@
 import asyncio
 from typing import Protocol
 
-from .metrics import Figures
+from .metrics import Metrics
 
 AHEAD_MOST = 64 * 1024  # bytes taken from the host before the client's turn for them
 STALL = (
@@ -38,7 +38,7 @@
         """All of it is written, or it broke off."""
 
 
-class LongValue:
+class StreamingReply:
     """One value of ``length`` bytes; it ends exactly once."""
 
     __slots__ = (
@@ -61,13 +61,13 @@
         self.head = b"$%d\r\n" % length
         self.ahead: list[bytes] = []
         self.sink: Sink | None = None
-        self.figures: Figures | None = None  # set once it is somebody's answer
+        self.figures: Metrics | None = None  # set once it is somebody's answer
         self.kind = 0
         self.whole = self.ended = False
         self.moved = False  # since the last look
         self.timer = loop.call_later(STALL, self._look)
 
-    def answers(self, figures: Figures, kind: int) -> None:
+    def answers(self, figures: Metrics, kind: int) -> None:
         """It is the final answer to a request of this class."""
         self.figures, self.kind = figures, kind
 
--- a/saffrongw/gateway/upstream/cluster.py
+++ b/saffrongw/gateway/upstream/cluster.py
@@ -17,10 +17,10 @@
 import hiredis
 
 from ...policy.events import AttemptOutcome, EndpointId, EndpointState
-from ..config import Address, HostList
-from ..driver import Attempt, Driver
-from ..resp import Answer, AnswerReader, Malformed
-from ..streaming_reply import LongValue
+from ..config import Address, EndpointList
+from ..driver import Driver, UpstreamAttempt
+from ..resp import MalformedMessageError, Reply, ReplyReader
+from ..streaming_reply import StreamingReply
 
 log = logging.getLogger(__name__)
 
@@ -52,7 +52,7 @@
     return tuple(float(values[name]) for name in names)
 
 
-def pack_request(attempt: Attempt, now: int) -> bytes:
+def pack_request(attempt: UpstreamAttempt, now: int) -> bytes:
     """The client's command as it came, but for how long the gateway will wait."""
     command, customer, number, before, after, *body = attempt.call.parts
     left = max(1, (attempt.deadline_us - now) // MS)
@@ -60,22 +60,22 @@
     return hiredis.pack_command((command, customer, number, terms, *body))
 
 
-class Connection(asyncio.Protocol):
+class UpstreamConnection(asyncio.Protocol):
     """One connection to a host: idle, or with one attempt on it."""
 
-    def __init__(self, pool: Pool) -> None:
+    def __init__(self, pool: ConnectionPool) -> None:
         self.pool = pool
         self.transport: asyncio.Transport | None = None
         self.late = False  # it is waited for no longer, and must not come up any more
-        self.reader = AnswerReader()
-        self.attempt: Attempt | None = None
+        self.reader = ReplyReader()
+        self.attempt: UpstreamAttempt | None = None
         self.idle_since = 0.0
         self.counted = False
         self.poll = select.poll()
         self.rest: asyncio.TimerHandle | None = (
             None  # ends an answer that has begun and does not go on
         )
-        self.long: LongValue | None = None  # on its way to a client
+        self.long: StreamingReply | None = None  # on its way to a client
         self.held = False  # nothing is read for now
 
     def connection_made(self, transport: asyncio.Transport) -> None:
@@ -88,7 +88,7 @@
         self.transport, self.counted = transport, True
         self.pool.ready(self)
 
-    def begin(self, attempt: Attempt, now: int) -> None:
+    def begin(self, attempt: UpstreamAttempt, now: int) -> None:
         """Write an attempt's request."""
         self.attempt, attempt.link = attempt, self
         self.transport.write(pack_request(attempt, now))
@@ -128,7 +128,7 @@
                 return
             answer = self.reader.next()
             reply = answer and self.pool.hosts.meaning(answer)
-        except Malformed as wrong:
+        except MalformedMessageError as wrong:
             self._spoilt(str(wrong))
             return
         if answer is None:
@@ -145,12 +145,12 @@
             self.pool.rest(self)
         self.pool.hosts.driver.attempt_ended(attempt, *reply)
 
-    def _begin_long(self, attempt: Attempt, length: int) -> None:
+    def _begin_long(self, attempt: UpstreamAttempt, length: int) -> None:
         """A long value begins: it answers its request now, and its bytes follow as they come."""
         self._rested()
         self.attempt = None
         hosts = self.pool.hosts
-        value = self.long = LongValue(hosts.loop, self, length)
+        value = self.long = StreamingReply(hosts.loop, self, length)
         hosts.driver.attempt_ended(attempt, AttemptOutcome.SERVED, value)
         if value.figures is None:  # nobody waits for it any more
             value.drop()
@@ -169,14 +169,14 @@
             if ends is None:
                 return
             if not ends:
-                raise Malformed("a length does not fit")
+                raise MalformedMessageError("a length does not fit")
             if not value.whole:
                 value.finish()
             if not self.reader.rest_of_long():
                 if self.rest is None:
                     self.rest = self.pool.hosts.loop.call_later(REST_WITHIN, self.abort)
                 return
-        except Malformed as wrong:
+        except MalformedMessageError as wrong:
             log.warning("spoilt answer of %s: %s", self.pool.server.decode(errors="replace"), wrong)
             self.abort()
             return
@@ -250,18 +250,20 @@
                 self.pool.idle.remove(self)
 
 
-class Pool:
+class ConnectionPool:
     """The connections to one host; the one used last is used first, so that surplus ones grow idle."""
 
-    def __init__(self, hosts: Hosts, server: EndpointId, address: Address, born: int) -> None:
+    def __init__(
+        self, hosts: UpstreamCluster, server: EndpointId, address: Address, born: int
+    ) -> None:
         self.hosts, self.server, self.address, self.born = hosts, server, address, born
-        self.idle: list[Connection] = []
+        self.idle: list[UpstreamConnection] = []
         self.opening: set[asyncio.Task] = set()
-        self.waiting: deque[Attempt] = deque()
+        self.waiting: deque[UpstreamAttempt] = deque()
         self.shut = False  # it drains: nothing is begun there any more
         self.retired = False
 
-    def send(self, attempt: Attempt) -> None:
+    def send(self, attempt: UpstreamAttempt) -> None:
         """Use an idle connection, or open one.
 
         A second copy of an answer may come when its connection carries the next request, and nothing tells
@@ -293,7 +295,7 @@
 
     async def _open(self) -> None:
         """One new connection; if it never comes up, the attempt that waits longest never ran."""
-        connection, loop = Connection(self), self.hosts.loop
+        connection, loop = UpstreamConnection(self), self.hosts.loop
         task = asyncio.current_task()
         late = loop.call_later(self.hosts.connect_timeout, self._too_late, connection, task)
         try:
@@ -303,14 +305,14 @@
         finally:
             late.cancel()
 
-    def _too_late(self, connection: Connection, task: asyncio.Task) -> None:
+    def _too_late(self, connection: UpstreamConnection, task: asyncio.Task) -> None:
         """Guards one that has come up in this very turn: cancelled then, the loop closes it without a word, and its
         attempt, its descriptor and its place among those that close would never be heard of again."""
         if connection.transport is None:
             self._not_up(connection)
             task.cancel()
 
-    def _not_up(self, connection: Connection) -> None:
+    def _not_up(self, connection: UpstreamConnection) -> None:
         if connection.transport is None and not connection.late:
             connection.late = True
             self.hosts.sockets -= 1
@@ -319,14 +321,14 @@
                     self.waiting.popleft(), AttemptOutcome.CONNECT_FAILED
                 )
 
-    def ready(self, connection: Connection) -> None:
+    def ready(self, connection: UpstreamConnection) -> None:
         """It is up: the attempt that waits longest takes it."""
         if self.waiting:
             connection.begin(self.waiting.popleft(), self.hosts.driver.clock())
         else:
             self.rest(connection)
 
-    def rest(self, connection: Connection) -> None:
+    def rest(self, connection: UpstreamConnection) -> None:
         """It is free again."""
         if self.shut or self.retired or (self.hosts.heir and self._hand_over(connection)):
             connection.abort()
@@ -334,7 +336,7 @@
             connection.idle_since = self.hosts.loop.time()
             self.idle.append(connection)
 
-    def _hand_over(self, connection: Connection) -> bool:
+    def _hand_over(self, connection: UpstreamConnection) -> bool:
         """Give a connection to the successor; nothing is out on it, and all that came was taken."""
         fd = connection.transport.get_extra_info("socket").fileno()
         return self.hosts.heir(self.server, self.born, fd)
@@ -349,7 +351,7 @@
     async def adopt(self, sock: socket.socket) -> None:
         """Use a connection that another process has opened."""
         try:
-            await self.hosts.loop.create_connection(lambda: Connection(self), sock=sock)
+            await self.hosts.loop.create_connection(lambda: UpstreamConnection(self), sock=sock)
         except OSError:
             self.hosts.sockets -= 1
             sock.close()
@@ -359,7 +361,7 @@
         while self.idle and self.idle[0].idle_since <= before:
             self.idle[0].abort()
 
-    def retire(self) -> list[Attempt]:
+    def retire(self) -> list[UpstreamAttempt]:
         """Nothing more is sent there: what is out may end; what waited for a connection, and never ran.
 
         Guards a host that takes over the address of a gone one, or its id after a restart: what was meant for
@@ -368,7 +370,7 @@
         self.retired = True
         return self.give_back()
 
-    def shuts(self) -> list[Attempt]:
+    def shuts(self) -> list[UpstreamAttempt]:
         """It drains: the same, but its address stays its own, and it may serve again.
 
         Guards rule 3: a connection may come up long after the list came, and its request's first byte is what counts.
@@ -376,7 +378,7 @@
         self.shut = True
         return self.give_back()
 
-    def give_back(self) -> list[Attempt]:
+    def give_back(self) -> list[UpstreamAttempt]:
         """The attempts that wait for a connection; idle ones are closed."""
         self.close_idle(float("inf"))
         stranded = list(self.waiting)
@@ -384,7 +386,7 @@
         return stranded
 
 
-class Hosts:
+class UpstreamCluster:
     """All hosts that discovery has named, and the attempts out at them."""
 
     def __init__(
@@ -401,8 +403,8 @@
         self.most, self.connect_timeout = sockets, connect_timeout
         self.keep_idle = IDLE_PART * idle_close
         self.sockets = 0  # open or opening
-        self.closing: set[Connection] = set()
-        self.pools: dict[EndpointId, Pool] = {}
+        self.closing: set[UpstreamConnection] = set()
+        self.pools: dict[EndpointId, ConnectionPool] = {}
         self.heir: Callable[[EndpointId, int, int], bool] | None = (
             None  # who gets connections that fall idle
         )
@@ -425,7 +427,7 @@
         pool.opening.add(task)
         task.add_done_callback(pool.opening.discard)
 
-    def told(self, listed: HostList) -> list[Attempt]:
+    def told(self, listed: EndpointList) -> list[UpstreamAttempt]:
         """Follow discovery: idle connections to hosts that are gone or moved are closed. The attempts that
         waited for one are given back."""
         stranded = []
@@ -441,7 +443,7 @@
             if gone:
                 continue
             if (pool := self.pools.get(entry.endpoint_id)) is None:
-                pool = self.pools[entry.endpoint_id] = Pool(
+                pool = self.pools[entry.endpoint_id] = ConnectionPool(
                     self, entry.endpoint_id, host.address, entry.started_at_us
                 )
             if entry.state is EndpointState.DRAINING:
@@ -450,35 +452,35 @@
                 pool.shut = False
         return stranded
 
-    def rest_at(self, server: EndpointId) -> list[Attempt]:
+    def rest_at(self, server: EndpointId) -> list[UpstreamAttempt]:
         """An operator takes a host out: connections that carry nothing are closed, it will be restarted. The attempts
         that waited for one are given back."""
         pool = self.pools.get(server)
         return pool.give_back() if pool else []
 
-    def send(self, attempt: Attempt) -> None:
+    def send(self, attempt: UpstreamAttempt) -> None:
         """Begin an attempt."""
         if pool := self.pools.get(attempt.endpoint_id):
             pool.send(attempt)
         else:
             self.driver.attempt_ended(attempt, AttemptOutcome.CONNECT_FAILED)
 
-    def give_up(self, attempt: Attempt) -> None:
+    def give_up(self, attempt: UpstreamAttempt) -> None:
         """Stop waiting for an attempt; closing its connection tells the host."""
-        if isinstance(attempt.link, Connection):
+        if isinstance(attempt.link, UpstreamConnection):
             attempt.link.look_whole()
             attempt.link.abort()
         else:
             self.take_back(attempt)
 
-    def take_back(self, attempt: Attempt) -> bool:
+    def take_back(self, attempt: UpstreamAttempt) -> bool:
         """Whether an attempt still waited for a connection; it does so no longer."""
-        waits = isinstance(attempt.link, Pool) and attempt in attempt.link.waiting
+        waits = isinstance(attempt.link, ConnectionPool) and attempt in attempt.link.waiting
         if waits:
             attempt.link.waiting.remove(attempt)
         return waits
 
-    def meaning(self, answer: Answer) -> tuple[AttemptOutcome, bytes | None, tuple[float, ...]]:
+    def meaning(self, answer: Reply) -> tuple[AttemptOutcome, bytes | None, tuple[float, ...]]:
         """A host's answer as outcome, value and report: only the exact forms mean something."""
         if (line := answer.line) is None:
             value, report = answer.value, self._report(answer.report)
@@ -490,7 +492,7 @@
                 if report := parse_report(line[len(known) + 1 :], self.report_names):
                     return outcome, None, report
                 break
-        raise Malformed("an unknown line")
+        raise MalformedMessageError("an unknown line")
 
     def _report(self, text: bytes | None) -> tuple[float, ...]:
         """A report's figures. Hosts refresh theirs a few times a second and send it with every answer till then."""
@@ -502,7 +504,7 @@
             self.reports[text] = known
         return known
 
-    def spoilt(self, attempt: Attempt, why: str) -> None:
+    def spoilt(self, attempt: UpstreamAttempt, why: str) -> None:
         """An answer that can't be believed: the attempt has failed and may have run, its host answers."""
         log.warning("spoilt answer of %s: %s", attempt.endpoint_id.decode(errors="replace"), why)
         self.driver.attempt_ended(attempt, AttemptOutcome.ERROR)
--- a/saffrongw/leases/acceptor.py
+++ b/saffrongw/leases/acceptor.py
@@ -16,7 +16,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from .candidates import NAMED_ALL_MOST, Standing
+from .candidates import NAMED_ALL_MOST, Candidates
 from .messages import (
     LARGEST,
     NO_BALLOT,
@@ -37,7 +37,7 @@
     Why,
 )
 from .spec import NOTES_MOST
-from .suspensions import Holds
+from .suspensions import Suspensions
 from .timing import Timing
 
 MS = 1_000
@@ -70,15 +70,15 @@
         return self.ballot[1:] if self.until else None
 
 
-class Voter:
+class Acceptor:
     """The state of all leases at one voter."""
 
     def __init__(
         self,
         name: str,
         timing: Timing,
-        standing: Standing,
-        holds: Holds,
+        standing: Candidates,
+        holds: Suspensions,
         now: int,
         floor: int = 0,
         reserved: int = LARGEST,
--- a/saffrongw/leases/candidates.py
+++ b/saffrongw/leases/candidates.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True)
-class Stander:
+class Candidate:
     """One gateway that stands; times in us of the voter's clock."""
 
     life: int
@@ -44,14 +44,14 @@
     doubtful: bool = False  # a lease of it ran out, or it does not hear this voter
 
 
-class Standing:
+class Candidates:
     """All that stand; bounded, and those that are not heard again go."""
 
     def __init__(self, shards: int) -> None:
         self.shards = shards
         self.shard_names = tuple(shard_name(shard, shards) for shard in range(shards))
         self._shard_set = frozenset(self.shard_names)
-        self.all: dict[str, Stander] = {}
+        self.all: dict[str, Candidate] = {}
         self.turned_away = 0
         self._named: frozenset[str] | None = None
 
@@ -71,7 +71,7 @@
             self.turned_away += 1
             return False
         same = old is not None and old.life == life
-        self.all[name] = Stander(
+        self.all[name] = Candidate(
             life, old.since if same else now, until, frozenset(named), pressed, not hears
         )
         self._named = None
--- a/saffrongw/leases/clock_drift.py
+++ b/saffrongw/leases/clock_drift.py
@@ -34,7 +34,7 @@
     return theirs / most, theirs / least
 
 
-class Rates:
+class ClockDriftEstimates:
     """Readings of each voter's clock, by name and life."""
 
     def __init__(self, timing: Timing) -> None:
--- a/saffrongw/leases/component.py
+++ b/saffrongw/leases/component.py
@@ -13,20 +13,20 @@
 
 import msgspec
 
-from saffrongw.channel.component import ChannelPart
-from saffrongw.gateway.config import address
+from saffrongw.channel.component import ChannelComponent
+from saffrongw.gateway.config import parse_address
 from saffrongw.gateway.driver import Driver
-from saffrongw.gateway.extensions import OperatorCall
+from saffrongw.gateway.extensions import AdminCommand
 
 from .candidates import shard_of
 from .messages import LARGEST, Packet
-from .node import Confirmed, Member, Packets
+from .node import Confirmed, LeaseNode, Packets
 from .proposer import Gained, Lost, Token, Wanted
 from .store import BLOCK, LeaseStore
-from .suspensions import HoldError
+from .suspensions import SuspensionError
 from .table import LeasesTable, TaskTable
 from .task_client import Ended, post
-from .task_schedule import Call, Cancel, Do, Outcome, Say, Turns
+from .task_schedule import Call, Cancel, Do, Outcome, Say, TaskSchedule
 from .timing import SECOND
 
 log = logging.getLogger(__name__)
@@ -43,10 +43,10 @@
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000
 
 
-class LeaseDuty:
+class LeaseLeaderGuard:
     """``SoleDuty`` under a lease of its own name."""
 
-    def __init__(self, part: LeasesPart, lease: str) -> None:
+    def __init__(self, part: LeasesComponent, lease: str) -> None:
         self.part, self.lease = part, lease
 
     def number(self) -> int:
@@ -64,17 +64,17 @@
             self.part.loop.call_soon_threadsafe(self.part.outrun, self.lease, number)
 
 
-class LeasesPart:
+class LeasesComponent:
     """Service, figures, calls and duties."""
 
-    def __init__(self, table: LeasesTable, channel: ChannelPart) -> None:
+    def __init__(self, table: LeasesTable, channel: ChannelComponent) -> None:
         self.table, self.channel = table, channel
         self.loop: asyncio.AbstractEventLoop | None = None
         self.driver: Driver | None = None
-        self.member: Member | None = None
+        self.member: LeaseNode | None = None
         self.clock: Callable[[], int] = clock
         self.wall_base = time.time_ns() // 1_000 - clock()
-        self.turns = Turns()
+        self.turns = TaskSchedule()
         self.tasks: dict[str, TaskTable] = {one.name: one for one in table.task}
         self.named: list[str] = []
         self.timer: asyncio.TimerHandle | None = None
@@ -98,10 +98,10 @@
         """Unix us as this process has it: read once, and then by the other clock, so that it never steps."""
         return self.wall_base + now
 
-    def duty(self, lease: str) -> LeaseDuty:
+    def duty(self, lease: str) -> LeaseLeaderGuard:
         """A duty that a part has; asked for before the start."""
         self.named.append(lease)
-        return LeaseDuty(self, lease)
+        return LeaseLeaderGuard(self, lease)
 
     async def start(self, driver: Driver) -> None:
         """Stand, and vote if this gateway is a voter."""
@@ -111,7 +111,7 @@
         if self.store:
             floor = reserved = await self.loop.run_in_executor(self.store.pool, self.store.open)
         now = self.clock()
-        self.member = Member(
+        self.member = LeaseNode(
             channel.table.name,
             channel.life,
             table.own,
@@ -130,7 +130,9 @@
         self._turn()
 
     def _place(self, table: LeasesTable) -> None:
-        self.channel.channel.place({name: address(at) for name, at in table.addresses.items()})
+        self.channel.channel.place(
+            {name: parse_address(at) for name, at in table.addresses.items()}
+        )
 
     async def stop(self) -> None:
         """Give back what is left, end calls."""
@@ -506,7 +508,7 @@
             ],
         }
 
-    def calls(self) -> dict[bytes, OperatorCall]:
+    def calls(self) -> dict[bytes, AdminCommand]:
         """At the operators' address."""
         return {
             b"/admin/leases": (
@@ -557,7 +559,7 @@
         at = self.wall(now) / 1e6
         try:
             self.member.holds.put(lease, at + span if span else 0.0, who, why, at)
-        except HoldError as wrong:
+        except SuspensionError as wrong:
             return 400, f"{wrong}\n".encode()
         self.member.stand_now(now)
         if span and any(claim.lease == lease for claim in self.member.asker.held(now)):
--- a/saffrongw/leases/node.py
+++ b/saffrongw/leases/node.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from .acceptor import Voter
-from .candidates import Standing
-from .clock_drift import Rates, Reading
+from .acceptor import Acceptor
+from .candidates import Candidates
+from .clock_drift import ClockDriftEstimates, Reading
 from .messages import (
     LARGEST,
     NAMED_MOST,
@@ -33,9 +33,9 @@
     Tell,
     Told,
 )
-from .proposer import Asker, Claim, Event, Out, Stage, Token, Wanted
+from .proposer import Claim, Event, Out, Proposer, Stage, Token, Wanted
 from .spec import NOTES_MOST
-from .suspensions import Holds
+from .suspensions import Suspensions
 from .timing import Timing
 from .voter_set import Succession, VoterSet
 
@@ -76,7 +76,7 @@
     clock: int = 0  # its own, as it was heard then
 
 
-class Member:
+class LeaseNode:
     """A life of one gateway."""
 
     def __init__(
@@ -96,11 +96,11 @@
     ) -> None:
         self.name, self.life, self.timing, self.shards, self.draw = name, life, timing, shards, draw
         self.named, self.asks = named[:NAMED_MOST], asks
-        self.shard_names = frozenset(Standing(shards).shard_names)
-        self.holds = Holds()
-        self.rates = Rates(timing)
-        self.asker = Asker(name, life, own.voters, timing, draw)
-        self.voter: Voter | None = None
+        self.shard_names = frozenset(Candidates(shards).shard_names)
+        self.holds = Suspensions()
+        self.rates = ClockDriftEstimates(timing)
+        self.asker = Proposer(name, life, own.voters, timing, draw)
+        self.voter: Acceptor | None = None
         self.floor, self.reserved = floor, reserved
         self.pressed = self.leaving = False
         self.events: list[Event | Confirmed] = []
@@ -134,8 +134,8 @@
         if self.name not in own.voters:
             self.voter = None
         elif self.voter is None:
-            standing = Standing(self.shards)
-            self.voter = Voter(
+            standing = Candidates(self.shards)
+            self.voter = Acceptor(
                 self.name, self.timing, standing, self.holds, now, self.floor, self.reserved
             )
         else:
--- a/saffrongw/leases/proposer.py
+++ b/saffrongw/leases/proposer.py
@@ -98,7 +98,7 @@
 
     lease: str
     number: int
-    asker: Asker
+    asker: Proposer
     clock: Callable[[], int]
 
     def valid(self, needs: int = 0) -> bool:
@@ -113,7 +113,7 @@
         return max(0, claim.held_until - self.clock())
 
 
-class Asker:
+class Proposer:
     """All leases that one life of a gateway holds or asks for; ``draw`` gives numbers from 0 to 1."""
 
     def __init__(
--- a/saffrongw/leases/spec.py
+++ b/saffrongw/leases/spec.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spec:
+class LeaseSpec:
     """A task; spans in us."""
 
     name: str
--- a/saffrongw/leases/suspensions.py
+++ b/saffrongw/leases/suspensions.py
@@ -14,11 +14,11 @@
 TEXT_MOST = 120
 
 
-class HoldError(ValueError):
+class SuspensionError(ValueError):
     """What an operator asked for can't be kept."""
 
 
-class Holds:
+class Suspensions:
     """All that are known; bounded, and each ends by itself."""
 
     def __init__(self) -> None:
@@ -27,11 +27,13 @@
     def put(self, lease: str, until: float, who: str, why: str, now: float) -> Hold:
         """Put one in force, or (``until`` 0) end it; ``HoldError`` where it can't be."""
         if until and not now < until <= now + LONGEST:
-            raise HoldError(f"a hold ends within {LONGEST / 86_400:.0f} days")
+            raise SuspensionError(f"a hold ends within {LONGEST / 86_400:.0f} days")
         if not who or max(len(who), len(why)) > TEXT_MOST:
-            raise HoldError(f"who and why have up to {TEXT_MOST} characters, and who is not empty")
+            raise SuspensionError(
+                f"who and why have up to {TEXT_MOST} characters, and who is not empty"
+            )
         if until and lease not in self._all and len(self.all(now * 1e6)) >= HOLDS_MOST:
-            raise HoldError(f"{HOLDS_MOST} holds are in force, no more are kept")
+            raise SuspensionError(f"{HOLDS_MOST} holds are in force, no more are kept")
         old = self._all.get(lease)
         hold = Hold(lease, until, who, why, max(now, old.at + 0.001 if old else 0.0))
         self.merge((hold,), now * 1e6)
--- a/saffrongw/leases/table.py
+++ b/saffrongw/leases/table.py
@@ -9,7 +9,7 @@
 from toml_schema import ADDRESS, key
 
 from .candidates import shard_of
-from .spec import NOTES_MOST, Spec
+from .spec import NOTES_MOST, LeaseSpec
 from .timing import DRIFT_MOST, SECOND, Timing
 from .voter_set import VoterSet
 
@@ -64,10 +64,10 @@
     )
 
     @property
-    def spec(self) -> Spec:
+    def spec(self) -> LeaseSpec:
         """For the decisions."""
         every, needs = int(self.every_s * SECOND), int(self.needs_s * SECOND)
-        return Spec(self.name, every, self.once, needs, self.jitter, self.retry, self.on_loss)
+        return LeaseSpec(self.name, every, self.once, needs, self.jitter, self.retry, self.on_loss)
 
 
 @dataclass(frozen=True, slots=True)
@@ -138,15 +138,15 @@
         found = {name: at for one in self.former for name, at in one.addresses.items()}
         return found | {one.name: one.address for one in self.voter}
 
-    def by_lease(self) -> dict[str, list[Spec]]:
+    def by_lease(self) -> dict[str, list[LeaseSpec]]:
         """Tasks by the lease under which they are done."""
         return _spread(self.task, self.shards)
 
 
 @lru_cache(maxsize=4)
-def _spread(tasks: tuple[TaskTable, ...], shards: int) -> dict[str, list[Spec]]:
+def _spread(tasks: tuple[TaskTable, ...], shards: int) -> dict[str, list[LeaseSpec]]:
     """Worked out once for each table: thousands of tasks over hundreds of shards take a while."""
-    found: dict[str, list[Spec]] = {}
+    found: dict[str, list[LeaseSpec]] = {}
     for one in tasks:
         found.setdefault(shard_of(one.name, shards), []).append(one.spec)
     return found
--- a/saffrongw/leases/task_schedule.py
+++ b/saffrongw/leases/task_schedule.py
@@ -18,7 +18,7 @@
 from enum import Enum
 
 from .messages import Note, State
-from .spec import SECOND, Spec
+from .spec import SECOND, LeaseSpec
 
 SKEW = 2 * SECOND  # by which wall clocks may differ without harm to ``at-most``
 RETRY_LEAST, RETRY_MOST = SECOND // 2, 60 * SECOND
@@ -75,7 +75,7 @@
 class Task:
     """One task under a lease that we hold."""
 
-    spec: Spec
+    spec: LeaseSpec
     lease: str
     number: int
     known_from: int
@@ -88,7 +88,7 @@
     behind: bool = False
 
 
-class Turns:
+class TaskSchedule:
     """All tasks of the leases that this gateway holds."""
 
     def __init__(self) -> None:
@@ -116,7 +116,7 @@
         wall: int,
         lease: str,
         number: int,
-        specs: Iterable[Spec],
+        specs: Iterable[LeaseSpec],
         notes: dict[bytes, Note],
         known_from: int,
     ) -> None:
@@ -139,7 +139,7 @@
                     self.strays[name] = task
         return todo
 
-    def change(self, now: int, specs: dict[str, list[Spec]]) -> list[Do]:
+    def change(self, now: int, specs: dict[str, list[LeaseSpec]]) -> list[Do]:
         """Other tasks, by lease; what is running ends by the old form."""
         todo: list[Do] = []
         wanted = {spec.name: (lease, spec) for lease, some in specs.items() for spec in some}
@@ -209,7 +209,7 @@
         return [self._run(task)]
 
     @staticmethod
-    def _once_more(last: Note, spec: Spec) -> bool:
+    def _once_more(last: Note, spec: LeaseSpec) -> bool:
         """A turn that began and whose end is not known."""
         return spec.once == "at-least" and last.state == State.BEGUN
 
--- a/saffrongw/ledger/request_filter.py
+++ b/saffrongw/ledger/request_filter.py
@@ -8,9 +8,16 @@
 from hashlib import blake2b
 from pathlib import Path
 
-from saffrongw.gateway.driver import Attempt, Call, Hosts
-from saffrongw.gateway.extensions import Ending, Observer, Pass, Refuse, StagedRequest, Verdict
-from saffrongw.gateway.filter_chain import ExtendedDriver, WrappedHosts
+from saffrongw.gateway.driver import ClientRequest, Upstream, UpstreamAttempt
+from saffrongw.gateway.extensions import (
+    Continue,
+    Ending,
+    FilteredRequest,
+    Observer,
+    Reject,
+    Verdict,
+)
+from saffrongw.gateway.filter_chain import FilteringDriver, ObservedCluster
 
 from ..policy.events import AttemptOutcome
 from .entries import Event, Kind
@@ -25,14 +32,14 @@
 UP_WITHIN = 0.5  # seconds at the start for the ledger to open before clients are served
 
 
-class _GatedHosts(WrappedHosts):
+class _GatedHosts(ObservedCluster):
     """Sends to hosts, those of unsafe classes once they are written down."""
 
-    def __init__(self, inner: Hosts, ledger: Ledger) -> None:
+    def __init__(self, inner: Upstream, ledger: LedgerFilter) -> None:
         super().__init__(inner)
         self.ledger = ledger
 
-    def send(self, attempt: Attempt) -> None:
+    def send(self, attempt: UpstreamAttempt) -> None:
         """At once, or when the intent is durable."""
         if attempt.call.event.kind in self.ledger.kinds:
             self.ledger.intend(attempt, self.inner)
@@ -48,11 +55,11 @@
     ordinals: set[int] = field(default_factory=set)
 
 
-class Ledger(Observer):
+class LedgerFilter(Observer):
     """Stage, observer and service in one: refuses while nothing can be written, gates sends, records what follows."""
 
     name = "ledger"
-    fallback: Verdict = Refuse()
+    fallback: Verdict = Reject()
 
     def __init__(
         self,
@@ -70,7 +77,7 @@
         self.entered: dict[int, _Entered] = {}  # requests with an intent
         self.writer: Writer | None = None
 
-    async def start(self, driver: ExtendedDriver) -> None:
+    async def start(self, driver: FilteringDriver) -> None:
         """Open the ledger; a gateway whose ledger can't be opened serves all but unsafe requests."""
         self.driver = driver
         self.writer = Writer(
@@ -89,18 +96,18 @@
 
     # -- the stage ------------------------------------------------------------------------------------------------
 
-    def on_request(self, request: StagedRequest) -> Verdict:
+    def on_request(self, request: FilteredRequest) -> Verdict:
         """Refused at once and harmlessly where it could not be written down; nothing was counted yet."""
         if request.terms.kind in self.kinds and not self.writer.ready:
-            return Refuse()
-        return Pass()
+            return Reject()
+        return Continue()
 
-    def on_end(self, request: StagedRequest, ending: Ending) -> None:
+    def on_end(self, request: FilteredRequest, ending: Ending) -> None:
         """Its answer is recorded by ``answered``; a client that left is seen by what its attempts came to."""
 
     # -- the gate -------------------------------------------------------------------------------------------------
 
-    def intend(self, attempt: Attempt, hosts: Hosts) -> None:
+    def intend(self, attempt: UpstreamAttempt, hosts: Upstream) -> None:
         """Write down, then send; what could not be written down is not sent."""
         call = attempt.call
         number, ordinal = call.event.request, attempt.number
@@ -138,7 +145,7 @@
                 self.driver.attempt_ended, attempt, AttemptOutcome.NOT_SENT
             )
 
-    def _whole(self, attempt: Attempt, wait: float) -> None:
+    def _whole(self, attempt: UpstreamAttempt, wait: float) -> None:
         """Record when the last byte has left: at once as a rule, else where a connection has to be opened first."""
         if attempt.whole:
             if self._recorded(attempt):
@@ -148,11 +155,11 @@
                 wait, self._whole, attempt, min(2 * wait, WHOLE_MOST)
             )
 
-    def _born(self, attempt: Attempt) -> int:
+    def _born(self, attempt: UpstreamAttempt) -> int:
         host = self.driver.gateway.hosts.get(attempt.endpoint_id)
         return host.entry.started_at_us if host else 0
 
-    def _terms(self, call: Call) -> dict:
+    def _terms(self, call: ClientRequest) -> dict:
         event, parts = call.event, call.parts
         body = parts[5] if len(parts) > 5 else b""
         terms = {
@@ -169,19 +176,19 @@
     def _follow(self, number: int, kind: Kind, **data) -> None:
         self.writer.follow(Event(self.entered[number].life, number, kind, now_us(), data))
 
-    def _recorded(self, attempt: Attempt) -> bool:
+    def _recorded(self, attempt: UpstreamAttempt) -> bool:
         """Whether this attempt's intent is on the disk."""
         entered = self.entered.get(attempt.call.event.request)
         return entered is not None and attempt.number in entered.ordinals
 
-    def _forget(self, call: Call, ending: Attempt | None = None) -> None:
+    def _forget(self, call: ClientRequest, ending: UpstreamAttempt | None = None) -> None:
         """An answered call is kept no longer than the last of its attempts is out."""
         if all(a.ended or a is ending for a in call.attempts):
             self.entered.pop(call.event.request, None)
 
     # -- the observer -----------------------------------------------------------------------------------------------
 
-    def attempt_ended(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
+    def attempt_ended(self, attempt: UpstreamAttempt, outcome: AttemptOutcome) -> None:
         """Recorded in a group: it delays nobody."""
         number = attempt.call.event.request
         if self._recorded(attempt):
@@ -195,7 +202,7 @@
             if attempt.call.finished:
                 self._forget(attempt.call, ending=attempt)
 
-    def answered(self, call: Call, reply: bytes) -> None:
+    def answered(self, call: ClientRequest, reply: bytes) -> None:
         """The final answer is about to be written."""
         number = call.event.request
         if number in self.entered:
--- a/saffrongw/policy/events.py
+++ b/saffrongw/policy/events.py
@@ -1,7 +1,8 @@
 """The events that a gateway's policy handles.
 
-Times and durations are integers in microseconds of the caller's clock. Endpoint identifiers are opaque, sortable
-bytes; requests and customers are integers. The events of every request are named tuples, the fastest to create.
+Times and durations are integers in microseconds of the caller's clock. Endpoint identifiers are
+opaque, sortable bytes; requests and customers are integers. The events of every request are named
+tuples, the fastest to create.
 """
 
 from __future__ import annotations
--- a/testbed/__main__.py
+++ b/testbed/__main__.py
@@ -175,7 +175,7 @@
         if len(names) > 1:
             return _many(names, given.jobs, given.folder or FOLDER)
         return _play(names[0], given.folder or FOLDER / Path(names[0]).stem, given.quiet, given.run)
-    except toml_schema.FormError as wrong:
+    except toml_schema.SchemaError as wrong:
         print(f"testbed: {wrong}", file=sys.stderr)
     except (OSError, ValueError, RuntimeError) as wrong:
         print(f"testbed: {wrong}", file=sys.stderr)
--- a/testbed/model/scenario.py
+++ b/testbed/model/scenario.py
@@ -250,7 +250,7 @@
     path = FOLDER / f"{name}.toml"
     if not path.exists():
         known = ", ".join(sorted(p.stem for p in FOLDER.glob("*.toml")))
-        raise toml_schema.FormError(f"no scenario is called {name!r} (there are: {known})")
+        raise toml_schema.SchemaError(f"no scenario is called {name!r} (there are: {known})")
     return path
 
 
--- a/tests/authz/test_attributes.py
+++ b/tests/authz/test_attributes.py
@@ -24,13 +24,13 @@
     turned_away,
 )
 from saffrongw.authz.checks import Kind, Reply
-from saffrongw.gateway.driver import Terms
-from saffrongw.gateway.extensions import StagedRequest
+from saffrongw.gateway.driver import RequestTerms
+from saffrongw.gateway.extensions import FilteredRequest
 from testbed.ext_authz_server.server import allow, deny
 
 NAMES = Names(("read", "put"), ("team", "small"), (True, False))
-TERMS = Terms(7, 1, 0, 900_000, 1.0, 2, 1, True)
-REQUEST = StagedRequest(1, b"id-1", TERMS, 12, 0)
+TERMS = RequestTerms(7, 1, 0, 900_000, 1.0, 2, 1, True)
+REQUEST = FilteredRequest(1, b"id-1", TERMS, 12, 0)
 S = 1_000_000
 
 
--- a/tests/authz/test_extension_registry.py
+++ b/tests/authz/test_extension_registry.py
@@ -88,9 +88,9 @@
         "settings": SITE,
     }
     code = (
-        "import sys\nfrom saffrongw.admin import cli\nfrom saffrongw import operator, wiring\n"
-        "from saffrongw.gateway.config import parse\n"
-        f"wiring.plugs_of(operator.OperatorFile(), parse({json.dumps(text)!r}))\n"
+        "import sys\nfrom saffrongw.admin import cli\nfrom saffrongw import operator, extension_registry\n"
+        "from saffrongw.gateway.config import parse_config\n"
+        f"extension_registry.build_extensions(operator.OperatorFile(), parse_config({json.dumps(text)!r}))\n"
         "print([m for m in sys.modules if m.split('.')[0] in ('grpc', 'google') or m.startswith('saffrongw.authz')])"
     )
     done = subprocess.run(
--- a/tests/authz/test_request_filter.py
+++ b/tests/authz/test_request_filter.py
@@ -14,9 +14,9 @@
 from saffrongw.authz.breaker import BreakerFigures, State
 from saffrongw.authz.channel import Channel, Tls
 from saffrongw.authz.checks import Figures
-from saffrongw.authz.request_filter import AuthzStage, Rules
-from saffrongw.gateway.extensions import Plugs
-from saffrongw.gateway.filter_chain import ExtendedDriver
+from saffrongw.authz.request_filter import AuthzFilter, Rules
+from saffrongw.gateway.extensions import Extensions
+from saffrongw.gateway.filter_chain import FilteringDriver
 from testbed.ext_authz_server.server import MODES, Authoriser, Behaviour, allow, deny
 
 NAMES = Names(("read", "put", "bill"), ("team",), (True, False, False))
@@ -32,7 +32,7 @@
     ) -> World:
         self.authorisers, self.host = authorisers, await FakeHost("a").listen()
         figures = {"breaker": PATIENT, "share": 0.5, "timeout_most": 2000 * MS} | figures
-        self.stage = AuthzStage(
+        self.stage = AuthzFilter(
             Figures(**figures),
             rules or Rules(),
             names,
@@ -40,8 +40,8 @@
             "saffrongw",
             1,
         )
-        plugs = Plugs((self.stage,), (), (self.stage,), share)
-        self.rig = Rig(self.host, driver=lambda *given: ExtendedDriver(*given, plugs), sockets=600)
+        plugs = Extensions((self.stage,), (), (self.stage,), share)
+        self.rig = Rig(self.host, driver=lambda *given: FilteringDriver(*given, plugs), sockets=600)
         await self.stage.start(self.rig.driver)
         return self
 
@@ -169,7 +169,7 @@
     world.stage.asker.checks.f = Figures(
         share=0.9, timeout_least=2000 * MS, timeout_most=2000 * MS, breaker=PATIENT
     )
-    world.rig.driver.plugs = Plugs(
+    world.rig.driver.plugs = Extensions(
         (world.stage,), (), (world.stage,), 5.0
     )  # no share that would end it before
     caller = await world.caller()
--- a/tests/authz/test_server.py
+++ b/tests/authz/test_server.py
@@ -15,8 +15,8 @@
 
 from saffrongw.authz.attributes import METHOD, Fields
 from saffrongw.authz.server import AuthzServer
-from saffrongw.gateway.extensions import Plugs
-from saffrongw.gateway.filter_chain import ExtendedDriver
+from saffrongw.gateway.extensions import Extensions
+from saffrongw.gateway.filter_chain import FilteringDriver
 
 
 def question(**changes) -> published.CheckRequest:
@@ -39,7 +39,9 @@
     host = await FakeHost("a").listen()
     server = AuthzServer("127.0.0.1:0", NAMES, Fields(), 2, 1.0, in_flight)
     rig = Rig(
-        host, driver=lambda *given: ExtendedDriver(*given, Plugs((), (), (server,))), **changes
+        host,
+        driver=lambda *given: FilteringDriver(*given, Extensions((), (), (server,))),
+        **changes,
     )
     await server.start(rig.driver)
     channel = Channel("127.0.0.1", server.port)
--- a/tests/certs/acme_rig.py
+++ b/tests/certs/acme_rig.py
@@ -10,7 +10,7 @@
 
 from conftest import Caller, FakeHost, Rig, until
 
-from saffrongw.certs.component import CertsPart
+from saffrongw.certs.component import CertsComponent
 from saffrongw.certs.renewal_loop import Clock
 from saffrongw.certs.table import AuthorityTable, CertsTable, CertTable
 from testbed.acme_server.server import AuthorityServer
@@ -57,7 +57,7 @@
         self.rig = Rig(
             self.host, self.host.line(host="h2"), lines=[self.host.line(host=n) for n in "abcdef"]
         )
-        self.part = CertsPart(self.table, self.seed, self.clock)
+        self.part = CertsComponent(self.table, self.seed, self.clock)
         await self.rig.clients.listen()
         await self.part.start(self.rig.driver)
         await self.rig.clients.open_fronts((self.part.front,))
--- a/tests/certs/test_certificate_store.py
+++ b/tests/certs/test_certificate_store.py
@@ -246,7 +246,7 @@
         "import resource, signal, sys\n"
         "sys.path[:0] = ['tests/certs']\n"
         "from pathlib import Path\n"
-        "from test_folder import World, ID, NOW, DAY\n"
+        "from test_certificate_store import World, ID, NOW, DAY\n"
         "from saffrongw.certs.certificate_store import StoreError\n"
         "world = World(Path(sys.argv[1]))\n"
         "world.install()\n"
--- a/tests/channel/test_signed_datagram.py
+++ b/tests/channel/test_signed_datagram.py
@@ -10,8 +10,8 @@
 from saffrongw.channel.signed_datagram import (
     LIVES_MOST,
     WINDOW,
-    BadKey,
-    Envelope,
+    DatagramCodec,
+    InvalidKeyError,
     Key,
     Opened,
     Unknown,
@@ -21,8 +21,8 @@
 OLD, NEW = Key(b"a" * 32), Key(b"b" * 32)
 
 
-def pair(ours=(OLD,), theirs=(OLD,)) -> tuple[Envelope, Envelope]:
-    return Envelope("a", 11, ours), Envelope("b", 22, theirs)
+def pair(ours=(OLD,), theirs=(OLD,)) -> tuple[DatagramCodec, DatagramCodec]:
+    return DatagramCodec("a", 11, ours), DatagramCodec("b", 22, theirs)
 
 
 def test_a_letter_arrives_once():
@@ -90,7 +90,7 @@
 def test_lives_that_are_remembered_are_bounded():
     _, b = pair()
     for n in range(LIVES_MOST + 500):
-        assert isinstance(b.open(Envelope(f"g{n}", 1, (OLD,)).pack("b", 22, 1, b"")), Opened)
+        assert isinstance(b.open(DatagramCodec(f"g{n}", 1, (OLD,)).pack("b", 22, 1, b"")), Opened)
     assert len(b.windows) == LIVES_MOST
 
 
@@ -120,5 +120,5 @@
             read_keys((str(good), str(path)))
     with pytest.raises(ValueError, match="same key"):
         read_keys((str(good), str(good)))
-    with pytest.raises(BadKey):
-        Envelope("a", 1, ())
+    with pytest.raises(InvalidKeyError):
+        DatagramCodec("a", 1, ())
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,9 +15,9 @@
 import uvloop
 
 from saffrongw.gateway import config
-from saffrongw.gateway.downstream.connection import Clients
+from saffrongw.gateway.downstream.connection import ClientConnections
 from saffrongw.gateway.driver import Driver
-from saffrongw.gateway.upstream.cluster import Hosts
+from saffrongw.gateway.upstream.cluster import UpstreamCluster
 from saffrongw.policy.actions import Action, SetTimer
 from saffrongw.policy.events import (
     AttemptEnded,
@@ -366,11 +366,11 @@
         site = SITE | changes
         text = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "01"}
         text |= {"limits": {"sockets": sockets}, "known": known, "settings": site}
-        self.config = config.parse(json.dumps(text))
+        self.config = config.parse_config(json.dumps(text))
         self.driver = driver(self.config.settings, self.config.seed, self.loop)
         # With one host or two the policy would refuse most of what these tests hold at once.
         self.driver.gateway._patience = lambda request: float("inf")
-        self.hosts = self.driver.hosts = Hosts(
+        self.hosts = self.driver.hosts = UpstreamCluster(
             self.driver,
             self.config.settings.load_report_fields,
             sockets,
@@ -378,7 +378,7 @@
             self.config.connect_timeout,
         )
         self.driver.start(self.config.known)
-        self.clients = Clients(self.driver, self.config, sockets)
+        self.clients = ClientConnections(self.driver, self.config, sockets)
         # A machine that is busy beside the tests must not make a request wait so long that it is given up.
         self.clients.intake.shedder.most_wait = [3_600 * SECOND] * len(self.config.settings.classes)
 
@@ -393,7 +393,7 @@
     def told(self, *lines: dict, whole=False) -> None:
         """News of discovery."""
         raw = {"seq": 2, "whole": whole, "hosts": list(lines)}
-        self.driver.listed(config.parse_hosts(raw, self.config.zones))
+        self.driver.listed(config.parse_endpoint_list(raw, self.config.zones))
 
 
 async def started(host: FakeHost, folder, **changes):
--- a/tests/faults/test_hot_restart.py
+++ b/tests/faults/test_hot_restart.py
@@ -13,7 +13,7 @@
 import hiredis
 from conftest import SITE, Caller, FakeHost, asyncio_test, configured, error, until, value
 
-from saffrongw.gateway.hot_restart.channel import QUEUED_MOST, Channel, address_of
+from saffrongw.gateway.hot_restart.channel import QUEUED_MOST, HandOverChannel, address_of
 from testbed.runner.processes import die_with_parent, free_port
 
 
@@ -471,8 +471,8 @@
     loop = asyncio.get_running_loop()
     got, lost = [], []
     here, there = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    sender = Channel(loop, here, lambda *told: None, lambda: lost.append("sender"))
-    receiver = Channel(
+    sender = HandOverChannel(loop, here, lambda *told: None, lambda: lost.append("sender"))
+    receiver = HandOverChannel(
         loop, there, lambda message, sockets: got.append(message[1]), lambda: lost.append(1)
     )
     for number in range(3 * QUEUED_MOST):
--- a/tests/faults/variants.py
+++ b/tests/faults/variants.py
@@ -12,7 +12,7 @@
 
 from saffrongw.__main__ import main
 from saffrongw.gateway import driver as driving
-from saffrongw.gateway.driver import Attempt, Driver
+from saffrongw.gateway.driver import Driver, UpstreamAttempt
 from saffrongw.gateway.upstream import cluster as hosting
 from saffrongw.policy.actions import FailRequest, RejectRequest
 from saffrongw.policy.events import EndpointState
@@ -114,7 +114,7 @@
         plain(self, call, reply)
         if first and call.attempts and due():
             now = self.clock()
-            again = Attempt(
+            again = UpstreamAttempt(
                 call, len(call.attempts), call.attempts[0].endpoint_id, now, now + 2_000_000
             )
             self.loop.call_later(0.25, self.hosts.send, again)
@@ -248,20 +248,20 @@
 
 @variant
 def ignores_denials() -> None:
-    from saffrongw.authz.request_filter import Asker
-    from saffrongw.gateway.extensions import Pass
+    from saffrongw.authz.request_filter import Proposer
+    from saffrongw.gateway.extensions import Continue
 
-    Asker._verdict = lambda self, request, reply: Pass()
+    Proposer._verdict = lambda self, request, reply: Continue()
 
 
 @variant
 def sends_before_the_check() -> None:
     """Asks only now and then, and sends the others on meanwhile."""
-    from saffrongw.authz.request_filter import AuthzStage
-    from saffrongw.gateway.extensions import Pass
+    from saffrongw.authz.request_filter import AuthzFilter
+    from saffrongw.gateway.extensions import Continue
 
-    due, plain = every(4), AuthzStage.on_request
-    AuthzStage.on_request = lambda self, request: Pass() if due() else plain(self, request)
+    due, plain = every(4), AuthzFilter.on_request
+    AuthzFilter.on_request = lambda self, request: Continue() if due() else plain(self, request)
 
 
 # -- running, form ---------------------------------------------------------------------------------------
@@ -281,14 +281,14 @@
 
 @variant
 def ignores_sigterm() -> None:
-    from saffrongw.gateway.downstream.connection import Clients
+    from saffrongw.gateway.downstream.connection import ClientConnections
 
     async def drain(self, accept_for) -> None:
         import asyncio
 
         await asyncio.sleep(60)
 
-    Clients.drain = drain
+    ClientConnections.drain = drain
 
 
 @variant
@@ -315,9 +315,9 @@
 
 @lease_variant
 def believes_its_lease_for_ever() -> None:
-    from saffrongw.leases.proposer import Asker
+    from saffrongw.leases.proposer import Proposer
 
-    plain = Asker._accepted
+    plain = Proposer._accepted
 
     def accepted(self, now, voter, claim):
         out = plain(self, now, voter, claim)
@@ -325,17 +325,17 @@
             claim.held_until = now + 3_600_000_000
         return out
 
-    Asker._accepted = accepted
+    Proposer._accepted = accepted
 
 
 @lease_variant
 def works_without_asking_its_token() -> None:
     """Goes on with its tasks, whatever became of the lease."""
-    from saffrongw.leases.component import LeasesPart
+    from saffrongw.leases.component import LeasesComponent
     from saffrongw.leases.proposer import Token
-    from saffrongw.leases.task_schedule import Turns
+    from saffrongw.leases.task_schedule import TaskSchedule
 
-    plain = LeasesPart.token
+    plain = LeasesComponent.token
     known = {}
 
     def token(self, lease):
@@ -345,9 +345,9 @@
         return known.get(lease)
 
     Token.left = lambda self: 3_600_000_000
-    LeasesPart.token = token
-    LeasesPart._left = lambda self, lease: 3_600_000_000
-    Turns.lost = lambda self, lease: []
+    LeasesComponent.token = token
+    LeasesComponent._left = lambda self, lease: 3_600_000_000
+    TaskSchedule.lost = lambda self, lease: []
 
 
 @lease_variant
@@ -355,37 +355,37 @@
     """Takes an answer as often as it comes."""
     from benchmarks.fleet.lease_explorer import Answers
     from saffrongw.channel.signed_datagram import Window
-    from saffrongw.leases.proposer import Asker
+    from saffrongw.leases.proposer import Proposer
 
-    plain = Asker._begin
+    plain = Proposer._begin
 
     def begin(self, now, claim, stage):
         out = plain(self, now, claim, stage)
         claim.answered = Answers()
         return out
 
-    Asker._begin = begin
+    Proposer._begin = begin
     Window.take = lambda self, number: True
 
 
 @lease_variant
 def forgets_to_be_silent() -> None:
-    from saffrongw.leases.acceptor import Voter
+    from saffrongw.leases.acceptor import Acceptor
 
-    plain = Voter.__init__
+    plain = Acceptor.__init__
 
     def init(self, name, timing, standing, holds, now, *more) -> None:
         plain(self, name, timing, standing, holds, now, *more)
         self.silent_until = now
 
-    Voter.__init__ = init
+    Acceptor.__init__ = init
 
 
 def killed_at(step: str, go: str) -> None:
     """Ends without a word at so many steps of a grant (a message sent or read), once the file ``go`` is there."""
     import signal
 
-    from saffrongw.leases.component import LeasesPart
+    from saffrongw.leases.component import LeasesComponent
     from saffrongw.leases.messages import Accept, Prepare, Promise, Propose, Tell, Told
 
     left, armed = int(step), False
@@ -400,7 +400,7 @@
                 if left == 0:
                     os.kill(os.getpid(), signal.SIGKILL)
 
-    after = LeasesPart._after
+    after = LeasesComponent._after
 
     def send(self, packets):
         for _, packet in packets:
@@ -416,7 +416,7 @@
         count(packet)
         return packet
 
-    LeasesPart._after, part._decode = send, decode
+    LeasesComponent._after, part._decode = send, decode
 
 
 if __name__ == "__main__":
--- a/tests/gateway/test_admin_http.py
+++ b/tests/gateway/test_admin_http.py
@@ -9,8 +9,8 @@
 from conftest import FakeHost, Rig, asyncio_test, error, until, value
 
 from saffrongw.gateway.admin_http import server
-from saffrongw.gateway.admin_http.handlers import Operations
-from saffrongw.gateway.admin_http.server import OPEN_MOST, OperatorCalls
+from saffrongw.gateway.admin_http.handlers import AdminHandlers
+from saffrongw.gateway.admin_http.server import OPEN_MOST, AdminServer
 
 
 class Operators:
@@ -18,9 +18,9 @@
 
     def __init__(self, rig: Rig) -> None:
         self.rig = rig
-        self.operations = Operations(rig.driver, rig.clients, rig.config)
+        self.operations = AdminHandlers(rig.driver, rig.clients, rig.config)
         self.operations.serving = True
-        self.calls = OperatorCalls(rig.loop, self.operations)
+        self.calls = AdminServer(rig.loop, self.operations)
         self.calls.listen(("127.0.0.1", 0))
         self.address = self.calls.acceptor.listener.getsockname()
 
--- a/tests/gateway/test_admission_queue.py
+++ b/tests/gateway/test_admission_queue.py
@@ -9,8 +9,8 @@
 from conftest import FakeHost, Rig, asyncio_test, error, until
 
 from saffrongw.gateway.downstream import connection as clients_module
-from saffrongw.gateway.request_parser import Form, parse
-from saffrongw.gateway.resp import Malformed
+from saffrongw.gateway.request_parser import RequestFormat, parse_request
+from saffrongw.gateway.resp import MalformedMessageError
 
 
 class Pressed(Rig):
@@ -181,7 +181,7 @@
 async def test_the_quick_form_and_the_skim_say_what_the_slow_one_says_or_nothing():
     """Whole, cut at every byte, and with bytes changed: a quick reading is either the slow one's or none."""
     rig, lots, quick = Rig(await FakeHost("a").listen()), random.Random(5), 0
-    form, config = Form(rig.config), rig.config
+    form, config = RequestFormat(rig.config), rig.config
     spoilt = []
     for raw in FORMS:
         spoilt += [raw[:n] for n in range(len(raw))]
@@ -193,8 +193,8 @@
         reader.feed(raw)
         try:
             words = reader.next()
-            slow = words and parse(words, config)
-        except Malformed:
+            slow = words and parse_request(words, config)
+        except MalformedMessageError:
             slow = None
         found, skimmed = form.read(raw, 0), form.skim(raw, 0)
         if found is not None:
--- a/tests/gateway/test_event_interleavings_over_sockets.py
+++ b/tests/gateway/test_event_interleavings_over_sockets.py
@@ -7,8 +7,8 @@
 import pytest
 from conftest import SITE, FakeHost, Rig, asyncio_test, until, value
 
-from saffrongw.gateway.driver import Attempt
-from saffrongw.gateway.upstream.cluster import Connection
+from saffrongw.gateway.driver import UpstreamAttempt
+from saffrongw.gateway.upstream.cluster import UpstreamConnection
 
 # What its host says, what becomes of its connection, of the list, of the client, of its time.
 EVENTS = ("served", "error", "full", "reset", "half", "drains", "gone", "client left", "time is up")
@@ -35,8 +35,8 @@
         self.caller.call(kind, wait=20_000)
         await until(lambda: self.sent == 1)
         (self.call,), (self.client,) = self.rig.driver.calls.values(), self.rig.clients.open
-        self.first: Attempt = self.call.attempts[0]
-        self.link: Connection = self.first.link
+        self.first: UpstreamAttempt = self.call.attempts[0]
+        self.link: UpstreamConnection = self.first.link
         self.host = next(host for host in self.hosts if host.commands)
         self.other = next(host for host in self.hosts if host is not self.host)
         for host in self.hosts:
@@ -134,12 +134,12 @@
 @asyncio_test
 async def test_a_second_run_is_seen(monkeypatch):
     """The planted fault: nobody notes that a request's last byte has left."""
-    begin = Connection.begin
+    begin = UpstreamConnection.begin
 
     def forgets(self, attempt, now):
         begin(self, attempt, now)
         attempt.whole = False
 
-    monkeypatch.setattr(Connection, "begin", forgets)
+    monkeypatch.setattr(UpstreamConnection, "begin", forgets)
     with pytest.raises(AssertionError, match="bill: reset then "):
         await walked("bill", first="reset")
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -13,9 +13,9 @@
 import pytest
 from conftest import SITE, FakeHost, Rig, asyncio_test, error, started, until, value
 
-from saffrongw.gateway.bootstrap import LOG_MOST, Bounded
+from saffrongw.gateway.bootstrap import LOG_MOST, RateLimitedLogFilter
 from saffrongw.gateway.downstream.connection import IDLE_LEAST, SWEEP, WAITING_MOST
-from saffrongw.gateway.driver import Attempt, Call
+from saffrongw.gateway.driver import ClientRequest, UpstreamAttempt
 from saffrongw.gateway.upstream.cluster import REST, parse_report
 from saffrongw.policy.actions import RejectRequest, SetTimer
 from saffrongw.policy.events import AttemptEnded, AttemptOutcome
@@ -656,8 +656,8 @@
     connection.idle_since -= 1  # it has rested
     sock = host.connections[0].transport.get_extra_info("socket")
     os.write(sock.fileno(), value(b"copy"))
-    attempt = Attempt(
-        Call(None, (b"CALL.GET", b"0", b"x", b"d=", b""), 0, print), 0, b"a", 0, 10**18
+    attempt = UpstreamAttempt(
+        ClientRequest(None, (b"CALL.GET", b"0", b"x", b"d=", b""), 0, print), 0, b"a", 0, 10**18
     )
     pool.send(attempt)  # the loop has had no turn since the copy was written
     assert attempt.link is pool and connection not in pool.idle
@@ -717,7 +717,7 @@
 
 
 def test_the_log_is_bounded_and_tells_how_much_was_left_out():
-    bounded = Bounded()
+    bounded = RateLimitedLogFilter()
     lines = [
         logging.makeLogRecord({"msg": "odd", "created": 100.0 + place / 1000})
         for place in range(200)
--- a/tests/gateway/test_poll_schedule.py
+++ b/tests/gateway/test_poll_schedule.py
@@ -22,20 +22,20 @@
     USE,
     WATCH_PATIENCE,
     WHOLE,
-    Asking,
-    Call,
+    PollRequest,
+    PollSchedule,
 )
 
 SIZES = (3, 40, 200, 1000)
 
 
-def asking(gateways: int = 200, version: int | None = 7, **more) -> Asking:
-    new = Asking(gateways, random.Random(1), version, **more)
+def asking(gateways: int = 200, version: int | None = 7, **more) -> PollSchedule:
+    new = PollSchedule(gateways, random.Random(1), version, **more)
     new.begin(0.0)
     return new
 
 
-def connected(now: float = 0.0, **more) -> Asking:
+def connected(now: float = 0.0, **more) -> PollSchedule:
     """One whose first call is out."""
     new = asking(**more)
     assert new.due(new.next_at()) == "connect"
@@ -46,10 +46,10 @@
 def test_it_first_asks_for_what_is_newer_without_waiting_then_watches():
     new = asking(gateways=3)
     assert new.next_at() == 0.0 and new.due(0.0) == "connect"
-    assert new.connected(0.0) == Call(7, 0.0, ANSWER_WITHIN)
-    assert new.answered(0.01, 9) == Call(9, 2.0, 2.0 + WATCH_PATIENCE)
+    assert new.connected(0.0) == PollRequest(7, 0.0, ANSWER_WITHIN)
+    assert new.answered(0.01, 9) == PollRequest(9, 2.0, 2.0 + WATCH_PATIENCE)
     assert asking(gateways=3, version=None).connected(0.0).version is None  # nothing is known
-    assert asking(gateways=3, version=0).connected(0.0) == Call(
+    assert asking(gateways=3, version=0).connected(0.0) == PollRequest(
         0, 0.0, ANSWER_WITHIN
     )  # a list that never changed
 
@@ -84,7 +84,7 @@
     for said in (0.0, 7.0):
         waits = []
         for seed in range(50):
-            new = Asking(200, random.Random(seed), 7)
+            new = PollSchedule(200, random.Random(seed), 7)
             new.begin(0.0)
             new.due(new.next_at())
             new.connected(1.0)
@@ -159,7 +159,7 @@
     assert new.answered(0.1, 3).version is None  # it knew 7
     assert new.answered(0.2, 3).version == 3
     new = connected()
-    assert new.answered(0.1, 7) == Call(7, 10.0, 10.0 + WATCH_PATIENCE)
+    assert new.answered(0.1, 7) == PollRequest(7, 10.0, 10.0 + WATCH_PATIENCE)
     late = new.answered(3 * CONFIRM, 8)
     assert late.version is None
     assert new.answered(3 * CONFIRM + 0.1, 8).version == 8
@@ -186,7 +186,7 @@
     assert new.answered(0.1, 8, closes=True) is None
     new.lost(0.1)
     assert new.next_at() == 0.1 and new.due(0.1) == "connect"
-    assert new.connected(0.1) == Call(8, 2.0, 2.0 + WATCH_PATIENCE)
+    assert new.connected(0.1) == PollRequest(8, 2.0, 2.0 + WATCH_PATIENCE)
     new.lost(0.2)  # and one that is lost without an answer is asked what it missed
     new.due(new.next_at())
     assert new.connected(0.3).wait == 0.0
@@ -196,7 +196,7 @@
 
 
 def heard(
-    new: Asking, silent: tuple[float, float], connects: bool = True, delay: float = 0.002
+    new: PollSchedule, silent: tuple[float, float], connects: bool = True, delay: float = 0.002
 ) -> float:
     """When the first answer after the silence comes. What is asked in it is never answered; connections come up
     then only if it ``connects``. Each answer takes ``delay``, a watch its time."""
@@ -235,7 +235,7 @@
     for connects in (True, False):
         for seed in range(60):
             back = 12.0 + seed * 0.173
-            new = Asking(gateways, random.Random(seed), 7, 10.0, pushed=True, grace=grace)
+            new = PollSchedule(gateways, random.Random(seed), 7, 10.0, pushed=True, grace=grace)
             assert heard(new, (3.0, back), connects) <= back + grace
 
 
@@ -245,7 +245,7 @@
 def test_what_a_silent_watch_misses_is_heard_before_it_binds(gateways, pushed, grace):
     for pace in (1.0, PACE_MOST):
         for seed in range(40):
-            new = Asking(gateways, random.Random(seed), 7, 10.0, pushed=pushed, grace=grace)
+            new = PollSchedule(gateways, random.Random(seed), 7, 10.0, pushed=pushed, grace=grace)
             new.begin(0.0, at_once=True)
             new.due(0.0)
             new.connected(0.0)
@@ -267,7 +267,7 @@
     """A service far away: what happens counts as told 6 s later, whatever the fleet's size and the pace."""
     for seed in range(60):
         for pace in (1.0, PACE_MOST):
-            new = Asking(gateways, random.Random(seed), 7, 10.0, has_clients=lambda: False)
+            new = PollSchedule(gateways, random.Random(seed), 7, 10.0, has_clients=lambda: False)
             new.begin(0.0, at_once=True)
             new.due(0.0)
             new.pace = pace
@@ -286,7 +286,7 @@
     assert 1.0 + APART_MOST + 1.0 <= TOLD_AFTER
 
 
-def refused_until(new: Asking, room: float, late: float = 1.0) -> tuple[list[float], float]:
+def refused_until(new: PollSchedule, room: float, late: float = 1.0) -> tuple[list[float], float]:
     """When it tried in vain from its refusal at 0 on, and when it heard an answer, which takes ``late``."""
     new.begin(0.0, at_once=True)
     tries, at = [], 0.0
@@ -307,10 +307,10 @@
     least = 3 if gateways <= 200 else 1
     for seed in range(200):
         for room in (0.5, 1.5, 3.0):
-            new = Asking(gateways, random.Random(seed), 7, 10.0, has_clients=lambda: False)
+            new = PollSchedule(gateways, random.Random(seed), 7, 10.0, has_clients=lambda: False)
             tries, heard = refused_until(new, room)
             assert heard <= (TOLD_AFTER + 1.0 if gateways <= 200 else room + APART_MOST + 1.0)
-        tries, heard = refused_until(Asking(gateways, random.Random(seed), 7, 10.0), 40.0)
+        tries, heard = refused_until(PollSchedule(gateways, random.Random(seed), 7, 10.0), 40.0)
         assert sum(at <= TOLD_AFTER + 1.0 for at in tries) >= least
         assert heard <= 40.0 + APART_MOST + 1.0
         assert all(late - soon <= APART_MOST for soon, late in itertools.pairwise(tries))
--- a/tests/gateway/test_request_filters.py
+++ b/tests/gateway/test_request_filters.py
@@ -7,26 +7,26 @@
 import pytest
 from conftest import FakeHost, Rig, asyncio_test, error, until
 
-from saffrongw.gateway.driver import Terms
+from saffrongw.gateway.driver import RequestTerms
 from saffrongw.gateway.extensions import (
+    Abort,
+    Continue,
     Ending,
-    Fail,
+    Extensions,
+    FilterError,
     Observer,
-    Pass,
-    Plugs,
-    Refuse,
-    StageError,
+    Reject,
     apply,
 )
-from saffrongw.gateway.filter_chain import ExtendedDriver
+from saffrongw.gateway.filter_chain import FilteringDriver
 
-TERMS = Terms(7, 0, 0, 2_000_000, 1.0, 2, 0, False)
+TERMS = RequestTerms(7, 0, 0, 2_000_000, 1.0, 2, 0, False)
 
 
 class Scripted:
     """A stage that does what its script says, and keeps what it was told."""
 
-    name, fallback = "scripted", Fail()
+    name, fallback = "scripted", Abort()
 
     def __init__(self, script) -> None:
         self.script, self.seen, self.ended = script, [], []
@@ -63,13 +63,13 @@
 
 async def rig_of(*stages, observers=(), share=0.4, **changes) -> tuple[Rig, FakeHost]:
     host = await FakeHost("a").listen()
-    plugs = Plugs(tuple(stages), tuple(observers), share)
-    return Rig(host, driver=lambda *given: ExtendedDriver(*given, plugs), **changes), host
+    plugs = Extensions(tuple(stages), tuple(observers), share)
+    return Rig(host, driver=lambda *given: FilteringDriver(*given, plugs), **changes), host
 
 
 @asyncio_test
 async def test_a_stage_that_passes_at_once_changes_nothing():
-    stage = Scripted(lambda request: Pass())
+    stage = Scripted(lambda request: Continue())
     rig, host = await rig_of(stage)
     caller = await rig.caller()
     caller.call("put", number=b"id5")
@@ -84,10 +84,10 @@
 @pytest.mark.parametrize(
     ("verdict", "reply"),
     [
-        (Refuse(), "BUSY"),
-        (Refuse(250_000), "BUSY 250"),
-        (Refuse(1 << 50), "BUSY 1000"),
-        (Fail(), "ERR failed"),
+        (Reject(), "BUSY"),
+        (Reject(250_000), "BUSY 250"),
+        (Reject(1 << 50), "BUSY 1000"),
+        (Abort(), "ERR failed"),
     ],
 )
 def test_a_stage_refuses_or_fails_before_anything_is_spent(verdict, reply):
@@ -108,7 +108,7 @@
 async def test_an_awaited_verdict_lets_the_request_on_with_the_time_that_is_left():
     async def later(request):
         await asyncio.sleep(0.2)
-        return Pass()
+        return Continue()
 
     rig, host = await rig_of(Scripted(later))
     caller = await rig.caller()
@@ -127,7 +127,7 @@
         await asyncio.Event().wait()
 
     stage = Scripted(never)
-    stage.fallback = Refuse()
+    stage.fallback = Reject()
     rig, host = await rig_of(stage, share=0.1)
     caller = await rig.caller()
     caller.call(wait=2000)
@@ -143,7 +143,7 @@
         await asyncio.Event().wait()
 
     stage = Scripted(never)
-    stage.fallback = Pass()
+    stage.fallback = Continue()
     rig, _ = await rig_of(stage, stage, share=0.1)
     caller = await rig.caller()
     caller.call(wait=2000)
@@ -171,7 +171,8 @@
 
 
 @pytest.mark.parametrize(
-    "wrong", [None, "pass", Refuse(-1), Refuse(1.5), Pass({"customer": 1}), Pass({"wait": 1 << 40})]
+    "wrong",
+    [None, "pass", Reject(-1), Reject(1.5), Continue({"customer": 1}), Continue({"wait": 1 << 40})],
 )
 def test_rubbish_from_a_stage_is_its_fallback_and_counted(wrong):
     @asyncio_test
@@ -226,7 +227,7 @@
 
     async def held(request):
         await release.wait()
-        return Pass()
+        return Continue()
 
     rig, _ = await rig_of(Scripted(held))
     caller = await rig.caller()
@@ -258,12 +259,19 @@
     assert await caller.replied() == [b"ok"]
     await until(lambda: "attempt_ended" in keeper.told)
     told = [item for item in keeper.told if item not in ("timer_fired", "SetTimer", "SendGossip")]
-    assert told == ["request_arrived", "SendAttempt", "began", "served", b"$2\r\nok\r\n", "attempt_ended"]
+    assert told == [
+        "request_arrived",
+        "SendAttempt",
+        "began",
+        "served",
+        b"$2\r\nok\r\n",
+        "attempt_ended",
+    ]
     assert rig.driver.faults["broken"] >= 3
 
 
 def test_a_stage_may_only_narrow():
-    assert apply(Pass({"plan": 1, "wait": 500_000}), TERMS, 2).wait == 500_000
+    assert apply(Continue({"plan": 1, "wait": 500_000}), TERMS, 2).wait == 500_000
     for changes in (
         {"plan": 2},
         {"plan": -1},
@@ -272,14 +280,14 @@
         {"units": 0},
         {"plan": True},
     ):
-        with pytest.raises(StageError):
-            apply(Pass(changes), TERMS, 2)
+        with pytest.raises(FilterError):
+            apply(Continue(changes), TERMS, 2)
 
 
 def test_a_shortened_wait_binds():
     @asyncio_test
     async def check():
-        rig, host = await rig_of(Scripted(lambda request: Pass({"wait": 200_000})))
+        rig, host = await rig_of(Scripted(lambda request: Continue({"wait": 200_000})))
         host.script = lambda command: None
         caller = await rig.caller()
         caller.call(wait=30_000)
--- a/tests/gateway/test_streaming_reply.py
+++ b/tests/gateway/test_streaming_reply.py
@@ -10,7 +10,7 @@
 from conftest import Caller, FakeHost, Rig, asyncio_test, error, until, value
 
 from saffrongw.gateway import streaming_reply
-from saffrongw.gateway.resp import LONG_MOST, VALUE_MOST, AnswerReader, Malformed
+from saffrongw.gateway.resp import LONG_MOST, VALUE_MOST, MalformedMessageError, ReplyReader
 from saffrongw.gateway.upstream.cluster import REST
 
 REPORT = b"latency_ms=9,util=0.5"
@@ -166,7 +166,7 @@
 
 
 def test_the_reader_takes_a_long_value_in_parts():
-    reader = AnswerReader()
+    reader = ReplyReader()
     reader.feed(b"*3\r\n$70000\r\nabc")
     assert reader.long() == 70_000
     assert reader.part(2) + reader.part(9) == b"abc"
@@ -178,8 +178,8 @@
     reader.feed(b"$2\r\nab\r\n")
     assert reader.rest_of_long() and not len(reader)
     reader.feed(b"*3\r\n$5000000\r\n")
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessageError):
         reader.long()
-    short = AnswerReader()
+    short = ReplyReader()
     short.feed(b"*3\r\n$65536\r\n")
     assert short.long() is None
