--- a/tests/gateway/test_watch_events.py
+++ b/tests/gateway/test_watch_events.py
@@ -12,10 +12,10 @@
 import pytest
 from conftest import FakeHost, Rig, asyncio_test, until
 
-from saffrongw.gateway.config import parse_hosts
-from saffrongw.gateway.discovery.client import BODY_MOST, Exchange, Watch
-from saffrongw.gateway.discovery.poll_schedule import TOLD_AFTER, Asking
-from saffrongw.gateway.gossip_transport import Peers
+from saffrongw.gateway.config import parse_endpoint_list
+from saffrongw.gateway.discovery.client import BODY_MOST, DiscoveryClient, Exchange
+from saffrongw.gateway.discovery.poll_schedule import TOLD_AFTER, PollSchedule
+from saffrongw.gateway.gossip_transport import GossipTransport
 from saffrongw.policy import gossip_codec
 
 ZONES = ("hall-a", "hall-b")
@@ -50,14 +50,16 @@
             )
 
 
-def asking(**changes) -> Asking:
-    return Asking(2, random.Random(1), **changes)
+def asking(**changes) -> PollSchedule:
+    return PollSchedule(2, random.Random(1), **changes)
 
 
 async def watched(answers: list, **changes) -> tuple[Agent, list]:
     loop, told, agent = asyncio.get_running_loop(), [], Agent(answers)
     server = await loop.create_server(lambda: agent, "127.0.0.1", 0)
-    Watch(loop, server.sockets[0].getsockname()[:2], ZONES, told.append, asking(**changes)).start()
+    DiscoveryClient(
+        loop, server.sockets[0].getsockname()[:2], ZONES, told.append, asking(**changes)
+    ).start()
     return agent, told
 
 
@@ -99,7 +101,7 @@
 def test_an_odd_entry_is_left_out_and_the_others_stand():
     odd = [7, None, {}, line("x", health="ASLEEP"), line("x", block="b"), line("x", dial="nowhere")]
     odd += [line("x", born_ms=-1), line("x", born_ms=float("inf")), line("x", born_ms=10**30)]
-    listed = parse_hosts(
+    listed = parse_endpoint_list(
         {"seq": 1, "whole": True, "hosts": [*odd, line("a", site="hall-b", born_ms=12)]}, ZONES
     )
     assert listed.odd == len(odd)
@@ -116,7 +118,7 @@
         sock.bind(("127.0.0.1", 0))
     loop = asyncio.get_running_loop()
     transport, _ = await loop.create_datagram_endpoint(
-        lambda: Peers(rig.driver, (("127.0.0.1", 1), peer.getsockname()), 0),
+        lambda: GossipTransport(rig.driver, (("127.0.0.1", 1), peer.getsockname()), 0),
         local_addr=("127.0.0.1", 0),
     )
     own = transport.get_extra_info("sockname")
@@ -153,7 +155,7 @@
         await loop.create_server(lambda agent=agent: agent, "127.0.0.1", 0) for agent in agents
     ]
     addresses = [server.sockets[0].getsockname()[:2] for server in servers]
-    watch = Watch(loop, addresses[0], ZONES, told.append, asking())
+    watch = DiscoveryClient(loop, addresses[0], ZONES, told.append, asking())
     watch.start()
     await until(lambda: len(agents[0].asked) == 2)
     watch.move(addresses[1])
@@ -173,7 +175,7 @@
         Agent([{"seq": 5, "whole": True, "hosts": []}]),
     )
     server = await loop.create_server(lambda: agent, "127.0.0.1", 0)
-    watch = Watch(loop, ("127.0.0.1", 1), ZONES, told.append, asking())
+    watch = DiscoveryClient(loop, ("127.0.0.1", 1), ZONES, told.append, asking())
     watch.start()
     await until(lambda: watch.asking.failures)
     watch.move(server.sockets[0].getsockname()[:2])
@@ -196,7 +198,7 @@
 
     agent = Endless([{"seq": 5, "whole": True, "hosts": [line("a")]}])
     server = await loop.create_server(lambda: agent, "127.0.0.1", 0)
-    watch = Watch(
+    watch = DiscoveryClient(
         loop, server.sockets[0].getsockname()[:2], ZONES, told.append, asking(answer_within=60.0)
     )
     watch.start()
@@ -247,11 +249,11 @@
         self.transport.write(head + b"\r\n" + body)
 
 
-async def held(told=None, **changes) -> tuple[list[Held], list, Watch]:
+async def held(told=None, **changes) -> tuple[list[Held], list, DiscoveryClient]:
     loop, agents, heard = asyncio.get_running_loop(), [], []
     server = await loop.create_server(lambda: Held(agents), "127.0.0.1", 0)
     address = server.sockets[0].getsockname()[:2]
-    watch = Watch(loop, address, ZONES, told or heard.append, asking(**changes))
+    watch = DiscoveryClient(loop, address, ZONES, told or heard.append, asking(**changes))
     watch.start()
     await until(lambda: agents and agents[0].asked)
     return agents, heard, watch
--- a/tests/leases/test_consensus.py
+++ b/tests/leases/test_consensus.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from saffrongw.leases.acceptor import Voter
-from saffrongw.leases.candidates import STANDING_MOST, Standing, shard_of
+from saffrongw.leases.acceptor import Acceptor
+from saffrongw.leases.candidates import STANDING_MOST, Candidates, shard_of
 from saffrongw.leases.messages import (
     Accept,
     Free,
@@ -22,8 +22,8 @@
     Told,
     Why,
 )
-from saffrongw.leases.proposer import Asker, Gained, Lost, Stage
-from saffrongw.leases.suspensions import HoldError, Holds
+from saffrongw.leases.proposer import Gained, Lost, Proposer, Stage
+from saffrongw.leases.suspensions import SuspensionError, Suspensions
 from saffrongw.leases.timing import MS, SECOND, Timing
 
 TIMING = Timing(10 * SECOND, 0.01)
@@ -38,14 +38,14 @@
     def __init__(self, *askers: str, silent: bool = False) -> None:
         self.now = 100 * SECOND
         self.voters = {name: self.voter(name) for name in NAMES}
-        self.askers = {name: Asker(name, 1, NAMES, TIMING, lambda: 0.5) for name in askers}
+        self.askers = {name: Proposer(name, 1, NAMES, TIMING, lambda: 0.5) for name in askers}
         if not silent:
             for voter in self.voters.values():
                 voter.silent_until = self.now
                 voter.due(self.now, self.wall)
 
-    def voter(self, name: str) -> Voter:
-        return Voter(name, TIMING, Standing(1), Holds(), self.now)
+    def voter(self, name: str) -> Acceptor:
+        return Acceptor(name, TIMING, Candidates(1), Suspensions(), self.now)
 
     @property
     def wall(self) -> int:
@@ -223,8 +223,8 @@
     rig = Rig("a", "b")
     first = rig.ask("a")
     for name in NAMES:
-        rig.voters[name] = Voter(
-            name, TIMING, Standing(1), Holds(), rig.now, first + 500, first + 9_000
+        rig.voters[name] = Acceptor(
+            name, TIMING, Candidates(1), Suspensions(), rig.now, first + 500, first + 9_000
         )
     rig.now += TIMING.silence
     hour_ago = rig.wall - 3_600 * SECOND
@@ -325,14 +325,14 @@
 
 
 def test_the_later_word_on_a_hold_counts_everywhere():
-    one, other = Holds(), Holds()
+    one, other = Suspensions(), Suspensions()
     one.put("s0/1", 2_000.0, "a", "", 1_000.0)
     other.merge(one.all(1e9), 1e9)
     other.put("s0/1", 0.0, "b", "", 1_010.0)
     one.merge(other.all(1.01e9), 1.01e9)
     other.merge((Hold("s0/1", 2_000.0, "a", "", 1_000.0),), 1.01e9)
     assert one.on("s0/1", 1.02e9) is other.on("s0/1", 1.02e9) is None
-    with pytest.raises(HoldError):
+    with pytest.raises(SuspensionError):
         one.put("s0/1", 1e12, "a", "", 1_000.0)
 
 
@@ -368,7 +368,7 @@
 
 def test_one_that_joins_or_leaves_moves_one_lease_in_n():
     shards = 128
-    standing = Standing(shards)
+    standing = Candidates(shards)
     for n in range(10):
         standing.stand(0, f"g{n}", 1, (), False, 1 << 60)
     before = {lease: standing.order(lease)[0] for lease in standing.leases()}
--- a/tests/leases/test_service.py
+++ b/tests/leases/test_service.py
@@ -290,7 +290,7 @@
     path = tmp_path / "o.toml"
     path.write_text("[stages]\ntime_share = 0.3\n")
     code = (
-        "import sys, saffrongw.operator as o; from saffrongw.extension_registry import plugs_of\n"
+        "import sys, saffrongw.operator as o; from saffrongw.extension_registry import build_extensions\n"
         f"o.load({str(path)!r})\n"
         "parts = ('saffrongw.leases.node', 'saffrongw.channel.socket', 'msgspec', 'sqlite3')\n"
         "print([m for m in sys.modules if m in parts])"
--- a/tests/leases/test_simulated_fleet.py
+++ b/tests/leases/test_simulated_fleet.py
@@ -8,13 +8,13 @@
 
 from benchmarks.fleet import lease_days
 from benchmarks.fleet.leases import Field
-from saffrongw.leases.acceptor import Voter
-from saffrongw.leases.candidates import Standing, shard_name
-from saffrongw.leases.clock_drift import Rates, Reading, bounds
-from saffrongw.leases.node import Member
-from saffrongw.leases.proposer import Asker
-from saffrongw.leases.spec import Spec
-from saffrongw.leases.suspensions import Holds
+from saffrongw.leases.acceptor import Acceptor
+from saffrongw.leases.candidates import Candidates, shard_name
+from saffrongw.leases.clock_drift import ClockDriftEstimates, Reading, bounds
+from saffrongw.leases.node import LeaseNode
+from saffrongw.leases.proposer import Proposer
+from saffrongw.leases.spec import LeaseSpec
+from saffrongw.leases.suspensions import Suspensions
 from saffrongw.leases.timing import SECOND, Timing
 from saffrongw.leases.voter_set import VoterSet
 from testbed.simulation.clock import Fleet, Link
@@ -41,9 +41,9 @@
 
 def test_the_field_finds_voters_that_are_not_silent():
     def plant(field: Field) -> None:
-        def member(name, life, now, draw) -> Member:
+        def member(name, life, now, draw) -> LeaseNode:
             found = field.plain_member(name, life, now, draw)
-            if isinstance(found.voter, Voter):
+            if isinstance(found.voter, Acceptor):
                 found.voter.silent_until = now
             return found
 
@@ -84,10 +84,12 @@
 
     def __init__(self, name: str, now: int, draw: random.Random, timing: Timing) -> None:
         self.asker = (
-            Asker(name, 1, ("v0", "v1", "v2"), timing, draw.random) if name[0] == "a" else None
+            Proposer(name, 1, ("v0", "v1", "v2"), timing, draw.random) if name[0] == "a" else None
         )
         self.voter = (
-            None if self.asker else Voter(name, timing, Standing(1), Holds(), now - timing.silence)
+            None
+            if self.asker
+            else Acceptor(name, timing, Candidates(1), Suspensions(), now - timing.silence)
         )
         self.held_at = 0
 
@@ -153,7 +155,7 @@
             readings.append(Reading(int(at * rate) + 77, asked, heard))
         least, most = bounds(*readings)
         assert least - 1e-4 <= rate <= most + 1e-4
-    rates = Rates(Timing(SECOND, 0.01))
+    rates = ClockDriftEstimates(Timing(SECOND, 0.01))
     rates.read("v0", 1, Reading(0, 0, 10))
     rates.read("v0", 2, Reading(9**9, 100, 110))  # another life: another clock
     assert not rates.wrong and "v0" not in rates.rate
@@ -183,7 +185,7 @@
 
 
 def test_five_hundred_tasks_on_two_hundred_gateways_that_start_within_a_second():
-    specs = tuple(Spec(f"t{n}", 20 * SECOND) for n in range(500))
+    specs = tuple(LeaseSpec(f"t{n}", 20 * SECOND) for n in range(500))
     field = Field("big", 5, 195, 32, Timing(), specs, Link(delay=(200, 5_000)), start_within=SECOND)
     field.fleet.run(45 * SECOND)
     assert field.breaches == []
@@ -219,7 +221,7 @@
         super().__init__(seed, 0, 0, timing=Timing(3 * SECOND))
         self.files: dict[str, tuple[VoterSet, tuple[VoterSet, ...]]] = {}
         self.names = tuple("abcdefgh")
-        self.member = lambda name, life, now, draw: Member(
+        self.member = lambda name, life, now, draw: LeaseNode(
             name, life, self.file(name)[0], self.timing, 1, draw.random, now, self.file(name)[1]
         )
         for name in self.names:
--- a/tests/leases/test_task_schedule.py
+++ b/tests/leases/test_task_schedule.py
@@ -5,12 +5,12 @@
 import pytest
 
 from saffrongw.leases.messages import Note, State
-from saffrongw.leases.spec import SECOND, Spec
-from saffrongw.leases.task_schedule import RETRY_LEAST, Call, Cancel, Outcome, Say, Turns
+from saffrongw.leases.spec import SECOND, LeaseSpec
+from saffrongw.leases.task_schedule import RETRY_LEAST, Call, Cancel, Outcome, Say, TaskSchedule
 
 WALL = 1_700_000_000 * SECOND
-LEAST = Spec("t", 10 * SECOND, "at-least", SECOND, 0.0)
-MOST = Spec("t", 10 * SECOND, "at-most", SECOND, 0.0)
+LEAST = LeaseSpec("t", 10 * SECOND, "at-least", SECOND, 0.0)
+MOST = LeaseSpec("t", 10 * SECOND, "at-most", SECOND, 0.0)
 TURN = WALL // (10 * SECOND)
 
 
@@ -18,9 +18,15 @@
     """One holder of a lease with one task."""
 
     def __init__(
-        self, spec: Spec, last: Note | None = None, known_from: int = 1, wall: int = WALL
+        self, spec: LeaseSpec, last: Note | None = None, known_from: int = 1, wall: int = WALL
     ) -> None:
-        self.turns, self.spec, self.now, self.wall, self.left = Turns(), spec, 0, wall, 8 * SECOND
+        self.turns, self.spec, self.now, self.wall, self.left = (
+            TaskSchedule(),
+            spec,
+            0,
+            wall,
+            8 * SECOND,
+        )
         self.turns.gained(0, wall, "s0/1", 5, [spec], {spec.id: last} if last else {}, known_from)
 
     def due(self) -> list:
@@ -117,7 +123,7 @@
 
 @pytest.mark.parametrize(("on_loss", "todo"), [("abandon", [Cancel("t")]), ("finish", [])])
 def test_what_becomes_of_a_call_when_its_lease_is_lost(on_loss, todo):
-    spec = Spec("t", 10 * SECOND, "at-least", SECOND, 0.0, on_loss=on_loss)
+    spec = LeaseSpec("t", 10 * SECOND, "at-least", SECOND, 0.0, on_loss=on_loss)
     holder = Holder(spec)
     holder.due()
     assert holder.turns.lost("s0/1") == todo
@@ -138,5 +144,5 @@
 
 
 def test_tasks_of_one_period_are_spread_over_the_jitter():
-    offsets = {Spec(f"t{n}", 100 * SECOND, jitter=0.5).offset for n in range(200)}
+    offsets = {LeaseSpec(f"t{n}", 100 * SECOND, jitter=0.5).offset for n in range(200)}
     assert len(offsets) > 190 and min(offsets) >= 0 and max(offsets) < 50 * SECOND
--- a/tests/ledger/kill_points.py
+++ b/tests/ledger/kill_points.py
@@ -50,7 +50,7 @@
 
 def unsafe_begin(step: Callable[[], None], after: bool) -> None:
     """Round the write of an unsafe request to a host's connection."""
-    plain = hosting.Connection.begin
+    plain = hosting.UpstreamConnection.begin
 
     def begin(self, attempt, now) -> None:
         unsafe = attempt.call.event.kind == 2
@@ -60,7 +60,7 @@
         if unsafe and after:
             step()
 
-    hosting.Connection.begin = begin
+    hosting.UpstreamConnection.begin = begin
 
 
 def answer(step: Callable[[], None], after: bool) -> None:
@@ -79,14 +79,18 @@
 
 
 STEPS: dict[str, Callable[[Callable[[], None]], None]] = {
-    "before-the-intent": lambda step: around(request_filter.Ledger, "intend", before=step),
+    "before-the-intent": lambda step: around(request_filter.LedgerFilter, "intend", before=step),
     "before-the-commit": lambda step: around(store.Store, "commit", before=step),
     "within-the-batch": lambda step: around(store.Store, "_insert", after=step),
     "after-the-commit": lambda step: around(store.Store, "commit", after=step),
     "before-the-first-byte": lambda step: unsafe_begin(step, after=False),
     "after-the-last-byte": lambda step: unsafe_begin(step, after=True),
-    "before-the-outcome": lambda step: around(request_filter.Ledger, "attempt_ended", before=step),
-    "after-the-outcome": lambda step: around(request_filter.Ledger, "attempt_ended", after=step),
+    "before-the-outcome": lambda step: around(
+        request_filter.LedgerFilter, "attempt_ended", before=step
+    ),
+    "after-the-outcome": lambda step: around(
+        request_filter.LedgerFilter, "attempt_ended", after=step
+    ),
     "before-the-answer": lambda step: answer(step, after=False),
     "after-the-answer": lambda step: answer(step, after=True),
     "within-recovery": lambda step: around(store.Store, "open_entries", after=step),
--- a/tests/ledger/test_store.py
+++ b/tests/ledger/test_store.py
@@ -17,12 +17,12 @@
 from conftest import FakeHost, Rig, asyncio_test, error, until, value
 
 from saffrongw.admin import cli
-from saffrongw.gateway.extensions import Plugs
-from saffrongw.gateway.filter_chain import ExtendedDriver
+from saffrongw.gateway.extensions import Extensions
+from saffrongw.gateway.filter_chain import FilteringDriver
 from saffrongw.ledger import writer as writing
 from saffrongw.ledger.entries import Entry, Event, Kind, Meaning, Try, entries_of, explain, recover
 from saffrongw.ledger.reconcile import ListError, parse, reconcile
-from saffrongw.ledger.request_filter import Ledger
+from saffrongw.ledger.request_filter import LedgerFilter
 from saffrongw.ledger.store import FILE, Reader, Store, StoreError
 
 S = 1_000_000
@@ -331,9 +331,9 @@
     async def open(self, folder: Path, queue_most=100) -> World:
         self.host = await FakeHost("a").listen()
         names = (("read", "put", "bill"), ("team",))
-        self.ledger = Ledger(folder, frozenset({2}), *names, queue_most, 1e6, 1 << 30, False)
-        plugs = Plugs((self.ledger,), (self.ledger,), (self.ledger,))
-        self.rig = Rig(self.host, driver=lambda *given: ExtendedDriver(*given, plugs), sockets=600)
+        self.ledger = LedgerFilter(folder, frozenset({2}), *names, queue_most, 1e6, 1 << 30, False)
+        plugs = Extensions((self.ledger,), (self.ledger,), (self.ledger,))
+        self.rig = Rig(self.host, driver=lambda *given: FilteringDriver(*given, plugs), sockets=600)
         await self.ledger.start(self.rig.driver)
         return self
 
@@ -692,11 +692,11 @@
 @asyncio_test
 async def test_keyed_classes_and_bodies_are_written_where_the_operators_ask(tmp_path):
     host = await FakeHost("a").listen()
-    ledger = Ledger(
+    ledger = LedgerFilter(
         tmp_path, frozenset({1, 2}), ("read", "put", "bill"), ("team",), 100, 1e6, 1 << 30, True
     )
-    plugs = Plugs((ledger,), (ledger,), (ledger,))
-    rig = Rig(host, driver=lambda *given: ExtendedDriver(*given, plugs))
+    plugs = Extensions((ledger,), (ledger,), (ledger,))
+    rig = Rig(host, driver=lambda *given: FilteringDriver(*given, plugs))
     await ledger.start(rig.driver)
     caller = await rig.caller()
     caller.call("put")
--- a/tests/testbed/test_models.py
+++ b/tests/testbed/test_models.py
@@ -286,14 +286,14 @@
 )
 def test_a_wrong_scenario_gets_one_line(tmp_path, text, expected):
     (tmp_path / "s.toml").write_text(text)
-    with pytest.raises(toml_schema.FormError) as wrong:
+    with pytest.raises(toml_schema.SchemaError) as wrong:
         scenario.load(tmp_path / "s.toml")
     assert expected in str(wrong.value)
     assert "\n" not in str(wrong.value)
 
 
 def test_an_unknown_scenario_names_those_that_there_are():
-    with pytest.raises(toml_schema.FormError, match=r"there are: .*calm"):
+    with pytest.raises(toml_schema.SchemaError, match=r"there are: .*calm"):
         scenario.named("calmm")
 
 
--- a/tests/toml_schema/test_toml_schema.py
+++ b/tests/toml_schema/test_toml_schema.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 import toml_schema
-from toml_schema import FormError, key
+from toml_schema import SchemaError, key
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,7 +64,7 @@
     ],
 )
 def test_each_wrong_file_gets_one_line_with_place_and_cause(text, expected):
-    with pytest.raises(FormError) as wrong:
+    with pytest.raises(SchemaError) as wrong:
         toml_schema.loads(Outer, text, "f")
     assert str(wrong.value).startswith(expected)
     assert "\n" not in str(wrong.value)
@@ -78,7 +78,7 @@
         ("bytes", "bytes:2: not UTF-8"),
         ("long", "longer than"),
     ):
-        with pytest.raises(FormError, match=why):
+        with pytest.raises(SchemaError, match=why):
             toml_schema.load(Outer, tmp_path / name)
 
 
@@ -86,5 +86,5 @@
 def test_no_text_gives_anything_but_an_instance_or_a_form_error(text):
     try:
         assert isinstance(toml_schema.loads(Outer, text), Outer)
-    except FormError as wrong:
+    except SchemaError as wrong:
         assert "\n" not in str(wrong)
--- a/toml_schema/__init__.py
+++ b/toml_schema/__init__.py
@@ -24,7 +24,7 @@
 _KEY = re.compile(r"^\s*([A-Za-z0-9_\-.\"']+(?:\s*\.\s*[A-Za-z0-9_\-\"']+)*)\s*=")
 
 
-class FormError(Exception):
+class SchemaError(Exception):
     """A file that can't be used: one line with file, line, key and cause."""
 
 
@@ -73,14 +73,14 @@
     def __init__(self, name: str, text: str) -> None:
         self.name, self.lines = name, lines_of(text)
 
-    def wrong(self, place: Place, why: str) -> FormError:
+    def wrong(self, place: Place, why: str) -> SchemaError:
         """The error for a place: the line of the nearest part of it that stands in the file."""
         line, near = 1, place
         while near and near not in self.lines:
             near = near[:-1]
         line = self.lines.get(near, 1)
         shown = "".join(f"[{p}]" if isinstance(p, int) else f".{p}" for p in place).lstrip(".")
-        return FormError(f"{self.name}:{line}: {shown + ': ' if shown else ''}{why}")
+        return SchemaError(f"{self.name}:{line}: {shown + ': ' if shown else ''}{why}")
 
     def table(self, schema: type[T], raw: Any, place: Place) -> T:
         if not isinstance(raw, dict):
@@ -182,9 +182,9 @@
     except tomllib.TOMLDecodeError as wrong:
         found = re.search(r"at line (\d+)", str(wrong))
         line = int(found[1]) if found else max(1, len(text.splitlines()))
-        raise FormError(f"{name}:{line}: not TOML: {wrong}") from None
+        raise SchemaError(f"{name}:{line}: not TOML: {wrong}") from None
     except RecursionError:
-        raise FormError(f"{name}:1: nested too deeply") from None
+        raise SchemaError(f"{name}:1: nested too deeply") from None
     return _Reader(name, text).table(schema, raw, ())
 
 
@@ -193,12 +193,12 @@
     try:
         raw = Path(path).read_bytes()
     except OSError as wrong:
-        raise FormError(f"{path}: can't be read: {wrong.strerror or wrong}") from None
+        raise SchemaError(f"{path}: can't be read: {wrong.strerror or wrong}") from None
     if len(raw) > 1 << 20:  # guards memory: no such file is that long
-        raise FormError(f"{path}: longer than 1 MiB")
+        raise SchemaError(f"{path}: longer than 1 MiB")
     try:
         text = raw.decode()
     except UnicodeDecodeError as wrong:
         line = raw[: wrong.start].count(b"\n") + 1
-        raise FormError(f"{path}:{line}: not UTF-8") from None
+        raise SchemaError(f"{path}:{line}: not UTF-8") from None
     return loads(schema, text, str(path))
