--- a/tests/faults/variants.py
+++ b/tests/faults/variants.py
@@ -152,7 +152,7 @@
 
 @variant
 def repeats_keyed_anywhere() -> None:
-    change_settings(classes=lambda c: replace(c, group=DeduplicationScope.ALL))
+    change_settings(classes=lambda c: replace(c, deduplication_scope=DeduplicationScope.ALL))
 
 
 @variant
@@ -248,10 +248,10 @@
 
 @variant
 def ignores_denials() -> None:
-    from saffrongw.authz.request_filter import Proposer
+    from saffrongw.authz.request_filter import Asker
     from saffrongw.gateway.extensions import Continue
 
-    Proposer._verdict = lambda self, request, reply: Continue()
+    Asker._verdict = lambda self, request, reply: Continue()
 
 
 @variant
