--- a/benchmarks/fleet/ceilings.py
+++ b/benchmarks/fleet/ceilings.py
@@ -261,8 +261,8 @@
     """As it was: who holds too little of a ceiling refuses, and asks for the next one."""
 
     def _waits(self, request) -> bool:
-        if request.short:
-            self._tell_keeper(request.account, 0)
+        if request.lacks_ceiling:
+            self._tell_keeper(request.quota, 0)
         return False
 
 
--- a/saffrongw/gateway/admin_http/handlers.py
+++ b/saffrongw/gateway/admin_http/handlers.py
@@ -37,7 +37,7 @@
         lines = driver.figures.lines(
             self.config.class_names,
             self.clients.inflight,
-            len(gateway.hosts),
+            len(gateway.endpoints.by_id),
             gateway.avoided(driver.clock()),
         )
         for part in self.more:
@@ -49,7 +49,8 @@
         gateway = self.driver.gateway
         if not self._known(server):
             return "no host has this id"
-        if len(gateway.excluded) >= EXCLUDED_MOST and server not in gateway.excluded:
+        excluded = gateway.exclusions.sources
+        if len(excluded) >= EXCLUDED_MOST and server not in excluded:
             return "too many hosts are out"
         self._exclude(server, True)
         self.tell("exclusion", state_transfer.text_of(server), True)
@@ -77,7 +78,8 @@
 
     def _known(self, server: EndpointId) -> bool:
         gateway = self.driver.gateway
-        return server in gateway.hosts or SOURCE in gateway.excluded.get(server, ())
+        sources = gateway.exclusions.sources.get(server, ())
+        return server in gateway.endpoints.by_id or SOURCE in sources
 
     def quiesce(self) -> None:
         """Take no more clients."""
--- a/saffrongw/gateway/hot_restart/successor.py
+++ b/saffrongw/gateway/hot_restart/successor.py
@@ -77,7 +77,7 @@
             fds.append(self.peers.sock.fileno())
         channel.tell("sockets", len(fds), fds=tuple(fds))
         gateway = self.driver.gateway
-        for rows in packed(_listed(gateway.hosts.values(), self.hosts)):
+        for rows in packed(_listed(gateway.endpoints.by_id.values(), self.hosts)):
             channel.tell("listed", rows)
         for rows in packed(state_transfer.exclusions(gateway)):
             channel.tell("rows", rows)
--- a/saffrongw/ledger/request_filter.py
+++ b/saffrongw/ledger/request_filter.py
@@ -156,7 +156,7 @@
             )
 
     def _born(self, attempt: UpstreamAttempt) -> int:
-        host = self.driver.gateway.hosts.get(attempt.endpoint_id)
+        host = self.driver.gateway.endpoints.by_id.get(attempt.endpoint_id)
         return host.entry.started_at_us if host else 0
 
     def _terms(self, call: ClientRequest) -> dict:
--- a/saffrongw/policy/state_transfer.py
+++ b/saffrongw/policy/state_transfer.py
@@ -18,8 +18,10 @@
     EndpointState,
     ExclusionChanged,
 )
+from .exclusions import RestoredSpan
+from .health_score import HealthScore
 from .rules import Gateway
-from .state import Account, Known
+from .state import Account
 
 Row = list
 
@@ -43,20 +45,20 @@
     gateway.handed_over = True
     yield [
         "learnt",
-        gateway.usual,
-        gateway.learnt,
-        gateway.budget,
+        gateway.latency.typical_us,
+        gateway.latency.sample_counts,
+        gateway.retry_policy.budget,
         gateway.unheard,
         gateway.started,
     ]
     yield ["heard", [[node_index, at] for node_index, at in gateway.heard.items()]]
-    yield ["met", *_marks(gateway.met)]
-    for zone, known in gateway.zones_met.items():
+    yield ["met", *_marks(gateway.outlier_detection.fleet_score)]
+    for zone, known in gateway.outlier_detection.zone_scores.items():
         yield ["zone", zone, *_marks(known)]
     yield from exclusions(gateway)
-    for endpoint_id, host in gateway.hosts.items():
-        if host.seen:
-            yield ["host", text_of(endpoint_id), *_marks(host), host.typical]
+    for endpoint_id, host in gateway.endpoints.by_id.items():
+        if host.updated_at_us:
+            yield ["host", text_of(endpoint_id), *_marks(host), host.typical_load]
     for account in gateway.accounts.values():
         yield [
             "account",
@@ -80,14 +82,14 @@
 
 def exclusions(gateway: Gateway) -> Iterator[Row]:
     """What is out by hand, and what was put back lately."""
-    for endpoint_id, sources in gateway.excluded.items():
+    for endpoint_id, sources in gateway.exclusions.sources.items():
         yield ["excluded", text_of(endpoint_id), sources]
-    for endpoint_id, (since, until) in gateway.returned.items():
+    for endpoint_id, (since, until) in gateway.exclusions.restored.items():
         yield ["returned", text_of(endpoint_id), since, until]
 
 
-def _marks(known: Known) -> tuple[int, float, float]:
-    return known.seen, known.slow, known.fails
+def _marks(known: HealthScore) -> tuple[int, float, float]:
+    return known.updated_at_us, known.latency_score, known.failure_score
 
 
 def adopt(gateway: Gateway, now: int, row: Row) -> None:
@@ -108,10 +110,10 @@
     unheard: float,
     started: int,
 ) -> None:
-    if len(usual) == len(learnt) == len(gateway.usual):
-        gateway.usual = [float(span) for span in usual]
-        gateway.learnt = [int(times) for times in learnt]
-    gateway.budget, gateway.unheard = float(budget), float(unheard)
+    if len(usual) == len(learnt) == len(gateway.latency.typical_us):
+        gateway.latency.typical_us = [float(span) for span in usual]
+        gateway.latency.sample_counts = [int(times) for times in learnt]
+    gateway.retry_policy.budget, gateway.unheard = float(budget), float(unheard)
     gateway.started = min(gateway.started, int(started))
 
 
@@ -120,17 +122,24 @@
         gateway.heard[int(node_index)] = max(int(at), gateway.heard.get(node_index, 0))
 
 
-def _known(known: Known, seen: int, slow: float, fails: float) -> None:
-    if seen >= known.seen or (known.slow, known.fails) == (1.0, 0.0):  # listed lately, and not met
-        known.seen, known.slow, known.fails = int(seen), float(slow), float(fails)
+def _known(known: HealthScore, seen: int, slow: float, fails: float) -> None:
+    if seen >= known.updated_at_us or (known.latency_score, known.failure_score) == (
+        1.0,
+        0.0,
+    ):  # listed lately, and not met
+        known.updated_at_us, known.latency_score, known.failure_score = (
+            int(seen),
+            float(slow),
+            float(fails),
+        )
 
 
 def _met(gateway: Gateway, now: int, *marks) -> None:
-    _known(gateway.met, *marks)
+    _known(gateway.outlier_detection.fleet_score, *marks)
 
 
 def _zone(gateway: Gateway, now: int, zone: int, *marks) -> None:
-    _known(gateway.zones_met.setdefault(int(zone), Known(0)), *marks)
+    _known(gateway.outlier_detection.zone_scores.setdefault(int(zone), HealthScore(0)), *marks)
 
 
 def _excluded(gateway: Gateway, now: int, endpoint_id: str, sources: dict) -> None:
@@ -141,10 +150,10 @@
 def _returned(gateway: Gateway, now: int, endpoint_id: str, since: int, until: int) -> None:
     """It is taken to have started when it was put back, as the old process takes it."""
     name = server_of(endpoint_id)
-    if name in gateway.excluded:
+    if name in gateway.exclusions.sources:
         return
-    gateway.returned[name] = int(since), int(until)
-    host = gateway.hosts.get(name)
+    gateway.exclusions.restored[name] = RestoredSpan(int(since), int(until))
+    host = gateway.endpoints.by_id.get(name)
     if host and host.entry.started_at_us < since:
         entry = host.entry
         gone = EndpointEntry(
@@ -166,9 +175,9 @@
     fails: float,
     typical: float,
 ) -> None:
-    if host := gateway.hosts.get(server_of(endpoint_id)):
+    if host := gateway.endpoints.by_id.get(server_of(endpoint_id)):
         _known(host, seen, slow, fails)
-        host.typical = float(typical)
+        host.typical_load = float(typical)
 
 
 def _account(
--- a/tests/faults/variants.py
+++ b/tests/faults/variants.py
@@ -16,8 +16,10 @@
 from saffrongw.gateway.upstream import cluster as hosting
 from saffrongw.policy.actions import FailRequest, RejectRequest
 from saffrongw.policy.events import EndpointState
+from saffrongw.policy.load_balancer import LoadBalancer
 from saffrongw.policy.rules import Gateway
 from saffrongw.policy.settings import DeduplicationScope, Idempotency
+from saffrongw.policy.slow_start import SlowStart
 
 VARIANTS: dict[str, Callable[[], None]] = {}
 
@@ -198,10 +200,11 @@
 
 @variant
 def cold_hosts_first() -> None:
-    def cold_one(self, request):
-        return next((host for host in self.cold.hosts if self._may_send(request, host)), None)
+    def choose(self, request):
+        warming = self._endpoints.warming.endpoints
+        return next((e for e in warming if self._retry_policy.may_send(request, e)), None)
 
-    Gateway._cold_one = cold_one
+    SlowStart.choose = choose
     Gateway._patience = lambda self, request: float("inf")
 
 
@@ -210,10 +213,11 @@
     """Takes the host that started last to be the least loaded."""
 
     def choose(self, request):
-        hosts = [h for h in (*self.warm.hosts, *self.cold.hosts) if self._may_send(request, h)]
-        return max(hosts, key=lambda host: host.entry.started_at_us, default=None)
+        pools = (*self._endpoints.warm.endpoints, *self._endpoints.warming.endpoints)
+        usable = [e for e in pools if self._retry_policy.may_send(request, e)]
+        return max(usable, key=lambda endpoint: endpoint.entry.started_at_us, default=None)
 
-    Gateway._choose = choose
+    LoadBalancer.choose = choose
     Gateway._patience = lambda self, request: float("inf")
 
 
--- a/tests/gateway/test_admin_http.py
+++ b/tests/gateway/test_admin_http.py
@@ -104,7 +104,7 @@
         writer.write(bytes((byte,)))
         await asyncio.sleep(0)
     assert (await reader.read()).startswith(b"HTTP/1.1 200")
-    assert list(calls.rig.driver.gateway.excluded) == [b"a"]
+    assert list(calls.rig.driver.gateway.exclusions.sources) == [b"a"]
     reader, writer = await asyncio.open_connection(*calls.address[:2])
     head = b"POST /admin/uncordon HTTP/1.1\r\nhost: x\r\nexpect: 100-continue\r\ncontent-length: 1\r\n\r\n"
     writer.write(head)
--- a/tests/gateway/test_event_interleavings.py
+++ b/tests/gateway/test_event_interleavings.py
@@ -157,13 +157,13 @@
     rig.loop.create_connection = connect
     caller = await rig.caller()
     rig.told(good.line())
-    rig.driver.gateway._choose, choose = (
-        lambda request: rig.driver.gateway.hosts[b"a" if not request.attempts else b"b"],
-        rig.driver.gateway._choose,
+    rig.driver.gateway.load_balancer.choose, choose = (
+        lambda request: rig.driver.gateway.endpoints.by_id[b"a" if not request.attempts else b"b"],
+        rig.driver.gateway.load_balancer.choose,
     )
     caller.call("bill", wait=20_000)
     assert await caller.replied() == [b"ok"]
-    rig.driver.gateway._choose = choose
+    rig.driver.gateway.load_balancer.choose = choose
     await until(lambda: not late.connections)
     assert (len(late.commands), len(good.commands)) == (0, 1)
     assert rig.hosts.sockets == len(good.connections) == 1 and not rig.hosts.closing
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -358,11 +358,11 @@
     host = await FakeHost("a").listen()
     rig = Rig(host)
     caller = await rig.caller()
-    choose = rig.driver.gateway._choose
-    rig.driver.gateway._choose = lambda request: 1 // 0
+    choose = rig.driver.gateway.load_balancer.choose
+    rig.driver.gateway.load_balancer.choose = lambda request: 1 // 0
     caller.call("bill")
     assert error((await caller.replied())[0]).startswith("ERR")
-    rig.driver.gateway._choose = choose
+    rig.driver.gateway.load_balancer.choose = choose
     caller.call("bill")
     assert (await caller.replied(2))[1] == b"ok"
     assert rig.driver.calls == rig.driver.gateway.requests == {}
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -35,10 +35,10 @@
 def test_a_gateway_that_has_just_started_learns_how_fast_its_hosts_are_from_the_first_answers():
     """Its first guess refused a burst at idle hosts: 259 of 12,000 requests at 3,000 a second from nothing."""
     bench = Bench(endpoints=3)
-    guess = bench.gateway.usual[0]
+    guess = bench.gateway.latency.typical_us[0]
     for request in range(1, 20):
         serve(bench, request, lambda _: 5_000)
-    assert bench.gateway.usual[0] < guess / 10
+    assert bench.gateway.latency.typical_us[0] < guess / 10
 
 
 def test_a_jam_of_the_whole_fleet_is_noticed_by_a_gateway_that_meets_each_server_seldom():
@@ -204,19 +204,19 @@
         )
         bench.feed(listed(gone, kind=EndpointListKind.DELTA))
     kept = (
-        gateway.hosts,
-        gateway.cells,
-        gateway.zones,
-        gateway.warming,
-        gateway.warm.hosts,
-        gateway.cold.hosts,
+        gateway.endpoints.by_id,
+        gateway.endpoints.by_cell,
+        gateway.endpoints.by_zone,
+        gateway.endpoints.warming_queue,
+        gateway.endpoints.warm.endpoints,
+        gateway.endpoints.warming.endpoints,
     )
     assert [len(one) for one in kept] == [0] * 6
 
 
 def test_a_server_that_a_whole_list_leaves_out_is_forgotten(bench):
     bench.feed(listed(entry(1)))
-    assert list(bench.gateway.hosts) == [entry(1).endpoint_id]
+    assert list(bench.gateway.endpoints.by_id) == [entry(1).endpoint_id]
 
 
 def test_a_start_in_the_future_keeps_a_server_cold_no_longer_than_one_now(bench):
@@ -225,8 +225,8 @@
     )
     bench.now += bench.settings.slow_start_duration_us
     bench.ask(1)
-    assert not bench.gateway.cold.hosts
-    assert not bench.gateway.warming
+    assert not bench.gateway.endpoints.warming.endpoints
+    assert not bench.gateway.endpoints.warming_queue
 
 
 def test_an_attempt_at_a_server_that_is_gone_still_ends(bench):
--- a/tests/policy/test_event_orders.py
+++ b/tests/policy/test_event_orders.py
@@ -144,7 +144,7 @@
 def test_a_rule_forgotten_is_seen(kind, monkeypatch):
     """The planted fault: what may have run goes anywhere, at any time."""
     monkeypatch.setattr(
-        "saffrongw.policy.rules.Gateway._may_send", lambda self, request, host: True
+        "saffrongw.policy.retry_policy.RetryPolicy.may_send", lambda self, request, host: True
     )
     monkeypatch.setattr(
         "saffrongw.policy.rules.Gateway._attempt_ended",
--- a/tests/policy/test_exclusion.py
+++ b/tests/policy/test_exclusion.py
@@ -67,14 +67,14 @@
     out(bench, 0, excluded=False)
     assert entry(0).endpoint_id not in sent_to(bench, 60)
     out(bench, 0, excluded=False, source="other")
-    assert bench.gateway.excluded == {}
+    assert bench.gateway.exclusions.sources == {}
     assert entry(0).endpoint_id in sent_to(bench, 20, first=100)
 
 
 def test_a_call_back_without_a_call_out_changes_nothing(bench):
-    known = bench.gateway.hosts[entry(0).endpoint_id]
+    known = bench.gateway.endpoints.by_id[entry(0).endpoint_id]
     out(bench, 0, excluded=False)
-    assert bench.gateway.hosts[entry(0).endpoint_id] is known
+    assert bench.gateway.endpoints.by_id[entry(0).endpoint_id] is known
 
 
 def test_back_it_is_cold_though_the_list_is_late(bench):
@@ -83,15 +83,17 @@
     bench.run(5 * SECOND)
     out(bench, 0, excluded=False)
     bench.feed(listed(*(entry(n) for n in range(4))))
-    host = bench.gateway.hosts[entry(0).endpoint_id]
+    host = bench.gateway.endpoints.by_id[entry(0).endpoint_id]
     assert host.entry.started_at_us == bench.now
-    assert [h.entry.endpoint_id for h in bench.gateway.cold.hosts] == [entry(0).endpoint_id]
+    assert [h.entry.endpoint_id for h in bench.gateway.endpoints.warming.endpoints] == [
+        entry(0).endpoint_id
+    ]
     endpoints = sent_to(bench, 400)
     assert (
         1 <= endpoints.count(entry(0).endpoint_id) < 0.15 * len(endpoints)
     )  # a fair part would be a quarter
     bench.run(bench.settings.slow_start_duration_us)
-    assert bench.gateway._is_warm(host)
+    assert bench.gateway.slow_start.is_warm(host)
 
 
 def test_a_launch_that_the_list_names_goes_before_the_guess(bench):
@@ -100,7 +102,7 @@
     bench.run(5 * SECOND)
     bench.feed(listed(entry(0, started_at_us=started_at_us), kind=EndpointListKind.DELTA))
     out(bench, 0, excluded=False)
-    assert bench.gateway.hosts[entry(0).endpoint_id].entry.started_at_us == started_at_us
+    assert bench.gateway.endpoints.by_id[entry(0).endpoint_id].entry.started_at_us == started_at_us
 
 
 def test_back_it_is_sent_one_request_at_once(bench):
@@ -108,7 +110,7 @@
     bench.run(SECOND)
     out(bench, 0, excluded=False)
     assert sent_to(bench, 1) == [entry(0).endpoint_id]
-    assert bench.gateway.untried == {}
+    assert bench.gateway.endpoints.unproven == {}
 
 
 def test_one_that_was_put_back_and_is_gone_again_is_not_waited_for(bench):
@@ -116,7 +118,7 @@
     out(bench, 0, excluded=False)
     bench.feed(listed(entry(0, GONE), kind=EndpointListKind.DELTA))
     assert len(sent_to(bench, 3)) == 3
-    assert bench.gateway.untried == {}
+    assert bench.gateway.endpoints.unproven == {}
 
 
 def test_a_keyed_request_that_may_have_run_does_not_follow_an_excluded_server():
@@ -142,7 +144,7 @@
         out(bench, number, excluded=False)
     bench.run(bench.settings.slow_start_duration_us)
     out(bench, 1)
-    assert bench.gateway.returned == {}
+    assert bench.gateway.exclusions.restored == {}
 
 
 def test_avoided_counts_those_taken_out_draining_and_failing(bench):
@@ -150,7 +152,10 @@
     assert gateway.avoided(bench.now) == 0
     out(bench, 0)
     bench.feed(listed(entry(1, EndpointState.DRAINING), kind=EndpointListKind.DELTA))
-    gateway.hosts[entry(2).endpoint_id].fails, gateway.hosts[entry(2).endpoint_id].seen = (
+    (
+        gateway.endpoints.by_id[entry(2).endpoint_id].failure_score,
+        gateway.endpoints.by_id[entry(2).endpoint_id].updated_at_us,
+    ) = (
         3.0,
         bench.now,
     )
--- a/tests/policy/test_load_balancer.py
+++ b/tests/policy/test_load_balancer.py
@@ -65,8 +65,8 @@
     )
     cold = entry(9, started_at_us=bench.now)
     bench.feed(listed(*(entry(n) for n in range(3)), cold))
-    host = bench.gateway.hosts[cold.endpoint_id]
-    host.busy, host.told = 0.05, bench.now - 3 * SECOND
+    host = bench.gateway.endpoints.by_id[cold.endpoint_id]
+    host.cpu_utilization, host.load_reported_at_us = 0.05, bench.now - 3 * SECOND
     request = shares(bench, 400)
     assert request.get(cold.endpoint_id, 0.0) < 0.09
 
@@ -127,8 +127,13 @@
         number += 1
     (send,) = of(bench.ask(number, customer=number), SendAttempt)
     bench.outcome(number, send.endpoint_id, AttemptOutcome.CONNECT_FAILED)
-    host, forget = bench.gateway.hosts[send.endpoint_id], bench.gateway.forget
-    return host.marks(bench.now + 6 * SECOND, forget)[1] / host.marks(bench.now, forget)[1]
+    host, forget = (
+        bench.gateway.endpoints.by_id[send.endpoint_id],
+        bench.gateway.outlier_detection.endpoint_decay_us,
+    )
+    return host.decayed_failures(bench.now + 6 * SECOND, forget) / host.decayed_failures(
+        bench.now, forget
+    )
 
 
 def test_a_gateway_that_meets_each_server_rarely_remembers_it_longer():
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -5,7 +5,7 @@
 import pytest
 from conftest import SECOND, T0, Bench, entry, listed, of
 
-from saffrongw.policy import gossip_codec, rules
+from saffrongw.policy import gossip_codec
 from saffrongw.policy.actions import (
     CancelAttempt,
     FailRequest,
@@ -23,6 +23,7 @@
     TimerFired,
 )
 from saffrongw.policy.gossip_codec import Row
+from saffrongw.policy.retry_policy import FINAL_ANSWER_MARGIN_US
 from saffrongw.policy.state import Account
 
 SAFE_KIND, CELL_KIND, UNSAFE_KIND, ALL_KIND, ZONE_KIND = range(5)
@@ -146,7 +147,7 @@
     for early in (False, True):
         bench = Bench(connect_timeout_us=connects)
         send = of(bench.ask(1, kind=ALL_KIND, left=4 * SECOND), SendAttempt)[0]
-        bench.now += SECOND - rules.LEAVE - connects - early
+        bench.now += SECOND - FINAL_ANSWER_MARGIN_US - connects - early
         again = of(bench.outcome(1, send.endpoint_id, AttemptOutcome.CONNECTION_LOST), SendAttempt)
         assert bool(again) is early
 
@@ -331,6 +332,6 @@
 
 def test_failures_of_all_servers_do_not_close_an_idle_fleet(bench):
     """Marks fade with time and with answers: who refuses all gets no answers."""
-    for host in bench.gateway.warm.hosts:
-        host.fails, host.seen = 2.0, bench.now
+    for host in bench.gateway.endpoints.warm.endpoints:
+        host.failure_score, host.updated_at_us = 2.0, bench.now
     assert of(bench.ask(99, customer=99), SendAttempt)
--- a/tests/policy/test_state_transfer.py
+++ b/tests/policy/test_state_transfer.py
@@ -81,9 +81,11 @@
     back = bench.now
     bench.run(SECOND)
     new = heir(bench)
-    assert new.gateway.excluded == {entry(0).endpoint_id: {"operator": T0}}
-    assert new.gateway.hosts[entry(1).endpoint_id].entry.started_at_us == back
-    assert [host.entry.endpoint_id for host in new.gateway.cold.hosts] == [entry(1).endpoint_id]
+    assert new.gateway.exclusions.sources == {entry(0).endpoint_id: {"operator": T0}}
+    assert new.gateway.endpoints.by_id[entry(1).endpoint_id].entry.started_at_us == back
+    assert [host.entry.endpoint_id for host in new.gateway.endpoints.warming.endpoints] == [
+        entry(1).endpoint_id
+    ]
     new.feed(listed(*(entry(n) for n in range(4))))
     sends = [of(new.ask(n, customer=n), SendAttempt) for n in range(1, 40)]
     assert entry(0).endpoint_id not in {send.endpoint_id for found in sends for send in found}
@@ -95,10 +97,12 @@
     bench.outcome(1, send.endpoint_id, AttemptOutcome.TIMED_OUT, duration_us=SECOND)
     old = bench.gateway
     new = heir(bench).gateway
-    assert new.hosts[send.endpoint_id].marks(bench.now, SECOND) == old.hosts[
-        send.endpoint_id
-    ].marks(bench.now, SECOND)
-    assert (new.usual, new.learnt, new.budget) == (old.usual, old.learnt, old.budget)
+    ours, theirs = (one.endpoints.by_id[send.endpoint_id] for one in (new, old))
+    assert ours.decayed_latency(bench.now, SECOND) == theirs.decayed_latency(bench.now, SECOND)
+    assert ours.decayed_failures(bench.now, SECOND) == theirs.decayed_failures(bench.now, SECOND)
+    assert new.latency.typical_us == old.latency.typical_us
+    assert new.latency.sample_counts == old.latency.sample_counts
+    assert new.retry_policy.budget == old.retry_policy.budget
 
 
 def test_attempts_out_at_the_old_one_count_under_a_limit_of_open_ones():
@@ -140,5 +144,5 @@
     bench = Bench(node_count=SETTINGS.node_count)
     with pytest.raises(state_transfer.OddRow):
         state_transfer.adopt(bench.gateway, bench.now, row)
-    assert bench.gateway.accounts == {} == bench.gateway.excluded
+    assert bench.gateway.accounts == {} == bench.gateway.exclusions.sources
     assert served(bench, range(1, 3)) == 2
