--- a/saffrongw/simulator/__main__.py
+++ b/saffrongw/simulator/__main__.py
@@ -1,4 +1,7 @@
-"""The process on the wire: frames in, one flushed reply to each out, many gateways that share nothing."""
+"""The process that the simulator starts: frames on standard input, replies on standard output.
+
+Each frame gets one reply. It plays many gateways, which share nothing.
+"""
 
 from __future__ import annotations
 
@@ -19,12 +22,12 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer frames until the input ends."""
+    """Answer frames until the input ends; ``WireError`` where a frame is malformed."""
     decoder = codec.Decoder()
     gateways: dict[int, Gateway] = {}
     while first := source.read(1):
-        head = first + _read(source, codec.HEADER.size - 1)
-        count, length, now = codec.HEADER.unpack(head)
+        header = first + _read(source, codec.HEADER.size - 1)
+        count, length, now_us = codec.HEADER.unpack(header)
         encoder = codec.Encoder()
         for number, event in decoder.frame(count, _read(source, length)):
             if isinstance(event, codec.Stop):
@@ -33,11 +36,10 @@
             if not isinstance(event, codec.Start) and number not in gateways:
                 raise codec.WireError(f"event for gateway {number}, which never started")
             try:
-                actions = _decide(gateways, number, event, now)
-            except (
-                Exception
-            ) as failure:  # the wire wants every failure of the decisions as a record
-                encoder.bug(number, f"{type(failure).__name__}: {failure}")
+                actions = _decide(gateways, number, event, now_us)
+            # The wire has a record for any failure of the policy.
+            except Exception as error:
+                encoder.add_policy_error(number, f"{type(error).__name__}: {error}")
                 continue
             for action in actions:
                 encoder.add(number, action)
@@ -46,20 +48,20 @@
 
 
 def _decide(
-    gateways: dict[int, Gateway], number: int, event: codec.Start | Event, now: int
+    gateways: dict[int, Gateway], number: int, event: codec.Start | Event, now_us: int
 ) -> list[Action]:
     if isinstance(event, codec.Start):
-        gateways[number] = Gateway(event.settings, event.seed, now)
+        gateways[number] = Gateway(event.settings, event.seed, now_us)
         return gateways[number].start()
-    return gateways[number].handle(now, event)
+    return gateways[number].handle(now_us, event)
 
 
 def main() -> int:
-    """Serve standard input and output; one plain line and 1 where the input is not of this wire."""
+    """Serve standard input; return 1, after one line, where it is not of the simulator's wire."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except codec.WireError as wrong:
-        print(f"saffrongw.simulator: {wrong}", file=sys.stderr)
+    except codec.WireError as error:
+        print(f"saffrongw.simulator: {error}", file=sys.stderr)
         return 1
     except BrokenPipeError:
         return 1
--- a/saffrongw/simulator/codec.py
+++ b/saffrongw/simulator/codec.py
@@ -1,9 +1,15 @@
-"""Codec of the binary wire: bytes to our events, our actions to bytes. It decides nothing."""
+"""Codec of the simulator's binary wire: frames to events of the policy, its actions to frames.
+
+A frame is a header, records of one size and a tail, which holds what has no fixed size. All numbers
+are little-endian; names of records and codes are the simulator's.
+"""
 
 from __future__ import annotations
 
 import struct
+from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from ..policy.actions import (
     Action,
@@ -81,12 +87,12 @@
 
 
 class WireError(Exception):
-    """What came in is not of this wire."""
+    """A frame is malformed or names what does not exist."""
 
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """A gateway comes up."""
+    """A gateway starts with these settings and the seed of its random draws."""
 
     settings: Settings
     seed: int
@@ -94,39 +100,45 @@
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """A gateway is gone without warning."""
+    """A gateway was killed without warning."""
+
+
+class GatewayEvent(NamedTuple):
+    """An event and the number of the gateway that it is for."""
+
+    gateway: int
+    event: Start | Stop | Event
 
 
 @dataclass(slots=True)
 class Decoder:
-    """Decodes frames; keeps the numbered server lists, which travel once for each process."""
+    """Decodes frames; keeps the numbered endpoint lists, which are sent once for each process."""
 
     lists: dict[int, tuple[EndpointEntry, ...]] = field(default_factory=dict)
 
-    def frame(self, count: int, body: bytes) -> list[tuple[int, Start | Stop | Event]]:
-        """All events of one batch, each with its gateway's number."""
+    def frame(self, count: int, body: bytes) -> list[GatewayEvent]:
+        """Decode the records of one frame; ``WireError`` where it is malformed."""
         if len(body) < count * EVENT_SIZE:
             raise WireError(f"frame of {len(body)} bytes is too short for {count} records")
         tail = body[count * EVENT_SIZE :]
         events = []
-        for i in range(count):
-            at = i * EVENT_SIZE
-            code = body[at]
+        for offset in range(0, count * EVENT_SIZE, EVENT_SIZE):
+            code = body[offset]
             reader = _READERS.get(code)
             if reader is None:
                 raise WireError(f"unknown record code {code}")
-            event = reader(self, body, at + 1, tail)
+            event = reader(self, body, offset + 1, tail)
             if event is not None:
                 events.append(event)
         return events
 
 
-def _cut(tail: bytes, offset: int, length: int) -> bytes:
-    if offset + length > len(tail):
+def _cut(tail: bytes, start: int, length: int) -> bytes:
+    if start + length > len(tail):
         raise WireError(
-            f"offset {offset} with length {length} lies outside a tail of {len(tail)} bytes"
+            f"offset {start} with length {length} lies outside a tail of {len(tail)} bytes"
         )
-    return tail[offset : offset + length]
+    return tail[start : start + length]
 
 
 def _outcome(code: int) -> AttemptOutcome:
@@ -136,102 +148,136 @@
         raise WireError(f"unknown outcome {code}") from None
 
 
-def _start(_: Decoder, body: bytes, at: int, tail: bytes):
-    gateway, seed, offset, length = _INIT.unpack_from(body, at)
+def _start(_decoder: Decoder, body: bytes, offset: int, tail: bytes) -> GatewayEvent:
+    gateway, seed, start, length = _INIT.unpack_from(body, offset)
     try:
-        settings = parse_settings(_cut(tail, offset, length))
+        settings = parse_settings(_cut(tail, start, length))
     except SettingsError as error:
         raise WireError(str(error)) from None
-    return gateway, Start(settings, seed)
+    return GatewayEvent(gateway, Start(settings, seed))
 
 
-def _endpoint_list(decoder: Decoder, body: bytes, at: int, tail: bytes) -> None:
-    number, offset, count = _LIST.unpack_from(body, at)
-    raw = _cut(tail, offset, count * ENTRY.size)
+def _endpoint_list(decoder: Decoder, body: bytes, offset: int, tail: bytes) -> None:
+    number, start, count = _LIST.unpack_from(body, offset)
+    raw = _cut(tail, start, count * ENTRY.size)
     entries = []
-    for share, _kind, endpoint_id, zone, started_at_us, state, cell in ENTRY.iter_unpack(raw):
+    for size, _kind, endpoint_id, zone, started_at_us, state, cell in ENTRY.iter_unpack(raw):
         if state > 2:
             raise WireError(f"unknown phase {state}")
         entries.append(
-            EndpointEntry(endpoint_id, EndpointState(state), zone, cell, started_at_us, share)
+            EndpointEntry(endpoint_id, EndpointState(state), zone, cell, started_at_us, size)
         )
     decoder.lists[number] = tuple(entries)
 
 
-def _endpoint_list_received(decoder: Decoder, body: bytes, at: int, _: bytes):
-    gateway, kind, number, version = _LIST_RECEIVED.unpack_from(body, at)
+def _endpoint_list_received(
+    decoder: Decoder, body: bytes, offset: int, _tail: bytes
+) -> GatewayEvent:
+    gateway, kind, number, version = _LIST_RECEIVED.unpack_from(body, offset)
     if kind > 3:
         raise WireError(f"unknown kind of list {kind}")
     kind = EndpointListKind(kind)
     if kind is EndpointListKind.FAILED:
-        return gateway, EndpointListReceived(kind, version, ())
+        return GatewayEvent(gateway, EndpointListReceived(kind, version, ()))
     if number not in decoder.lists:
         raise WireError(f"list {number} was never sent")
-    return gateway, EndpointListReceived(kind, version, decoder.lists[number])
+    return GatewayEvent(gateway, EndpointListReceived(kind, version, decoder.lists[number]))
 
 
-def _request_arrived(_: Decoder, body: bytes, at: int, __: bytes):
+def _request_arrived(_decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
     gateway, request, kind, plan, customer, left, units, size, first, bits = _REQUEST.unpack_from(
-        body, at
+        body, offset
     )
-    return gateway, RequestArrived(
-        request, customer, plan, kind, units, left, int(first), int(size), bool(bits & RETRY_BIT)
+    return GatewayEvent(
+        gateway,
+        RequestArrived(
+            request,
+            customer,
+            plan,
+            kind,
+            units,
+            left,
+            int(first),
+            int(size),
+            bool(bits & RETRY_BIT),
+        ),
     )
 
 
-def _stop(_: Decoder, body: bytes, at: int, __: bytes):
-    return _GATEWAY.unpack_from(body, at)[0], Stop()
+def _stop(_decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
+    (gateway,) = _GATEWAY.unpack_from(body, offset)
+    return GatewayEvent(gateway, Stop())
 
 
-def _health_check_ended(_: Decoder, body: bytes, at: int, __: bytes):
-    gateway, duration_us, reason, endpoint_id, n, *values = _PROBED.unpack_from(body, at)
-    return gateway, HealthCheckEnded(endpoint_id, _outcome(reason), duration_us, tuple(values[:n]))
+def _health_check_ended(_decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
+    gateway, duration_us, reason, endpoint_id, value_count, *values = _PROBED.unpack_from(
+        body, offset
+    )
+    return GatewayEvent(
+        gateway,
+        HealthCheckEnded(endpoint_id, _outcome(reason), duration_us, tuple(values[:value_count])),
+    )
 
 
-def _client_disconnected(_: Decoder, body: bytes, at: int, __: bytes):
-    gateway, request = _CALL.unpack_from(body, at)
-    return gateway, ClientDisconnected(request)
+def _client_disconnected(_decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
+    gateway, request = _CALL.unpack_from(body, offset)
+    return GatewayEvent(gateway, ClientDisconnected(request))
 
 
-def _shared_counter_answered(_: Decoder, body: bytes, at: int, __: bytes):
-    gateway, value, duration_us, reason, name = _COUNTED.unpack_from(body, at)
-    return gateway, SharedCounterAnswered(name, _outcome(reason), value, duration_us)
+def _shared_counter_answered(
+    _decoder: Decoder, body: bytes, offset: int, _tail: bytes
+) -> GatewayEvent:
+    gateway, value, duration_us, reason, name = _COUNTED.unpack_from(body, offset)
+    return GatewayEvent(gateway, SharedCounterAnswered(name, _outcome(reason), value, duration_us))
 
 
-def _gossip_received(_: Decoder, body: bytes, at: int, tail: bytes):
-    gateway, sender, offset, length = _PEER.unpack_from(body, at)
-    return gateway, GossipReceived(sender, _cut(tail, offset, length))
+def _gossip_received(_decoder: Decoder, body: bytes, offset: int, tail: bytes) -> GatewayEvent:
+    gateway, sender, start, length = _PEER.unpack_from(body, offset)
+    return GatewayEvent(gateway, GossipReceived(sender, _cut(tail, start, length)))
 
 
-def _stream_started(_: Decoder, body: bytes, at: int, __: bytes):
-    gateway, request, attempt, endpoint_id, duration_us = _STREAM.unpack_from(body, at)
-    return gateway, StreamStarted(request, attempt, endpoint_id, duration_us)
+def _stream_started(_decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
+    gateway, request, attempt, endpoint_id, duration_us = _STREAM.unpack_from(body, offset)
+    return GatewayEvent(gateway, StreamStarted(request, attempt, endpoint_id, duration_us))
 
 
-def _timer_fired(_: Decoder, body: bytes, at: int, __: bytes):
-    gateway, token = _TIMER.unpack_from(body, at)
-    return gateway, TimerFired(token)
+def _timer_fired(_decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
+    gateway, token = _TIMER.unpack_from(body, offset)
+    return GatewayEvent(gateway, TimerFired(token))
 
 
-def _attempt_ended(_: Decoder, body: bytes, at: int, __: bytes):
-    fields = _OUTCOME.unpack_from(body, at)
-    gateway, request, attempt, endpoint_id, reason, duration_us, settled, use, cost, n, *values = (
-        fields
-    )
-    return gateway, AttemptEnded(
+def _attempt_ended(_decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
+    fields = _OUTCOME.unpack_from(body, offset)
+    (
+        gateway,
         request,
         attempt,
         endpoint_id,
-        _outcome(reason),
+        reason,
         duration_us,
-        bool(settled),
+        settled,
         use,
-        float(cost),
-        tuple(values[:n]),
+        units,
+        value_count,
+        *values,
+    ) = fields
+    return GatewayEvent(
+        gateway,
+        AttemptEnded(
+            request,
+            attempt,
+            endpoint_id,
+            _outcome(reason),
+            duration_us,
+            bool(settled),
+            use,
+            float(units),
+            tuple(values[:value_count]),
+        ),
     )
 
 
-_READERS = {
+_READERS: dict[int, Callable[[Decoder, bytes, int, bytes], GatewayEvent | None]] = {
     1: _timer_fired,
     2: _gossip_received,
     3: _client_disconnected,
@@ -247,6 +293,21 @@
 }
 
 
+class RecordCode:
+    """Codes of the records of a reply."""
+
+    SEND_ATTEMPT = 65
+    REJECT_REQUEST = 66
+    FAIL_REQUEST = 67
+    CANCEL_ATTEMPT = 68
+    SET_TIMER = 69
+    CHECK_HEALTH = 70
+    SEND_GOSSIP = 72
+    POLICY_ERROR = 74
+    SUBSCRIBE_ENDPOINT_LIST = 75
+    FETCH_ENDPOINT_LIST = 76
+
+
 @dataclass(slots=True)
 class Encoder:
     """Collects the actions of one reply."""
@@ -255,44 +316,62 @@
     tail: bytearray = field(default_factory=bytearray)
 
     def add(self, gateway: int, action: Action) -> None:
-        """One action of one gateway."""
+        """Append an action of a gateway; ``TypeError`` where the wire has no such action."""
         match action:
             case SendAttempt():
-                raw = _SEND.pack(
-                    65, gateway, action.request, action.endpoint_id, action.deadline_us
+                record = _SEND.pack(
+                    RecordCode.SEND_ATTEMPT,
+                    gateway,
+                    action.request,
+                    action.endpoint_id,
+                    action.deadline_us,
                 )
             case RejectRequest():
-                raw = _REJECT.pack(66, gateway, action.request, action.retry_after_us)
+                record = _REJECT.pack(
+                    RecordCode.REJECT_REQUEST, gateway, action.request, action.retry_after_us
+                )
             case FailRequest():
-                raw = _FINAL.pack(67, gateway, action.request)
-            case CancelAttempt():
-                raw = _CANCEL.pack(68, gateway, action.request, action.attempt)
+                record = _FINAL.pack(RecordCode.FAIL_REQUEST, gateway, action.request)
             case SetTimer():
-                raw = _SET_TIMER.pack(69, gateway, action.delay_us, action.token)
-            case CheckHealth():
-                raw = _CHECK_HEALTH.pack(70, gateway, action.endpoint_id)
+                record = _SET_TIMER.pack(
+                    RecordCode.SET_TIMER, gateway, action.delay_us, action.token
+                )
             case SendGossip():
-                raw = _GOSSIP.pack(72, gateway, action.peer, *self._put(action.body))
-            case SubscribeEndpointList():
-                raw = _SUBSCRIBE.pack(75, gateway, 1)
-            case FetchEndpointList():
-                raw = _BARE.pack(76, gateway)
+                start, length = self._append_to_tail(action.body)
+                record = _GOSSIP.pack(RecordCode.SEND_GOSSIP, gateway, action.peer, start, length)
             case _:
-                raise TypeError(f"no action of the wire: {action!r}")
-        self.records.append(raw.ljust(ACTION_SIZE, b"\0"))
+                record = _pack_rare_action(gateway, action)
+        self._append(record)
 
-    def bug(self, gateway: int, text: str) -> None:
-        """The decisions failed."""
-        self.records.append(
-            _TEXT.pack(74, gateway, *self._put(text.encode())).ljust(ACTION_SIZE, b"\0")
-        )
+    def add_policy_error(self, gateway: int, text: str) -> None:
+        """Append the text of an exception that the policy raised."""
+        start, length = self._append_to_tail(text.encode())
+        self._append(_TEXT.pack(RecordCode.POLICY_ERROR, gateway, start, length))
 
     def reply(self) -> bytes:
-        """The whole reply frame."""
+        """Return the reply frame."""
         body = b"".join(self.records) + self.tail
         return REPLY_HEADER.pack(len(self.records), len(body)) + body
 
-    def _put(self, body: bytes) -> tuple[int, int]:
-        at = len(self.tail)
+    def _append(self, record: bytes) -> None:
+        self.records.append(record.ljust(ACTION_SIZE, b"\0"))
+
+    def _append_to_tail(self, body: bytes) -> tuple[int, int]:
+        """Append bytes to the tail; return where they start there, and their length."""
+        start = len(self.tail)
         self.tail += body
-        return at, len(body)
+        return start, len(body)
+
+
+def _pack_rare_action(gateway: int, action: Action) -> bytes:
+    match action:
+        case CancelAttempt():
+            return _CANCEL.pack(RecordCode.CANCEL_ATTEMPT, gateway, action.request, action.attempt)
+        case CheckHealth():
+            return _CHECK_HEALTH.pack(RecordCode.CHECK_HEALTH, gateway, action.endpoint_id)
+        case SubscribeEndpointList():
+            return _SUBSCRIBE.pack(RecordCode.SUBSCRIBE_ENDPOINT_LIST, gateway, 1)
+        case FetchEndpointList():
+            return _BARE.pack(RecordCode.FETCH_ENDPOINT_LIST, gateway)
+        case _:
+            raise TypeError(f"the wire has no action {action!r}")
