--- a/saffrongw/gateway/admission_queue.py
+++ b/saffrongw/gateway/admission_queue.py
@@ -1,7 +1,7 @@
 """Begins what clients ask, at once while this turn of the loop has time for it; the rest waits for its turn.
 
 Bytes are read and framed as they come, so nothing grows old unseen in the kernel. A turn that would take long is cut:
-what it could not begin goes to ``Shedder``, which says what is begun next and what is refused. Answers of hosts come in
+what it could not begin goes to ``LoadShedder``, which says what is begun next and what is refused. Answers of hosts come in
 between: they belong to requests in hand, which go first.
 """
 
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from time import monotonic
 
-from ..policy.load_shedding import Shedder, Waiting
+from ..policy.load_shedding import LoadShedder, QueuedRequest
 from .driver import Driver, RequestTerms, busy_reply
 
 AT_ONCE = 0.004  # seconds of a turn in which requests are begun as they are read
@@ -27,7 +27,7 @@
     def __init__(self, driver: Driver, loop: asyncio.AbstractEventLoop) -> None:
         self.driver, self.loop = driver, loop
         settings = driver.gateway.settings
-        self.shedder = Shedder(settings.classes, settings.plans)
+        self.shedder = LoadShedder(settings.classes, settings.plans)
         self.most_back = settings.max_retry_after_us
         self.turning = False  # within a turn of the loop, whose end has been asked for
         self.began = 0.0
@@ -51,21 +51,21 @@
 
     def wait(
         self, terms: RequestTerms, group: bytes, customer: bytes, begin: Begin, refuse: Refuse
-    ) -> Waiting | None:
+    ) -> QueuedRequest | None:
         """Let a request wait; None where it was refused at once."""
         now = self.driver.clock()
-        if self.driver.gateway.is_beyond_quota(now, terms.customer, terms.plan, terms.units):
+        if self.driver.gateway.exceeds_quota(now, terms.customer, terms.plan, terms.units):
             self.shut.add(customer)
             refuse(self._refusal(now))
             return None
-        one = Waiting(terms.customer, terms.plan, terms.kind, now + terms.wait, (begin, refuse))
+        one = QueuedRequest(terms.customer, terms.plan, terms.kind, now + terms.wait, (begin, refuse))
         refused = self.shedder.offer(now, one)
         if refused is None:
             return one
         refused.tag[1](self._refusal(now))
         if refused is not one:
             return one
-        self.shut.add(customer if self.shedder.too_many(terms.customer) else group)
+        self.shut.add(customer if self.shedder.exceeds_fair_share(terms.customer) else group)
         return None
 
     def refuse_all(self) -> None:
@@ -80,7 +80,7 @@
         return self.refusal
 
     def _answer(self, now: int) -> bytes:
-        return busy_reply(self.shedder.back_in(now, self.most_back))
+        return busy_reply(self.shedder.retry_after_us(now, self.most_back))
 
     def _turn(self) -> None:
         """All that came in this turn has been read: begin what waits, for a while."""
@@ -98,7 +98,7 @@
                 if monotonic() >= end:
                     break
             now = self.driver.clock()
-            for one in shedder.expired(now):
+            for one in shedder.pop_expired(now):
                 one.tag[1](self._refusal(now))
         finally:  # also where one of them raised: the others must not wait for ever
             if shedder.count:
--- a/saffrongw/gateway/downstream/connection.py
+++ b/saffrongw/gateway/downstream/connection.py
@@ -10,7 +10,7 @@
 from itertools import chain, islice
 from typing import Protocol
 
-from ...policy.load_shedding import Waiting
+from ...policy.load_shedding import QueuedRequest
 from ..acceptor import Acceptor
 from ..admission_queue import AdmissionQueue
 from ..config import Config
@@ -79,12 +79,12 @@
         self.client, self.number = client, number
         self.reply: bytes | StreamingReply | None = None
         self.call: ClientRequest | None = None
-        self.waiting: Waiting | None = None  # until it is begun
+        self.waiting: QueuedRequest | None = None  # until it is begun
 
     def begin(self) -> None:
         """The request is handed on; the time that it waited is its client's."""
         driver = self.client.clients.driver
-        terms = self.terms._replace(wait=max(MS, self.waiting.until - driver.clock()))
+        terms = self.terms._replace(wait=max(MS, self.waiting.deadline_us - driver.clock()))
         self.waiting = None
         self.call = driver.arrived(terms, self.parts, self.answer)
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -380,7 +380,7 @@
         self.driver.start(self.config.known)
         self.clients = ClientConnections(self.driver, self.config, sockets)
         # A machine that is busy beside the tests must not make a request wait so long that it is given up.
-        self.clients.intake.shedder.most_wait = [3_600 * SECOND] * len(self.config.settings.classes)
+        self.clients.intake.shedder.max_wait_us = [3_600 * SECOND] * len(self.config.settings.classes)
 
     async def caller(self) -> Caller:
         """A client's connection to it."""
--- a/tests/gateway/test_admission_queue.py
+++ b/tests/gateway/test_admission_queue.py
@@ -88,7 +88,7 @@
     other.transport.write(command(b"other", customer=99))
     assert await other.replied() == [b"ok"]
     await until(lambda: not rig.clients.numbers and not rig.driver.calls)
-    assert not rig.clients.intake.pressed and not rig.clients.intake.shedder.of
+    assert not rig.clients.intake.pressed and not rig.clients.intake.shedder.count_by_customer
 
 
 @asyncio_test
--- a/tests/policy/test_load_shedding.py
+++ b/tests/policy/test_load_shedding.py
@@ -9,14 +9,14 @@
 from conftest import PLAIN, SAFE, SECOND, T0, UNSAFE, Bench
 
 from saffrongw.policy.actions import SendAttempt
+from saffrongw.policy.durations import MS_US
 from saffrongw.policy.load_shedding import (
-    BACK_LEAST,
-    FLOW_LEAST,
-    MS,
-    ROOM_LEAST,
-    ROOM_MOST,
-    Shedder,
-    Waiting,
+    MAX_CAPACITY,
+    MIN_CAPACITY,
+    MIN_CUSTOMER_CAPACITY,
+    MIN_RETRY_AFTER_US,
+    LoadShedder,
+    QueuedRequest,
 )
 from saffrongw.policy.settings import Idempotency
 
@@ -27,149 +27,153 @@
 AMPLE = dataclasses.replace(PLAIN, price=1.6)
 
 
-def shedder() -> Shedder:
-    return Shedder((SAFE, DEAR, TWIN), (PLAIN, AMPLE))
+def new_shedder() -> LoadShedder:
+    return LoadShedder((SAFE, DEAR, TWIN), (PLAIN, AMPLE))
 
 
-def one(customer: int, plan=0, kind=0, until=T0 + 2 * SECOND, tag=None) -> Waiting:
-    return Waiting(customer, plan, kind, until, tag)
+def one(customer: int, plan=0, kind=0, until=T0 + 2 * SECOND, tag=None) -> QueuedRequest:
+    return QueuedRequest(customer, plan, kind, until, tag)
 
 
-def fill(s: Shedder, kind: int, now=T0, plan=0, first=1_000) -> None:
+def fill(shedder: LoadShedder, kind: int, now=T0, plan=0, first=1_000) -> None:
     """So many that no more has room."""
-    for customer in range(first, first + s.room - len(s)):
-        assert s.offer(now, one(customer, plan, kind)) is None
-    assert len(s) == s.room
+    for customer in range(first, first + shedder.capacity - len(shedder)):
+        assert shedder.offer(now, one(customer, plan, kind)) is None
+    assert len(shedder) == shedder.capacity
 
 
 def test_the_highest_worth_is_begun_first_and_equal_worths_by_turns_of_their_customers():
-    s = shedder()
+    shedder = new_shedder()
     for customer, kind in ((1, 0), (1, 0), (2, 2), (3, 1)):
-        s.offer(T0, one(customer, kind=kind))
-    assert [(w.customer, w.kind) for w in iter(lambda: s.take(T0), None)] == [
+        shedder.offer(T0, one(customer, kind=kind))
+    assert [(w.customer, w.kind) for w in iter(lambda: shedder.take(T0), None)] == [
         (3, 1),
         (1, 0),
         (2, 2),
         (1, 0),
     ]
-    assert (len(s), s.of, s.pressed_since) == (0, {}, 0)
+    assert (len(shedder), shedder.count_by_customer, shedder.overloaded_since_us) == (0, {}, 0)
 
 
 def test_where_there_is_no_room_the_lowest_worth_gives_way_and_never_the_higher():
-    s = shedder()
-    fill(s, kind=0)
+    shedder = new_shedder()
+    fill(shedder, kind=0)
     late = one(1)
-    assert s.offer(T0, late) is late and late.gone
-    out = s.offer(T0, dear := one(2, kind=1))
-    assert out.kind == 0 and out.gone and not dear.gone
-    assert len(s) == s.room
-    assert s.take(T0) is dear
+    assert shedder.offer(T0, late) is late and late.is_done
+    out = shedder.offer(T0, dear := one(2, kind=1))
+    assert out.kind == 0 and out.is_done and not dear.is_done
+    assert len(shedder) == shedder.capacity
+    assert shedder.take(T0) is dear
 
 
 def test_one_customer_with_nine_tenths_of_the_load_has_no_more_than_twice_the_part_of_others():
-    s, lots = shedder(), random.Random(7)
+    shedder, lots = new_shedder(), random.Random(7)
     begun = {True: 0, False: 0}
     asked = {True: 0, False: 0}
     for step in range(3_000):
-        now = T0 + step * MS
+        now = T0 + step * MS_US
         for _ in range(10):
             heavy = lots.random() < 0.9
             asked[heavy] += 1
-            s.offer(now, one(1 if heavy else lots.randrange(2, 60), until=now + SECOND))
-        s.expired(now)
-        if w := s.take(now):
+            shedder.offer(now, one(1 if heavy else lots.randrange(2, 60), until=now + SECOND))
+        shedder.pop_expired(now)
+        if w := shedder.take(now):
             begun[w.customer == 1] += 1
     assert begun[False] > 0.85 * asked[False]
-    assert s.of.get(1, 0) <= max(FLOW_LEAST, 2 * s.room / len(s.of) + 1)
+    customers = len(shedder.count_by_customer)
+    most = max(MIN_CUSTOMER_CAPACITY, 2 * shedder.capacity / customers + 1)
+    assert shedder.count_by_customer.get(1, 0) <= most
 
 
 def test_a_cheap_plan_is_not_starved_by_a_dear_one():
-    s, lots, begun = shedder(), random.Random(3), [0, 0]
+    shedder, lots, begun = new_shedder(), random.Random(3), [0, 0]
     for step in range(4_000):
-        now = T0 + step * MS
+        now = T0 + step * MS_US
         for _ in range(4):
             w = one(lots.randrange(500), lots.randrange(2), lots.randrange(3), until=now + SECOND)
-            s.offer(now, w)
-        s.expired(now)
-        if w := s.take(now):
+            shedder.offer(now, w)
+        shedder.pop_expired(now)
+        if w := shedder.take(now):
             begun[w.plan] += 1
     assert begun[1] > begun[0] > 0.35 * begun[1]
 
 
 def test_what_has_waited_too_long_is_given_up_once_and_what_its_client_left_is_not_heard_of_again():
-    s = shedder()
-    s.offer(T0, stays := one(1))
-    s.offer(T0, leaves := one(2))
-    s.drop(leaves)
-    s.drop(leaves)
-    wait = s.most_wait[0]
-    assert s.expired(T0 + wait - 1) == []
-    assert s.expired(T0 + wait) == [stays]
-    assert s.expired(T0 + 2 * wait) == [] and s.take(T0) is None
-    s.offer(T0, soon := one(3, until=T0 + MS))
-    assert s.expired(T0 + MS) == [soon]
+    shedder = new_shedder()
+    shedder.offer(T0, stays := one(1))
+    shedder.offer(T0, leaves := one(2))
+    shedder.drop(leaves)
+    shedder.drop(leaves)
+    wait = shedder.max_wait_us[0]
+    assert shedder.pop_expired(T0 + wait - 1) == []
+    assert shedder.pop_expired(T0 + wait) == [stays]
+    assert shedder.pop_expired(T0 + 2 * wait) == [] and shedder.take(T0) is None
+    shedder.offer(T0, soon := one(3, until=T0 + MS_US))
+    assert shedder.pop_expired(T0 + MS_US) == [soon]
 
 
 def test_room_follows_the_rate_at_which_requests_are_begun_and_is_bounded():
-    s, now = shedder(), T0
-    assert s.room == ROOM_LEAST
-    for per_ms, least in ((3, 150), (200, ROOM_MOST)):
+    shedder, now = new_shedder(), T0
+    assert shedder.capacity == MIN_CAPACITY
+    for per_ms, least in ((3, 150), (200, MAX_CAPACITY)):
         for _ in range(600):
-            now += MS
+            now += MS_US
             for customer in range(per_ms):
-                s.offer(now, one(customer + 10_000))
+                shedder.offer(now, one(customer + 10_000))
             for _ in range(per_ms):
-                s.take(now)
-            s.offer(now, one(1))  # never empty
-        assert least <= s.room <= ROOM_MOST
+                shedder.take(now)
+            shedder.offer(now, one(1))  # never empty
+        assert least <= shedder.capacity <= MAX_CAPACITY
 
 
 def test_those_refused_stay_away_longer_the_longer_it_lasts_within_the_settings():
-    s = shedder()
-    s.offer(T0, one(1))
-    assert s.back_in(T0, SECOND) == BACK_LEAST
-    assert s.back_in(T0 + SECOND, SECOND) == SECOND // 2
-    assert s.back_in(T0 + 60 * SECOND, SECOND) == SECOND
-    assert s.back_in(T0, 0) == 0  # the settings allow none
+    shedder = new_shedder()
+    shedder.offer(T0, one(1))
+    assert shedder.retry_after_us(T0, SECOND) == MIN_RETRY_AFTER_US
+    assert shedder.retry_after_us(T0 + SECOND, SECOND) == SECOND // 2
+    assert shedder.retry_after_us(T0 + 60 * SECOND, SECOND) == SECOND
+    assert shedder.retry_after_us(T0, 0) == 0  # the settings allow none
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_nothing_is_lost_doubled_or_kept_whatever_comes(seed):
     """Each request ends exactly once, as begun, refused, expired or left; nothing of it stays."""
-    s, lots, open_, ended, now = shedder(), random.Random(seed), {}, {}, T0
+    shedder, lots, open_, ended, now = new_shedder(), random.Random(seed), {}, {}, T0
 
-    def end(w: Waiting, how: str) -> None:
+    def end(w: QueuedRequest, how: str) -> None:
         assert w.tag not in ended
         ended[w.tag] = how
         open_.pop(w.tag, None)
 
     for number in range(6_000):
-        now += lots.choice((0, 0, 0, 300, 5 * MS))
+        now += lots.choice((0, 0, 0, 300, 5 * MS_US))
         customer, until = lots.choice((1, lots.randrange(300))), now + SECOND
         w = one(customer, lots.randrange(2), lots.randrange(3), until, number)
         open_[number] = w
-        if (out := s.offer(now, w)) is not None:
+        if (out := shedder.offer(now, w)) is not None:
             end(out, "refused")
-        if lots.random() < 0.3 and (w := s.take(now)):
+        if lots.random() < 0.3 and (w := shedder.take(now)):
             end(w, "begun")
         if lots.random() < 0.1:
-            for w in s.expired(now):
+            for w in shedder.pop_expired(now):
                 end(w, "expired")
         if lots.random() < 0.05 and open_:
             w = open_[lots.choice(list(open_))]
-            s.drop(w)
+            shedder.drop(w)
             end(w, "left")
-        assert len(s) == len(open_) == sum(s.of.values()) <= ROOM_MOST
-    while w := s.take(now):
+        assert len(shedder) == len(open_) == sum(shedder.count_by_customer.values()) <= MAX_CAPACITY
+    while w := shedder.take(now):
         end(w, "begun")
-    assert len(ended) == 6_000 and not s.of
-    assert not any(s.ages) and not any(lane.flows for lanes in s.lanes for lane in lanes)
+    assert len(ended) == 6_000 and not shedder.count_by_customer
+    assert not any(shedder.by_arrival) and not any(
+        lane.flows for lanes in shedder.lanes for lane in lanes
+    )
     assert set(ended.values()) == {"begun", "refused", "expired", "left"}
 
 
 def test_who_is_certainly_beyond_quota_is_known_without_counting():
     bench = Bench()
-    assert not bench.gateway.is_beyond_quota(T0, 7, 0, 1.0)  # not met yet
+    assert not bench.gateway.exceeds_quota(T0, 7, 0, 1.0)  # not met yet
     bench.gateway.admission.max_expected_latency_us = lambda request: float(
         "inf"
     )  # none of these is answered
@@ -177,10 +181,10 @@
     while any(isinstance(action, SendAttempt) for action in bench.ask(number, size=1)):
         number += 1
     before = bench.gateway.quota_counters.customers[7].spent_units
-    assert bench.gateway.is_beyond_quota(bench.now, 7, 0, 1.0)
+    assert bench.gateway.exceeds_quota(bench.now, 7, 0, 1.0)
     assert bench.gateway.quota_counters.customers[7].spent_units == before
     later = bench.now + 60 * SECOND
-    assert not bench.gateway.is_beyond_quota(later, 7, 0, 1.0)
+    assert not bench.gateway.exceeds_quota(later, 7, 0, 1.0)
 
 
 def test_a_part_of_a_quota_that_has_opened_again_is_not_taken_for_beyond():
@@ -191,6 +195,6 @@
     while any(isinstance(action, SendAttempt) for action in bench.ask(number, size=3)):
         number += 1
     assert bench.gateway.quota_counters.customers[7].is_exhausted
-    assert bench.gateway.is_beyond_quota(bench.now, 7, 0, 1.0)
+    assert bench.gateway.exceeds_quota(bench.now, 7, 0, 1.0)
     bench.now += 60 * SECOND
-    assert not bench.gateway.is_beyond_quota(bench.now, 7, 0, 1.0)
+    assert not bench.gateway.exceeds_quota(bench.now, 7, 0, 1.0)
