--- a/tests/policy/test_network_partition.py
+++ b/tests/policy/test_peer_reachability.py
@@ -1,13 +1,25 @@
-"""What a gateway grants while it hears nobody, and how it finds out that it hears them again."""
+"""What a gateway grants while it reaches no other one, and how it finds out that it does again."""
 
 from __future__ import annotations
 
 import pytest
 from conftest import SECOND, Bench, of
+from policy_rig import (
+    confirmed_bench,
+    count_admitted,
+    quota_row,
+    receive_rows,
+)
 
 from saffrongw.policy import gossip_codec
-from saffrongw.policy.actions import SendAttempt, SendGossip
-from saffrongw.policy.events import AttemptOutcome, GossipReceived
+from saffrongw.policy.actions import (
+    SendAttempt,
+    SendGossip,
+)
+from saffrongw.policy.events import (
+    AttemptOutcome,
+    GossipReceived,
+)
 from saffrongw.policy.gossip_codec import GossipRow
 
 MS = 1_000
@@ -97,3 +109,22 @@
     account = bench.gateway.quota_counters.customers[CUSTOMER]
     account.limit = account.spent_units
     assert not of(ask(bench, 1), SendGossip)
+
+
+def test_in_a_partition_a_part_is_left_to_silent_peers():
+    bench = confirmed_bench(node_count=3)
+    for i in range(1, 200):
+        bench.ask(i, customer=i)
+        bench.run(50_000)
+    assert bench.gateway.reachability.unreachable_fraction > 0.5
+    receive_rows(bench, 1, quota_row([]))
+    assert count_admitted(bench, 20, start=900) <= 6
+
+
+def test_a_gateway_that_stood_still_does_not_take_peers_for_silent():
+    bench = Bench(node_count=60)
+    for i in range(1, 20):
+        bench.ask(i, customer=i, size=50)
+    bench.now += 2 * SECOND  # no event in between: its own timers are late
+    bench.run(1)
+    assert bench.gateway.reachability.unreachable_fraction == 0.0
--- /dev/null
+++ b/tests/policy/test_quota_broadcast.py
@@ -0,0 +1,93 @@
+"""Broadcasts of nearly spent quotas, and gossip of changes."""
+
+from __future__ import annotations
+
+from conftest import SECOND, Bench, of
+from policy_rig import (
+    NOW_TICK,
+    confirmed_bench,
+    count_admitted,
+    quota_row,
+    receive_rows,
+    sent_messages,
+)
+
+from saffrongw.policy.actions import (
+    SendGossip,
+)
+from saffrongw.policy.customer_quota import CustomerQuota
+
+
+def test_a_nearly_spent_quota_reaches_each_gateway_of_a_large_set_exactly_once():
+    """Every gateway of a large set is reached by handing on, each exactly once, by a bounded fan."""
+    rest, told_ranks = 60, []
+    bench = Bench(node_count=80, gossip_intake=1_000.0)
+    receive_rows(
+        bench, 1, quota_row([(1, NOW_TICK - 9, 9.0)], room=1.0, total=9.0, size=rest), keep=True
+    )
+    waiting = sent_messages(bench.log)
+    assert 0 < len(waiting) <= 13
+    while waiting:
+        node_index, message = waiting.pop()
+        told_ranks.append(node_index)
+        other = Bench(node_count=80, node_index=node_index, gossip_intake=1_000.0)
+        waiting += sent_messages(receive_rows(other, 0, *message.rows))
+    assert sorted(told_ranks) == list(range(1, rest))
+
+
+def test_broadcasts_to_large_sets_leave_messages_to_reports():
+    """With 40 gateways the sets of a few spent customers would take all messages, and approvals wait for them."""
+    bench = Bench(node_count=40, gossip_intake=40.0)
+    for customer in range(40):
+        row = quota_row(
+            [(1, NOW_TICK - 9, 9.0)], room=1.0, total=9.0, size=40, customer=customer, reach=39
+        )
+        receive_rows(bench, 1, row, keep=True)
+    spread = len(of(bench.log, SendGossip))
+    assert 5 < spread < 20  # some of the sets hear of it: half of a second's messages
+    keeper_of_other = next(
+        c
+        for c in range(100, 200)
+        if bench.gateway.replica_sets.coordinator(quota_of(bench, c)) != 0
+    )
+    actions = bench.ask(1, customer=keeper_of_other, size=40)
+    assert of(actions, SendGossip)  # at once
+
+
+def quota_of(bench: Bench, customer: int) -> CustomerQuota:
+    return CustomerQuota(customer, 0, 0, 40, 10.0, bench.now)
+
+
+def test_a_quota_with_headroom_is_not_broadcast():
+    bench = confirmed_bench()
+    receive_rows(bench, 1, quota_row([(1, NOW_TICK - 9, 2.0)], total=2.0), keep=True)
+    assert not sent_messages(bench.log)
+
+
+def test_changes_go_to_a_random_peer_each_interval():
+    bench = confirmed_bench()
+    count_admitted(bench, 1)
+    rows = [row for _, m in sent_messages(bench.run(SECOND)) if not m.is_report for row in m.rows]
+    assert [row.customer for row in rows] == [7]
+    assert rows[0].counters[0][2] == 1.0
+
+
+def test_messages_carry_only_customers_that_the_receiver_serves():
+    bench = Bench(node_count=9)
+    for i in range(1, 9):
+        bench.ask(i, customer=i, first=0, size=2)  # ranks 0 and 1
+        bench.ask(100 + i, customer=100 + i, first=0, size=9)
+    seen = [
+        (p, row.customer)
+        for p, m in sent_messages([*bench.log, *bench.run(9 * SECOND)])
+        for row in m.rows
+    ]
+    assert seen
+    assert all(peer == 1 or customer > 100 for peer, customer in seen)
+
+
+def test_a_replica_set_that_shrinks_to_one_does_not_stop_the_gossip(bench):
+    bench.ask(1, customer=5, size=3)
+    bench.ask(2, customer=5, size=1)
+    bench.run(SECOND)
+    assert not bench.gateway.quota_counters.changed
--- a/tests/policy/test_token_grants.py
+++ b/tests/policy/test_token_grants.py
@@ -1,4 +1,4 @@
-"""A customer's ceiling at gateways that hold too little of it: they ask its keeper and wait a message's time."""
+"""Token grants: gateways that lack units of a ceiling request them of its coordinator."""
 
 from __future__ import annotations
 
@@ -6,10 +6,18 @@
 from conftest import SECOND, T0, Bench, of
 
 from saffrongw.policy import gossip_codec
-from saffrongw.policy.actions import FailRequest, RejectRequest, SendAttempt, SendGossip
+from saffrongw.policy.actions import (
+    FailRequest,
+    RejectRequest,
+    SendAttempt,
+    SendGossip,
+)
 from saffrongw.policy.admission import MAX_GRANT_WAIT_US
 from saffrongw.policy.customer_quota import CustomerQuota
-from saffrongw.policy.events import ClientDisconnected, GossipReceived
+from saffrongw.policy.events import (
+    ClientDisconnected,
+    GossipReceived,
+)
 from saffrongw.policy.gossip_codec import GossipRow
 from saffrongw.policy.replica_sets import ReplicaSets
 from saffrongw.policy.token_grants import PENDING_GRANT_LIFETIME_US
@@ -20,7 +28,9 @@
 OTHER, THIRD = (KEEPER + 1) % SIZE, (KEEPER + 2) % SIZE
 
 
-def hear(bench: Bench, sender: int, rights: float, counts=(), keep=False, ago=0) -> list:
+def receive_grant_row(
+    bench: Bench, sender: int, rights: float, counts=(), keep=False, ago=0
+) -> list:
     """A peer's word: rights given, or wanted (keep); sent so long ago (ms)."""
     sent = bench.now // MS - ago
     row = GossipRow(CUSTOMER, CEILED, 0, SIZE, 0, 8.0, 0.0, rights, counts)
@@ -48,7 +58,7 @@
     asked = ask(bench, 1)
     assert not finals(asked) and rights(asked, KEEPER) == [1.0]
     bench.run(30 * MS)
-    came = hear(bench, KEEPER, 1.0)
+    came = receive_grant_row(bench, KEEPER, 1.0)
     assert [send.request for send in of(came, SendAttempt)] == [1]
     assert not finals(bench.run(SECOND))
 
@@ -58,7 +68,10 @@
     for number in (1, 2, 3):
         asked = ask(bench, number)
     assert rights(asked, KEEPER) == [3.0]
-    assert [send.request for send in of(hear(bench, KEEPER, 2.0), SendAttempt)] == [1, 2]
+    assert [send.request for send in of(receive_grant_row(bench, KEEPER, 2.0), SendAttempt)] == [
+        1,
+        2,
+    ]
     assert [answer.request for answer in finals(bench.run(MAX_GRANT_WAIT_US))] == [3]
 
 
@@ -71,7 +84,7 @@
     bench.run(250 * MS)
     bench.gateway.quota_counters.customers[CUSTOMER].ceiling_units = 0.0
     assert len(finals(ask(bench, 3))) == 1  # at once
-    hear(bench, KEEPER, 0.0)
+    receive_grant_row(bench, KEEPER, 0.0)
     bench.gateway.quota_counters.customers[CUSTOMER].ceiling_units = 0.0
     assert not finals(ask(bench, 4))  # it lives: waiting is worth it again
 
@@ -83,9 +96,9 @@
 def test_rights_that_come_late_or_twice_are_void():
     bench = Bench(node_index=OTHER)
     ask(bench, 1)
-    assert not of(hear(bench, KEEPER, 1.0, ago=300), SendAttempt)
-    assert of(hear(bench, KEEPER, 1.0), SendAttempt)
-    hear(bench, KEEPER, 1.0)
+    assert not of(receive_grant_row(bench, KEEPER, 1.0, ago=300), SendAttempt)
+    assert of(receive_grant_row(bench, KEEPER, 1.0), SendAttempt)
+    receive_grant_row(bench, KEEPER, 1.0)
     assert bench.gateway.quota_counters.customers[CUSTOMER].ceiling_units < 1.0
 
 
@@ -95,14 +108,14 @@
         ask(bench, number)
     for number in range(1, 6):
         bench.feed(ClientDisconnected(number))
-    hear(bench, KEEPER, 6.0)
+    receive_grant_row(bench, KEEPER, 6.0)
     assert bench.gateway.quota_counters.customers[CUSTOMER].ceiling_units <= 16 / (2 * SIZE)
 
 
 def keeper(level: float) -> Bench:
     """The keeper with so many units of its part, which gains 16 / 3 a second and holds 32 / 3."""
     bench = Bench(node_index=KEEPER)
-    hear(bench, OTHER, 0.0, keep=True)
+    receive_grant_row(bench, OTHER, 0.0, keep=True)
     bench.gateway.quota_counters.customers[CUSTOMER].ceiling_units = level
     return bench
 
@@ -110,16 +123,18 @@
 def test_a_keeper_serves_those_that_wait_before_it_tops_up():
     bench = keeper(3.0)
     start = T0 // MS // gossip_codec.TICK_MS
-    assert rights(hear(bench, OTHER, 1.0, ((OTHER, start, 1.0),), keep=True), OTHER) == [
-        0.0
-    ]  # it sent one on
-    assert rights(hear(bench, THIRD, 2.0, keep=True), THIRD) == [2.0]  # it has one that waits
+    assert rights(
+        receive_grant_row(bench, OTHER, 1.0, ((OTHER, start, 1.0),), keep=True), OTHER
+    ) == [0.0]  # it sent one on
+    assert rights(receive_grant_row(bench, THIRD, 2.0, keep=True), THIRD) == [
+        2.0
+    ]  # it has one that waits
 
 
 def test_a_keeper_that_is_short_owes_and_pays_in_order_from_what_refills():
     bench = keeper(0.5)
-    assert rights(hear(bench, OTHER, 1.0, keep=True), OTHER) == [0.0]
-    hear(bench, THIRD, 0.25, keep=True)
+    assert rights(receive_grant_row(bench, OTHER, 1.0, keep=True), OTHER) == [0.0]
+    receive_grant_row(bench, THIRD, 0.25, keep=True)
     paid = bench.run(PENDING_GRANT_LIFETIME_US)
     assert rights(paid, OTHER) == [1.0] and rights(paid, THIRD) == [0.25]
     assert [a.peer for a in of(paid, SendGossip) if rights([a], a.peer) != [0.0]] == [OTHER, THIRD]
@@ -130,7 +145,7 @@
 
 def test_what_a_keeper_owes_ends_and_leaves_nothing_behind():
     bench = keeper(0.0)
-    hear(bench, OTHER, 8.0, keep=True)
+    receive_grant_row(bench, OTHER, 8.0, keep=True)
     assert rights(bench.run(10 * SECOND), OTHER) == []
     assert not bench.gateway.token_grants.pending_customers
     assert not bench.gateway.quota_counters.customers[CUSTOMER].pending_grants
@@ -152,3 +167,47 @@
     assert bench.gateway.quota_counters.customers[CUSTOMER].ceiling_units == pytest.approx(
         0.5 * 16 / 3 - 1
     )
+
+
+def ceiling_row(rights: float, total=0.0) -> GossipRow:
+    """A word on a customer with a ceiling, with rights wanted or given."""
+    return GossipRow(1, 2, 0, 3, 0, 8.0, total, rights, ())
+
+
+def receive_ceiling_row(bench: Bench, sender: int, row: GossipRow, keep: bool) -> list:
+    """A peer's word, which asks for an answer where it wants rights."""
+    sent = bench.now // 1_000
+    body = gossip_codec.pack_message(sent, keep, keep, [gossip_codec.pack_row(row, sent, 3)])
+    return bench.feed(GossipReceived(sender, body))
+
+
+def test_a_coordinator_grants_no_more_than_its_part_of_a_ceiling():
+    """What it gives is off its own part first; together no more than the ceiling's store goes out."""
+    keeper = next(
+        r
+        for r in range(3)
+        if Bench(node_index=r).gateway.replica_sets.coordinator(CustomerQuota(1, 2, 0, 3, 8.0, T0))
+        == r
+    )
+    bench = Bench(node_index=keeper)
+    other = (keeper + 1) % 3
+    receive_ceiling_row(bench, other, ceiling_row(0.0), keep=True)
+    bench.now += 30 * SECOND  # its store of 16 x 2/3 is full
+    given = 0.0
+    for _ in range(5):
+        for tell in of(receive_ceiling_row(bench, other, ceiling_row(3.5), keep=True), SendGossip):
+            message = gossip_codec.unpack_message(tell.body, bench.now // 1_000, 3, 4)
+            given += message.rows[0].grants if not message.is_report else 0.0
+    assert 10.0 < given <= 16 * 2 / 3
+
+
+def test_grants_that_were_not_requested_are_ignored():
+    """A repeated or made-up gift must not lift a ceiling."""
+    bench = Bench(node_index=1)
+    receive_ceiling_row(bench, 0, ceiling_row(16.0), keep=False)
+    assert not of(bench.ask(1, customer=1, plan=2), SendAttempt)
+    receive_ceiling_row(bench, 0, ceiling_row(2.0), keep=False)
+    receive_ceiling_row(bench, 0, ceiling_row(2.0), keep=False)
+    for request in range(2, 30):
+        bench.ask(request, customer=1, plan=2)
+    assert len(of(bench.log, SendAttempt)) == 1  # once what was asked for
