--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -37,7 +37,7 @@
     return bool(sent)
 
 
-def test_a_check_takes_units_as_a_first_send_does(bench):
+def test_a_check_takes_units_as_a_first_attempt_does(bench):
     """As many as sends are let in on the same quota: it closes below a quarter of its burst."""
     let_in = [bool(of(check(bench, n), AdmitRequest)) for n in range(1, 13)]
     other = Bench()
@@ -46,14 +46,14 @@
     assert of(bench.ask(100, size=1), RejectRequest)
 
 
-def test_a_send_takes_what_a_check_would_have_had(bench):
+def test_a_request_takes_units_that_a_check_would_have_had(bench):
     assert all(send(bench, number) for number in range(1, 6))
     assert [bool(of(check(bench, 50 + n), AdmitRequest)) for n in range(5)] == [True] * 3 + [
         False
     ] * 2
 
 
-def test_a_check_that_is_turned_away_takes_nothing_and_says_when(bench):
+def test_a_rejected_check_takes_no_units_and_gets_a_retry_after(bench):
     for number in range(1, 11):
         check(bench, number)
     (refused,) = of(check(bench, 11), RejectRequest)
@@ -63,7 +63,7 @@
     assert bench.gateway.quota_counters.customers[7].spent_units == total
 
 
-def test_a_check_leaves_no_request_and_no_timer_behind(bench):
+def test_a_check_leaves_no_request_and_no_timer(bench):
     before = len(bench.timers)
     check(bench, 1)
     assert bench.gateway.lifecycle.requests == {}
@@ -71,7 +71,7 @@
     assert len(bench.timers) == before
 
 
-def test_a_ceiling_holds_over_checks_and_sends_together():
+def test_checks_and_requests_together_stay_within_a_ceiling():
     bench = Bench()
     bench.run(30 * SECOND)
     check(bench, 1, plan=2)  # its account's part of the ceiling fills from here
@@ -81,7 +81,7 @@
     assert 0 < let_in <= 16 + 2  # the burst of the ceiling and its slack
 
 
-def test_checks_are_told_to_peers_as_sends_are(bench):
+def test_checks_are_gossiped_as_attempts_are(bench):
     bench.log.clear()
     check(bench, 1, size=3)
     assert of(bench.log, SendGossip) or bench.gateway.quota_counters.changed
--- a/tests/policy/test_exclusions.py
+++ b/tests/policy/test_exclusions.py
@@ -12,14 +12,14 @@
     ExclusionChanged,
 )
 
-GONE = EndpointState.REMOVED
+REMOVED = EndpointState.REMOVED
 
 
-def out(bench: Bench, number: int, excluded=True, source="operator") -> None:
+def exclude(bench: Bench, number: int, excluded=True, source="operator") -> None:
     bench.feed(ExclusionChanged(entry(number).endpoint_id, source, excluded))
 
 
-def sent_to(bench: Bench, requests: int, first=1, **more) -> list[bytes]:
+def endpoints_used(bench: Bench, requests: int, first=1, **more) -> list[bytes]:
     """Where so many requests go; each is answered at once."""
     endpoints = []
     for number in range(first, first + requests):
@@ -32,63 +32,63 @@
 
 
 def test_nothing_goes_to_an_excluded_server_until_it_is_back(bench):
-    out(bench, 0)
-    assert set(sent_to(bench, 60)) == {entry(n).endpoint_id for n in (1, 2, 3)}
-    out(bench, 0, excluded=False)
-    assert entry(0).endpoint_id in sent_to(bench, 200, first=100)
+    exclude(bench, 0)
+    assert set(endpoints_used(bench, 60)) == {entry(n).endpoint_id for n in (1, 2, 3)}
+    exclude(bench, 0, excluded=False)
+    assert entry(0).endpoint_id in endpoints_used(bench, 200, first=100)
 
 
 def test_it_stays_out_while_the_list_drops_and_returns_it(bench):
-    out(bench, 0)
-    bench.feed(listed(entry(0, GONE), kind=EndpointListKind.DELTA))
+    exclude(bench, 0)
+    bench.feed(listed(entry(0, REMOVED), kind=EndpointListKind.DELTA))
     bench.feed(listed(entry(0), kind=EndpointListKind.DELTA))
     bench.feed(listed(*(entry(n) for n in range(4))))
     bench.feed(listed(entry(0, started_at_us=bench.now), kind=EndpointListKind.DELTA))
-    assert entry(0).endpoint_id not in sent_to(bench, 60)
+    assert entry(0).endpoint_id not in endpoints_used(bench, 60)
 
 
 def test_one_that_is_still_cold_stays_out_when_it_gets_warm(bench):
     bench.feed(listed(entry(0, started_at_us=bench.now), kind=EndpointListKind.DELTA))
-    out(bench, 0)
+    exclude(bench, 0)
     bench.run(bench.settings.slow_start_duration_us + SECOND)
-    assert entry(0).endpoint_id not in sent_to(bench, 60)
+    assert entry(0).endpoint_id not in endpoints_used(bench, 60)
 
 
 def test_an_id_that_is_not_listed_yet_is_out_when_it_comes(bench):
-    out(bench, 9)
+    exclude(bench, 9)
     bench.feed(listed(entry(9), kind=EndpointListKind.DELTA))
-    assert entry(9).endpoint_id not in sent_to(bench, 60)
+    assert entry(9).endpoint_id not in endpoints_used(bench, 60)
 
 
 def test_two_calls_out_need_one_call_back_and_each_source_its_own(bench):
-    out(bench, 0)
-    out(bench, 0)
-    out(bench, 0, source="other")
-    out(bench, 0, excluded=False)
-    assert entry(0).endpoint_id not in sent_to(bench, 60)
-    out(bench, 0, excluded=False, source="other")
+    exclude(bench, 0)
+    exclude(bench, 0)
+    exclude(bench, 0, source="other")
+    exclude(bench, 0, excluded=False)
+    assert entry(0).endpoint_id not in endpoints_used(bench, 60)
+    exclude(bench, 0, excluded=False, source="other")
     assert bench.gateway.exclusions.sources == {}
-    assert entry(0).endpoint_id in sent_to(bench, 20, first=100)
+    assert entry(0).endpoint_id in endpoints_used(bench, 20, first=100)
 
 
 def test_a_call_back_without_a_call_out_changes_nothing(bench):
     known = bench.gateway.endpoints.by_id[entry(0).endpoint_id]
-    out(bench, 0, excluded=False)
+    exclude(bench, 0, excluded=False)
     assert bench.gateway.endpoints.by_id[entry(0).endpoint_id] is known
 
 
 def test_back_it_is_cold_though_the_list_is_late(bench):
     """Rule 4: its restart is not listed yet, and a whole list with the old launch comes once more."""
-    out(bench, 0)
+    exclude(bench, 0)
     bench.run(5 * SECOND)
-    out(bench, 0, excluded=False)
+    exclude(bench, 0, excluded=False)
     bench.feed(listed(*(entry(n) for n in range(4))))
     host = bench.gateway.endpoints.by_id[entry(0).endpoint_id]
     assert host.entry.started_at_us == bench.now
     assert [h.entry.endpoint_id for h in bench.gateway.endpoints.warming.endpoints] == [
         entry(0).endpoint_id
     ]
-    endpoints = sent_to(bench, 400)
+    endpoints = endpoints_used(bench, 400)
     assert (
         1 <= endpoints.count(entry(0).endpoint_id) < 0.15 * len(endpoints)
     )  # a fair part would be a quarter
@@ -97,27 +97,27 @@
 
 
 def test_a_launch_that_the_list_names_goes_before_the_guess(bench):
-    out(bench, 0)
+    exclude(bench, 0)
     started_at_us = bench.now + 2 * SECOND
     bench.run(5 * SECOND)
     bench.feed(listed(entry(0, started_at_us=started_at_us), kind=EndpointListKind.DELTA))
-    out(bench, 0, excluded=False)
+    exclude(bench, 0, excluded=False)
     assert bench.gateway.endpoints.by_id[entry(0).endpoint_id].entry.started_at_us == started_at_us
 
 
 def test_back_it_is_sent_one_request_at_once(bench):
-    out(bench, 0)
+    exclude(bench, 0)
     bench.run(SECOND)
-    out(bench, 0, excluded=False)
-    assert sent_to(bench, 1) == [entry(0).endpoint_id]
+    exclude(bench, 0, excluded=False)
+    assert endpoints_used(bench, 1) == [entry(0).endpoint_id]
     assert bench.gateway.endpoints.unproven == {}
 
 
 def test_one_that_was_put_back_and_is_gone_again_is_not_waited_for(bench):
-    out(bench, 0)
-    out(bench, 0, excluded=False)
-    bench.feed(listed(entry(0, GONE), kind=EndpointListKind.DELTA))
-    assert len(sent_to(bench, 3)) == 3
+    exclude(bench, 0)
+    exclude(bench, 0, excluded=False)
+    bench.feed(listed(entry(0, REMOVED), kind=EndpointListKind.DELTA))
+    assert len(endpoints_used(bench, 3)) == 3
     assert bench.gateway.endpoints.unproven == {}
 
 
@@ -140,17 +140,17 @@
 
 def test_what_is_remembered_of_servers_put_back_ends(bench):
     for number in range(4):
-        out(bench, number)
-        out(bench, number, excluded=False)
+        exclude(bench, number)
+        exclude(bench, number, excluded=False)
     bench.run(bench.settings.slow_start_duration_us)
-    out(bench, 1)
+    exclude(bench, 1)
     assert bench.gateway.exclusions.restored == {}
 
 
 def test_avoided_counts_those_taken_out_draining_and_failing(bench):
     gateway = bench.gateway
     assert gateway.avoided(bench.now) == 0
-    out(bench, 0)
+    exclude(bench, 0)
     bench.feed(listed(entry(1, EndpointState.DRAINING), kind=EndpointListKind.DELTA))
     (
         gateway.endpoints.by_id[entry(2).endpoint_id].failure_score,
--- a/tests/policy/test_fleet_quotas.py
+++ b/tests/policy/test_fleet_quotas.py
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize("plan", [QUIET, BRISK], ids=["quiet", "brisk"])
 @pytest.mark.parametrize(("gateways", "spread"), [(3, 3), (40, 16), (200, 23)])
-def test_a_quiet_fleet_keeps_quotas_as_well_as_who_sees_them_late(gateways, spread, plan):
+def test_a_quiet_fleet_stays_within_quotas_as_well_as_a_late_view_of_them(gateways, spread, plan):
     day = played(gateways, spread, plan)
     ours, theirs = day.costs()
     assert ours <= theirs + MORE / 2  # half of the margin is left
@@ -48,7 +48,7 @@
     assert day.lowest >= -plan.ceiling_slack or not plan.ceiling_rate
 
 
-def test_a_fleet_that_tells_nothing_is_seen_to_fail():
+def test_a_fleet_without_reports_exceeds_quotas():
     """A gateway that hears no others leaves them their parts only where it has noticed; here none is ever asked."""
     ours, theirs = played(40, 16, QUIET, without_reports).costs()
     assert ours > theirs + MORE
@@ -71,7 +71,7 @@
     assert day.serves()[0] >= 0.8
 
 
-def test_what_is_told_besides_shrinks_again():
+def test_the_set_of_exhausted_customers_shrinks():
     day = played(3, 3, QUIET)
     gateways = [node.machine.gateway for node in day.fleet.nodes.values()]
     for gateway in gateways:
--- a/tests/policy/test_fleet_rate_ceilings.py
+++ b/tests/policy/test_fleet_rate_ceilings.py
@@ -15,7 +15,7 @@
 BAD = Link((2_500, 18_000), 0.3, 0.3, 0.3, 400_000)
 
 
-def lowest(kind=Gateway, seeds=range(2), link=BAD, **more) -> float:
+def lowest_store(kind=Gateway, seeds=range(2), link=BAD, **more) -> float:
     """Of all true stores, with restarts of seven in ten every few seconds."""
     least = 0.0
     for seed in seeds:
@@ -31,20 +31,20 @@
 @pytest.mark.parametrize(
     "link", [BAD, Link((2_500, 18_000)), Link(loss=1.0)], ids=["bad", "good", "none"]
 )
-def test_no_store_falls_below_its_slack_whatever_becomes_of_messages(link):
-    assert lowest(link=link) >= -PLAN.ceiling_slack
+def test_no_ceiling_is_exceeded_whatever_becomes_of_messages(link):
+    assert lowest_store(link=link) >= -PLAN.ceiling_slack
 
 
-def test_keepers_that_give_what_they_keep_are_seen_by_the_stores():
+def test_grants_that_are_not_deducted_exceed_a_ceiling():
     def generous(*args) -> Gateway:
         gateway = Gateway(*args)
         gateway.token_grants.give = lambda quota, node_index, wanted, has_waiting: wanted
         return gateway
 
-    assert lowest(generous) < -PLAN.ceiling_slack
+    assert lowest_store(generous) < -PLAN.ceiling_slack
 
 
-def test_a_fresh_part_at_each_start_is_seen_by_the_stores():
+def test_a_full_part_at_each_start_exceeds_a_ceiling():
     def fresh(*args) -> Gateway:
         gateway = Gateway(*args)
         plain = gateway.quota_counters.open
@@ -59,11 +59,11 @@
         gateway.quota_counters.open = open_with_full_part
         return gateway
 
-    assert lowest(fresh, link=Link((2_500, 18_000))) < -PLAN.ceiling_slack
+    assert lowest_store(fresh, link=Link((2_500, 18_000))) < -PLAN.ceiling_slack
 
 
 @pytest.mark.parametrize("share", [0.0, 0.7], ids=["all start", "seven in ten restart"])
-def test_after_a_start_few_are_refused_in_vain(share):
+def test_after_a_start_few_requests_are_rejected_in_vain(share):
     """No customer asks for more than its quota here: each of these tries could have been served."""
     calm = FLEET | {"heavy": 0.0, "customers": 24}
     now, before = (
@@ -73,7 +73,7 @@
     assert now < 0.08 and now < before
 
 
-def test_a_part_too_small_for_one_request_is_enough_with_rights():
+def test_a_part_too_small_for_one_request_is_enough_with_grants():
     """Sets so large that a part never holds a request: all of them were refused."""
     large = {"gateways": 64, "spread": 40, "customers": 20, "heavy": 0.0}
     now, before = (
--- a/tests/policy/test_load_shedding.py
+++ b/tests/policy/test_load_shedding.py
@@ -20,7 +20,7 @@
 )
 from saffrongw.policy.settings import Idempotency
 
-DEAR = dataclasses.replace(UNSAFE, priority_weight=5.0)
+EXPENSIVE = dataclasses.replace(UNSAFE, priority_weight=5.0)
 TWIN = dataclasses.replace(
     SAFE, idempotency=Idempotency.IDEMPOTENCY_KEY
 )  # of the same worth as SAFE
@@ -28,24 +28,24 @@
 
 
 def new_shedder() -> LoadShedder:
-    return LoadShedder((SAFE, DEAR, TWIN), (PLAIN, AMPLE))
+    return LoadShedder((SAFE, EXPENSIVE, TWIN), (PLAIN, AMPLE))
 
 
-def one(customer: int, plan=0, kind=0, until=T0 + 2 * SECOND, tag=None) -> QueuedRequest:
+def queued(customer: int, plan=0, kind=0, until=T0 + 2 * SECOND, tag=None) -> QueuedRequest:
     return QueuedRequest(customer, plan, kind, until, tag)
 
 
-def fill(shedder: LoadShedder, kind: int, now=T0, plan=0, first=1_000) -> None:
+def fill_queue(shedder: LoadShedder, kind: int, now=T0, plan=0, first=1_000) -> None:
     """So many that no more has room."""
     for customer in range(first, first + shedder.capacity - len(shedder)):
-        assert shedder.offer(now, one(customer, plan, kind)) is None
+        assert shedder.offer(now, queued(customer, plan, kind)) is None
     assert len(shedder) == shedder.capacity
 
 
-def test_the_highest_worth_is_begun_first_and_equal_worths_by_turns_of_their_customers():
+def test_the_highest_priority_is_begun_first_and_equal_ones_by_customers_in_turn():
     shedder = new_shedder()
     for customer, kind in ((1, 0), (1, 0), (2, 2), (3, 1)):
-        shedder.offer(T0, one(customer, kind=kind))
+        shedder.offer(T0, queued(customer, kind=kind))
     assert [(w.customer, w.kind) for w in iter(lambda: shedder.take(T0), None)] == [
         (3, 1),
         (1, 0),
@@ -55,42 +55,44 @@
     assert (len(shedder), shedder.count_by_customer, shedder.overloaded_since_us) == (0, {}, 0)
 
 
-def test_where_there_is_no_room_the_lowest_worth_gives_way_and_never_the_higher():
+def test_in_a_full_queue_the_lowest_priority_gives_way_and_never_a_higher_one():
     shedder = new_shedder()
-    fill(shedder, kind=0)
-    late = one(1)
+    fill_queue(shedder, kind=0)
+    late = queued(1)
     assert shedder.offer(T0, late) is late and late.is_done
-    out = shedder.offer(T0, dear := one(2, kind=1))
+    out = shedder.offer(T0, dear := queued(2, kind=1))
     assert out.kind == 0 and out.is_done and not dear.is_done
     assert len(shedder) == shedder.capacity
     assert shedder.take(T0) is dear
 
 
-def test_one_customer_with_nine_tenths_of_the_load_has_no_more_than_twice_the_part_of_others():
+def test_one_customer_with_nine_tenths_of_the_load_gets_at_most_twice_the_part_of_others():
     shedder, lots = new_shedder(), random.Random(7)
     begun = {True: 0, False: 0}
-    asked = {True: 0, False: 0}
+    offered_count = {True: 0, False: 0}
     for step in range(3_000):
         now = T0 + step * MS_US
         for _ in range(10):
             heavy = lots.random() < 0.9
-            asked[heavy] += 1
-            shedder.offer(now, one(1 if heavy else lots.randrange(2, 60), until=now + SECOND))
+            offered_count[heavy] += 1
+            shedder.offer(now, queued(1 if heavy else lots.randrange(2, 60), until=now + SECOND))
         shedder.pop_expired(now)
         if w := shedder.take(now):
             begun[w.customer == 1] += 1
-    assert begun[False] > 0.85 * asked[False]
+    assert begun[False] > 0.85 * offered_count[False]
     customers = len(shedder.count_by_customer)
     most = max(MIN_CUSTOMER_CAPACITY, 2 * shedder.capacity / customers + 1)
     assert shedder.count_by_customer.get(1, 0) <= most
 
 
-def test_a_cheap_plan_is_not_starved_by_a_dear_one():
+def test_a_cheap_plan_is_not_starved_by_an_expensive_one():
     shedder, lots, begun = new_shedder(), random.Random(3), [0, 0]
     for step in range(4_000):
         now = T0 + step * MS_US
         for _ in range(4):
-            w = one(lots.randrange(500), lots.randrange(2), lots.randrange(3), until=now + SECOND)
+            w = queued(
+                lots.randrange(500), lots.randrange(2), lots.randrange(3), until=now + SECOND
+            )
             shedder.offer(now, w)
         shedder.pop_expired(now)
         if w := shedder.take(now):
@@ -98,37 +100,37 @@
     assert begun[1] > begun[0] > 0.35 * begun[1]
 
 
-def test_what_has_waited_too_long_is_given_up_once_and_what_its_client_left_is_not_heard_of_again():
+def test_an_expired_request_is_returned_once_and_a_dropped_one_never():
     shedder = new_shedder()
-    shedder.offer(T0, stays := one(1))
-    shedder.offer(T0, leaves := one(2))
+    shedder.offer(T0, stays := queued(1))
+    shedder.offer(T0, leaves := queued(2))
     shedder.drop(leaves)
     shedder.drop(leaves)
     wait = shedder.max_wait_us[0]
     assert shedder.pop_expired(T0 + wait - 1) == []
     assert shedder.pop_expired(T0 + wait) == [stays]
     assert shedder.pop_expired(T0 + 2 * wait) == [] and shedder.take(T0) is None
-    shedder.offer(T0, soon := one(3, until=T0 + MS_US))
+    shedder.offer(T0, soon := queued(3, until=T0 + MS_US))
     assert shedder.pop_expired(T0 + MS_US) == [soon]
 
 
-def test_room_follows_the_rate_at_which_requests_are_begun_and_is_bounded():
+def test_the_capacity_follows_the_rate_of_begun_requests_and_is_bounded():
     shedder, now = new_shedder(), T0
     assert shedder.capacity == MIN_CAPACITY
     for per_ms, least in ((3, 150), (200, MAX_CAPACITY)):
         for _ in range(600):
             now += MS_US
             for customer in range(per_ms):
-                shedder.offer(now, one(customer + 10_000))
+                shedder.offer(now, queued(customer + 10_000))
             for _ in range(per_ms):
                 shedder.take(now)
-            shedder.offer(now, one(1))  # never empty
+            shedder.offer(now, queued(1))  # never empty
         assert least <= shedder.capacity <= MAX_CAPACITY
 
 
-def test_those_refused_stay_away_longer_the_longer_it_lasts_within_the_settings():
+def test_retry_after_grows_with_the_overload_within_the_settings():
     shedder = new_shedder()
-    shedder.offer(T0, one(1))
+    shedder.offer(T0, queued(1))
     assert shedder.retry_after_us(T0, SECOND) == MIN_RETRY_AFTER_US
     assert shedder.retry_after_us(T0 + SECOND, SECOND) == SECOND // 2
     assert shedder.retry_after_us(T0 + 60 * SECOND, SECOND) == SECOND
@@ -136,7 +138,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_nothing_is_lost_doubled_or_kept_whatever_comes(seed):
+def test_each_request_ends_exactly_once_whatever_comes(seed):
     """Each request ends exactly once, as begun, refused, expired or left; nothing of it stays."""
     shedder, lots, open_, ended, now = new_shedder(), random.Random(seed), {}, {}, T0
 
@@ -148,7 +150,7 @@
     for number in range(6_000):
         now += lots.choice((0, 0, 0, 300, 5 * MS_US))
         customer, until = lots.choice((1, lots.randrange(300))), now + SECOND
-        w = one(customer, lots.randrange(2), lots.randrange(3), until, number)
+        w = queued(customer, lots.randrange(2), lots.randrange(3), until, number)
         open_[number] = w
         if (out := shedder.offer(now, w)) is not None:
             end(out, "refused")
@@ -171,7 +173,7 @@
     assert set(ended.values()) == {"begun", "refused", "expired", "left"}
 
 
-def test_who_is_certainly_beyond_quota_is_known_without_counting():
+def test_a_request_that_exceeds_its_quota_is_recognized_without_counting():
     bench = Bench()
     assert not bench.gateway.exceeds_quota(T0, 7, 0, 1.0)  # not met yet
     bench.gateway.admission.max_expected_latency_us = lambda request: float(
@@ -187,7 +189,7 @@
     assert not bench.gateway.exceeds_quota(later, 7, 0, 1.0)
 
 
-def test_a_part_of_a_quota_that_has_opened_again_is_not_taken_for_beyond():
+def test_a_reopened_share_of_a_quota_is_not_taken_for_exceeded():
     """Others unheard, a gateway grants its share alone: its room never reaches 0.6 of the whole burst."""
     bench = Bench(may_send_gossip=False)
     bench.gateway.admission.max_expected_latency_us = lambda request: float("inf")
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -127,12 +127,12 @@
         number += 1
     (send,) = of(bench.ask(number, customer=number), SendAttempt)
     bench.outcome(number, send.endpoint_id, AttemptOutcome.CONNECT_FAILED)
-    host, forget = (
+    host, decay_us = (
         bench.gateway.endpoints.by_id[send.endpoint_id],
         bench.gateway.outlier_detection.endpoint_decay_us,
     )
-    return host.decayed_failures(bench.now + 6 * SECOND, forget) / host.decayed_failures(
-        bench.now, forget
+    return host.decayed_failures(bench.now + 6 * SECOND, decay_us) / host.decayed_failures(
+        bench.now, decay_us
     )
 
 
--- a/tests/policy/test_peer_reachability.py
+++ b/tests/policy/test_peer_reachability.py
@@ -26,7 +26,7 @@
 SIZE, CUSTOMER = 8, 7
 
 
-def say(bench: Bench, sender: int, counts, total: float) -> None:
+def receive_quota_row(bench: Bench, sender: int, counts, total: float) -> None:
     """A peer's word on the customer."""
     sent = bench.now // MS
     row = GossipRow(CUSTOMER, 0, 0, SIZE, 0, 10.0, total, 0.0, tuple(counts))
@@ -34,57 +34,57 @@
     bench.feed(GossipReceived(sender, body))
 
 
-def ask(bench: Bench, number: int) -> list:
+def request_once(bench: Bench, number: int) -> list:
     actions = bench.ask(number, customer=CUSTOMER, size=SIZE)
     for send in of(actions, SendAttempt):
         bench.outcome(number, send.endpoint_id, AttemptOutcome.SERVED, duration_us=1_000)
     return actions
 
 
-def user(node_index: int, own: int, total: float) -> Bench:
+def partitioned_gateway(node_index: int, own: int, total: float) -> Bench:
     """A gateway that has sent so many of the customer's requests and has heard of all of them; then it is cut off."""
     bench = Bench(node_index=node_index, node_count=SIZE)
-    say(bench, (node_index + 1) % SIZE, (), 0.0)
+    receive_quota_row(bench, (node_index + 1) % SIZE, (), 0.0)
     for number in range(own):
-        ask(bench, number + 1)
-    say(bench, (node_index + 1) % SIZE, (), total)
+        request_once(bench, number + 1)
+    receive_quota_row(bench, (node_index + 1) % SIZE, (), total)
     bench.gateway.quota_counters.refill(bench.gateway.quota_counters.customers[CUSTOMER])
     bench.gateway.reachability.unreachable_fraction = 1.0
     return bench
 
 
-def test_cut_off_each_has_the_part_of_the_quota_that_its_use_was():
+def test_in_a_partition_each_gateway_has_the_part_of_the_quota_that_its_use_was():
     total = 6.0
     parts = []
     for node_index, own in ((0, 4), (1, 2), *((node_index, 0) for node_index in range(2, SIZE))):
-        bench = user(node_index, own, total)
+        bench = partitioned_gateway(node_index, own, total)
         parts.append(
             bench.gateway.quota_counters.share(bench.gateway.quota_counters.customers[CUSTOMER])
         )
     assert parts[0] > 0.5 and parts[1] > 0.25 and 0 < parts[2] < 1 / SIZE
     assert sum(parts) == pytest.approx(1.0)
     stranger = Bench(node_index=3, node_count=SIZE)
-    ask(stranger, 1)
+    request_once(stranger, 1)
     # It received nothing about the customer: an even part.
     stranger.gateway.reachability.unreachable_fraction = 1.0
     counters = stranger.gateway.quota_counters
     assert counters.share(counters.customers[CUSTOMER]) == pytest.approx(1 / SIZE)
 
 
-def test_the_part_is_that_of_before_the_cut_however_much_is_granted_in_it():
-    bench = user(0, 2, 8.0)
+def test_the_part_in_a_partition_stays_that_of_before_it():
+    bench = partitioned_gateway(0, 2, 8.0)
     account = bench.gateway.quota_counters.customers[CUSTOMER]
     before = bench.gateway.quota_counters.share(account)
     for number in range(100, 160):
-        ask(bench, number)
+        request_once(bench, number)
         bench.now += SECOND // 4
         bench.gateway.reachability.unreachable_fraction = 1.0
     assert bench.gateway.quota_counters.share(account) == before
 
 
-def test_cut_off_and_refusing_it_still_asks_and_so_hears_that_the_cut_is_over():
+def test_a_partitioned_gateway_that_rejects_still_reports_and_so_learns_that_it_is_over():
     bench = Bench(node_index=0, node_count=SIZE)
-    say(bench, 1, (), 0.0)
+    receive_quota_row(bench, 1, (), 0.0)
     account = bench.gateway.quota_counters.customers[CUSTOMER]
     keeper = bench.gateway.replica_sets.coordinator(account)
     if keeper == 0:
@@ -92,23 +92,23 @@
     bench.gateway.reachability.unreachable_fraction = 1.0
     for number in range(1, 41):
         account.limit = account.spent_units  # nothing of it is left to grant
-        actions = ask(bench, number)
+        actions = request_once(bench, number)
         assert not of(actions, SendAttempt)
         if of(actions, SendGossip):
             bench.now += 20 * MS
-            say(bench, keeper, (), 0.0)
+            receive_quota_row(bench, keeper, (), 0.0)
         bench.run(250 * MS)
         if bench.gateway.reachability.unreachable_fraction < 0.25:
             break
     assert bench.gateway.reachability.unreachable_fraction < 0.25
 
 
-def test_heard_it_asks_nobody_for_what_it_refuses():
+def test_a_connected_gateway_reports_nothing_for_what_it_rejects():
     bench = Bench(node_index=0, node_count=SIZE)
-    say(bench, 1, (), 500.0)
+    receive_quota_row(bench, 1, (), 500.0)
     account = bench.gateway.quota_counters.customers[CUSTOMER]
     account.limit = account.spent_units
-    assert not of(ask(bench, 1), SendGossip)
+    assert not of(request_once(bench, 1), SendGossip)
 
 
 def test_in_a_partition_a_part_is_left_to_silent_peers():
--- a/tests/policy/test_quota_broadcast.py
+++ b/tests/policy/test_quota_broadcast.py
@@ -20,7 +20,7 @@
 
 def test_a_nearly_spent_quota_reaches_each_gateway_of_a_large_set_exactly_once():
     """Every gateway of a large set is reached by handing on, each exactly once, by a bounded fan."""
-    rest, told_ranks = 60, []
+    rest, reached = 60, []
     bench = Bench(node_count=80, gossip_intake=1_000.0)
     receive_rows(
         bench, 1, quota_row([(1, NOW_TICK - 9, 9.0)], room=1.0, total=9.0, size=rest), keep=True
@@ -29,10 +29,10 @@
     assert 0 < len(waiting) <= 13
     while waiting:
         node_index, message = waiting.pop()
-        told_ranks.append(node_index)
+        reached.append(node_index)
         other = Bench(node_count=80, node_index=node_index, gossip_intake=1_000.0)
         waiting += sent_messages(receive_rows(other, 0, *message.rows))
-    assert sorted(told_ranks) == list(range(1, rest))
+    assert sorted(reached) == list(range(1, rest))
 
 
 def test_broadcasts_to_large_sets_leave_messages_to_reports():
@@ -45,12 +45,12 @@
         receive_rows(bench, 1, row, keep=True)
     spread = len(of(bench.log, SendGossip))
     assert 5 < spread < 20  # some of the sets hear of it: half of a second's messages
-    keeper_of_other = next(
+    customer_of_other_coordinator = next(
         c
         for c in range(100, 200)
         if bench.gateway.replica_sets.coordinator(quota_of(bench, c)) != 0
     )
-    actions = bench.ask(1, customer=keeper_of_other, size=40)
+    actions = bench.ask(1, customer=customer_of_other_coordinator, size=40)
     assert of(actions, SendGossip)  # at once
 
 
--- a/tests/policy/test_state_transfer.py
+++ b/tests/policy/test_state_transfer.py
@@ -15,7 +15,7 @@
 CEILED = 2
 
 
-def heir(old: Bench, endpoints=4) -> Bench:
+def successor_of(old: Bench, endpoints=4) -> Bench:
     """A successor that has got all rows, through JSON as on the wire."""
     new = Bench(endpoints=endpoints, now=old.now, seed=2)
     for row in json.loads(json.dumps(list(state_transfer.export(old.gateway)))):
@@ -36,27 +36,27 @@
 def test_a_quota_that_is_spent_stays_spent(bench):
     spent = served(bench, range(1, 30), size=1)
     assert 1 <= spent <= 10
-    new = heir(bench)
+    new = successor_of(bench)
     assert served(new, range(1, 30), size=1) == 0
     new.run(4 * SECOND)  # two units a second, open again at 60% of ten
     assert 1 <= served(new, range(30, 60), size=1) <= 8
 
 
-def test_a_ceiling_starts_where_it_stood():
+def test_a_ceiling_goes_on_where_it_was():
     bench = Bench()
     served(bench, range(1, 40), plan=CEILED, size=1)
     bench.run(SECOND)
     bench.gateway.quota_counters.refill(bench.gateway.quota_counters.customers[7])
-    new = heir(bench)
+    new = successor_of(bench)
     quota, old_quota = (one.gateway.quota_counters.customers[7] for one in (new, bench))
     assert quota.ceiling_units == old_quota.ceiling_units < 16
 
 
-def test_counts_go_on_under_the_same_start_so_that_peers_add_nothing_twice(bench):
+def test_counters_go_on_under_the_same_start_so_that_peers_add_nothing_twice(bench):
     assert served(bench, range(1, 2)) == 1
     node_index = bench.settings.node_index
     start, value = bench.gateway.quota_counters.customers[7].counters[node_index]
-    new = heir(bench)
+    new = successor_of(bench)
     assert served(new, range(1, 3)) == 2
     assert new.gateway.quota_counters.customers[7].counters[node_index] == (
         start,
@@ -65,23 +65,23 @@
     assert 7 in new.gateway.quota_counters.changed
 
 
-def test_the_old_one_refuses_what_it_has_not_sent_and_goes_on_with_what_it_has(bench):
+def test_the_predecessor_rejects_new_requests_and_retries_the_ones_it_sent(bench):
     (send,) = of(bench.ask(1), SendAttempt)
-    heir(bench)
+    successor_of(bench)
     assert of(bench.ask(2), RejectRequest)
     assert not of(bench.feed(AdmissionCheckArrived(3, 9, 0, 0, 1.0, 0, 3)), AdmitRequest)
     again = bench.outcome(1, send.endpoint_id, AttemptOutcome.CONNECT_FAILED)
     assert of(again, SendAttempt)  # it has taken its units
 
 
-def test_what_is_out_by_hand_stays_out_and_one_put_back_stays_cold(bench):
+def test_an_excluded_endpoint_stays_excluded_and_a_restored_one_stays_warming(bench):
     bench.feed(ExclusionChanged(entry(0).endpoint_id, "operator", True))
     bench.feed(ExclusionChanged(entry(1).endpoint_id, "operator", True))
     bench.run(SECOND)
     bench.feed(ExclusionChanged(entry(1).endpoint_id, "operator", False))
     back = bench.now
     bench.run(SECOND)
-    new = heir(bench)
+    new = successor_of(bench)
     assert new.gateway.exclusions.sources == {entry(0).endpoint_id: {"operator": T0}}
     assert new.gateway.endpoints.by_id[entry(1).endpoint_id].entry.started_at_us == back
     assert [host.entry.endpoint_id for host in new.gateway.endpoints.warming.endpoints] == [
@@ -92,12 +92,12 @@
     assert entry(0).endpoint_id not in {send.endpoint_id for found in sends for send in found}
 
 
-def test_what_was_learnt_of_hosts_is_known(bench):
+def test_scores_of_endpoints_are_transferred(bench):
     bench.ask(1)
     (send,) = of(bench.log, SendAttempt)
     bench.outcome(1, send.endpoint_id, AttemptOutcome.TIMED_OUT, duration_us=SECOND)
     old = bench.gateway
-    new = heir(bench).gateway
+    new = successor_of(bench).gateway
     ours, theirs = (one.endpoints.by_id[send.endpoint_id] for one in (new, old))
     assert ours.decayed_latency(bench.now, SECOND) == theirs.decayed_latency(bench.now, SECOND)
     assert ours.decayed_failures(bench.now, SECOND) == theirs.decayed_failures(bench.now, SECOND)
@@ -106,15 +106,15 @@
     assert new.retry_policy.budget == old.retry_policy.budget
 
 
-def test_attempts_out_at_the_old_one_count_under_a_limit_of_open_ones():
+def test_attempts_in_flight_at_the_predecessor_count_under_a_concurrency_limit():
     bench = Bench()
     assert of(bench.ask(1, plan=1, size=1), SendAttempt)
     assert of(bench.ask(2, plan=1, size=1), SendAttempt)
-    new = heir(bench)
+    new = successor_of(bench)
     assert of(new.ask(1, plan=1, size=1), RejectRequest)
 
 
-def test_an_account_that_is_known_already_is_not_overwritten(bench):
+def test_a_customer_that_is_known_already_is_not_overwritten(bench):
     served(bench, range(1, 10), size=1)
     new = Bench(now=bench.now)
     served(new, range(1, 5), size=1)
@@ -141,7 +141,7 @@
         "account",
     ],
 )
-def test_an_odd_row_is_named_and_changes_no_account(row):
+def test_a_malformed_row_is_named_and_changes_no_customer(row):
     bench = Bench(node_count=SETTINGS.node_count)
     with pytest.raises(state_transfer.MalformedRowError):
         state_transfer.adopt(bench.gateway, bench.now, row)
--- a/tests/policy/test_token_grants.py
+++ b/tests/policy/test_token_grants.py
@@ -24,8 +24,8 @@
 
 CUSTOMER, CEILED, SIZE = 1, 2, 3  # its store holds 16 units and gains 8 a second
 MS = 1_000
-KEEPER = ReplicaSets(0, SIZE).coordinator(CustomerQuota(CUSTOMER, CEILED, 0, SIZE, 0.0, 0))
-OTHER, THIRD = (KEEPER + 1) % SIZE, (KEEPER + 2) % SIZE
+COORDINATOR = ReplicaSets(0, SIZE).coordinator(CustomerQuota(CUSTOMER, CEILED, 0, SIZE, 0.0, 0))
+OTHER, THIRD = (COORDINATOR + 1) % SIZE, (COORDINATOR + 2) % SIZE
 
 
 def receive_grant_row(
@@ -38,131 +38,136 @@
     return bench.feed(GossipReceived(sender, body))
 
 
-def rights(actions, peer: int) -> list[float]:
+def grants_to(actions, peer: int) -> list[float]:
     """What the rows to a peer ask for or give."""
     bodies = [a.body for a in of(actions, SendGossip) if a.peer == peer]
     told = [gossip_codec.unpack_message(body, T0 // MS + 60_000, SIZE, 9) for body in bodies]
     return [row.grants for message in told for row in message.rows]
 
 
-def ask(bench: Bench, number: int, **more) -> list:
+def request_once(bench: Bench, number: int, **more) -> list:
     return bench.ask(number, customer=CUSTOMER, plan=CEILED, **more)
 
 
-def finals(actions) -> list:
+def final_answers_in(actions) -> list:
     return of(actions, (RejectRequest, FailRequest))
 
 
-def test_a_request_waits_for_rights_and_goes_out_when_they_come():
+def test_a_request_waits_for_grants_and_is_sent_when_they_come():
     bench = Bench(node_index=OTHER)
-    asked = ask(bench, 1)
-    assert not finals(asked) and rights(asked, KEEPER) == [1.0]
+    actions = request_once(bench, 1)
+    assert not final_answers_in(actions) and grants_to(actions, COORDINATOR) == [1.0]
     bench.run(30 * MS)
-    came = receive_grant_row(bench, KEEPER, 1.0)
+    came = receive_grant_row(bench, COORDINATOR, 1.0)
     assert [send.request for send in of(came, SendAttempt)] == [1]
-    assert not finals(bench.run(SECOND))
+    assert not final_answers_in(bench.run(SECOND))
 
 
-def test_several_that_wait_are_asked_for_together_and_go_out_in_their_order():
+def test_waiting_requests_request_their_grants_together_and_are_sent_in_order():
     bench = Bench(node_index=OTHER)
     for number in (1, 2, 3):
-        asked = ask(bench, number)
-    assert rights(asked, KEEPER) == [3.0]
-    assert [send.request for send in of(receive_grant_row(bench, KEEPER, 2.0), SendAttempt)] == [
+        actions = request_once(bench, number)
+    assert grants_to(actions, COORDINATOR) == [3.0]
+    assert [
+        send.request for send in of(receive_grant_row(bench, COORDINATOR, 2.0), SendAttempt)
+    ] == [
         1,
         2,
     ]
-    assert [answer.request for answer in finals(bench.run(MAX_GRANT_WAIT_US))] == [3]
+    assert [answer.request for answer in final_answers_in(bench.run(MAX_GRANT_WAIT_US))] == [3]
 
 
-def test_without_an_answer_it_is_refused_once_and_a_second_silence_makes_the_next_wait_no_more():
+def test_without_an_answer_a_request_is_rejected_and_after_two_the_next_does_not_wait():
     bench = Bench(node_index=OTHER)
-    ask(bench, 1)
-    assert not finals(bench.run(MAX_GRANT_WAIT_US - 2 * MS))
-    assert len(finals(bench.run(SECOND))) == 1
-    ask(bench, 2)
+    request_once(bench, 1)
+    assert not final_answers_in(bench.run(MAX_GRANT_WAIT_US - 2 * MS))
+    assert len(final_answers_in(bench.run(SECOND))) == 1
+    request_once(bench, 2)
     bench.run(250 * MS)
     bench.gateway.quota_counters.customers[CUSTOMER].ceiling_units = 0.0
-    assert len(finals(ask(bench, 3))) == 1  # at once
-    receive_grant_row(bench, KEEPER, 0.0)
+    assert len(final_answers_in(request_once(bench, 3))) == 1  # at once
+    receive_grant_row(bench, COORDINATOR, 0.0)
     bench.gateway.quota_counters.customers[CUSTOMER].ceiling_units = 0.0
-    assert not finals(ask(bench, 4))  # it lives: waiting is worth it again
+    assert not final_answers_in(request_once(bench, 4))  # it lives: waiting is worth it again
 
 
-def test_a_request_that_is_nearly_over_does_not_wait():
-    assert len(finals(ask(Bench(node_index=OTHER), 1, left=150 * MS))) == 1
+def test_a_request_near_its_deadline_does_not_wait():
+    assert len(final_answers_in(request_once(Bench(node_index=OTHER), 1, left=150 * MS))) == 1
 
 
-def test_rights_that_come_late_or_twice_are_void():
+def test_grants_that_come_late_or_twice_are_void():
     bench = Bench(node_index=OTHER)
-    ask(bench, 1)
-    assert not of(receive_grant_row(bench, KEEPER, 1.0, ago=300), SendAttempt)
-    assert of(receive_grant_row(bench, KEEPER, 1.0), SendAttempt)
-    receive_grant_row(bench, KEEPER, 1.0)
+    request_once(bench, 1)
+    assert not of(receive_grant_row(bench, COORDINATOR, 1.0, ago=300), SendAttempt)
+    assert of(receive_grant_row(bench, COORDINATOR, 1.0), SendAttempt)
+    receive_grant_row(bench, COORDINATOR, 1.0)
     assert bench.gateway.quota_counters.customers[CUSTOMER].ceiling_units < 1.0
 
 
-def test_rights_beyond_ones_part_last_only_for_those_that_wait():
+def test_grants_above_the_own_part_last_only_for_waiting_requests():
     bench = Bench(node_index=OTHER)
     for number in range(1, 7):
-        ask(bench, number)
+        request_once(bench, number)
     for number in range(1, 6):
         bench.feed(ClientDisconnected(number))
-    receive_grant_row(bench, KEEPER, 6.0)
+    receive_grant_row(bench, COORDINATOR, 6.0)
     assert bench.gateway.quota_counters.customers[CUSTOMER].ceiling_units <= 16 / (2 * SIZE)
 
 
-def keeper(level: float) -> Bench:
+def coordinator_with(level: float) -> Bench:
     """The keeper with so many units of its part, which gains 16 / 3 a second and holds 32 / 3."""
-    bench = Bench(node_index=KEEPER)
+    bench = Bench(node_index=COORDINATOR)
     receive_grant_row(bench, OTHER, 0.0, keep=True)
     bench.gateway.quota_counters.customers[CUSTOMER].ceiling_units = level
     return bench
 
 
-def test_a_keeper_serves_those_that_wait_before_it_tops_up():
-    bench = keeper(3.0)
+def test_a_coordinator_serves_waiting_requests_before_it_tops_up():
+    bench = coordinator_with(3.0)
     start = T0 // MS // gossip_codec.TICK_MS
-    assert rights(
+    assert grants_to(
         receive_grant_row(bench, OTHER, 1.0, ((OTHER, start, 1.0),), keep=True), OTHER
     ) == [0.0]  # it sent one on
-    assert rights(receive_grant_row(bench, THIRD, 2.0, keep=True), THIRD) == [
+    assert grants_to(receive_grant_row(bench, THIRD, 2.0, keep=True), THIRD) == [
         2.0
     ]  # it has one that waits
 
 
-def test_a_keeper_that_is_short_owes_and_pays_in_order_from_what_refills():
-    bench = keeper(0.5)
-    assert rights(receive_grant_row(bench, OTHER, 1.0, keep=True), OTHER) == [0.0]
+def test_a_coordinator_that_is_short_sends_pending_grants_in_order_as_it_refills():
+    bench = coordinator_with(0.5)
+    assert grants_to(receive_grant_row(bench, OTHER, 1.0, keep=True), OTHER) == [0.0]
     receive_grant_row(bench, THIRD, 0.25, keep=True)
     paid = bench.run(PENDING_GRANT_LIFETIME_US)
-    assert rights(paid, OTHER) == [1.0] and rights(paid, THIRD) == [0.25]
-    assert [a.peer for a in of(paid, SendGossip) if rights([a], a.peer) != [0.0]] == [OTHER, THIRD]
+    assert grants_to(paid, OTHER) == [1.0] and grants_to(paid, THIRD) == [0.25]
+    assert [a.peer for a in of(paid, SendGossip) if grants_to([a], a.peer) != [0.0]] == [
+        OTHER,
+        THIRD,
+    ]
     assert bench.gateway.quota_counters.customers[CUSTOMER].ceiling_units == pytest.approx(
         0.5 - 1.25 + 0.15 * 16 / 3, abs=0.03
     )
 
 
-def test_what_a_keeper_owes_ends_and_leaves_nothing_behind():
-    bench = keeper(0.0)
+def test_pending_grants_expire_and_leave_nothing():
+    bench = coordinator_with(0.0)
     receive_grant_row(bench, OTHER, 8.0, keep=True)
-    assert rights(bench.run(10 * SECOND), OTHER) == []
+    assert grants_to(bench.run(10 * SECOND), OTHER) == []
     assert not bench.gateway.token_grants.pending_customers
     assert not bench.gateway.quota_counters.customers[CUSTOMER].pending_grants
 
 
-def test_the_keepers_own_request_waits_for_what_refills_in_time():
-    bench = keeper(0.5)
-    assert not finals(ask(bench, 1))
+def test_the_coordinators_own_request_waits_for_what_refills_in_time():
+    bench = coordinator_with(0.5)
+    assert not final_answers_in(request_once(bench, 1))
     assert of(bench.run(MAX_GRANT_WAIT_US), SendAttempt)
-    bench = keeper(-4.0)
-    assert len(finals(ask(bench, 1))) == 1  # not within the time that one waits
+    bench = coordinator_with(-4.0)
+    assert len(final_answers_in(request_once(bench, 1))) == 1  # not within the time that one waits
 
 
-def test_parts_fill_from_when_the_process_began():
-    bench = Bench(node_index=KEEPER, now=T0)
+def test_parts_fill_from_the_start_of_the_process():
+    bench = Bench(node_index=COORDINATOR, now=T0)
     bench.gateway.start(T0 - SECOND // 2)
-    (send,) = of(ask(bench, 1), SendAttempt)
+    (send,) = of(request_once(bench, 1), SendAttempt)
     assert send.request == 1
     assert bench.gateway.quota_counters.customers[CUSTOMER].ceiling_units == pytest.approx(
         0.5 * 16 / 3 - 1
@@ -210,4 +215,4 @@
     receive_ceiling_row(bench, 0, ceiling_row(2.0), keep=False)
     for request in range(2, 30):
         bench.ask(request, customer=1, plan=2)
-    assert len(of(bench.log, SendAttempt)) == 1  # once what was asked for
+    assert len(of(bench.log, SendAttempt)) == 1  # once what was actions for
