--- a/tests/faults/variants.py
+++ b/tests/faults/variants.py
@@ -256,10 +256,10 @@
 
 @variant
 def ignores_denials() -> None:
-    from saffrongw.authz.request_filter import Proposer
+    from saffrongw.authz.request_filter import Asker
     from saffrongw.gateway.extensions import Continue
 
-    Proposer._verdict = lambda self, request, reply: Continue()
+    Asker._verdict = lambda self, request, reply: Continue()
 
 
 @variant
