--- a/benchmarks/fleet/ceilings.py
+++ b/benchmarks/fleet/ceilings.py
@@ -166,7 +166,7 @@
             elif isinstance(action, SendGossip):
                 out.append((f"g{action.peer}", action.body))
             elif isinstance(action, SendAttempt):
-                self.world.sent(self.node_index, action.request)
+                self.world.sent(action.request)
                 end = AttemptEnded(
                     action.request,
                     0,
@@ -247,7 +247,7 @@
         )
         self.fleet.call(f"g{node_index}", lambda machine, now: _feed(machine, now, event))
 
-    def sent(self, node_index: int, request: int) -> None:
+    def sent(self, request: int) -> None:
         """Note a first attempt: the true stores lose its units."""
         customer, units = self.in_flight.pop(request)
         store = self.stores[customer]
--- a/benchmarks/fleet/quotas.py
+++ b/benchmarks/fleet/quotas.py
@@ -16,7 +16,7 @@
 import random
 from collections import deque
 from dataclasses import dataclass, field
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from saffrongw.policy.settings import Plan
 
@@ -68,7 +68,7 @@
 
 
 class QuietDay(World):
-    """A quiet day of one plan: most customers use a part of their quota, some all, some far more."""
+    """A quiet day of one plan: most customers use a part of their quota, some far more."""
 
     delay: int = SECOND
 
@@ -107,7 +107,7 @@
             self.delayed_over_quota += is_counted and not inside
         super()._arrives(customer, rate, first)
 
-    def sent(self, node_index: int, request: int) -> None:
+    def sent(self, request: int) -> None:
         """Note a first attempt: inside if the true quota holds its units, which it then takes."""
         customer, units = self.in_flight.pop(request)
         store = self.stores[customer]
@@ -138,10 +138,9 @@
     seed: int,
     seconds: int = 40,
     customers: int = 60,
-    **more: Any,
 ) -> QuietDay:
     """Play one day; its first seconds, when all customers are new to the gateways, count too."""
-    day = QuietDay(gateways, spread, customers, plan=plan, seed=seed, **more)
+    day = QuietDay(gateways, spread, customers, plan=plan, seed=seed)
     day.fleet.run(seconds * SECOND)
     return day
 
