--- a/tests/policy/policy_rig.py
+++ b/tests/policy/policy_rig.py
@@ -51,19 +51,21 @@
 
 
 def receive_rows(
-    bench: Bench, sender: int, *rows: GossipRow, ask=False, keep=False, sent=None
+    bench: Bench, sender: int, *rows: GossipRow, ask=False, is_report=False, sent=None
 ) -> list:
     """A peer's message, sent now."""
     sent = bench.now // 1_000 if sent is None else sent
     packed = [gossip_codec.pack_row(r, sent, bench.settings.node_count) for r in rows]
-    return bench.feed(GossipReceived(sender, gossip_codec.pack_message(sent, ask, keep, packed)))
+    return bench.feed(
+        GossipReceived(sender, gossip_codec.pack_message(sent, ask, is_report, packed))
+    )
 
 
 def quota_row(
-    counts, room=10.0, total=0.0, customer=7, reach=0, first=0, size=3, plan=0, rights=0.0
+    counts, headroom=10.0, total=0.0, customer=7, reach=0, first=0, size=3, plan=0, grants=0.0
 ) -> GossipRow:
     """What a peer tells of a customer."""
-    return GossipRow(customer, plan, first, size, reach, room, total, rights, tuple(counts))
+    return GossipRow(customer, plan, first, size, reach, headroom, total, grants, tuple(counts))
 
 
 def confirmed_bench(**changes) -> Bench:
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -87,7 +87,7 @@
     assert of(bench.log, SendGossip) or bench.gateway.quota_counters.changed
 
 
-def test_requests_beyond_the_capacity_are_rejected_at_once():
+def test_requests_that_exceed_the_capacity_are_rejected_at_once():
     bench = Bench(endpoints=2)
     for request in range(1, 41):
         serve_one(bench, request, lambda _: 60_000)
@@ -152,13 +152,13 @@
         (answer, *_) = bench.ask(request, size=1)
         if answer.retry_after_us:
             break
-    told = answer.retry_after_us
-    assert 0 < told <= 75_000  # 0.15 of the aim
-    bench.run(told + 1)
+    retry_after_us = answer.retry_after_us
+    assert 0 < retry_after_us <= 75_000  # 0.15 of the aim
+    bench.run(retry_after_us + 1)
     assert of(bench.ask(200, size=1), SendAttempt)
 
 
-def test_a_replica_set_of_one_gets_its_whole_quota(bench):
+def test_a_replica_set_of_one_gets_its_full_quota(bench):
     """Nobody else can tell of it: taken as unheard it would be refused for ever after its first burst."""
     sent = 0
     for number in range(60):
--- a/tests/policy/test_coordinator_reports.py
+++ b/tests/policy/test_coordinator_reports.py
@@ -25,16 +25,16 @@
     first = [(p, m) for p, m in sent_messages(bench.ask(1, size=50)) if m.is_report]
     assert len(first) == 1
     assert first[0][1].wants_answer
-    again = [p for p, m in sent_messages(bench.run(290_000)) if m.is_report]
-    assert len(again) == 1
-    assert again != [first[0][0]]
+    next_peers = [p for p, m in sent_messages(bench.run(290_000)) if m.is_report]
+    assert len(next_peers) == 1
+    assert next_peers != [first[0][0]]
 
 
 def test_a_coordinator_that_answers_is_not_replaced():
     bench = Bench(node_count=60)
-    keeper = next(p for p, m in sent_messages(bench.ask(1, size=50)) if m.is_report)
+    coordinator = next(p for p, m in sent_messages(bench.ask(1, size=50)) if m.is_report)
     bench.now += 20_000
-    receive_rows(bench, keeper, quota_row([], size=50))
+    receive_rows(bench, coordinator, quota_row([], size=50))
     assert not [p for p, m in sent_messages(bench.run(270_000)) if m.is_report]
 
 
@@ -54,11 +54,13 @@
         bench.outcome(number, sent.endpoint_id, AttemptOutcome.SERVED)
         bench.run(2_000)
     bench.run(2 * SECOND)
-    told = [
-        (tell.peer, gossip_codec.unpack_message(tell.body, bench.now // 1000, 3, 4))
-        for tell in of(bench.log, SendGossip)
+    messages = [
+        (sent.peer, gossip_codec.unpack_message(sent.body, bench.now // 1000, 3, 4))
+        for sent in of(bench.log, SendGossip)
     ]
-    kept = {row.customer for _, message in told if message.is_report for row in message.rows}
+    reported = {
+        row.customer for _, message in messages if message.is_report for row in message.rows
+    }
     theirs = {
         n
         for n in range(300)
@@ -67,6 +69,6 @@
         )
         != 0
     }
-    assert theirs <= kept
-    assert len(told) <= 0.8 * 50 * (1 + 2.6 + 1)
+    assert theirs <= reported
+    assert len(messages) <= 0.8 * 50 * (1 + 2.6 + 1)
     assert bench.gateway.coordinator_reports.due == {}
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -26,10 +26,10 @@
     for request in range(1, 9):
         for send in of(bench.ask(request, customer=request), SendAttempt):
             assert send.endpoint_id == entry(2).endpoint_id
-            for again in of(
+            for retry in of(
                 bench.outcome(request, send.endpoint_id, AttemptOutcome.OVERLOADED), SendAttempt
             ):
-                assert again.endpoint_id == entry(2).endpoint_id
+                assert retry.endpoint_id == entry(2).endpoint_id
 
 
 def test_a_complete_list_removes_what_it_lacks_for_waiting_requests_too():
@@ -54,11 +54,11 @@
         born = entry(number % 250, cell=number, started_at_us=bench.now)
         bench.feed(listed(born, kind=EndpointListKind.DELTA))
         bench.ask(number, customer=number)
-        gone = entry(
+        removed = entry(
             number % 250, state=EndpointState.REMOVED, cell=number, started_at_us=bench.now
         )
-        bench.feed(listed(gone, kind=EndpointListKind.DELTA))
-    kept = (
+        bench.feed(listed(removed, kind=EndpointListKind.DELTA))
+    remaining = (
         gateway.endpoints.by_id,
         gateway.endpoints.by_cell,
         gateway.endpoints.by_zone,
@@ -66,7 +66,7 @@
         gateway.endpoints.warm.endpoints,
         gateway.endpoints.warming.endpoints,
     )
-    assert [len(one) for one in kept] == [0] * 6
+    assert [len(one) for one in remaining] == [0] * 6
 
 
 def test_an_endpoint_that_a_complete_list_lacks_is_forgotten(bench):
--- a/tests/policy/test_event_orders.py
+++ b/tests/policy/test_event_orders.py
@@ -62,7 +62,7 @@
 
     def _may_repeat(self, endpoint_id: bytes) -> None:
         ran = [
-            place for place in range(len(self.sent)) if self.outcomes.get(place) not in NEVER_RAN
+            index for index in range(len(self.sent)) if self.outcomes.get(index) not in NEVER_RAN
         ]
         if not ran or self.cls.idempotency is Idempotency.IDEMPOTENT:
             return
@@ -78,16 +78,16 @@
 
     def ends(self, outcome: AttemptOutcome) -> None:
         """The attempt that is out ends so."""
-        place = len(self.sent) - 1
-        if place in self.outcomes:
+        index = len(self.sent) - 1
+        if index in self.outcomes:
             return
-        self.outcomes[place] = outcome
+        self.outcomes[index] = outcome
         served = outcome is AttemptOutcome.SERVED and not self.over
         self.over = self.over or served
         self.finals += served
         self._read(
             self.bench.outcome(
-                1, self.sent[place][0], outcome, attempt=place, is_answered=self.over
+                1, self.sent[index][0], outcome, attempt=index, is_answered=self.over
             )
         )
 
@@ -102,8 +102,8 @@
         elif name in ("drains", "gone"):
             state = EndpointState.DRAINING if name == "drains" else EndpointState.REMOVED
             self.drained.add(host)
-            gone = entry(host[3], state, cell=host[3] % 2, zone=host[3] // 2)
-            self._read(bench.feed(listed(gone, kind=EndpointListKind.DELTA)))
+            removed = entry(host[3], state, cell=host[3] % 2, zone=host[3] // 2)
+            self._read(bench.feed(listed(removed, kind=EndpointListKind.DELTA)))
         elif name == "cell empties":
             rest = [n for n in range(4) if n % 2 != host[3] % 2]
             self.drained = {
@@ -124,7 +124,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS, ids=KINDS.values())
-def test_in_every_order_one_answer_and_no_send_against_the_rules(kind):
+def test_every_order_of_events_gets_one_answer_and_no_attempt_against_the_rules(kind):
     names = EVENTS + tuple(outcome.name for outcome in OUTCOMES)
     for order in (*itertools.permutations(names, 2), *itertools.permutations(names, 3)):
         case = Case(kind)
@@ -145,7 +145,7 @@
 
 
 @pytest.mark.parametrize("kind", [1, 2, 4])
-def test_a_rule_forgotten_is_seen(kind, monkeypatch):
+def test_a_planted_retry_against_the_rules_is_caught(kind, monkeypatch):
     """The planted fault: what may have run goes anywhere, at any time."""
     monkeypatch.setattr(
         "saffrongw.policy.retry_policy.RetryPolicy.may_send", lambda self, request, host: True
@@ -158,4 +158,4 @@
         ),
     )
     with pytest.raises(AssertionError):
-        test_in_every_order_one_answer_and_no_send_against_the_rules(kind)
+        test_every_order_of_events_gets_one_answer_and_no_attempt_against_the_rules(kind)
--- a/tests/policy/test_exclusions.py
+++ b/tests/policy/test_exclusions.py
@@ -31,14 +31,14 @@
     return endpoints
 
 
-def test_nothing_goes_to_an_excluded_server_until_it_is_back(bench):
+def test_nothing_goes_to_an_excluded_endpoint_until_it_is_restored(bench):
     exclude(bench, 0)
     assert set(endpoints_used(bench, 60)) == {entry(n).endpoint_id for n in (1, 2, 3)}
     exclude(bench, 0, excluded=False)
     assert entry(0).endpoint_id in endpoints_used(bench, 200, first=100)
 
 
-def test_it_stays_out_while_the_list_drops_and_returns_it(bench):
+def test_an_excluded_endpoint_stays_excluded_whatever_is_listed(bench):
     exclude(bench, 0)
     bench.feed(listed(entry(0, REMOVED), kind=EndpointListKind.DELTA))
     bench.feed(listed(entry(0), kind=EndpointListKind.DELTA))
@@ -47,20 +47,20 @@
     assert entry(0).endpoint_id not in endpoints_used(bench, 60)
 
 
-def test_one_that_is_still_cold_stays_out_when_it_gets_warm(bench):
+def test_a_warming_endpoint_stays_excluded_when_it_has_warmed_up(bench):
     bench.feed(listed(entry(0, started_at_us=bench.now), kind=EndpointListKind.DELTA))
     exclude(bench, 0)
     bench.run(bench.settings.slow_start_duration_us + SECOND)
     assert entry(0).endpoint_id not in endpoints_used(bench, 60)
 
 
-def test_an_id_that_is_not_listed_yet_is_out_when_it_comes(bench):
+def test_an_endpoint_that_is_not_listed_yet_is_excluded_when_it_comes(bench):
     exclude(bench, 9)
     bench.feed(listed(entry(9), kind=EndpointListKind.DELTA))
     assert entry(9).endpoint_id not in endpoints_used(bench, 60)
 
 
-def test_two_calls_out_need_one_call_back_and_each_source_its_own(bench):
+def test_each_source_ends_its_own_exclusion_once(bench):
     exclude(bench, 0)
     exclude(bench, 0)
     exclude(bench, 0, source="other")
@@ -71,13 +71,13 @@
     assert entry(0).endpoint_id in endpoints_used(bench, 20, first=100)
 
 
-def test_a_call_back_without_a_call_out_changes_nothing(bench):
+def test_ending_an_exclusion_that_was_not_made_changes_nothing(bench):
     known = bench.gateway.endpoints.by_id[entry(0).endpoint_id]
     exclude(bench, 0, excluded=False)
     assert bench.gateway.endpoints.by_id[entry(0).endpoint_id] is known
 
 
-def test_back_it_is_cold_though_the_list_is_late(bench):
+def test_a_restored_endpoint_warms_up_though_the_list_is_late(bench):
     """Rule 4: its restart is not listed yet, and a whole list with the old launch comes once more."""
     exclude(bench, 0)
     bench.run(5 * SECOND)
@@ -96,7 +96,7 @@
     assert bench.gateway.slow_start.is_warm(host)
 
 
-def test_a_launch_that_the_list_names_goes_before_the_guess(bench):
+def test_a_start_that_the_list_names_replaces_the_assumed_one(bench):
     exclude(bench, 0)
     started_at_us = bench.now + 2 * SECOND
     bench.run(5 * SECOND)
@@ -105,7 +105,7 @@
     assert bench.gateway.endpoints.by_id[entry(0).endpoint_id].entry.started_at_us == started_at_us
 
 
-def test_back_it_is_sent_one_request_at_once(bench):
+def test_a_restored_endpoint_gets_one_request_at_once(bench):
     exclude(bench, 0)
     bench.run(SECOND)
     exclude(bench, 0, excluded=False)
@@ -113,7 +113,7 @@
     assert bench.gateway.endpoints.unproven == {}
 
 
-def test_one_that_was_put_back_and_is_gone_again_is_not_waited_for(bench):
+def test_a_restored_endpoint_that_is_removed_is_not_waited_for(bench):
     exclude(bench, 0)
     exclude(bench, 0, excluded=False)
     bench.feed(listed(entry(0, REMOVED), kind=EndpointListKind.DELTA))
@@ -121,7 +121,7 @@
     assert bench.gateway.endpoints.unproven == {}
 
 
-def test_a_keyed_request_that_may_have_run_does_not_follow_an_excluded_server():
+def test_a_retry_with_an_idempotency_key_does_not_go_to_an_excluded_endpoint():
     bench = Bench(endpoints=0)
     bench.feed(listed(entry(0, cell=1), entry(1, cell=1), entry(2, cell=2)))
     (send,) = of(bench.ask(1, kind=1), SendAttempt)
@@ -138,7 +138,7 @@
     assert not of(actions, SendAttempt)
 
 
-def test_what_is_remembered_of_servers_put_back_ends(bench):
+def test_restored_endpoints_are_forgotten_after_the_slow_start(bench):
     for number in range(4):
         exclude(bench, number)
         exclude(bench, number, excluded=False)
@@ -147,7 +147,7 @@
     assert bench.gateway.exclusions.restored == {}
 
 
-def test_avoided_counts_those_taken_out_draining_and_failing(bench):
+def test_avoided_counts_excluded_draining_and_failing_endpoints(bench):
     gateway = bench.gateway
     assert gateway.avoided(bench.now) == 0
     exclude(bench, 0)
--- a/tests/policy/test_fleet_quotas.py
+++ b/tests/policy/test_fleet_quotas.py
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("kind", [Gateway, without_extra_rows])
-def test_a_fleet_whose_sets_are_wider_than_its_messages_reach_keeps_quotas_all_the_same(kind):
+def test_a_fleet_with_sets_wider_than_its_messages_reach_stays_within_quotas(kind):
     """500 customers in sets of 100: one message about each spent quota to each of its set is five times too many."""
     day = played(100, 100, QUIET, kind, customers=500, seconds=6)
     ours, theirs = day.costs()
--- a/tests/policy/test_fleet_rate_ceilings.py
+++ b/tests/policy/test_fleet_rate_ceilings.py
@@ -17,15 +17,15 @@
 
 def lowest_store(kind=Gateway, seeds=range(2), link=BAD, **more) -> float:
     """Of all true stores, with restarts of seven in ten every few seconds."""
-    least = 0.0
+    lowest = 0.0
     for seed in seeds:
         world = World(**FLEET | more, plan=WIDE, heavy_rate=80.0, link=link, kind=kind, seed=seed)
         for at in (3, 5, 9):
             world.restart(at * SECOND, 0.7, SECOND // 2)
         world.fleet.run(14 * SECOND)
         assert world.counts["sent"] > 500
-        least = min(least, world.lowest)
-    return least
+        lowest = min(lowest, world.lowest)
+    return lowest
 
 
 @pytest.mark.parametrize(
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -24,7 +24,9 @@
     bench = confirmed_bench()
     receive_rows(bench, 1, quota_row([(1, NOW_TICK - 9, 4.0)], total=4.0))
     ((peer, message),) = sent_messages(
-        receive_rows(bench, 2, quota_row([(2, NOW_TICK - 9, 1.0)], total=1.0), ask=True, keep=True)
+        receive_rows(
+            bench, 2, quota_row([(2, NOW_TICK - 9, 1.0)], total=1.0), ask=True, is_report=True
+        )
     )
     assert peer == 2
     assert message.rows[0].spent_units == 5.0
@@ -47,7 +49,7 @@
                 bench,
                 1 + i % 3,
                 quota_row([(1, NOW_TICK, i / 4)], total=i / 2, customer=i % 5, size=gateways),
-                keep=True,
+                is_report=True,
             )
             bench.run(50_000)
     finally:
--- a/tests/policy/test_load_balancer.py
+++ b/tests/policy/test_load_balancer.py
@@ -16,7 +16,7 @@
 )
 
 
-def test_requests_are_admitted_again_when_an_overload_ends():
+def test_requests_are_admitted_after_an_overload():
     """An answer time learnt in a jam must not refuse everything for good (lockout of an incident)."""
     bench = Bench(endpoints=3)
     for request in range(1, 200):
@@ -30,7 +30,7 @@
     for _ in range(2):
         bench = Bench(endpoints=9, seed=3)
         for request in range(1, 50):
-            serve_one(bench, request, lambda s: 20_000 + 1_000 * s[3])
+            serve_one(bench, request, lambda endpoint_id: 20_000 + 1_000 * endpoint_id[3])
         logs.append(bench.log)
     assert logs[0] == logs[1]
 
--- a/tests/policy/test_load_shedding.py
+++ b/tests/policy/test_load_shedding.py
@@ -35,7 +35,7 @@
     return QueuedRequest(customer, plan, kind, until, tag)
 
 
-def fill_queue(shedder: LoadShedder, kind: int, now=T0, plan=0, first=1_000) -> None:
+def queue_to_capacity(shedder: LoadShedder, kind: int, now=T0, plan=0, first=1_000) -> None:
     """So many that no more has room."""
     for customer in range(first, first + shedder.capacity - len(shedder)):
         assert shedder.offer(now, queued(customer, plan, kind)) is None
@@ -46,7 +46,9 @@
     shedder = new_shedder()
     for customer, kind in ((1, 0), (1, 0), (2, 2), (3, 1)):
         shedder.offer(T0, queued(customer, kind=kind))
-    assert [(w.customer, w.kind) for w in iter(lambda: shedder.take(T0), None)] == [
+    assert [
+        (request.customer, request.kind) for request in iter(lambda: shedder.take(T0), None)
+    ] == [
         (3, 1),
         (1, 0),
         (2, 2),
@@ -57,7 +59,7 @@
 
 def test_in_a_full_queue_the_lowest_priority_gives_way_and_never_a_higher_one():
     shedder = new_shedder()
-    fill_queue(shedder, kind=0)
+    queue_to_capacity(shedder, kind=0)
     late = queued(1)
     assert shedder.offer(T0, late) is late and late.is_done
     out = shedder.offer(T0, dear := queued(2, kind=1))
@@ -66,37 +68,42 @@
     assert shedder.take(T0) is dear
 
 
-def test_one_customer_with_nine_tenths_of_the_load_gets_at_most_twice_the_part_of_others():
-    shedder, lots = new_shedder(), random.Random(7)
+def test_one_customer_with_nine_tenths_of_the_load_gets_no_more_than_twice_the_others_part():
+    shedder, generator = new_shedder(), random.Random(7)
     begun = {True: 0, False: 0}
-    offered_count = {True: 0, False: 0}
+    arrived = {True: 0, False: 0}
     for step in range(3_000):
         now = T0 + step * MS_US
         for _ in range(10):
-            heavy = lots.random() < 0.9
-            offered_count[heavy] += 1
-            shedder.offer(now, queued(1 if heavy else lots.randrange(2, 60), until=now + SECOND))
+            heavy = generator.random() < 0.9
+            arrived[heavy] += 1
+            shedder.offer(
+                now, queued(1 if heavy else generator.randrange(2, 60), until=now + SECOND)
+            )
         shedder.pop_expired(now)
-        if w := shedder.take(now):
-            begun[w.customer == 1] += 1
-    assert begun[False] > 0.85 * offered_count[False]
+        if request := shedder.take(now):
+            begun[request.customer == 1] += 1
+    assert begun[False] > 0.85 * arrived[False]
     customers = len(shedder.count_by_customer)
-    most = max(MIN_CUSTOMER_CAPACITY, 2 * shedder.capacity / customers + 1)
-    assert shedder.count_by_customer.get(1, 0) <= most
+    max_queued = max(MIN_CUSTOMER_CAPACITY, 2 * shedder.capacity / customers + 1)
+    assert shedder.count_by_customer.get(1, 0) <= max_queued
 
 
 def test_a_cheap_plan_is_not_starved_by_an_expensive_one():
-    shedder, lots, begun = new_shedder(), random.Random(3), [0, 0]
+    shedder, generator, begun = new_shedder(), random.Random(3), [0, 0]
     for step in range(4_000):
         now = T0 + step * MS_US
         for _ in range(4):
-            w = queued(
-                lots.randrange(500), lots.randrange(2), lots.randrange(3), until=now + SECOND
+            request = queued(
+                generator.randrange(500),
+                generator.randrange(2),
+                generator.randrange(3),
+                until=now + SECOND,
             )
-            shedder.offer(now, w)
+            shedder.offer(now, request)
         shedder.pop_expired(now)
-        if w := shedder.take(now):
-            begun[w.plan] += 1
+        if request := shedder.take(now):
+            begun[request.plan] += 1
     assert begun[1] > begun[0] > 0.35 * begun[1]
 
 
@@ -117,7 +124,7 @@
 def test_the_capacity_follows_the_rate_of_begun_requests_and_is_bounded():
     shedder, now = new_shedder(), T0
     assert shedder.capacity == MIN_CAPACITY
-    for per_ms, least in ((3, 150), (200, MAX_CAPACITY)):
+    for per_ms, min_capacity in ((3, 150), (200, MAX_CAPACITY)):
         for _ in range(600):
             now += MS_US
             for customer in range(per_ms):
@@ -125,7 +132,7 @@
             for _ in range(per_ms):
                 shedder.take(now)
             shedder.offer(now, queued(1))  # never empty
-        assert least <= shedder.capacity <= MAX_CAPACITY
+        assert min_capacity <= shedder.capacity <= MAX_CAPACITY
 
 
 def test_retry_after_grows_with_the_overload_within_the_settings():
@@ -140,32 +147,37 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_each_request_ends_exactly_once_whatever_comes(seed):
     """Each request ends exactly once, as begun, refused, expired or left; nothing of it stays."""
-    shedder, lots, open_, ended, now = new_shedder(), random.Random(seed), {}, {}, T0
+    shedder, generator, not_ended, ended, now = new_shedder(), random.Random(seed), {}, {}, T0
 
-    def end(w: QueuedRequest, how: str) -> None:
-        assert w.tag not in ended
-        ended[w.tag] = how
-        open_.pop(w.tag, None)
+    def end(request: QueuedRequest, how: str) -> None:
+        assert request.tag not in ended
+        ended[request.tag] = how
+        not_ended.pop(request.tag, None)
 
     for number in range(6_000):
-        now += lots.choice((0, 0, 0, 300, 5 * MS_US))
-        customer, until = lots.choice((1, lots.randrange(300))), now + SECOND
-        w = queued(customer, lots.randrange(2), lots.randrange(3), until, number)
-        open_[number] = w
-        if (out := shedder.offer(now, w)) is not None:
+        now += generator.choice((0, 0, 0, 300, 5 * MS_US))
+        customer, until = generator.choice((1, generator.randrange(300))), now + SECOND
+        request = queued(customer, generator.randrange(2), generator.randrange(3), until, number)
+        not_ended[number] = request
+        if (out := shedder.offer(now, request)) is not None:
             end(out, "refused")
-        if lots.random() < 0.3 and (w := shedder.take(now)):
-            end(w, "begun")
-        if lots.random() < 0.1:
-            for w in shedder.pop_expired(now):
-                end(w, "expired")
-        if lots.random() < 0.05 and open_:
-            w = open_[lots.choice(list(open_))]
-            shedder.drop(w)
-            end(w, "left")
-        assert len(shedder) == len(open_) == sum(shedder.count_by_customer.values()) <= MAX_CAPACITY
-    while w := shedder.take(now):
-        end(w, "begun")
+        if generator.random() < 0.3 and (request := shedder.take(now)):
+            end(request, "begun")
+        if generator.random() < 0.1:
+            for request in shedder.pop_expired(now):
+                end(request, "expired")
+        if generator.random() < 0.05 and not_ended:
+            request = not_ended[generator.choice(list(not_ended))]
+            shedder.drop(request)
+            end(request, "left")
+        assert (
+            len(shedder)
+            == len(not_ended)
+            == sum(shedder.count_by_customer.values())
+            <= MAX_CAPACITY
+        )
+    while request := shedder.take(now):
+        end(request, "begun")
     assert len(ended) == 6_000 and not shedder.count_by_customer
     assert not any(shedder.by_arrival) and not any(
         lane.flows for lanes in shedder.lanes for lane in lanes
--- a/tests/policy/test_module_limits.py
+++ b/tests/policy/test_module_limits.py
@@ -11,12 +11,12 @@
 SOURCES = sorted((ROOT / "saffrongw" / "policy").glob("*.py"))
 
 
-def test_every_policy_module_has_at_most_400_lines():
+def test_no_policy_module_exceeds_400_lines():
     too_long = {p.name: n for p in SOURCES if (n := len(p.read_text().splitlines())) > 400}
     assert too_long == {}
 
 
-def test_lines_have_at_most_100_characters():
+def test_no_line_exceeds_100_characters():
     long = [
         (p.name, n)
         for p in SOURCES
--- a/tests/policy/test_peer_reachability.py
+++ b/tests/policy/test_peer_reachability.py
@@ -86,8 +86,8 @@
     bench = Bench(node_index=0, node_count=SIZE)
     receive_quota_row(bench, 1, (), 0.0)
     account = bench.gateway.quota_counters.customers[CUSTOMER]
-    keeper = bench.gateway.replica_sets.coordinator(account)
-    if keeper == 0:
+    coordinator = bench.gateway.replica_sets.coordinator(account)
+    if coordinator == 0:
         pytest.skip("its own keeper")
     bench.gateway.reachability.unreachable_fraction = 1.0
     for number in range(1, 41):
@@ -96,7 +96,7 @@
         assert not of(actions, SendAttempt)
         if of(actions, SendGossip):
             bench.now += 20 * MS
-            receive_quota_row(bench, keeper, (), 0.0)
+            receive_quota_row(bench, coordinator, (), 0.0)
         bench.run(250 * MS)
         if bench.gateway.reachability.unreachable_fraction < 0.25:
             break
--- a/tests/policy/test_planted_policy_faults.py
+++ b/tests/policy/test_planted_policy_faults.py
@@ -49,7 +49,7 @@
 
     monkeypatch.setattr(QuotaCounters, "merge_counter", merge_smaller)
     for test in (
-        test_quota_counters.test_a_counter_keeps_the_larger_value_of_one_incarnation,
+        test_quota_counters.test_a_counter_takes_the_larger_value_of_one_incarnation,
         test_quota_counters.test_the_burst_is_admitted_until_it_is_nearly_spent_and_refills,
     ):
         with pytest.raises(AssertionError):
@@ -59,13 +59,13 @@
 def test_a_grant_that_is_not_deducted_from_the_coordinators_part_is_caught(monkeypatch):
     plain = TokenGrants.give
 
-    def give_and_keep(self, quota, node_index, wanted, has_waiting):
+    def give_without_deduction(self, quota, node_index, wanted, has_waiting):
         before = quota.ceiling_units
         granted = plain(self, quota, node_index, wanted, has_waiting)
         quota.ceiling_units = before
         return granted
 
-    monkeypatch.setattr(TokenGrants, "give", give_and_keep)
+    monkeypatch.setattr(TokenGrants, "give", give_without_deduction)
     with pytest.raises(AssertionError):
         test_token_grants.test_a_coordinator_grants_no_more_than_its_part_of_a_ceiling()
 
--- a/tests/policy/test_quota_broadcast.py
+++ b/tests/policy/test_quota_broadcast.py
@@ -23,7 +23,10 @@
     rest, reached = 60, []
     bench = Bench(node_count=80, gossip_intake=1_000.0)
     receive_rows(
-        bench, 1, quota_row([(1, NOW_TICK - 9, 9.0)], room=1.0, total=9.0, size=rest), keep=True
+        bench,
+        1,
+        quota_row([(1, NOW_TICK - 9, 9.0)], headroom=1.0, total=9.0, size=rest),
+        is_report=True,
     )
     waiting = sent_messages(bench.log)
     assert 0 < len(waiting) <= 13
@@ -40,9 +43,9 @@
     bench = Bench(node_count=40, gossip_intake=40.0)
     for customer in range(40):
         row = quota_row(
-            [(1, NOW_TICK - 9, 9.0)], room=1.0, total=9.0, size=40, customer=customer, reach=39
+            [(1, NOW_TICK - 9, 9.0)], headroom=1.0, total=9.0, size=40, customer=customer, reach=39
         )
-        receive_rows(bench, 1, row, keep=True)
+        receive_rows(bench, 1, row, is_report=True)
     spread = len(of(bench.log, SendGossip))
     assert 5 < spread < 20  # some of the sets hear of it: half of a second's messages
     customer_of_other_coordinator = next(
@@ -60,7 +63,7 @@
 
 def test_a_quota_with_headroom_is_not_broadcast():
     bench = confirmed_bench()
-    receive_rows(bench, 1, quota_row([(1, NOW_TICK - 9, 2.0)], total=2.0), keep=True)
+    receive_rows(bench, 1, quota_row([(1, NOW_TICK - 9, 2.0)], total=2.0), is_report=True)
     assert not sent_messages(bench.log)
 
 
--- a/tests/policy/test_quota_counters.py
+++ b/tests/policy/test_quota_counters.py
@@ -35,22 +35,24 @@
 
 def test_units_that_peers_admitted_are_counted():
     bench = confirmed_bench()
-    receive_rows(bench, 1, quota_row([(1, NOW_TICK - 9, 3.0)], room=7.0, total=3.0))
-    receive_rows(bench, 2, quota_row([(2, NOW_TICK - 9, 2.0)], room=8.0, total=2.0))
+    receive_rows(bench, 1, quota_row([(1, NOW_TICK - 9, 3.0)], headroom=7.0, total=3.0))
+    receive_rows(bench, 2, quota_row([(2, NOW_TICK - 9, 2.0)], headroom=8.0, total=2.0))
     assert count_admitted(bench, 20) == 3
 
 
 def test_a_total_covers_counters_that_were_never_received():
     """A gateway that missed messages, or has just started, learns from one row what is spent."""
     bench = Bench()
-    receive_rows(bench, 1, quota_row([(2, NOW_TICK - 9, 1.0)], room=1.0, total=500.0))
+    receive_rows(bench, 1, quota_row([(2, NOW_TICK - 9, 1.0)], headroom=1.0, total=500.0))
     assert count_admitted(bench, 20) == 0
 
 
 def test_a_coordinator_adds_up_the_reports_of_all_gateways():
     bench = confirmed_bench()
     for sender in (1, 2):
-        receive_rows(bench, sender, quota_row([(sender, NOW_TICK - 9, 4.0)], total=4.0), keep=True)
+        receive_rows(
+            bench, sender, quota_row([(sender, NOW_TICK - 9, 4.0)], total=4.0), is_report=True
+        )
     assert bench.gateway.quota_counters.customers[7].spent_units == 8.0
 
 
@@ -58,7 +60,7 @@
     bench = confirmed_bench()
     receive_rows(bench, 1, quota_row([(1, NOW_TICK - 90, 6.0)], total=6.0))
     receive_rows(
-        bench, 1, quota_row([(1, NOW_TICK - 1, 1.0)], total=1.0), keep=True
+        bench, 1, quota_row([(1, NOW_TICK - 1, 1.0)], total=1.0), is_report=True
     )  # it has started anew
     assert bench.gateway.quota_counters.customers[7].counters[1] == (NOW_TICK - 1, 1.0)
     assert bench.gateway.quota_counters.customers[7].spent_units == 7.0
@@ -104,8 +106,8 @@
 def merge_rows(rows) -> tuple:
     """Counts and room after these rows, all at one instant."""
     bench = confirmed_bench()
-    for counts, room in rows:
-        receive_rows(bench, 1, quota_row(counts, room=room))
+    for counts, headroom in rows:
+        receive_rows(bench, 1, quota_row(counts, headroom=headroom))
     account = bench.gateway.quota_counters.customers[7]
     return account.counters, account.headroom
 
@@ -124,7 +126,7 @@
     assert 0 <= merge_rows(rows)[1] <= PLAIN.burst
 
 
-def test_a_changed_replica_set_keeps_the_counters_and_leaves_nothing_when_forgotten():
+def test_a_changed_replica_set_retains_the_counters_and_leaves_nothing_when_forgotten():
     """A customer whose set moved left an entry to tell that no longer existed (fault of an incident)."""
     bench = confirmed_bench(node_count=4)
     assert count_admitted(bench, 20, first=0, size=3) == 8
@@ -169,7 +171,7 @@
     assert granted <= PLAIN.burst + PLAIN.rate * seconds
 
 
-def test_a_counter_keeps_the_larger_value_of_one_incarnation():
+def test_a_counter_takes_the_larger_value_of_one_incarnation():
     counters = confirmed_bench().gateway.quota_counters
     quota = counters.customers[7]
     assert counters.merge_counter(quota, 1, CounterEntry(NOW_TICK, 4.0)) == 4.0
--- a/tests/policy/test_retry_policy.py
+++ b/tests/policy/test_retry_policy.py
@@ -54,8 +54,10 @@
         bench.feed(listed(*(entry(i, **{near: i % 2}) for i in range(6))))
         send = of(bench.ask(1, kind=kind), SendAttempt)[0]
         bench.now += 10_000
-        again = of(bench.outcome(1, send.endpoint_id, AttemptOutcome.CONNECTION_LOST), SendAttempt)
-        assert [where[a.endpoint_id] for a in again] == [where[send.endpoint_id]]
+        retries = of(
+            bench.outcome(1, send.endpoint_id, AttemptOutcome.CONNECTION_LOST), SendAttempt
+        )
+        assert [where[a.endpoint_id] for a in retries] == [where[send.endpoint_id]]
 
 
 def test_a_request_with_an_idempotency_key_fails_if_its_scope_has_no_endpoint():
@@ -86,8 +88,10 @@
         bench = Bench(connect_timeout_us=connects)
         send = of(bench.ask(1, kind=ALL_KIND, left=4 * SECOND), SendAttempt)[0]
         bench.now += SECOND - FINAL_ANSWER_MARGIN_US - connects - early
-        again = of(bench.outcome(1, send.endpoint_id, AttemptOutcome.CONNECTION_LOST), SendAttempt)
-        assert bool(again) is early
+        retries = of(
+            bench.outcome(1, send.endpoint_id, AttemptOutcome.CONNECTION_LOST), SendAttempt
+        )
+        assert bool(retries) is early
 
 
 def test_retries_of_errors_stay_within_the_budget():
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -22,20 +22,20 @@
 
 def test_a_warming_endpoint_gets_no_more_than_its_part_of_a_warm_ones_share():
     bench = Bench(endpoints=0)
-    cold = entry(9, started_at_us=T0)
-    bench.feed(listed(*(entry(i) for i in range(4)), cold))
-    sent = {"cold": 0, "warm": 0}
+    warming = entry(9, started_at_us=T0)
+    bench.feed(listed(*(entry(i) for i in range(4)), warming))
+    sent = {"warming": 0, "warm": 0}
     for request in range(1, 401):
         for send in of(bench.ask(request, customer=request), SendAttempt):
-            sent["cold" if send.endpoint_id == cold.endpoint_id else "warm"] += 1
+            sent["warming" if send.endpoint_id == warming.endpoint_id else "warm"] += 1
             bench.outcome(request, send.endpoint_id, AttemptOutcome.SERVED, duration_us=1_000)
         bench.run(5_000)
     ramp = 0.25 + 0.75 * 2 / 10  # two seconds into ten
     assert sent["warm"] > 300
-    assert sent["cold"] <= ramp * sent["warm"] / 4 + 1
+    assert sent["warming"] <= ramp * sent["warm"] / 4 + 1
 
 
-def test_a_restarted_endpoint_warms_up_again_and_gets_no_burst():
+def test_a_restarted_endpoint_warms_up_and_gets_no_burst():
     bench = Bench(endpoints=0)
     bench.feed(listed(entry(1, started_at_us=T0 - 60 * SECOND)))
     assert len(of(bench.ask(1), SendAttempt)) == 1
@@ -49,13 +49,13 @@
 
 def test_a_warming_endpoint_gets_its_part_over_many_gateways_together():
     """A gateway of a large fleet sends to one server less than once in its warm-up: chance has to sum up."""
-    cold, sent = entry(9, started_at_us=T0), {True: 0, False: 0}
+    warming, sent = entry(9, started_at_us=T0), {True: 0, False: 0}
     for seed in range(200):
         bench = Bench(endpoints=0, seed=seed, node_count=200, now=T0 + 2 * SECOND)
-        bench.feed(listed(*(entry(i) for i in range(4)), cold))
+        bench.feed(listed(*(entry(i) for i in range(4)), warming))
         for request in range(1, 11):
             for send in of(bench.ask(request, customer=request, size=1), SendAttempt):
-                sent[send.endpoint_id == cold.endpoint_id] += 1
+                sent[send.endpoint_id == warming.endpoint_id] += 1
                 bench.outcome(request, send.endpoint_id, AttemptOutcome.SERVED, duration_us=30_000)
     assert 0.2 * sent[False] / 4 < sent[True] < 0.4 * sent[False] / 4
 
@@ -67,9 +67,9 @@
         load_report_source=LoadReportSource.INLINE,
         slow_start_duration_us=WARM_WITHIN,
     )
-    cold = entry(9, started_at_us=bench.now)
-    bench.feed(listed(*(entry(n) for n in range(3)), cold))
-    return shares_of_endpoints(bench, 2_000, report).get(cold.endpoint_id, 0.0)
+    warming = entry(9, started_at_us=bench.now)
+    bench.feed(listed(*(entry(n) for n in range(3)), warming))
+    return shares_of_endpoints(bench, 2_000, report).get(warming.endpoint_id, 0.0)
 
 
 def test_a_warming_endpoint_with_idle_cores_gets_more_but_not_more_than_a_fair_part():
@@ -87,9 +87,9 @@
         load_report_source=LoadReportSource.INLINE,
         slow_start_duration_us=1_000 * SECOND,
     )
-    cold = entry(9, started_at_us=bench.now)
-    bench.feed(listed(*(entry(n) for n in range(3)), cold))
-    host = bench.gateway.endpoints.by_id[cold.endpoint_id]
+    warming = entry(9, started_at_us=bench.now)
+    bench.feed(listed(*(entry(n) for n in range(3)), warming))
+    host = bench.gateway.endpoints.by_id[warming.endpoint_id]
     host.cpu_utilization, host.load_reported_at_us = 0.05, bench.now - 3 * SECOND
     request = shares_of_endpoints(bench, 400)
-    assert request.get(cold.endpoint_id, 0.0) < 0.09
+    assert request.get(warming.endpoint_id, 0.0) < 0.09
--- a/tests/policy/test_state_transfer.py
+++ b/tests/policy/test_state_transfer.py
@@ -70,8 +70,8 @@
     successor_of(bench)
     assert of(bench.ask(2), RejectRequest)
     assert not of(bench.feed(AdmissionCheckArrived(3, 9, 0, 0, 1.0, 0, 3)), AdmitRequest)
-    again = bench.outcome(1, send.endpoint_id, AttemptOutcome.CONNECT_FAILED)
-    assert of(again, SendAttempt)  # it has taken its units
+    retries = bench.outcome(1, send.endpoint_id, AttemptOutcome.CONNECT_FAILED)
+    assert of(retries, SendAttempt)  # it has taken its units
 
 
 def test_an_excluded_endpoint_stays_excluded_and_a_restored_one_stays_warming(bench):
--- a/tests/policy/test_token_grants.py
+++ b/tests/policy/test_token_grants.py
@@ -29,20 +29,22 @@
 
 
 def receive_grant_row(
-    bench: Bench, sender: int, rights: float, counts=(), keep=False, ago=0
+    bench: Bench, sender: int, grants: float, counts=(), is_report=False, ago=0
 ) -> list:
     """A peer's word: rights given, or wanted (keep); sent so long ago (ms)."""
     sent = bench.now // MS - ago
-    row = GossipRow(CUSTOMER, CEILED, 0, SIZE, 0, 8.0, 0.0, rights, counts)
-    body = gossip_codec.pack_message(sent, keep, keep, [gossip_codec.pack_row(row, sent, SIZE)])
+    row = GossipRow(CUSTOMER, CEILED, 0, SIZE, 0, 8.0, 0.0, grants, counts)
+    body = gossip_codec.pack_message(
+        sent, is_report, is_report, [gossip_codec.pack_row(row, sent, SIZE)]
+    )
     return bench.feed(GossipReceived(sender, body))
 
 
 def grants_to(actions, peer: int) -> list[float]:
     """What the rows to a peer ask for or give."""
     bodies = [a.body for a in of(actions, SendGossip) if a.peer == peer]
-    told = [gossip_codec.unpack_message(body, T0 // MS + 60_000, SIZE, 9) for body in bodies]
-    return [row.grants for message in told for row in message.rows]
+    messages = [gossip_codec.unpack_message(body, T0 // MS + 60_000, SIZE, 9) for body in bodies]
+    return [row.grants for message in messages for row in message.rows]
 
 
 def request_once(bench: Bench, number: int, **more) -> list:
@@ -117,7 +119,7 @@
 def coordinator_with(level: float) -> Bench:
     """The keeper with so many units of its part, which gains 16 / 3 a second and holds 32 / 3."""
     bench = Bench(node_index=COORDINATOR)
-    receive_grant_row(bench, OTHER, 0.0, keep=True)
+    receive_grant_row(bench, OTHER, 0.0, is_report=True)
     bench.gateway.quota_counters.customers[CUSTOMER].ceiling_units = level
     return bench
 
@@ -126,17 +128,17 @@
     bench = coordinator_with(3.0)
     start = T0 // MS // gossip_codec.TICK_MS
     assert grants_to(
-        receive_grant_row(bench, OTHER, 1.0, ((OTHER, start, 1.0),), keep=True), OTHER
+        receive_grant_row(bench, OTHER, 1.0, ((OTHER, start, 1.0),), is_report=True), OTHER
     ) == [0.0]  # it sent one on
-    assert grants_to(receive_grant_row(bench, THIRD, 2.0, keep=True), THIRD) == [
+    assert grants_to(receive_grant_row(bench, THIRD, 2.0, is_report=True), THIRD) == [
         2.0
     ]  # it has one that waits
 
 
 def test_a_coordinator_that_is_short_sends_pending_grants_in_order_as_it_refills():
     bench = coordinator_with(0.5)
-    assert grants_to(receive_grant_row(bench, OTHER, 1.0, keep=True), OTHER) == [0.0]
-    receive_grant_row(bench, THIRD, 0.25, keep=True)
+    assert grants_to(receive_grant_row(bench, OTHER, 1.0, is_report=True), OTHER) == [0.0]
+    receive_grant_row(bench, THIRD, 0.25, is_report=True)
     paid = bench.run(PENDING_GRANT_LIFETIME_US)
     assert grants_to(paid, OTHER) == [1.0] and grants_to(paid, THIRD) == [0.25]
     assert [a.peer for a in of(paid, SendGossip) if grants_to([a], a.peer) != [0.0]] == [
@@ -150,7 +152,7 @@
 
 def test_pending_grants_expire_and_leave_nothing():
     bench = coordinator_with(0.0)
-    receive_grant_row(bench, OTHER, 8.0, keep=True)
+    receive_grant_row(bench, OTHER, 8.0, is_report=True)
     assert grants_to(bench.run(10 * SECOND), OTHER) == []
     assert not bench.gateway.token_grants.pending_customers
     assert not bench.gateway.quota_counters.customers[CUSTOMER].pending_grants
@@ -164,7 +166,7 @@
     assert len(final_answers_in(request_once(bench, 1))) == 1  # not within the time that one waits
 
 
-def test_parts_fill_from_the_start_of_the_process():
+def test_parts_refill_from_the_start_of_the_process():
     bench = Bench(node_index=COORDINATOR, now=T0)
     bench.gateway.start(T0 - SECOND // 2)
     (send,) = of(request_once(bench, 1), SendAttempt)
@@ -174,34 +176,38 @@
     )
 
 
-def ceiling_row(rights: float, total=0.0) -> GossipRow:
+def ceiling_row(grants: float, total=0.0) -> GossipRow:
     """A word on a customer with a ceiling, with rights wanted or given."""
-    return GossipRow(1, 2, 0, 3, 0, 8.0, total, rights, ())
+    return GossipRow(1, 2, 0, 3, 0, 8.0, total, grants, ())
 
 
-def receive_ceiling_row(bench: Bench, sender: int, row: GossipRow, keep: bool) -> list:
+def receive_ceiling_row(bench: Bench, sender: int, row: GossipRow, is_report: bool) -> list:
     """A peer's word, which asks for an answer where it wants rights."""
     sent = bench.now // 1_000
-    body = gossip_codec.pack_message(sent, keep, keep, [gossip_codec.pack_row(row, sent, 3)])
+    body = gossip_codec.pack_message(
+        sent, is_report, is_report, [gossip_codec.pack_row(row, sent, 3)]
+    )
     return bench.feed(GossipReceived(sender, body))
 
 
 def test_a_coordinator_grants_no_more_than_its_part_of_a_ceiling():
     """What it gives is off its own part first; together no more than the ceiling's store goes out."""
-    keeper = next(
+    coordinator = next(
         r
         for r in range(3)
         if Bench(node_index=r).gateway.replica_sets.coordinator(CustomerQuota(1, 2, 0, 3, 8.0, T0))
         == r
     )
-    bench = Bench(node_index=keeper)
-    other = (keeper + 1) % 3
-    receive_ceiling_row(bench, other, ceiling_row(0.0), keep=True)
+    bench = Bench(node_index=coordinator)
+    other = (coordinator + 1) % 3
+    receive_ceiling_row(bench, other, ceiling_row(0.0), is_report=True)
     bench.now += 30 * SECOND  # its store of 16 x 2/3 is full
     given = 0.0
     for _ in range(5):
-        for tell in of(receive_ceiling_row(bench, other, ceiling_row(3.5), keep=True), SendGossip):
-            message = gossip_codec.unpack_message(tell.body, bench.now // 1_000, 3, 4)
+        for sent in of(
+            receive_ceiling_row(bench, other, ceiling_row(3.5), is_report=True), SendGossip
+        ):
+            message = gossip_codec.unpack_message(sent.body, bench.now // 1_000, 3, 4)
             given += message.rows[0].grants if not message.is_report else 0.0
     assert 10.0 < given <= 16 * 2 / 3
 
@@ -209,10 +215,10 @@
 def test_grants_that_were_not_requested_are_ignored():
     """A repeated or made-up gift must not lift a ceiling."""
     bench = Bench(node_index=1)
-    receive_ceiling_row(bench, 0, ceiling_row(16.0), keep=False)
+    receive_ceiling_row(bench, 0, ceiling_row(16.0), is_report=False)
     assert not of(bench.ask(1, customer=1, plan=2), SendAttempt)
-    receive_ceiling_row(bench, 0, ceiling_row(2.0), keep=False)
-    receive_ceiling_row(bench, 0, ceiling_row(2.0), keep=False)
+    receive_ceiling_row(bench, 0, ceiling_row(2.0), is_report=False)
+    receive_ceiling_row(bench, 0, ceiling_row(2.0), is_report=False)
     for request in range(2, 30):
         bench.ask(request, customer=1, plan=2)
     assert len(of(bench.log, SendAttempt)) == 1  # once what was actions for
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -34,7 +34,7 @@
     TimerFired,
 )
 from saffrongw.policy.settings_schema import SettingsError, parse_settings
-from saffrongw.simulator import __main__ as wirehost
+from saffrongw.simulator import __main__ as process
 from saffrongw.simulator import codec
 
 ROOT = Path(__file__).parent.parent.parent
@@ -126,7 +126,7 @@
 def play(*frames: bytes) -> bytes:
     """What the process answers."""
     sink = io.BytesIO()
-    wirehost.serve(io.BytesIO(b"".join(frames)), sink)
+    process.serve(io.BytesIO(b"".join(frames)), sink)
     return sink.getvalue()
 
 
@@ -138,13 +138,13 @@
     order = raw(
         "05 0300 c4913a5d 00 0000 640ad2557c3bf091 80a90300 00000040 00004040 0000803f 0100"
     )
-    bell = raw("01 0300 4d00000000000000")
-    gone = raw("03 0500 192b6f0e")
+    timer = raw("01 0300 4d00000000000000")
+    disconnected = raw("03 0500 192b6f0e")
     answer = raw(
         "06 0300 c4913a5d 0000 0a124a07 2b23 6400 44480000 01 5600 0300 0352b81e3f 00006841 0000e040 00000000"
     )
     counted = raw("0a 0300 00001842 66080000 6400 90f6890000000000")
-    got = decode(order, bell, gone, answer, counted)
+    got = decode(order, timer, disconnected, answer, counted)
     assert got[0] == (
         3,
         RequestArrived(0x5D3A91C4, 0x91F03B7C55D20A64, 0, 0, 2.0, 240000, 1, 3, False),
@@ -179,8 +179,8 @@
     send = SendAttempt(0x5D3A91C4, HOST, 0x8194DA)
     assert encode(send) == raw("41 0300 c4913a5d 0a124a07 2b23 da94810000000000", 24)
     assert encode(SetTimer(0x07A120, 77)) == raw("45 0300 20a10700 4d00000000000000", 24)
-    tell = encode(SendGossip(0xFFFF, bytes.fromhex("68692037")))
-    assert tell == raw("48 0300 ffff 00000000 04000000", 24) + b"hi 7"
+    gossip = encode(SendGossip(0xFFFF, bytes.fromhex("68692037")))
+    assert gossip == raw("48 0300 ffff 00000000 04000000", 24) + b"hi 7"
     assert encode(RejectRequest(7, 9)) == raw("42 0300 07000000 09000000", 24)
     assert encode(FailRequest(7)) == raw("43 0300 07000000", 24)
     assert encode(CancelAttempt(7, 2)) == raw("44 0300 07000000 0200", 24)
@@ -267,26 +267,26 @@
         parse_settings(json.dumps(without(*path)).encode())
 
 
-def test_unknown_keys_are_passed_over():
+def test_unknown_keys_are_ignored():
     more = {**SETTINGS, "new": 1, "rules": {**SETTINGS["rules"], "newer": 2}}
     assert parse_settings(json.dumps(more).encode()) == parse_settings(
         json.dumps(SETTINGS).encode()
     )
 
 
-def test_a_failure_of_the_decisions_is_told_on_the_wire(monkeypatch):
+def test_an_exception_of_the_policy_becomes_a_record_of_the_reply(monkeypatch):
     start, text = init(1, SETTINGS)
 
     def broken(*_):
         raise RuntimeError("no such thing")
 
-    monkeypatch.setattr(wirehost.Gateway, "handle", broken)
+    monkeypatch.setattr(process.Gateway, "handle", broken)
     reply = play(frame(start, tail=text), frame(raw("01 0100")))
     assert b"RuntimeError: no such thing" in reply
     assert reply[-24 - len("RuntimeError: no such thing")] == 74
 
 
-def test_a_stopped_gateway_may_start_again_in_the_same_batch():
+def test_a_stopped_gateway_may_restart_in_the_same_batch():
     start, text = init(1, SETTINGS)
     reply = play(frame(start, raw("08 0100"), start, tail=text))
     assert struct.unpack_from("<I", reply)[0] == 2
