--- a/saffrongw/gateway/admin_http/handlers.py
+++ b/saffrongw/gateway/admin_http/handlers.py
@@ -37,7 +37,7 @@
         lines = driver.figures.lines(
             self.config.class_names,
             self.clients.inflight,
-            len(gateway.hosts),
+            len(gateway.endpoints.by_id),
             gateway.avoided(driver.clock()),
         )
         for part in self.more:
@@ -49,10 +49,11 @@
         gateway = self.driver.gateway
         if not self._known(server):
             return "no host has this id"
-        if len(gateway.excluded) >= EXCLUDED_MOST and server not in gateway.excluded:
+        excluded = gateway.exclusions.sources
+        if len(excluded) >= EXCLUDED_MOST and server not in excluded:
             return "too many hosts are out"
         self._exclude(server, True)
-        self.tell("exclusion", state_transfer.text_of(server), True)
+        self.tell("exclusion", state_transfer.endpoint_id_to_text(server), True)
         return None
 
     def uncordon(self, server: EndpointId) -> str | None:
@@ -60,7 +61,7 @@
         if not self._known(server):
             return "no host has this id"
         self._exclude(server, False)
-        self.tell("exclusion", state_transfer.text_of(server), False)
+        self.tell("exclusion", state_transfer.endpoint_id_to_text(server), False)
         return None
 
     def _exclude(self, server: EndpointId, excluded: bool) -> None:
@@ -69,7 +70,7 @@
     def told(self, message: list) -> None:
         """What operators asked of the other process of an upgrade holds here too."""
         if message[0] == "exclusion":
-            self._exclude(state_transfer.server_of(message[1]), bool(message[2]))
+            self._exclude(state_transfer.endpoint_id_from_text(message[1]), bool(message[2]))
         elif message[0] == "quiesced":
             (self.clients.quiesce if message[1] else self.clients.resume)()
         else:
@@ -77,7 +78,8 @@
 
     def _known(self, server: EndpointId) -> bool:
         gateway = self.driver.gateway
-        return server in gateway.hosts or SOURCE in gateway.excluded.get(server, ())
+        sources = gateway.exclusions.sources.get(server, ())
+        return server in gateway.endpoints.by_id or SOURCE in sources
 
     def quiesce(self) -> None:
         """Take no more clients."""
--- a/saffrongw/policy/state_transfer.py
+++ b/saffrongw/policy/state_transfer.py
@@ -1,227 +1,282 @@
-"""What one process of a gateway tells its successor, as plain rows: counts, exclusions, marks of hosts.
+"""What one process of a gateway hands to its successor, as rows that JSON holds.
 
-Pure. A row is a list that JSON holds: its kind, then its values; server ids are text. Both processes read
-one clock and are one gateway to all others (the same rank, the same starts of counts), so that the successor
-goes on with the counts and grants nobody a fresh allowance. Only one of the two decides first sends at a
-time: after ``export`` the old one refuses what it has not sent (``Gateway.handed_over``).
+A row is a list: its kind, then its values; endpoint identifiers are text. The kinds and the order
+of values stay as they are, because versions on both sides of an upgrade exchange them.
+
+Both processes read one clock and are one gateway to all others (the same node index, the same
+starts of counters), so that the successor goes on with the counters and grants nobody a fresh
+allowance. Only one of the two admits requests at a time: after ``export`` the old one rejects what
+it has not sent.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterator
+import dataclasses
+from collections.abc import Callable, Iterator
+from typing import Any, NamedTuple
 
+from .customer_quota import CounterEntry, CustomerQuota
+from .endpoints import Endpoint
 from .events import (
-    EndpointEntry,
     EndpointId,
     EndpointListKind,
     EndpointListReceived,
     EndpointState,
     ExclusionChanged,
 )
-from .rules import Gateway
-from .state import Account, Known
+from .exclusions import RestoredSpan
+from .gateway import Gateway
+from .health_score import HealthScore
 
-Row = list
+Row = list[Any]
 
 
-class OddRow(ValueError):
+class MalformedRowError(ValueError):
     """A row that no process of this version writes."""
 
 
-def text_of(endpoint_id: EndpointId) -> str:
-    """A server's id as JSON holds it, whatever its bytes."""
+class QuotaRow(NamedTuple):
+    """The values of an ``account`` row, in their order; they are those of ``CustomerQuota``."""
+
+    customer: int
+    # Plan, first gateway and size of the replica set.
+    plan_and_set: list[int]
+    limit: float
+    refilled_at_us: int
+    # Node index, start in ticks and units of each counter.
+    counters: list[list[Any]]
+    counted_units: float
+    spent_units: float
+    recent_nodes: list[int]
+    is_unconfirmed: bool
+    in_flight: int
+    remote_admissions_us: list[int]
+    ceiling_units: float
+    last_admitted_us: int
+    is_exhausted: bool
+    # Whether the counters changed since they were last gossiped.
+    changed: bool
+
+
+def endpoint_id_to_text(endpoint_id: EndpointId) -> str:
+    """Return an endpoint identifier as JSON holds it, whatever its bytes."""
     return endpoint_id.decode("latin-1")
 
 
-def server_of(text: str) -> EndpointId:
-    """The id again; ``UnicodeError`` where it is none."""
+def endpoint_id_from_text(text: str) -> EndpointId:
+    """Return the identifier again; ``UnicodeError`` where the text is none."""
     return text.encode("latin-1")
 
 
 def export(gateway: Gateway) -> Iterator[Row]:
-    """All rows. From the first on nothing new may be begun by this gateway."""
+    """Yield all rows. From the first on this gateway admits nothing more."""
     gateway.handed_over = True
+    counters = gateway.quota_counters
+    reachability = gateway.reachability
     yield [
         "learnt",
-        gateway.usual,
-        gateway.learnt,
-        gateway.budget,
-        gateway.unheard,
-        gateway.started,
+        gateway.latency.typical_us,
+        gateway.latency.sample_counts,
+        gateway.retry_policy.budget,
+        reachability.unreachable_fraction,
+        counters.started_at_us,
     ]
-    yield ["heard", [[node_index, at] for node_index, at in gateway.heard.items()]]
-    yield ["met", *_marks(gateway.met)]
-    for zone, known in gateway.zones_met.items():
-        yield ["zone", zone, *_marks(known)]
+    yield ["heard", [[node, at_us] for node, at_us in reachability.last_received_us.items()]]
+    yield ["met", *_score_values(gateway.outlier_detection.fleet_score)]
+    for zone, score in gateway.outlier_detection.zone_scores.items():
+        yield ["zone", zone, *_score_values(score)]
     yield from exclusions(gateway)
-    for endpoint_id, host in gateway.hosts.items():
-        if host.seen:
-            yield ["host", text_of(endpoint_id), *_marks(host), host.typical]
-    for account in gateway.accounts.values():
-        yield [
-            "account",
-            account.customer,
-            list(account.key),
-            account.limit,
-            account.risen,
-            [[node_index, start, value] for node_index, (start, value) in account.counts.items()],
-            account.spent,
-            account.total,
-            list(account.news),
-            account.fresh,
-            account.out,
-            list(account.others),
-            account.ceiling,
-            account.used,
-            account.closed,
-            account.customer in gateway.changed,
-        ]
+    for endpoint_id, endpoint in gateway.endpoints.by_id.items():
+        if endpoint.updated_at_us:
+            text = endpoint_id_to_text(endpoint_id)
+            yield ["host", text, *_score_values(endpoint), endpoint.typical_load]
+    for quota in counters.customers.values():
+        yield ["account", *_quota_row(quota, quota.customer in counters.changed)]
 
 
 def exclusions(gateway: Gateway) -> Iterator[Row]:
-    """What is out by hand, and what was put back lately."""
-    for endpoint_id, sources in gateway.excluded.items():
-        yield ["excluded", text_of(endpoint_id), sources]
-    for endpoint_id, (since, until) in gateway.returned.items():
-        yield ["returned", text_of(endpoint_id), since, until]
-
+    """Yield what is administratively excluded, and what was restored lately."""
+    for endpoint_id, sources in gateway.exclusions.sources.items():
+        yield ["excluded", endpoint_id_to_text(endpoint_id), sources]
+    for endpoint_id, span in gateway.exclusions.restored.items():
+        yield ["returned", endpoint_id_to_text(endpoint_id), *span]
+
+
+def _score_values(score: HealthScore) -> tuple[int, float, float]:
+    return score.updated_at_us, score.latency_score, score.failure_score
+
+
+def _quota_row(quota: CustomerQuota, changed: bool) -> QuotaRow:
+    return QuotaRow(
+        quota.customer,
+        [quota.plan, quota.set_first, quota.set_size],
+        quota.limit,
+        quota.refilled_at_us,
+        [[node, entry.start_tick, entry.units] for node, entry in quota.counters.items()],
+        quota.counted_units,
+        quota.spent_units,
+        list(quota.recent_nodes),
+        quota.is_unconfirmed,
+        quota.in_flight,
+        list(quota.remote_admissions_us),
+        quota.ceiling_units,
+        quota.last_admitted_us,
+        quota.is_exhausted,
+        changed,
+    )
 
-def _marks(known: Known) -> tuple[int, float, float]:
-    return known.seen, known.slow, known.fails
 
+def adopt(gateway: Gateway, now_us: int, row: Row) -> None:
+    """Take over one row; ``MalformedRowError`` where it makes no sense.
 
-def adopt(gateway: Gateway, now: int, row: Row) -> None:
-    """Take over one row; ``OddRow`` where it makes no sense. Nothing that is known better is overwritten."""
+    Nothing that this gateway knows better is overwritten.
+    """
     try:
-        method = _ADOPT[row[0]]
-        method(gateway, now, *row[1:])
-    except (LookupError, TypeError, ValueError, AttributeError, ArithmeticError) as wrong:
-        raise OddRow(f"{str(row)[:80]}: {wrong!r}") from None
+        _ADOPTERS[row[0]](gateway, now_us, *row[1:])
+    except (LookupError, TypeError, ValueError, AttributeError, ArithmeticError) as error:
+        raise MalformedRowError(f"{str(row)[:80]}: {error!r}") from None
 
 
-def _learnt(
+def _adopt_learned(
     gateway: Gateway,
-    now: int,
-    usual: list,
-    learnt: list,
-    budget: float,
-    unheard: float,
-    started: int,
+    _now_us: int,
+    typical_us: list[float],
+    sample_counts: list[int],
+    retry_budget: float,
+    unreachable_fraction: float,
+    started_at_us: int,
 ) -> None:
-    if len(usual) == len(learnt) == len(gateway.usual):
-        gateway.usual = [float(span) for span in usual]
-        gateway.learnt = [int(times) for times in learnt]
-    gateway.budget, gateway.unheard = float(budget), float(unheard)
-    gateway.started = min(gateway.started, int(started))
+    latency = gateway.latency
+    if len(typical_us) == len(sample_counts) == len(latency.typical_us):
+        latency.typical_us = [float(duration_us) for duration_us in typical_us]
+        latency.sample_counts = [int(count) for count in sample_counts]
+    gateway.retry_policy.budget = float(retry_budget)
+    gateway.reachability.unreachable_fraction = float(unreachable_fraction)
+    counters = gateway.quota_counters
+    counters.started_at_us = min(counters.started_at_us, int(started_at_us))
 
 
-def _heard(gateway: Gateway, now: int, heard: list) -> None:
-    for node_index, at in heard:
-        gateway.heard[int(node_index)] = max(int(at), gateway.heard.get(node_index, 0))
+def _adopt_received(gateway: Gateway, _now_us: int, received: list[list[int]]) -> None:
+    last_received_us = gateway.reachability.last_received_us
+    for node, at_us in received:
+        last_received_us[int(node)] = max(int(at_us), last_received_us.get(node, 0))
 
 
-def _known(known: Known, seen: int, slow: float, fails: float) -> None:
-    if seen >= known.seen or (known.slow, known.fails) == (1.0, 0.0):  # listed lately, and not met
-        known.seen, known.slow, known.fails = int(seen), float(slow), float(fails)
+def _adopt_score(
+    score: HealthScore, updated_at_us: float, latency_score: float, failure_score: float
+) -> None:
+    # An endpoint that was listed lately and not met has nothing to lose.
+    is_unused = (score.latency_score, score.failure_score) == (1.0, 0.0)
+    if updated_at_us >= score.updated_at_us or is_unused:
+        score.updated_at_us = int(updated_at_us)
+        score.latency_score = float(latency_score)
+        score.failure_score = float(failure_score)
 
 
-def _met(gateway: Gateway, now: int, *marks) -> None:
-    _known(gateway.met, *marks)
+def _adopt_fleet_score(gateway: Gateway, _now_us: int, *values: float) -> None:
+    _adopt_score(gateway.outlier_detection.fleet_score, *values)
 
 
-def _zone(gateway: Gateway, now: int, zone: int, *marks) -> None:
-    _known(gateway.zones_met.setdefault(int(zone), Known(0)), *marks)
+def _adopt_zone_score(gateway: Gateway, _now_us: int, zone: int, *values: float) -> None:
+    zone_scores = gateway.outlier_detection.zone_scores
+    _adopt_score(zone_scores.setdefault(int(zone), HealthScore(0)), *values)
 
 
-def _excluded(gateway: Gateway, now: int, endpoint_id: str, sources: dict) -> None:
-    for source, since in sources.items():
-        gateway.handle(now, ExclusionChanged(server_of(endpoint_id), str(source), True, int(since)))
+def _adopt_exclusion(
+    gateway: Gateway, now_us: int, endpoint_id: str, sources: dict[str, int]
+) -> None:
+    for source, since_us in sources.items():
+        event = ExclusionChanged(
+            endpoint_id_from_text(endpoint_id), str(source), True, int(since_us)
+        )
+        gateway.handle(now_us, event)
 
 
-def _returned(gateway: Gateway, now: int, endpoint_id: str, since: int, until: int) -> None:
-    """It is taken to have started when it was put back, as the old process takes it."""
-    name = server_of(endpoint_id)
-    if name in gateway.excluded:
+def _adopt_restored(
+    gateway: Gateway, now_us: int, text: str, excluded_at_us: int, restored_at_us: int
+) -> None:
+    """Take an endpoint to have started when it was restored, as the old process does."""
+    endpoint_id = endpoint_id_from_text(text)
+    if endpoint_id in gateway.exclusions.sources:
         return
-    gateway.returned[name] = int(since), int(until)
-    host = gateway.hosts.get(name)
-    if host and host.entry.started_at_us < since:
-        entry = host.entry
-        gone = EndpointEntry(
-            name, EndpointState.REMOVED, entry.zone, entry.cell, entry.started_at_us, entry.size
-        )
-        for line in (
-            gone,
-            entry,
-        ):  # listed anew, it gets its launch and its pool by the ordinary way
-            gateway.handle(now, EndpointListReceived(EndpointListKind.DELTA, 0, (line,)))
+    gateway.exclusions.restored[endpoint_id] = RestoredSpan(
+        int(excluded_at_us), int(restored_at_us)
+    )
+    endpoint = gateway.endpoints.by_id.get(endpoint_id)
+    if endpoint and endpoint.entry.started_at_us < excluded_at_us:
+        _list_anew(gateway, now_us, endpoint)
 
 
-def _host(
-    gateway: Gateway,
-    now: int,
-    endpoint_id: str,
-    seen: int,
-    slow: float,
-    fails: float,
-    typical: float,
-) -> None:
-    if host := gateway.hosts.get(server_of(endpoint_id)):
-        _known(host, seen, slow, fails)
-        host.typical = float(typical)
+def _list_anew(gateway: Gateway, now_us: int, endpoint: Endpoint) -> None:
+    # Removed and listed again, it gets its start and its pool by the ordinary way.
+    entry = endpoint.entry
+    removed = dataclasses.replace(entry, state=EndpointState.REMOVED)
+    for line in (removed, entry):
+        gateway.handle(now_us, EndpointListReceived(EndpointListKind.DELTA, 0, (line,)))
 
 
-def _account(
+def _adopt_endpoint(
     gateway: Gateway,
-    now: int,
-    customer: int,
-    key: list,
-    limit: float,
-    risen: int,
-    counts: list,
-    spent: float,
-    total: float,
-    news: list,
-    fresh: bool,
-    out: int,
-    others: list,
-    ceiling: float,
-    used: int,
-    closed: bool,
-    changed: bool,
+    _now_us: int,
+    text: str,
+    updated_at_us: int,
+    latency_score: float,
+    failure_score: float,
+    typical_load: float,
 ) -> None:
-    plan, first, size = (int(part) for part in key)
-    if customer in gateway.accounts or not 0 <= plan < len(gateway.s.plans):
+    if endpoint := gateway.endpoints.by_id.get(endpoint_id_from_text(text)):
+        _adopt_score(endpoint, updated_at_us, latency_score, failure_score)
+        endpoint.typical_load = float(typical_load)
+
+
+def _adopt_quota(gateway: Gateway, now_us: int, *values: object) -> None:
+    row = QuotaRow._make(values)
+    settings, counters = gateway.settings, gateway.quota_counters
+    plan, set_first, set_size = (int(number) for number in row.plan_and_set)
+    if row.customer in counters.customers or not 0 <= plan < len(settings.plans):
         return
-    if not 0 <= first < gateway.s.node_count or not 1 <= size <= gateway.s.node_count:
-        raise ValueError("the set is out of range")
-    account = Account(int(customer), (plan, first, size), float(limit), int(risen), used=int(used))
-    account.counts = {
-        int(node_index): (int(start), float(value)) for node_index, start, value in counts
-    }
-    account.spent, account.total, account.ceiling = float(spent), float(total), float(ceiling)
-    account.news, account.fresh, account.closed = (
-        tuple(int(node_index) for node_index in news),
-        bool(fresh),
-        bool(closed),
+    if not 0 <= set_first < settings.node_count or not 1 <= set_size <= settings.node_count:
+        raise ValueError(f"the replica set {set_first}, {set_size} is out of range")
+    quota = _quota_of(row, plan, set_first, set_size)
+    # What is in flight at the old process counts like admissions of other gateways: for as long as
+    # the typical latency.
+    admissions = (*(int(at) for at in row.remote_admissions_us), *[now_us] * int(row.in_flight))
+    quota.remote_admissions_us = admissions[-max(1, settings.plans[plan].concurrency_limit) :]
+    counters.customers[quota.customer] = quota
+    counters.idle_queue.append(quota.customer)
+    if row.changed:
+        counters.changed[quota.customer] = None
+
+
+def _quota_of(row: QuotaRow, plan: int, set_first: int, set_size: int) -> CustomerQuota:
+    return CustomerQuota(
+        int(row.customer),
+        plan,
+        set_first,
+        set_size,
+        float(row.limit),
+        int(row.refilled_at_us),
+        counters={
+            int(node): CounterEntry(int(start_tick), float(units))
+            for node, start_tick, units in row.counters
+        },
+        counted_units=float(row.counted_units),
+        spent_units=float(row.spent_units),
+        recent_nodes=tuple(int(node) for node in row.recent_nodes),
+        is_unconfirmed=bool(row.is_unconfirmed),
+        ceiling_units=float(row.ceiling_units),
+        last_admitted_us=int(row.last_admitted_us),
+        is_exhausted=bool(row.is_exhausted),
     )
-    # What is out at the old process is taken to be out for as long as usual, like what others approved.
-    account.others = (*(int(at) for at in others), *[now] * int(out))[
-        -max(1, gateway.s.plans[plan].concurrency_limit) :
-    ]
-    gateway.accounts[account.customer] = account
-    gateway.idle_queue.append(account.customer)
-    if changed:
-        gateway.changed[account.customer] = None
-
-
-_ADOPT = {
-    "learnt": _learnt,
-    "heard": _heard,
-    "met": _met,
-    "zone": _zone,
-    "excluded": _excluded,
-    "returned": _returned,
-    "host": _host,
-    "account": _account,
+
+
+_ADOPTERS: dict[str, Callable[..., None]] = {
+    "learnt": _adopt_learned,
+    "heard": _adopt_received,
+    "met": _adopt_fleet_score,
+    "zone": _adopt_zone_score,
+    "excluded": _adopt_exclusion,
+    "returned": _adopt_restored,
+    "host": _adopt_endpoint,
+    "account": _adopt_quota,
 }
--- a/tests/faults/variants.py
+++ b/tests/faults/variants.py
@@ -15,9 +15,15 @@
 from saffrongw.gateway.driver import Driver, UpstreamAttempt
 from saffrongw.gateway.upstream import cluster as hosting
 from saffrongw.policy.actions import FailRequest, RejectRequest
+from saffrongw.policy.admission import Admission
 from saffrongw.policy.events import EndpointState
-from saffrongw.policy.rules import Gateway
+from saffrongw.policy.gateway import Gateway
+from saffrongw.policy.gossip import Gossip
+from saffrongw.policy.load_balancer import LoadBalancer
+from saffrongw.policy.quota_counters import QuotaCounters
+from saffrongw.policy.rate_ceiling import RateCeiling
 from saffrongw.policy.settings import DeduplicationScope, Idempotency
+from saffrongw.policy.slow_start import SlowStart
 
 VARIANTS: dict[str, Callable[[], None]] = {}
 
@@ -198,11 +204,12 @@
 
 @variant
 def cold_hosts_first() -> None:
-    def cold_one(self, request):
-        return next((host for host in self.cold.hosts if self._may_send(request, host)), None)
+    def choose(self, request):
+        warming = self._endpoints.warming.endpoints
+        return next((e for e in warming if self._retry_policy.may_send(request, e)), None)
 
-    Gateway._cold_one = cold_one
-    Gateway._patience = lambda self, request: float("inf")
+    SlowStart.choose = choose
+    Admission.max_expected_latency_us = lambda self, request: float("inf")
 
 
 @variant
@@ -210,11 +217,12 @@
     """Takes the host that started last to be the least loaded."""
 
     def choose(self, request):
-        hosts = [h for h in (*self.warm.hosts, *self.cold.hosts) if self._may_send(request, h)]
-        return max(hosts, key=lambda host: host.entry.started_at_us, default=None)
+        pools = (*self._endpoints.warm.endpoints, *self._endpoints.warming.endpoints)
+        usable = [e for e in pools if self._retry_policy.may_send(request, e)]
+        return max(usable, key=lambda endpoint: endpoint.entry.started_at_us, default=None)
 
-    Gateway._choose = choose
-    Gateway._patience = lambda self, request: float("inf")
+    LoadBalancer.choose = choose
+    Admission.max_expected_latency_us = lambda self, request: float("inf")
 
 
 # -- ceilings and quotas ---------------------------------------------------------------------------------
@@ -228,13 +236,13 @@
 @variant
 def whole_ceiling_each() -> None:
     change_settings(plans=lambda p: replace(p, rate=0.0))
-    Gateway._ceiling_part = lambda self, account: 1.0
+    RateCeiling.local_part = lambda self, quota: 1.0
 
 
 @variant
 def deaf_to_peers() -> None:
-    Gateway._gossip_received = lambda self, event: None
-    Gateway._share = lambda self, account: 1.0
+    Gossip.receive = lambda self, event: None
+    QuotaCounters.share = lambda self, quota: 1.0
 
 
 @variant
--- a/tests/policy/test_token_grants.py
+++ b/tests/policy/test_token_grants.py
@@ -1,4 +1,4 @@
-"""A customer's ceiling at gateways that hold too little of it: they ask its keeper and wait a message's time."""
+"""Token grants: gateways that lack units of a ceiling request them of its coordinator."""
 
 from __future__ import annotations
 
@@ -6,146 +6,219 @@
 from conftest import SECOND, T0, Bench, of
 
 from saffrongw.policy import gossip_codec
-from saffrongw.policy.actions import FailRequest, RejectRequest, SendAttempt, SendGossip
-from saffrongw.policy.counts import RIGHTS_OWED, RIGHTS_WITHIN
-from saffrongw.policy.events import ClientDisconnected, GossipReceived
-from saffrongw.policy.gossip_codec import Row
+from saffrongw.policy.actions import (
+    FailRequest,
+    RejectRequest,
+    SendAttempt,
+    SendGossip,
+)
+from saffrongw.policy.admission import MAX_GRANT_WAIT_US
+from saffrongw.policy.customer_quota import CustomerQuota
+from saffrongw.policy.events import (
+    ClientDisconnected,
+    GossipReceived,
+)
+from saffrongw.policy.gossip_codec import GossipRow
+from saffrongw.policy.replica_sets import ReplicaSets
+from saffrongw.policy.token_grants import PENDING_GRANT_LIFETIME_US
 
 CUSTOMER, CEILED, SIZE = 1, 2, 3  # its store holds 16 units and gains 8 a second
 MS = 1_000
-ASKER = Bench().gateway
-KEEPER = next(
-    r for r in range(SIZE) if r == ASKER._keeper(ASKER._account(CUSTOMER, CEILED, 0, SIZE, True))
-)
-OTHER, THIRD = (KEEPER + 1) % SIZE, (KEEPER + 2) % SIZE
+COORDINATOR = ReplicaSets(0, SIZE).coordinator(CustomerQuota(CUSTOMER, CEILED, 0, SIZE, 0.0, 0))
+OTHER, THIRD = (COORDINATOR + 1) % SIZE, (COORDINATOR + 2) % SIZE
 
 
-def hear(bench: Bench, sender: int, rights: float, counts=(), keep=False, ago=0) -> list:
+def receive_grant_row(
+    bench: Bench, sender: int, grants: float, counts=(), is_report=False, ago=0
+) -> list:
     """A peer's word: rights given, or wanted (keep); sent so long ago (ms)."""
     sent = bench.now // MS - ago
-    row = Row(CUSTOMER, CEILED, 0, SIZE, 0, 8.0, 0.0, rights, counts)
-    body = gossip_codec.pack(sent, keep, keep, [gossip_codec.pack_row(row, sent, SIZE)])
+    row = GossipRow(CUSTOMER, CEILED, 0, SIZE, 0, 8.0, 0.0, grants, counts)
+    body = gossip_codec.pack_message(
+        sent, is_report, is_report, [gossip_codec.pack_row(row, sent, SIZE)]
+    )
     return bench.feed(GossipReceived(sender, body))
 
 
-def rights(actions, peer: int) -> list[float]:
+def grants_to(actions, peer: int) -> list[float]:
     """What the rows to a peer ask for or give."""
     bodies = [a.body for a in of(actions, SendGossip) if a.peer == peer]
-    told = [gossip_codec.unpack(body, T0 // MS + 60_000, SIZE, 9) for body in bodies]
-    return [row.rights for message in told for row in message.rows]
+    messages = [gossip_codec.unpack_message(body, T0 // MS + 60_000, SIZE, 9) for body in bodies]
+    return [row.grants for message in messages for row in message.rows]
 
 
-def ask(bench: Bench, number: int, **more) -> list:
+def request_once(bench: Bench, number: int, **more) -> list:
     return bench.ask(number, customer=CUSTOMER, plan=CEILED, **more)
 
 
-def finals(actions) -> list:
+def final_answers_in(actions) -> list:
     return of(actions, (RejectRequest, FailRequest))
 
 
-def test_a_request_waits_for_rights_and_goes_out_when_they_come():
+def test_a_request_waits_for_grants_and_is_sent_when_they_come():
     bench = Bench(node_index=OTHER)
-    asked = ask(bench, 1)
-    assert not finals(asked) and rights(asked, KEEPER) == [1.0]
+    actions = request_once(bench, 1)
+    assert not final_answers_in(actions) and grants_to(actions, COORDINATOR) == [1.0]
     bench.run(30 * MS)
-    came = hear(bench, KEEPER, 1.0)
+    came = receive_grant_row(bench, COORDINATOR, 1.0)
     assert [send.request for send in of(came, SendAttempt)] == [1]
-    assert not finals(bench.run(SECOND))
+    assert not final_answers_in(bench.run(SECOND))
 
 
-def test_several_that_wait_are_asked_for_together_and_go_out_in_their_order():
+def test_waiting_requests_request_their_grants_together_and_are_sent_in_order():
     bench = Bench(node_index=OTHER)
     for number in (1, 2, 3):
-        asked = ask(bench, number)
-    assert rights(asked, KEEPER) == [3.0]
-    assert [send.request for send in of(hear(bench, KEEPER, 2.0), SendAttempt)] == [1, 2]
-    assert [answer.request for answer in finals(bench.run(RIGHTS_WITHIN))] == [3]
-
-
-def test_without_an_answer_it_is_refused_once_and_a_second_silence_makes_the_next_wait_no_more():
+        actions = request_once(bench, number)
+    assert grants_to(actions, COORDINATOR) == [3.0]
+    assert [
+        send.request for send in of(receive_grant_row(bench, COORDINATOR, 2.0), SendAttempt)
+    ] == [
+        1,
+        2,
+    ]
+    assert [answer.request for answer in final_answers_in(bench.run(MAX_GRANT_WAIT_US))] == [3]
+
+
+def test_without_an_answer_a_request_is_rejected_and_after_two_the_next_does_not_wait():
     bench = Bench(node_index=OTHER)
-    ask(bench, 1)
-    assert not finals(bench.run(RIGHTS_WITHIN - 2 * MS))
-    assert len(finals(bench.run(SECOND))) == 1
-    ask(bench, 2)
+    request_once(bench, 1)
+    assert not final_answers_in(bench.run(MAX_GRANT_WAIT_US - 2 * MS))
+    assert len(final_answers_in(bench.run(SECOND))) == 1
+    request_once(bench, 2)
     bench.run(250 * MS)
-    bench.gateway.accounts[CUSTOMER].ceiling = 0.0
-    assert len(finals(ask(bench, 3))) == 1  # at once
-    hear(bench, KEEPER, 0.0)
-    bench.gateway.accounts[CUSTOMER].ceiling = 0.0
-    assert not finals(ask(bench, 4))  # it lives: waiting is worth it again
+    bench.gateway.quota_counters.customers[CUSTOMER].ceiling_units = 0.0
+    assert len(final_answers_in(request_once(bench, 3))) == 1  # at once
+    receive_grant_row(bench, COORDINATOR, 0.0)
+    bench.gateway.quota_counters.customers[CUSTOMER].ceiling_units = 0.0
+    assert not final_answers_in(request_once(bench, 4))  # it lives: waiting is worth it again
 
 
-def test_a_request_that_is_nearly_over_does_not_wait():
-    assert len(finals(ask(Bench(node_index=OTHER), 1, left=150 * MS))) == 1
+def test_a_request_near_its_deadline_does_not_wait():
+    assert len(final_answers_in(request_once(Bench(node_index=OTHER), 1, left=150 * MS))) == 1
 
 
-def test_rights_that_come_late_or_twice_are_void():
+def test_grants_that_come_late_or_twice_are_void():
     bench = Bench(node_index=OTHER)
-    ask(bench, 1)
-    assert not of(hear(bench, KEEPER, 1.0, ago=300), SendAttempt)
-    assert of(hear(bench, KEEPER, 1.0), SendAttempt)
-    hear(bench, KEEPER, 1.0)
-    assert bench.gateway.accounts[CUSTOMER].ceiling < 1.0
+    request_once(bench, 1)
+    assert not of(receive_grant_row(bench, COORDINATOR, 1.0, ago=300), SendAttempt)
+    assert of(receive_grant_row(bench, COORDINATOR, 1.0), SendAttempt)
+    receive_grant_row(bench, COORDINATOR, 1.0)
+    assert bench.gateway.quota_counters.customers[CUSTOMER].ceiling_units < 1.0
 
 
-def test_rights_beyond_ones_part_last_only_for_those_that_wait():
+def test_grants_above_the_own_part_last_only_for_waiting_requests():
     bench = Bench(node_index=OTHER)
     for number in range(1, 7):
-        ask(bench, number)
+        request_once(bench, number)
     for number in range(1, 6):
         bench.feed(ClientDisconnected(number))
-    hear(bench, KEEPER, 6.0)
-    assert bench.gateway.accounts[CUSTOMER].ceiling <= 16 / (2 * SIZE)
+    receive_grant_row(bench, COORDINATOR, 6.0)
+    assert bench.gateway.quota_counters.customers[CUSTOMER].ceiling_units <= 16 / (2 * SIZE)
 
 
-def keeper(level: float) -> Bench:
+def coordinator_with(level: float) -> Bench:
     """The keeper with so many units of its part, which gains 16 / 3 a second and holds 32 / 3."""
-    bench = Bench(node_index=KEEPER)
-    hear(bench, OTHER, 0.0, keep=True)
-    bench.gateway.accounts[CUSTOMER].ceiling = level
+    bench = Bench(node_index=COORDINATOR)
+    receive_grant_row(bench, OTHER, 0.0, is_report=True)
+    bench.gateway.quota_counters.customers[CUSTOMER].ceiling_units = level
     return bench
 
 
-def test_a_keeper_serves_those_that_wait_before_it_tops_up():
-    bench = keeper(3.0)
-    start = T0 // MS // gossip_codec.TICK
-    assert rights(hear(bench, OTHER, 1.0, ((OTHER, start, 1.0),), keep=True), OTHER) == [
-        0.0
-    ]  # it sent one on
-    assert rights(hear(bench, THIRD, 2.0, keep=True), THIRD) == [2.0]  # it has one that waits
-
-
-def test_a_keeper_that_is_short_owes_and_pays_in_order_from_what_refills():
-    bench = keeper(0.5)
-    assert rights(hear(bench, OTHER, 1.0, keep=True), OTHER) == [0.0]
-    hear(bench, THIRD, 0.25, keep=True)
-    paid = bench.run(RIGHTS_OWED)
-    assert rights(paid, OTHER) == [1.0] and rights(paid, THIRD) == [0.25]
-    assert [a.peer for a in of(paid, SendGossip) if rights([a], a.peer) != [0.0]] == [OTHER, THIRD]
-    assert bench.gateway.accounts[CUSTOMER].ceiling == pytest.approx(
+def test_a_coordinator_serves_waiting_requests_before_it_tops_up():
+    bench = coordinator_with(3.0)
+    start = T0 // MS // gossip_codec.TICK_MS
+    assert grants_to(
+        receive_grant_row(bench, OTHER, 1.0, ((OTHER, start, 1.0),), is_report=True), OTHER
+    ) == [0.0]  # it sent one on
+    assert grants_to(receive_grant_row(bench, THIRD, 2.0, is_report=True), THIRD) == [
+        2.0
+    ]  # it has one that waits
+
+
+def test_a_coordinator_that_is_short_sends_pending_grants_in_order_as_it_refills():
+    bench = coordinator_with(0.5)
+    assert grants_to(receive_grant_row(bench, OTHER, 1.0, is_report=True), OTHER) == [0.0]
+    receive_grant_row(bench, THIRD, 0.25, is_report=True)
+    paid = bench.run(PENDING_GRANT_LIFETIME_US)
+    assert grants_to(paid, OTHER) == [1.0] and grants_to(paid, THIRD) == [0.25]
+    assert [a.peer for a in of(paid, SendGossip) if grants_to([a], a.peer) != [0.0]] == [
+        OTHER,
+        THIRD,
+    ]
+    assert bench.gateway.quota_counters.customers[CUSTOMER].ceiling_units == pytest.approx(
         0.5 - 1.25 + 0.15 * 16 / 3, abs=0.03
     )
 
 
-def test_what_a_keeper_owes_ends_and_leaves_nothing_behind():
-    bench = keeper(0.0)
-    hear(bench, OTHER, 8.0, keep=True)
-    assert rights(bench.run(10 * SECOND), OTHER) == []
-    assert not bench.gateway.owing and not bench.gateway.accounts[CUSTOMER].owed
+def test_pending_grants_expire_and_leave_nothing():
+    bench = coordinator_with(0.0)
+    receive_grant_row(bench, OTHER, 8.0, is_report=True)
+    assert grants_to(bench.run(10 * SECOND), OTHER) == []
+    assert not bench.gateway.token_grants.pending_customers
+    assert not bench.gateway.quota_counters.customers[CUSTOMER].pending_grants
 
 
-def test_the_keepers_own_request_waits_for_what_refills_in_time():
-    bench = keeper(0.5)
-    assert not finals(ask(bench, 1))
-    assert of(bench.run(RIGHTS_WITHIN), SendAttempt)
-    bench = keeper(-4.0)
-    assert len(finals(ask(bench, 1))) == 1  # not within the time that one waits
+def test_the_coordinators_own_request_waits_for_what_refills_in_time():
+    bench = coordinator_with(0.5)
+    assert not final_answers_in(request_once(bench, 1))
+    assert of(bench.run(MAX_GRANT_WAIT_US), SendAttempt)
+    bench = coordinator_with(-4.0)
+    assert len(final_answers_in(request_once(bench, 1))) == 1  # not within the time that one waits
 
 
-def test_parts_fill_from_when_the_process_began():
-    bench = Bench(node_index=KEEPER, now=T0)
+def test_parts_refill_from_the_start_of_the_process():
+    bench = Bench(node_index=COORDINATOR, now=T0)
     bench.gateway.start(T0 - SECOND // 2)
-    (send,) = of(ask(bench, 1), SendAttempt)
+    (send,) = of(request_once(bench, 1), SendAttempt)
     assert send.request == 1
-    assert bench.gateway.accounts[CUSTOMER].ceiling == pytest.approx(0.5 * 16 / 3 - 1)
+    assert bench.gateway.quota_counters.customers[CUSTOMER].ceiling_units == pytest.approx(
+        0.5 * 16 / 3 - 1
+    )
+
+
+def ceiling_row(grants: float, total=0.0) -> GossipRow:
+    """A word on a customer with a ceiling, with rights wanted or given."""
+    return GossipRow(1, 2, 0, 3, 0, 8.0, total, grants, ())
+
+
+def receive_ceiling_row(bench: Bench, sender: int, row: GossipRow, is_report: bool) -> list:
+    """A peer's word, which asks for an answer where it wants rights."""
+    sent = bench.now // 1_000
+    body = gossip_codec.pack_message(
+        sent, is_report, is_report, [gossip_codec.pack_row(row, sent, 3)]
+    )
+    return bench.feed(GossipReceived(sender, body))
+
+
+def test_a_coordinator_grants_no_more_than_its_part_of_a_ceiling():
+    """What it gives is off its own part first; together no more than the ceiling's store goes out."""
+    coordinator = next(
+        r
+        for r in range(3)
+        if Bench(node_index=r).gateway.replica_sets.coordinator(CustomerQuota(1, 2, 0, 3, 8.0, T0))
+        == r
+    )
+    bench = Bench(node_index=coordinator)
+    other = (coordinator + 1) % 3
+    receive_ceiling_row(bench, other, ceiling_row(0.0), is_report=True)
+    bench.now += 30 * SECOND  # its store of 16 x 2/3 is full
+    given = 0.0
+    for _ in range(5):
+        for sent in of(
+            receive_ceiling_row(bench, other, ceiling_row(3.5), is_report=True), SendGossip
+        ):
+            message = gossip_codec.unpack_message(sent.body, bench.now // 1_000, 3, 4)
+            given += message.rows[0].grants if not message.is_report else 0.0
+    assert 10.0 < given <= 16 * 2 / 3
+
+
+def test_grants_that_were_not_requested_are_ignored():
+    """A repeated or made-up gift must not lift a ceiling."""
+    bench = Bench(node_index=1)
+    receive_ceiling_row(bench, 0, ceiling_row(16.0), is_report=False)
+    assert not of(bench.ask(1, customer=1, plan=2), SendAttempt)
+    receive_ceiling_row(bench, 0, ceiling_row(2.0), is_report=False)
+    receive_ceiling_row(bench, 0, ceiling_row(2.0), is_report=False)
+    for request in range(2, 30):
+        bench.ask(request, customer=1, plan=2)
+    assert len(of(bench.log, SendAttempt)) == 1  # once what was actions for
