--- a/benchmarks/client_disconnects.py
+++ b/benchmarks/client_disconnects.py
@@ -43,7 +43,7 @@
 
     rig.loop.create_connection = late
     if forgets:
-        rig.hosts.take_back = lambda attempt: False
+        rig.cluster.withdraw = lambda attempt: False
     left: dict[bytes, float] = {}
 
     async def client(number: int) -> None:
@@ -54,7 +54,7 @@
         (caller.transport.abort if number % 2 else caller.transport.close)()
 
     await asyncio.gather(*(client(number) for number in range(clients)))
-    await until(lambda: not any(pool.opening for pool in rig.hosts.pools.values()), 30)
+    await until(lambda: not any(pool.opening for pool in rig.cluster.pools.values()), 30)
     await asyncio.sleep(0.5)
     waited = [name for name, at in left.items() if came.get(name, at + 1) > at]
     begun = [name for name in waited if name in came]
--- a/saffrongw/authz/attributes.py
+++ b/saffrongw/authz/attributes.py
@@ -47,8 +47,8 @@
         terms.kind,
         terms.plan,
         terms.units,
-        terms.spread,
-        terms.first,
+        terms.replica_set_size,
+        terms.replica_set_first,
         terms.is_retry,
         request.body_bytes,
     )
@@ -74,8 +74,9 @@
     extensions["class"] = names.classes[terms.kind]
     extensions["plan"] = names.plans[terms.plan]
     extensions["units"] = f"{terms.units:g}"
-    extensions["spread"], extensions["first"] = str(terms.spread), str(terms.first)
-    extensions["wait_ms"] = str(terms.wait // MS)
+    extensions["spread"] = str(terms.replica_set_size)
+    extensions["first"] = str(terms.replica_set_first)
+    extensions["wait_ms"] = str(terms.timeout_us // MS)
     extensions["retry"] = "1" if terms.is_retry else "0"
     return message.SerializeToString()
 
--- a/saffrongw/authz/request_filter.py
+++ b/saffrongw/authz/request_filter.py
@@ -86,7 +86,7 @@
     def ask(self, request: FilteredRequest) -> Verdict | asyncio.Future[Verdict]:
         """Settled at once from the cache or where no check may be sent; else when the check has ended."""
         number = request.number
-        left = request.terms.wait
+        left = request.terms.timeout_us
         effects = self.checks.enter(self._now(), number, key_of(request), left)
         if len(effects) == 1 and isinstance(effects[0], Settle):
             return self._verdict(request, effects[0].reply)
--- a/saffrongw/authz/server.py
+++ b/saffrongw/authz/server.py
@@ -11,7 +11,7 @@
 
 import grpc
 
-from saffrongw.gateway.filter_chain import FilteringDriver
+from saffrongw.gateway.filtering_driver import FilteringDriver
 
 from ..policy.actions import AdmitRequest, RejectRequest
 from .attributes import METHOD, BadRequest, Fields, Names, asked_of, let_in, turned_away
@@ -103,7 +103,7 @@
         except BadRequest as wrong:
             self.counts["bad"] += 1
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(wrong))
-        verdict = self.driver.decide(
+        verdict = self.driver.check_admission(
             asked.customer, asked.plan, asked.kind, asked.units, asked.first, asked.spread
         )
         if isinstance(verdict, AdmitRequest):
--- a/saffrongw/certs/tls_listener.py
+++ b/saffrongw/certs/tls_listener.py
@@ -18,9 +18,10 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from saffrongw.gateway.acceptor import ACCEPT_MOST
+from saffrongw.gateway.acceptor import MAX_ACCEPTS_PER_TURN
 from saffrongw.gateway.config import Address
-from saffrongw.gateway.downstream.connection import BACKLOG, ClientConnection, ClientConnections
+from saffrongw.gateway.downstream.connection import ClientConnection
+from saffrongw.gateway.downstream.listener import LISTEN_BACKLOG, ClientConnections
 
 from . import client_hello
 from .handshakes import Bounds, Handshakes
@@ -88,7 +89,7 @@
 
     def prepare(self) -> None:
         """Bind, so that an address that can't be had ends the start; nothing is accepted yet."""
-        self.listener = socket.create_server(self.listen, backlog=BACKLOG, reuse_port=True)
+        self.listener = socket.create_server(self.listen, backlog=LISTEN_BACKLOG, reuse_port=True)
         self.listener.setblocking(False)
         self._renew_base(0.0)
 
@@ -145,12 +146,12 @@
         return int(self.loop.time() * 1e6)
 
     def _accept(self) -> None:
-        for _ in range(ACCEPT_MOST):
+        for _ in range(MAX_ACCEPTS_PER_TURN):
             try:
                 sock, _ = self.listener.accept()
             except OSError:  # none is left, or it has gone again
                 break
-            if not self.clients.make_room():
+            if not self.clients.ensure_capacity():
                 sock.close()
                 self.counts["no room"] += 1
                 continue
--- a/saffrongw/channel/component.py
+++ b/saffrongw/channel/component.py
@@ -53,7 +53,7 @@
 
     async def start(self, driver: Driver) -> None:
         """Hear from now on."""
-        await self.channel.open(driver.succeeds)
+        await self.channel.open(driver.is_successor)
 
     async def stop(self) -> None:
         """The end."""
--- a/saffrongw/extension_registry.py
+++ b/saffrongw/extension_registry.py
@@ -10,7 +10,7 @@
 from saffrongw.certs.table import CertsTable
 from saffrongw.channel.table import ChannelTable
 from saffrongw.gateway.config import Config
-from saffrongw.gateway.downstream.connection import Listener
+from saffrongw.gateway.downstream.listener import Listener
 from saffrongw.gateway.extensions import (
     AdminCommand,
     Extensions,
@@ -99,7 +99,7 @@
                 replace(new, certs=None, channel=None, leases=None), self.config
             )
             if self.stage and new.authz and new.authz != self.file.authz:
-                made = built.stages[0]
+                made = built.filters[0]
                 self.stage.change(made.figures, made.rules, made.make)
         except (SchemaError, OSError, ValueError) as wrong:
             log.warning("reload: the operator file that was read first stays: %s", wrong)
--- a/saffrongw/gateway/acceptor.py
+++ b/saffrongw/gateway/acceptor.py
@@ -1,6 +1,7 @@
-"""Accepting connections a few at a time, and within a limit.
+"""Accepts connections a few at a time and within a limit.
 
-The loop's own server would take all that have come at once, past any limit on descriptors.
+The event loop's own server would accept all that have arrived at once, past any limit on
+descriptors.
 """
 
 from __future__ import annotations
@@ -9,74 +10,84 @@
 import socket
 from collections.abc import Callable
 
-ACCEPT_MOST = (
-    16  # connections accepted in one turn of the loop: a flood of them must not hold up the rest
-)
-LAST_MOST = 1024  # connections accepted at the end: as many as the kernel's queue holds
+# Connections accepted in one turn of the loop: a flood of them must not hold up the rest.
+MAX_ACCEPTS_PER_TURN = 16
+
+# Connections accepted when the listener closes: as many as the kernel's queue holds.
+MAX_FINAL_ACCEPTS = 1024
 
 
 class Acceptor:
-    """Takes connections from a listening socket for as long as it runs."""
+    """Accepts connections from a listening socket for as long as it runs, and owns that socket."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         listener: socket.socket,
-        room: Callable[[], bool],
-        protocol: Callable[[], asyncio.Protocol],
+        ensure_capacity: Callable[[], bool],
+        make_protocol: Callable[[], asyncio.Protocol],
     ) -> None:
+        """Take over a listening socket; nothing is accepted before ``start``."""
         listener.setblocking(False)
-        self.loop, self.listener, self.room, self.protocol = loop, listener, room, protocol
-        self.tasks: set[asyncio.Task] = set()
-        self.pending: set[asyncio.Protocol] = set()  # accepted and not yet open
-        self.running = False
+        self.loop = loop
+        self.listener = listener
+        self.ensure_capacity = ensure_capacity
+        self.make_protocol = make_protocol
+        self.tasks: set[asyncio.Task[None]] = set()
+        # Accepted, and ``connection_made`` is not called yet.
+        self.opening_protocols: set[asyncio.Protocol] = set()
+        self.is_running = False
 
     @property
     def opening(self) -> int:
-        """Connections that are accepted and not yet open."""
-        return len(self.pending)
+        """The number of connections that are accepted and not open yet."""
+        return len(self.opening_protocols)
 
     def opened(self, protocol: asyncio.Protocol) -> None:
-        """Its ``connection_made`` was called: from now on its owner counts it."""
-        self.pending.discard(protocol)
+        """Note that a connection is open: from now on its owner counts it."""
+        self.opening_protocols.discard(protocol)
 
     def start(self) -> None:
-        """Accept from now on."""
-        if not self.running:
-            self.running = True
+        """Accept connections from now on."""
+        if not self.is_running:
+            self.is_running = True
             self.loop.add_reader(self.listener, self._accept)
 
     def stop(self) -> None:
         """Leave new connections in the kernel's queue."""
-        if self.running:
-            self.running = False
+        if self.is_running:
+            self.is_running = False
             self.loop.remove_reader(self.listener)
 
     def close(self) -> None:
-        """Accept no more, and let the socket go; what is in the kernel's queue by now would be reset with it."""
-        if self.running:
-            for _ in range(LAST_MOST // ACCEPT_MOST):
+        """Accept what is in the kernel's queue, which would be reset otherwise.
+
+        Close the socket.
+        """
+        if self.is_running:
+            for _ in range(MAX_FINAL_ACCEPTS // MAX_ACCEPTS_PER_TURN):
                 if not self._accept():
                     break
         self.stop()
         self.listener.close()
 
     def _accept(self) -> bool:
-        """Take a few; whether there may be more."""
-        for _ in range(ACCEPT_MOST):
+        """Accept a few connections; return whether there may be more."""
+        for _ in range(MAX_ACCEPTS_PER_TURN):
             try:
                 sock, _ = self.listener.accept()
-            except OSError:  # none is left, or it has gone again
+            except OSError:
+                # None is left, or it has closed already.
                 return False
-            if self.room():
-                self.adopt(sock, self.protocol())
+            if self.ensure_capacity():
+                self.adopt(sock, self.make_protocol())
             else:
                 sock.close()
         return True
 
     def adopt(self, sock: socket.socket, protocol: asyncio.Protocol) -> None:
-        """Serve a connection that is up."""
-        self.pending.add(protocol)
+        """Serve a connection that is established already."""
+        self.opening_protocols.add(protocol)
         task = self.loop.create_task(self._open(sock, protocol))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -87,4 +98,4 @@
         except OSError:
             sock.close()
         finally:
-            self.pending.discard(protocol)
+            self.opening_protocols.discard(protocol)
--- a/saffrongw/gateway/admin_http/handlers.py
+++ b/saffrongw/gateway/admin_http/handlers.py
@@ -7,7 +7,7 @@
 from ...policy import state_transfer
 from ...policy.events import EndpointId, ExclusionChanged
 from ..config import Config
-from ..downstream.connection import ClientConnections
+from ..downstream.listener import ClientConnections
 from ..driver import Driver
 from ..extensions import AdminCommand, MetricLines
 from ..metrics import text
@@ -34,7 +34,7 @@
     def stats(self) -> bytes:
         """The figures as of now."""
         driver, gateway = self.driver, self.driver.gateway
-        lines = driver.figures.lines(
+        lines = driver.metrics.lines(
             self.config.class_names,
             self.clients.inflight,
             len(gateway.hosts),
@@ -64,14 +64,14 @@
         return None
 
     def _exclude(self, server: EndpointId, excluded: bool) -> None:
-        self.driver.excluded(ExclusionChanged(server, SOURCE, excluded))
+        self.driver.exclusion_changed(ExclusionChanged(server, SOURCE, excluded))
 
     def told(self, message: list) -> None:
         """What operators asked of the other process of an upgrade holds here too."""
         if message[0] == "exclusion":
             self._exclude(state_transfer.server_of(message[1]), bool(message[2]))
         elif message[0] == "quiesced":
-            (self.clients.quiesce if message[1] else self.clients.resume)()
+            (self.clients.shutdown.quiesce if message[1] else self.clients.shutdown.resume)()
         else:
             raise ValueError(f"unknown message {message[0]!r}")
 
@@ -81,13 +81,13 @@
 
     def quiesce(self) -> None:
         """Take no more clients."""
-        self.clients.quiesce()
+        self.clients.shutdown.quiesce()
         self.drains(True)
         self.tell("quiesced", True)
 
     def resume(self) -> None:
         """Take clients again."""
-        self.clients.resume()
+        self.clients.shutdown.resume()
         self.drains(False)
         self.tell("quiesced", False)
 
--- a/saffrongw/gateway/admission_queue.py
+++ b/saffrongw/gateway/admission_queue.py
@@ -1,106 +1,139 @@
-"""Begins what clients ask, at once while this turn of the loop has time for it; the rest waits for its turn.
+"""Starts clients' requests at once while the present turn of the loop has time for it.
 
-Bytes are read and framed as they come, so nothing grows old unseen in the kernel. A turn that would take long is cut:
-what it could not begin goes to ``Shedder``, which says what is begun next and what is refused. Answers of hosts come in
-between: they belong to requests in hand, which go first.
+The rest waits in a queue.
+Bytes are read and framed as they arrive, so no request grows old unseen in the kernel. A turn that
+would take long is cut short: what it could not start goes to the policy's ``Shedder``, which
+decides what is started next and what is rejected. Endpoints' replies are handled in between: they
+belong to requests in flight, which go first.
 """
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
 from time import monotonic
+from typing import Protocol, cast
 
 from ..policy.load_shedding import Shedder, Waiting
-from .driver import Driver, RequestTerms, busy_reply
+from .driver import Driver
+from .request_types import RequestTerms, busy_reply
 
-AT_ONCE = 0.004  # seconds of a turn in which requests are begun as they are read
-WORK = 0.010  # seconds of a turn for requests that wait, whatever reading took of it
+# The part of a turn in which requests are started as they are read.
+START_AT_ONCE_S = 0.004
 
-Begin = Callable[[], None]
-Refuse = Callable[[bytes], None]
+# The time in a turn for requests that wait, however long the turn was reading.
+QUEUE_TURN_S = 0.010
+
+
+class QueuedRequest(Protocol):
+    """A request that waits; one of both happens, unless its client disconnects."""
+
+    def start(self) -> None:
+        """Start the request."""
+
+    def reject(self, reply: bytes) -> None:
+        """Reject the request with this reply."""
 
 
 class AdmissionQueue:
-    """Between the clients' connections and the driver."""
+    """Stands between the clients' connections and the driver."""
 
     def __init__(self, driver: Driver, loop: asyncio.AbstractEventLoop) -> None:
-        self.driver, self.loop = driver, loop
+        """Use the settings of the driver's policy."""
+        self.driver = driver
+        self.loop = loop
         settings = driver.gateway.s
         self.shedder = Shedder(settings.classes, settings.plans)
-        self.most_back = settings.max_retry_after_us
-        self.turning = False  # within a turn of the loop, whose end has been asked for
-        self.began = 0.0
-        self.refusal = self._answer(0)  # what is shed in this turn is answered
-        # Until the next turn: customers (16 digits) and groups (``CLASS,t=PLAN``) that are certain to be refused.
-        self.shut: set[bytes] = set()
-
-    def at_once(self) -> bool:
-        """Whether one more request may be begun now."""
-        now = monotonic()
-        if not self.turning:
-            # Not by ``loop.time()``: each timer that is set moves it on within the turn.
-            self.turning, self.began = True, now
-            self.loop.call_soon(self._turn)
-        return now - self.began < AT_ONCE and not self.shedder.count
+        self.max_retry_after_us = settings.max_retry_after_us
+        # Within a turn of the loop whose end was asked for.
+        self.is_turn_open = False
+        self.turn_started_at_s = 0.0
+        # The reply to what is rejected in this turn.
+        self.rejection = self._make_rejection(0)
+        # Until the next turn: customers (16 digits) and classes with plans (``CLASS,t=PLAN``) of
+        # which requests are certain to be rejected.
+        self.saturated: set[bytes] = set()
+
+    def may_start(self) -> bool:
+        """Whether one more request may be started now."""
+        now_s = monotonic()
+        if not self.is_turn_open:
+            # Not by ``loop.time()``: each timer that is set advances it within the turn.
+            self.is_turn_open = True
+            self.turn_started_at_s = now_s
+            self.loop.call_soon(self._run_queue)
+        return now_s - self.turn_started_at_s < START_AT_ONCE_S and not self.shedder.count
 
     @property
-    def pressed(self) -> bool:
+    def is_overloaded(self) -> bool:
         """Whether requests wait."""
         return self.shedder.count > 0
 
-    def wait(
-        self, terms: RequestTerms, group: bytes, customer: bytes, begin: Begin, refuse: Refuse
+    def enqueue(
+        self, terms: RequestTerms, class_and_plan: bytes, customer: bytes, queued: QueuedRequest
     ) -> Waiting | None:
-        """Let a request wait; None where it was refused at once."""
+        """Let a request wait; return None where it was rejected at once."""
         now = self.driver.clock()
         if self.driver.gateway.beyond(now, terms.customer, terms.plan, terms.units):
-            self.shut.add(customer)
-            refuse(self._refusal(now))
+            self.saturated.add(customer)
+            queued.reject(self._update_rejection(now))
             return None
-        one = Waiting(terms.customer, terms.plan, terms.kind, now + terms.wait, (begin, refuse))
-        refused = self.shedder.offer(now, one)
-        if refused is None:
-            return one
-        refused.tag[1](self._refusal(now))
-        if refused is not one:
-            return one
-        self.shut.add(customer if self.shedder.too_many(terms.customer) else group)
+        waiting = Waiting(terms.customer, terms.plan, terms.kind, now + terms.timeout_us, queued)
+        shed = self.shedder.offer(now, waiting)
+        if shed is None:
+            return waiting
+        shed_request = cast("QueuedRequest", shed.tag)
+        shed_request.reject(self._update_rejection(now))
+        if shed is not waiting:
+            return waiting
+        too_many = self.shedder.too_many(terms.customer)
+        self.saturated.add(customer if too_many else class_and_plan)
         return None
 
-    def refuse_all(self) -> None:
-        """Nothing is begun any more: what waits is refused."""
-        refusal = busy_reply(0)
-        for one in self.shedder.clear():
-            one.tag[1](refusal)
-
-    def _refusal(self, now: int) -> bytes:
-        """Of what is shed: nothing was sent, so that trying again is harmless."""
-        self.refusal = self._answer(now)
-        return self.refusal
-
-    def _answer(self, now: int) -> bytes:
-        return busy_reply(self.shedder.back_in(now, self.most_back))
-
-    def _turn(self) -> None:
-        """All that came in this turn has been read: begin what waits, for a while."""
-        self.turning = False
-        self.shut.clear()
-        shedder = self.shedder
-        if not shedder.count:
+    def remove(self, waiting: Waiting) -> None:
+        """Forget a request that waits: its client has disconnected."""
+        self.shedder.drop(waiting)
+
+    def reject_all(self) -> None:
+        """Reject all that waits: nothing is started any more."""
+        rejection = busy_reply(0)
+        for waiting in self.shedder.clear():
+            queued = cast("QueuedRequest", waiting.tag)
+            queued.reject(rejection)
+
+    def _update_rejection(self, now: int) -> bytes:
+        """Return the reply to what is shed now; nothing of it was sent, so a retry is harmless."""
+        self.rejection = self._make_rejection(now)
+        return self.rejection
+
+    def _make_rejection(self, now: int) -> bytes:
+        return busy_reply(self.shedder.back_in(now, self.max_retry_after_us))
+
+    def _run_queue(self) -> None:
+        """Start what waits, for a while: all that arrived in this turn has been read."""
+        self.is_turn_open = False
+        self.saturated.clear()
+        if not self.shedder.count:
             return
-        # Those longest here are given up only after a turn that they had a part in: a process that was stopped for a
-        # while would else refuse all that came meanwhile.
-        end = monotonic() + WORK
         try:
-            while (one := shedder.take(self.driver.clock())) is not None:
-                one.tag[0]()
-                if monotonic() >= end:
-                    break
+            self._start_waiting()
+            # Those that waited longest are given up only after a turn in which they could be
+            # started: a process that was stopped for a while would otherwise reject all that
+            # arrived meanwhile.
             now = self.driver.clock()
-            for one in shedder.expired(now):
-                one.tag[1](self._refusal(now))
-        finally:  # also where one of them raised: the others must not wait for ever
-            if shedder.count:
-                self.turning, self.began = True, monotonic()
-                self.loop.call_soon(self._turn)
+            for expired in self.shedder.expired(now):
+                queued = cast("QueuedRequest", expired.tag)
+                queued.reject(self._update_rejection(now))
+        finally:
+            # Also where one of them raised: the others must not wait for ever.
+            if self.shedder.count:
+                self.is_turn_open = True
+                self.turn_started_at_s = monotonic()
+                self.loop.call_soon(self._run_queue)
+
+    def _start_waiting(self) -> None:
+        end_s = monotonic() + QUEUE_TURN_S
+        while (waiting := self.shedder.take(self.driver.clock())) is not None:
+            queued = cast("QueuedRequest", waiting.tag)
+            queued.start()
+            if monotonic() >= end_s:
+                break
--- a/saffrongw/gateway/bootstrap.py
+++ b/saffrongw/gateway/bootstrap.py
@@ -22,7 +22,7 @@
 from .config import Config, parse_address, parse_config
 from .discovery.client import DiscoveryClient
 from .discovery.poll_schedule import PollSchedule
-from .downstream.connection import ClientConnections
+from .downstream.listener import ClientConnections
 from .driver import Driver
 from .extensions import Extensions
 from .gossip_transport import GossipTransport
@@ -96,23 +96,25 @@
     sockets = max(SPARE, config.sockets - SPARE)
     client_sockets = int(CLIENT_PART * sockets)
     if plugs:
-        from .filter_chain import (
+        from .filtering_driver import (
             FilteringDriver,  # only here: a gateway without plugs does not even load it
         )
 
         driver: Driver = FilteringDriver(config.settings, config.seed, loop, plugs)
     else:
         driver = Driver(config.settings, config.seed, loop)
-    driver.hosts = UpstreamCluster(
-        driver,
-        config.settings.load_report_fields,
-        sockets - client_sockets,
-        config.idle_close,
-        config.connect_timeout,
+    driver.connect_upstream(
+        UpstreamCluster(
+            driver,
+            config.settings.load_report_fields,
+            sockets - client_sockets,
+            config.idle_close,
+            config.connect_timeout,
+        )
     )
-    hosts = driver.hosts
+    hosts = driver.cluster
     inheritance = await SuccessorHandOver.of(loop, config.listen)
-    driver.succeeds = inheritance is not None
+    driver.is_successor = inheritance is not None
     driver.start((inheritance and inheritance.listed) or config.known)
     for service in plugs.services if plugs else ():
         await service.start(driver)
@@ -121,18 +123,20 @@
         random.Random(config.seed),
         config.known.version if config.known.hosts else None,
         config.settings.notification_deadline_us / 1e6,
-        has_clients=lambda: driver.last_number > 0,
+        has_clients=lambda: driver.last_request_id > 0,
         pushed=not config.settings.polls_endpoint_list,
         grace=config.settings.drain_grace_us / 1e6,
     )
-    watch = DiscoveryClient(loop, config.discovery, config.zones, driver.listed, asking)
+    watch = DiscoveryClient(
+        loop, config.discovery, config.zones, driver.endpoint_list_received, asking
+    )
     watch.start()
 
     def hang_up() -> None:
         nonlocal config
-        config = reload(path, config, watch, driver.figures)
-        if plugs and plugs.again:
-            plugs.again()
+        config = reload(path, config, watch, driver.metrics)
+        if plugs and plugs.reload:
+            plugs.reload()
 
     loop.add_signal_handler(signal.SIGHUP, hang_up)
     signal.pthread_sigmask(
@@ -142,8 +146,8 @@
     operations = AdminHandlers(driver, clients, config)
     if plugs:
         operations.more, operations.calls, operations.on_drain = (
-            plugs.figures,
-            plugs.calls,
+            plugs.metrics,
+            plugs.admin_commands,
             plugs.on_drain,
         )
     calls = AdminServer(loop, operations)
@@ -160,7 +164,7 @@
             await peers.listen(inheritance and inheritance.peers, config.peer_listen)
         await clients.listen(inheritance and inheritance.listener)
         if plugs:
-            await clients.open_fronts(plugs.fronts)
+            await clients.open_listeners(plugs.listeners)
         operations.serving = True
         if inheritance:
             inheritance.serve()
@@ -173,7 +177,7 @@
         if estate.has_heir:
             await estate.hand_over()
         else:
-            await clients.drain(ACCEPT_FOR)
+            await clients.shutdown.drain(ACCEPT_FOR)
         estate.close()
     elif inheritance:
         inheritance.close()  # told to end before it came to serve, or replaced: the running process goes on
--- a/saffrongw/gateway/downstream/__init__.py
+++ b/saffrongw/gateway/downstream/__init__.py
@@ -1,1 +1,1 @@
-"""Connections from clients."""
+"""The clients' side: listening sockets, client connections, idle eviction and graceful shutdown."""
--- /dev/null
+++ b/saffrongw/gateway/downstream/listener.py
@@ -0,0 +1,143 @@
+"""The listening sockets for clients, and the set of all client connections."""
+
+from __future__ import annotations
+
+import socket
+from typing import Protocol
+
+from ..acceptor import Acceptor
+from ..admission_queue import AdmissionQueue
+from ..config import Config
+from ..driver import Driver
+from ..request_parser import RequestFormat
+from .connection import ClientConnection
+from .graceful_shutdown import GracefulShutdown
+from .idle_reaper import IdleReaper
+from .paused_reads import PausedReads
+
+# Connections that the kernel holds until they are accepted.
+LISTEN_BACKLOG = 1024
+
+
+class Listener(Protocol):
+    """Another listener beside the plain one.
+
+    It makes a ``ClientConnection`` of each client that it admits.
+    """
+
+    @property
+    def opening(self) -> int:
+        """The number of connections that are accepted and not open yet."""
+
+    async def open(self, clients: ClientConnections) -> None:
+        """Accept clients from now on."""
+
+    def close(self) -> None:
+        """Accept no more."""
+
+
+class ClientConnections:
+    """All client connections, within the number of descriptors set aside for them.
+
+    How they end in service is ``shutdown``'s, and which of them are idle too long is ``reaper``'s.
+    """
+
+    def __init__(self, driver: Driver, config: Config, max_connections: int) -> None:
+        """Prepare to serve clients by this driver; nothing is accepted before ``listen``."""
+        self.driver = driver
+        self.config = config
+        self.max_connections = max_connections
+        self.loop = driver.loop
+        self.request_format = RequestFormat(config)
+        self.admission_queue = AdmissionQueue(driver, driver.loop)
+        driver.is_overloaded = lambda: self.admission_queue.is_overloaded
+        self.connections: set[ClientConnection] = set()
+        # The clients' ids of requests without a final reply.
+        self.open_request_ids: set[bytes | None] = set()
+        self.reaper = IdleReaper(self)
+        self.paused_reads = PausedReads(self.loop)
+        self.shutdown = GracefulShutdown(self)
+        # Set by ``listen``.
+        self.acceptor: Acceptor
+        self.listeners: tuple[Listener, ...] = ()
+
+    async def listen(self, sock: socket.socket | None = None) -> None:
+        """Accept clients from now on, on this listening socket or on a new one.
+
+        Other processes may listen on the same address.
+        """
+        if sock is None:
+            sock = socket.create_server(self.config.listen, backlog=LISTEN_BACKLOG, reuse_port=True)
+        self.acceptor = Acceptor(
+            self.loop, sock, self.ensure_capacity, lambda: ClientConnection(self)
+        )
+        self.acceptor.start()
+        self.reaper.start()
+
+    async def open_listeners(self, listeners: tuple[Listener, ...]) -> None:
+        """Accept clients by these as well."""
+        self.listeners = listeners
+        for listener in listeners:
+            await listener.open(self)
+
+    def stop_accepting(self) -> None:
+        """Accept no more, but keep the plain listener's socket open."""
+        self.acceptor.stop()
+        self._close_other_listeners()
+
+    def resume_accepting(self) -> None:
+        """Accept again on the plain listener."""
+        self.acceptor.start()
+
+    def close_listeners(self) -> None:
+        """Accept what waits in the kernel's queue, then no more."""
+        self.acceptor.close()
+        self._close_other_listeners()
+
+    def _close_other_listeners(self) -> None:
+        for listener in self.listeners:
+            listener.close()
+
+    def adopt(self, sock: socket.socket, initial_data: bytes) -> None:
+        """Serve another process's connection, with what that had read of the next command."""
+        if self.ensure_capacity():
+            self.acceptor.adopt(sock, ClientConnection(self, initial_data))
+        else:
+            sock.close()
+
+    @property
+    def inflight(self) -> int:
+        """The number of requests without a final reply."""
+        return len(self.open_request_ids)
+
+    @property
+    def opening(self) -> int:
+        """The number of connections that are accepted and not open yet, by every listener."""
+        return self.acceptor.opening + sum(listener.opening for listener in self.listeners)
+
+    def ensure_capacity(self) -> bool:
+        """Whether one more connection may be accepted.
+
+        At the limit another one may be evicted for it.
+        """
+        if len(self.connections) + self.opening < self.max_connections:
+            return True
+        return self.reaper.evict_one()
+
+    def opened(self, connection: ClientConnection) -> None:
+        """Add a connection."""
+        self.acceptor.opened(connection)
+        self.connections.add(connection)
+        self.reaper.opened(connection)
+
+    def lost(self, connection: ClientConnection) -> None:
+        """Remove a connection that is closed or handed over."""
+        self.connections.discard(connection)
+        self.paused_reads.forget(connection)
+        self.reaper.forget(connection)
+
+    def count_shed(self, class_and_plan: bytes) -> None:
+        """Count a request that was rejected before it was parsed; ``CLASS,t=PLAN``."""
+        kind = self.config.classes.get(class_and_plan.partition(b",")[0])
+        if kind is not None:
+            self.driver.metrics.busy[kind] += 1
--- /dev/null
+++ b/saffrongw/gateway/downstream/socket_state.py
@@ -0,0 +1,43 @@
+"""Asks the kernel about client connections, without reading from them."""
+
+from __future__ import annotations
+
+import select
+from collections.abc import Iterable
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from .connection import ClientConnection
+
+_DISCONNECTED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+
+
+def descriptor(connection: ClientConnection) -> int:
+    """Return the file descriptor of a connection's socket."""
+    return connection.transport.get_extra_info("socket").fileno()
+
+
+def disconnected(connections: Iterable[ClientConnection]) -> list[ClientConnection]:
+    """Return those whose client has disconnected, also where the loop does not read from them."""
+    return _polled(connections, _DISCONNECTED)
+
+
+def is_readable(connection: ClientConnection) -> bool:
+    """Whether something lies unread, data or the end of the connection."""
+    return bool(_polled((connection,), select.POLLIN))
+
+
+def has_unread_data(connection: ClientConnection) -> bool:
+    """Whether data lies unread of a client that has not disconnected."""
+    return is_readable(connection) and not disconnected((connection,))
+
+
+def _polled(connections: Iterable[ClientConnection], events: int) -> list[ClientConnection]:
+    poll = select.poll()
+    by_descriptor: dict[int, ClientConnection] = {}
+    for connection in connections:
+        if not connection.transport.is_closing():
+            fd = descriptor(connection)
+            by_descriptor[fd] = connection
+            poll.register(fd, events)
+    return [by_descriptor[fd] for fd, _ in poll.poll(0)] if by_descriptor else []
--- a/saffrongw/gateway/driver.py
+++ b/saffrongw/gateway/driver.py
@@ -1,6 +1,7 @@
-"""Feeds events to one ``Gateway`` and carries out its actions: clock, timers, numbers, deadlines, answers.
+"""Feeds events to the policy and carries out its actions.
 
-A ``Call`` is a client's request from its last byte to its one final answer. Only ``_finish`` answers it.
+Clock, timers, request ids, deadlines, final replies.
+Every request gets exactly one final reply, and only ``Driver._send_final_reply`` gives it.
 """
 
 from __future__ import annotations
@@ -10,8 +11,7 @@
 import time
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass, field
-from typing import ClassVar, NamedTuple, Protocol
+from typing import Any, ClassVar
 
 from ..policy.actions import (
     Action,
@@ -29,7 +29,6 @@
     AttemptEnded,
     AttemptOutcome,
     ClientDisconnected,
-    EndpointId,
     EndpointListKind,
     EndpointListReceived,
     Event,
@@ -42,359 +41,362 @@
 from ..policy.settings import Settings
 from .config import EndpointList
 from .metrics import Metrics
+from .request_types import (
+    FAILED,
+    US_PER_MS,
+    ClientRequest,
+    FinalReply,
+    RequestTerms,
+    SendReply,
+    Upstream,
+    UpstreamAttempt,
+    busy_reply,
+)
 from .signals import process_started_us
-from .streaming_reply import StreamingReply
 
 log = logging.getLogger(__name__)
 
-MS = 1_000  # microseconds
-# The client's clock started when it sent: so much before its time is up the last answer must be on its way.
-ON_THE_WAY = 10 * MS
-FAILED = b"-ERR failed\r\n"
-
-
-def busy_reply(retry_after: int) -> bytes:
-    """A refusal; retry_after in us, 0 says nothing."""
-    wait = -(-retry_after // MS)  # a client that came back earlier would be refused again
-    return b"-BUSY %d\r\n" % wait if wait else b"-BUSY\r\n"
-
-
-class RequestTerms(NamedTuple):
-    """What a client's command says of its request; wait in microseconds."""
-
-    customer: int
-    kind: int
-    plan: int
-    wait: int
-    units: float
-    spread: int
-    first: int
-    is_retry: bool
-
-
-@dataclass(slots=True, eq=False)
-class ClientRequest:
-    """A client's request: what goes to hosts, and how it stands."""
-
-    event: RequestArrived
-    parts: tuple[
-        bytes, ...
-    ]  # command, customer, id, terms before and after the value of ``d``, perhaps body
-    until: int  # clock time by which it must be answered
-    answer: Callable[[bytes | StreamingReply], None]
-    attempts: list[UpstreamAttempt] = field(default_factory=list)
-    guard: asyncio.TimerHandle | None = None
-    finished: bool = False
-
-
-@dataclass(slots=True, eq=False)
-class UpstreamAttempt:
-    """One send of a call to a host; it ends exactly once."""
-
-    call: ClientRequest
-    number: int
-    endpoint_id: EndpointId
-    sent: int
-    deadline_us: int
-    timer: asyncio.TimerHandle | None = None
-    link: object = None  # where hosts.py keeps what carries it
-    whole: bool = False  # its last byte has left: from then on it may run
-    ended: bool = False
+# The client's clock started when it sent its command: the final reply must be on its way this long
+# before the client's timeout.
+REPLY_TRANSIT_US = 10 * US_PER_MS
 
 
-class Upstream(Protocol):
-    """What the driver needs of ``hosts.py``."""
-
-    def send(self, attempt: UpstreamAttempt) -> None:
-        """Begin an attempt."""
-
-    def give_up(self, attempt: UpstreamAttempt) -> None:
-        """Stop waiting for an attempt."""
-
-    def told(self, listed: EndpointList) -> list[UpstreamAttempt]:
-        """Discovery's list has changed; the attempts that can't begin any more."""
-
-    def rest_at(self, endpoint_id: EndpointId) -> list[UpstreamAttempt]:
-        """A host is taken out by hand: its idle connections are closed; the attempts that can't begin."""
-
-    def take_back(self, attempt: UpstreamAttempt) -> bool:
-        """Whether an attempt's first byte has not left yet; it never will."""
+def _request_id_of(event: Event) -> int:
+    """Return the id of the request that an event is about; 0 where it is about none."""
+    if isinstance(event, TimerFired):
+        return event.token - 1
+    return getattr(event, "request", 0)
 
 
 class Clock:
-    """Unix time in microseconds, read once and then advanced by the monotonic clock: it never jumps."""
+    """Unix time in microseconds, read once and then advanced by the monotonic clock.
+
+    It never jumps.
+    """
 
     def __init__(self) -> None:
-        self.base = time.time_ns() - time.monotonic_ns()
+        """Read the wall clock, once."""
+        self.offset_ns = time.time_ns() - time.monotonic_ns()
 
     def __call__(self) -> int:
-        return (self.base + time.monotonic_ns()) // 1_000
+        """Return the time now."""
+        return (self.offset_ns + time.monotonic_ns()) // 1_000
 
 
 class Driver:
-    """The one Gateway with its clock and timers, and the bookkeeping of answers owed."""
+    """Owns the policy, its clock and timers, and the requests whose final reply is pending.
+
+    Other parts set three attributes: ``send_gossip`` (the gossip transport), ``is_overloaded`` (the
+    downstream) and ``is_successor`` (hot restart: another process with our addresses still runs and
+    hands over to us).
+    """
 
     def __init__(self, settings: Settings, seed: int, loop: asyncio.AbstractEventLoop) -> None:
-        self.loop, self.clock = loop, Clock()
+        """Make a policy with these settings; its random draws follow from the seed."""
+        self.loop = loop
+        self.clock = Clock()
         self.gateway = Gateway(settings, seed, self.clock())
-        self.figures = Metrics(len(settings.classes))
-        self.hosts: Upstream | None = None
-        self.tell_peer: Callable[[int, bytes], None] = lambda rank, body: None
-        self.calls: dict[int, ClientRequest] = {}
-        self.last_number = 0
-        self.pending: deque[Event] = deque()
-        self.feeding = False
-        self.succeeds = False  # another process with our addresses still runs, and gives way
-        self.pressed: Callable[[], bool] = lambda: False  # whether requests wait for the core
-
-    def start(self, known: EndpointList) -> None:
-        """The first actions, and the list as it was last known, before any client is served."""
+        # How an event reaches the policy; a derived driver may put something in front.
+        self.handle_by_policy: Callable[[int, Event], list[Action]] = self.gateway.handle
+        self.metrics = Metrics(len(settings.classes))
+        # Set by ``connect_upstream`` before the start.
+        self.cluster: Upstream
+        self.send_gossip: Callable[[int, bytes], None] = lambda _peer, _body: None
+        self.requests: dict[int, ClientRequest] = {}
+        self.last_request_id = 0
+        self.pending_events: deque[Event] = deque()
+        self.is_handling = False
+        self.is_successor = False
+        self.is_overloaded: Callable[[], bool] = lambda: False
+
+    def connect_upstream(self, upstream: Upstream) -> None:
+        """Send attempts to this upstream; called once, before ``start``."""
+        self.cluster = upstream
+
+    def start(self, cached: EndpointList) -> None:
+        """Start the policy, with the cached endpoint list, before clients are served."""
         now = self.clock()
-        self._carry_out(self.gateway.start(now if self.succeeds else process_started_us(now)))
-        self.listed(known, cached=True)
+        self._execute(self.gateway.start(now if self.is_successor else process_started_us(now)))
+        self.endpoint_list_received(cached, cached=True)
 
-    # -- events ---------------------------------------------------------------------------------------------
+    # -- events -----------------------------------------------------------------------------------
 
-    def arrived(
-        self, terms: RequestTerms, parts: tuple[bytes, ...], answer: Callable[[bytes], None]
+    def request_arrived(
+        self, terms: RequestTerms, parts: tuple[bytes, ...], send_reply: SendReply
     ) -> ClientRequest:
-        """A client's request, its last byte just read; the client's own ids stay outside the module."""
-        call = self._take(terms, parts, answer)
-        self.feed(call.event)
-        return call
+        """Start a client's request whose last byte was just read."""
+        request = self._register_request(terms, parts, send_reply)
+        self.feed(request.event)
+        return request
 
-    def _take(
-        self, terms: RequestTerms, parts: tuple[bytes, ...], answer: Callable[[bytes], None]
+    def _register_request(
+        self, terms: RequestTerms, parts: tuple[bytes, ...], send_reply: SendReply
     ) -> ClientRequest:
-        """From here on an answer is owed: counted, listed and guarded."""
-        self.last_number += 1
-        left = max(MS, terms.wait - ON_THE_WAY)
+        """Number a request, list it and guard its deadline.
+
+        From here on it is owed a final reply.
+        """
+        self.last_request_id += 1
+        time_left_us = max(US_PER_MS, terms.timeout_us - REPLY_TRANSIT_US)
         event = RequestArrived(
-            self.last_number,
+            self.last_request_id,
             terms.customer,
             terms.plan,
             terms.kind,
             terms.units,
-            left,
-            terms.first,
-            terms.spread,
+            time_left_us,
+            terms.replica_set_first,
+            terms.replica_set_size,
             terms.is_retry,
         )
-        call = ClientRequest(event, parts, self.clock() + left, answer)
-        self.calls[self.last_number] = call
-        call.guard = self._at(call.until, self._time_up, call)
-        return call
-
-    def client_gone(self, call: ClientRequest) -> None:
-        """The client has closed its connection: nothing is owed any more."""
-        if not call.finished:
-            self._close(call)
-            self.feed(ClientDisconnected(call.event.request))
-            for attempt in tuple(call.attempts):  # also where what has begun may not be called off
-                if not attempt.ended and self.hosts.take_back(attempt):
+        request = ClientRequest(event, parts, self.clock() + time_left_us, send_reply)
+        self.requests[self.last_request_id] = request
+        request.deadline_timer = self._call_at(request.deadline_us, self._deadline_passed, request)
+        return request
+
+    def client_disconnected(self, request: ClientRequest) -> None:
+        """End a request whose client has closed its connection: no final reply is owed any more."""
+        if not request.is_finished:
+            self._close_request(request)
+            self.feed(ClientDisconnected(request.event.request))
+            # Also where the settings forbid to cancel attempts that have started.
+            for attempt in tuple(request.attempts):
+                if not attempt.is_ended and self.cluster.withdraw(attempt):
                     self.attempt_ended(attempt, AttemptOutcome.NOT_SENT)
 
     def attempt_ended(
         self,
         attempt: UpstreamAttempt,
         outcome: AttemptOutcome,
-        value: bytes | StreamingReply | None = None,
+        value: FinalReply | None = None,
         report: tuple[float, ...] = (),
     ) -> None:
-        """What came of an attempt; the first one served answers the client before the module is told.
+        """Record an attempt's outcome.
 
-        A long value counts from its first bytes; that it can't be finished is no matter of the decisions any more.
+        The first value served goes to the client before the policy is notified.
+        A streaming reply counts as served from its first bytes; what becomes of the rest is not the
+        policy's.
         """
-        if attempt.ended:
+        if attempt.is_ended:
             return
-        attempt.ended = True
-        if attempt.timer:
-            attempt.timer.cancel()
-        call = attempt.call
-        if value is not None and not call.finished:
-            self._finish(call, value)
-        took = self.clock() - attempt.sent
+        attempt.is_ended = True
+        if attempt.timeout_timer:
+            attempt.timeout_timer.cancel()
+        request = attempt.request
+        if value is not None and not request.is_finished:
+            self._send_final_reply(request, value)
+        duration_us = self.clock() - attempt.sent_at_us
         self.feed(
             AttemptEnded(
-                call.event.request,
-                attempt.number,
+                request.event.request,
+                attempt.index,
                 attempt.endpoint_id,
                 outcome,
-                took,
-                call.finished,
+                duration_us,
+                request.is_finished,
                 0,
                 0.0,
                 report,
             )
         )
-        if call.finished and call.event.request not in self.calls:
-            call.attempts.clear()  # attempts and call would hold each other until the collector comes by
+        if request.is_finished and request.event.request not in self.requests:
+            # Else attempts and request would hold each other until the garbage collector runs.
+            request.attempts.clear()
 
-    def listed(self, listed: EndpointList, cached: bool = False) -> None:
-        """Discovery told something."""
-        kind = EndpointListKind.COMPLETE if listed.whole else EndpointListKind.DELTA
+    def endpoint_list_received(self, endpoints: EndpointList, cached: bool = False) -> None:
+        """Follow an endpoint list from discovery, or the cached one at the start."""
+        kind = EndpointListKind.COMPLETE if endpoints.whole else EndpointListKind.DELTA
         if cached:
             kind = EndpointListKind.CACHED
-        stranded = self.hosts.told(listed)
-        self.feed(
-            EndpointListReceived(kind, listed.version, tuple(host.entry for host in listed.hosts))
-        )
-        for attempt in stranded:  # only now: where they go next depends on the list
+        stranded = self.cluster.update_endpoints(endpoints)
+        entries = tuple(endpoint.entry for endpoint in endpoints.hosts)
+        self.feed(EndpointListReceived(kind, endpoints.version, entries))
+        # Only now: where they are retried depends on the list.
+        for attempt in stranded:
             self.attempt_ended(attempt, AttemptOutcome.CONNECT_FAILED)
 
-    def excluded(self, event: ExclusionChanged) -> None:
-        """A host is taken out by hand, or put back."""
+    def exclusion_changed(self, event: ExclusionChanged) -> None:
+        """Exclude an endpoint by an operator's request, or use it again."""
         self.feed(event)
-        for attempt in self.hosts.rest_at(event.endpoint_id) if event.excluded else ():
-            self.attempt_ended(attempt, AttemptOutcome.CONNECT_FAILED)
+        if event.excluded:
+            for attempt in self.cluster.close_idle_connections(event.endpoint_id):
+                self.attempt_ended(attempt, AttemptOutcome.CONNECT_FAILED)
 
-    def peer_said(self, sender: int, body: bytes) -> None:
-        """A datagram of another gateway."""
+    def gossip_received(self, sender: int, body: bytes) -> None:
+        """Pass a peer's datagram to the policy."""
         self.feed(GossipReceived(sender, body))
 
     def feed(self, event: Event) -> None:
-        """One event to the module; what an action leads to at once waits until all of them are done."""
-        self.pending.append(event)
-        if self.feeding:
+        """Pass one event to the policy.
+
+        Events that its actions cause are queued until all of them are done.
+        """
+        self.pending_events.append(event)
+        if self.is_handling:
             return
-        self.feeding = True
+        self.is_handling = True
         try:
-            while self.pending:
-                self._handle(self.pending.popleft())
+            while self.pending_events:
+                self._handle_event(self.pending_events.popleft())
         finally:
-            self.feeding = False
+            self.is_handling = False
 
-    def _handle(self, event: Event) -> None:
+    def _handle_event(self, event: Event) -> None:
         try:
-            actions = self.gateway.handle(self.clock(), event)
-        except (
-            Exception
-        ):  # guards against a fault of the decisions taking all held requests with it
-            log.exception("the decisions failed on %s", event.topic)
-            number = (
-                event.token - 1 if isinstance(event, TimerFired) else getattr(event, "request", 0)
-            )
-            call = self.calls.get(number)
-            if call is not None and not call.finished:
-                self._fail_for_good(call)
-            # Guards the gossip's own timer, which it sets anew before all else.
+            actions = self.handle_by_policy(self.clock(), event)
+        except Exception:
+            # A fault of the policy must not take all requests in flight with it.
+            log.exception("driver: policy failed: event=%s", event.topic)
+            self._fail_request_of(event)
+            # Guards the gossip's own timer, which the policy sets again before all else.
             actions = [action for action in self.gateway.actions if isinstance(action, SetTimer)]
-        self._carry_out(actions)
+        self._execute(actions)
+
+    def _fail_request_of(self, event: Event) -> None:
+        """Fail the request that an event is about, if it is about one."""
+        request = self.requests.get(_request_id_of(event))
+        if request is not None and not request.is_finished:
+            self._fail_without_policy(request)
 
-    # -- actions --------------------------------------------------------------------------------------------
+    # -- actions ----------------------------------------------------------------------------------
 
-    def _carry_out(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
-            self._DO[type(action)](self, action)
+            self._ACTION_HANDLERS[type(action)](self, action)
 
-    def _send(self, action: SendAttempt) -> None:
-        call = self.calls.get(action.request)
-        if call is None:
+    def _send_attempt(self, action: SendAttempt) -> None:
+        request = self.requests.get(action.request)
+        if request is None:
             return
         now = self.clock()
-        deadline_us = min(action.deadline_us or call.until, call.until)
-        attempt = UpstreamAttempt(call, len(call.attempts), action.endpoint_id, now, deadline_us)
-        call.attempts.append(attempt)
-        # Guards rule 1: nothing more after the final answer, nor too late for one.
-        if call.finished or now >= call.until:
+        deadline_us = min(action.deadline_us or request.deadline_us, request.deadline_us)
+        attempt = UpstreamAttempt(
+            request, len(request.attempts), action.endpoint_id, now, deadline_us
+        )
+        request.attempts.append(attempt)
+        # Nothing is sent after the final reply, nor too late for one.
+        if request.is_finished or now >= request.deadline_us:
             self.attempt_ended(attempt, AttemptOutcome.NOT_SENT)
             return
-        if (
-            deadline_us < call.until
-        ):  # else the call's own timer ends it: one less for every attempt
-            attempt.timer = self._at(deadline_us, self._timed_out, attempt)
-        self.hosts.send(attempt)
-
-    def _cancel(self, action: CancelAttempt) -> None:
-        call = self.calls.get(action.request)
-        if call is None or action.attempt >= len(call.attempts):
+        # An attempt that may last as long as its request is ended by the request's timer: one timer
+        # less.
+        if deadline_us < request.deadline_us:
+            attempt.timeout_timer = self._call_at(deadline_us, self._attempt_timed_out, attempt)
+        self.cluster.send(attempt)
+
+    def _cancel_attempt(self, action: CancelAttempt) -> None:
+        request = self.requests.get(action.request)
+        if request is None or action.attempt >= len(request.attempts):
             return
-        attempt = call.attempts[action.attempt]
-        if not attempt.ended:
-            self.hosts.give_up(attempt)
+        attempt = request.attempts[action.attempt]
+        if not attempt.is_ended:
+            self.cluster.cancel(attempt)
             self.attempt_ended(attempt, AttemptOutcome.CANCELLED)
 
-    def _refuse(self, action: RejectRequest) -> None:
-        if call := self.calls.get(action.request):
-            self._finish(call, busy_reply(action.retry_after_us))
+    def _reject_request(self, action: RejectRequest) -> None:
+        if request := self.requests.get(action.request):
+            self._send_final_reply(request, busy_reply(action.retry_after_us))
 
-    def _fail(self, action: FailRequest) -> None:
-        if call := self.calls.get(action.request):
-            self._finish(call, FAILED)
+    def _fail_request(self, action: FailRequest) -> None:
+        if request := self.requests.get(action.request):
+            self._send_final_reply(request, FAILED)
 
     def _set_timer(self, action: SetTimer) -> None:
-        self._after(action.delay_us, self.feed, TimerFired(action.token))
+        self._call_after(action.delay_us, self.feed, TimerFired(action.token))
 
-    def _tell(self, action: SendGossip) -> None:
-        self.tell_peer(action.peer, action.body)
+    def _send_gossip(self, action: SendGossip) -> None:
+        self.send_gossip(action.peer, action.body)
 
-    def _nothing(self, action: Action) -> None:
-        """The watch on discovery runs in any case, and these decisions send no probes."""
+    def _ignore(self, action: Action) -> None:
+        """Do nothing: discovery is always subscribed to, and this policy sends no health checks."""
 
-    _DO: ClassVar = {
-        SendAttempt: _send,
-        CancelAttempt: _cancel,
-        RejectRequest: _refuse,
-        FailRequest: _fail,
+    _ACTION_HANDLERS: ClassVar[dict[type, Callable[[Any, Any], None]]] = {
+        SendAttempt: _send_attempt,
+        CancelAttempt: _cancel_attempt,
+        RejectRequest: _reject_request,
+        FailRequest: _fail_request,
         SetTimer: _set_timer,
-        SendGossip: _tell,
-        SubscribeEndpointList: _nothing,
-        FetchEndpointList: _nothing,
-        CheckHealth: _nothing,
+        SendGossip: _send_gossip,
+        SubscribeEndpointList: _ignore,
+        FetchEndpointList: _ignore,
+        CheckHealth: _ignore,
     }
 
-    # -- answers and deadlines ------------------------------------------------------------------------------
+    # -- final replies and deadlines --------------------------------------------------------------
 
-    def _finish(self, call: ClientRequest, reply: bytes | StreamingReply) -> None:
-        """Every final answer passes here, once for each call."""
-        if not call.finished:
-            self._close(call)
+    def _send_final_reply(self, request: ClientRequest, reply: FinalReply) -> None:
+        """Give the final reply: every one passes here, once for each request."""
+        if not request.is_finished:
+            self._close_request(request)
             if isinstance(reply, bytes):
-                self.figures.answered(call.event.kind, reply)
+                self.metrics.answered(request.event.kind, reply)
             else:
-                reply.answers(self.figures, call.event.kind)
-            call.answer(reply)
-
-    def _close(self, call: ClientRequest) -> None:
-        call.finished = True
-        for attempt in call.attempts:
-            if (
-                not attempt.ended
-            ):  # a Cancel of what is still out may follow: kept for one turn of the loop
-                self.loop.call_soon(self.calls.pop, call.event.request, None)
+                reply.count_in(self.metrics, request.event.kind)
+            request.send_reply(reply)
+
+    def _close_request(self, request: ClientRequest) -> None:
+        """Mark a request as finished and forget it.
+
+        Called once for each request, however it ends.
+        """
+        request.is_finished = True
+        for attempt in request.attempts:
+            if not attempt.is_ended:
+                # The policy may cancel what is in flight: kept for one turn of the loop.
+                self.loop.call_soon(self.requests.pop, request.event.request, None)
                 return
-        call.guard.cancel()
-        self.calls.pop(call.event.request, None)
-
-    def _timed_out(self, attempt: UpstreamAttempt) -> None:
-        """Nothing came in time. What never left whole has certainly not run."""
-        if not attempt.ended:
-            self.hosts.give_up(attempt)
-            outcome = AttemptOutcome.TIMED_OUT if attempt.whole else AttemptOutcome.CONNECT_FAILED
-            self.attempt_ended(attempt, outcome)
-
-    def _time_up(self, call: ClientRequest) -> None:
-        """Ends what is out. Guards the deadline: what the module leaves unanswered then is failed."""
-        for attempt in tuple(call.attempts):  # each end may add to them, or let them go
-            self._timed_out(attempt)
-        if not call.finished:
-            log.warning("a request was left unanswered by the decisions")
-            self._fail_for_good(call)
-
-    def fail_all(self) -> None:
-        """The process is about to be killed: what is still held is answered as failed, which promises nothing."""
-        for call in tuple(self.calls.values()):
-            if not call.finished:
-                self._fail_for_good(call)
-
-    def _fail_for_good(self, call: ClientRequest) -> None:
-        """Answered without the decisions, which forget it."""
-        self._finish(call, FAILED)
-        self.feed(ClientDisconnected(call.event.request))
-
-    def _after(self, span: int, callback: Callable, *args) -> asyncio.TimerHandle:
-        """Call back no earlier than a span from now: the loop counts whole milliseconds."""
-        return self.loop.call_later((span // MS + 1) / 1_000, callback, *args)
-
-    def _at(self, when: int, callback: Callable, *args) -> asyncio.TimerHandle:
-        return self._after(max(0, when - self.clock()), callback, *args)
+        if request.deadline_timer:
+            request.deadline_timer.cancel()
+        self.requests.pop(request.event.request, None)
+
+    def _attempt_timed_out(self, attempt: UpstreamAttempt) -> None:
+        """End an attempt that got no reply in time.
+
+        One that was not sent completely certainly did not run.
+        """
+        if not attempt.is_ended:
+            self.cluster.cancel(attempt)
+            if attempt.is_fully_sent:
+                self.attempt_ended(attempt, AttemptOutcome.TIMED_OUT)
+            else:
+                self.attempt_ended(attempt, AttemptOutcome.CONNECT_FAILED)
+
+    def _deadline_passed(self, request: ClientRequest) -> None:
+        """End all attempts in flight.
+
+        Fail the request if the policy then leaves it without a final reply.
+        """
+        # A copy: each attempt that ends may add others, or clear the list.
+        for attempt in tuple(request.attempts):
+            self._attempt_timed_out(attempt)
+        if not request.is_finished:
+            log.warning("driver: request left unanswered: request=%d", request.event.request)
+            self._fail_without_policy(request)
+
+    def fail_all_requests(self) -> None:
+        """Fail all requests in flight, which promises nothing.
+
+        The process is about to be killed.
+        """
+        for request in tuple(self.requests.values()):
+            if not request.is_finished:
+                self._fail_without_policy(request)
+
+    def _fail_without_policy(self, request: ClientRequest) -> None:
+        """Give the final reply without the policy's decision.
+
+        Have the policy forget the request.
+        """
+        self._send_final_reply(request, FAILED)
+        self.feed(ClientDisconnected(request.event.request))
+
+    def _call_after(
+        self, delay_us: int, callback: Callable[..., object], *args: object
+    ) -> asyncio.TimerHandle:
+        """Call back no earlier than after this delay: the loop counts whole milliseconds."""
+        return self.loop.call_later((delay_us // US_PER_MS + 1) / 1_000, callback, *args)
+
+    def _call_at(
+        self, when_us: int, callback: Callable[..., object], *args: object
+    ) -> asyncio.TimerHandle:
+        return self._call_after(max(0, when_us - self.clock()), callback, *args)
--- a/saffrongw/gateway/extensions.py
+++ b/saffrongw/gateway/extensions.py
@@ -1,7 +1,9 @@
-"""What subsystems plug in: stages that a request passes before it is decided on, observers that are told.
+"""The interfaces by which subsystems extend the gateway.
 
-The rules for both stand in ``docs/notes/stages.md``. This module holds the interfaces and the checks of what a
-stage returns, and does no I/O; ``extended.py`` carries them out.
+Request filters, observers, services, listeners, commands.
+The rules for filters and observers are in ``docs/notes/request_filters.md``. This module also
+checks what a filter returns; it does no I/O. ``filter_chain.py`` and ``observers.py`` carry both
+out.
 """
 
 from __future__ import annotations
@@ -9,157 +11,190 @@
 from collections.abc import Awaitable, Callable, Mapping
 from dataclasses import dataclass, field
 from enum import Enum
-from typing import Any, Protocol
+from typing import Protocol
 
 from ..policy.actions import Action
 from ..policy.events import AttemptOutcome, Event
-from .downstream.connection import Listener
-from .driver import ClientRequest, Driver, RequestTerms, UpstreamAttempt
+from .downstream.listener import Listener
+from .driver import Driver
+from .request_types import US_PER_MS, ClientRequest, RequestTerms, UpstreamAttempt
 
-MS = 1_000  # microseconds
-MAY_CHANGE = frozenset(
-    {"plan", "wait"}
-)  # of a request's terms: a plan by its number, a shorter wait
+# The terms of a request that a filter may change: the plan by its index, and the timeout, which
+# only gets shorter.
+CHANGEABLE_TERMS = frozenset({"plan", "timeout_us"})
 
 
 @dataclass(frozen=True, slots=True)
 class Continue:
-    """The request goes on, perhaps with other terms: ``plan`` (its number) or ``wait`` (us, shorter only)."""
+    """Verdict.
+
+    The request goes on, with ``plan`` (its index) or ``timeout_us`` (shorter only) changed.
+    """
 
     changes: Mapping[str, int] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer ``-BUSY``: nothing was sent, so trying again is harmless; retry_after in us, 0 says nothing."""
+    """Verdict: final reply ``-BUSY``. Nothing was sent, so a retry is harmless.
+
+    0 leaves the retry-after time out.
+    """
 
-    retry_after: int = 0
+    retry_after_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Abort:
-    """Final answer: failed."""
+    """Verdict: final reply ``-ERR failed``."""
 
 
 Verdict = Continue | Reject | Abort
-MetricLines = Callable[[], list[tuple[str, int]]]  # names and values that operators fetch
-AdminCommand = tuple[bytes, Callable[[bytes], tuple[int, bytes]]]  # method; body to status and text
+
+# Names and values for /admin/stats.
+MetricLines = Callable[[], list[tuple[str, int]]]
+
+# An operator's HTTP command: its method, and a function from the body to status and text.
+AdminCommand = tuple[bytes, Callable[[bytes], tuple[int, bytes]]]
 
 
 class Ending(Enum):
-    """How a request that a stage has seen came to its end."""
+    """How a request that a filter has seen came to its end."""
 
-    ANSWERED = "answered"  # by a host's value, a refusal or a failure, whoever worded it
-    CLIENT_GONE = "client gone"
+    ANSWERED = "answered"
+    CLIENT_DISCONNECTED = "client gone"
 
 
 class FilterError(Exception):
-    """What a stage returned is no verdict, or changes what it must not."""
+    """A filter returned what is no verdict, or tried to change what it must not."""
 
 
 class RequestFilter(Protocol):
-    """Sees each request before the decision module does.
+    """Sees each request before the policy does.
 
-    ``fallback`` is the verdict where the stage raises, returns what is no verdict, or takes longer than its share
-    of the request's time. ``on_request`` answers at once or gives an awaitable, which is cancelled when the
-    request ends meanwhile. ``on_end`` is called exactly once for every request that the stage saw.
+    ``fallback`` is the verdict where the filter raises, returns what is no verdict, or exceeds its
+    share of the request's time. ``on_request`` returns a verdict or an awaitable of one, which is
+    cancelled when the request ends first. ``on_end`` is called exactly once for every request that
+    the filter saw.
     """
 
     name: str
     fallback: Verdict
 
     def on_request(self, request: FilteredRequest) -> Verdict | Awaitable[Verdict]:
-        """What becomes of this request."""
+        """Return the verdict on a request, or an awaitable of it."""
 
     def on_end(self, request: FilteredRequest, ending: Ending) -> None:
-        """The request has its final answer, or its client has gone."""
+        """Note that a request has its final reply, or that its client has disconnected."""
 
 
 class Observer:
-    """Is told what happens and can't change it. Each method must return at once; a fault in one is counted."""
+    """Is notified of what happens and can't change it.
+
+    Its methods must not block, and what they raise is counted.
+    """
 
     name = "observer"
 
-    def event_in(self, now: int, event: Event) -> None:
-        """The decision module is about to be told this; now in us of the gateway's clock."""
+    def event_received(self, now_us: int, event: Event) -> None:
+        """The policy is about to handle an event."""
 
-    def actions_out(self, now: int, event: Event, actions: tuple[Action, ...]) -> None:
-        """What it answered, before any of it is carried out."""
+    def actions_decided(self, now_us: int, event: Event, actions: tuple[Action, ...]) -> None:
+        """The policy has decided on an event; none of its actions is carried out yet."""
 
-    def attempt_began(self, attempt: UpstreamAttempt) -> None:
+    def attempt_started(self, attempt: UpstreamAttempt) -> None:
         """An attempt is about to be sent."""
 
     def attempt_ended(self, attempt: UpstreamAttempt, outcome: AttemptOutcome) -> None:
         """An attempt has its outcome."""
 
-    def answered(self, call: ClientRequest, reply: bytes) -> None:
-        """The final answer is about to be written."""
+    def answered(self, request: ClientRequest, reply: bytes) -> None:
+        """The final reply is about to be written; of a streaming reply this is the header."""
 
 
 @dataclass(frozen=True, slots=True)
 class FilteredRequest:
-    """What a stage may know of a request: its terms, the client's own id, its size; until in us of the clock."""
+    """What a filter may know of a request.
+
+    ``number`` is the gateway's id, ``client_id`` the client's.
+    """
 
-    number: int  # the gateway's own, new with each request
+    number: int
     client_id: bytes
     terms: RequestTerms
     body_bytes: int
-    until: int
+    deadline_us: int
 
 
 class Service(Protocol):
-    """A part with a life of its own: started before clients are served, stopped after the last of them."""
+    """A part that runs beside the requests.
+
+    Started before clients are served, stopped after the last of them.
+    """
 
     async def start(self, driver: Driver) -> None:
-        """Begin; what can't begin raises ``OSError`` or ``ValueError`` with a plain cause."""
+        """Start.
+
+        Raise ``OSError`` or ``ValueError`` with a plain cause where that is not possible.
+        """
 
     async def stop(self) -> None:
-        """End, within a second or two."""
+        """Stop, within a second or two."""
 
 
 class LeaderGuard(Protocol):
-    """What only one gateway of the fleet may do at a time; asked from any thread."""
+    """Guards what only one gateway of the fleet may do at a time.
+
+    Its methods may be called from any thread.
+    """
 
     def number(self) -> int:
-        """The fencing number under which it is ours now; 0: it is not."""
+        """Return the fencing token under which this gateway leads; 0 where it does not."""
 
     def valid(self, number: int) -> bool:
-        """Whether it still is, under this number: asked just before each effect."""
+        """Whether this gateway still leads under this fencing token.
+
+        Checked just before each effect.
+        """
 
     def above(self, number: int) -> None:
-        """A receiver has seen this number: ours has to be higher."""
+        """Raise the own fencing token above one that a receiver has seen."""
 
 
 @dataclass(frozen=True, slots=True)
 class Extensions:
-    """All that is plugged in; time_share is the part of a request's time that all stages together may take."""
+    """All that is switched on beside the core.
 
-    stages: tuple[RequestFilter, ...] = ()
+    ``time_share`` is the part of a request's time that all filters together may take. ``reload``
+    reads the operator file anew on SIGHUP and raises nothing. ``admin_commands`` are by HTTP path.
+    ``on_drain`` is called with True when draining starts and with False when it is taken back.
+    """
+
+    filters: tuple[RequestFilter, ...] = ()
     observers: tuple[Observer, ...] = ()
     services: tuple[Service, ...] = ()
     time_share: float = 0.4
-    again: Callable[[], None] | None = (
-        None  # on SIGHUP: read the operator file anew; it raises nothing
-    )
-    fronts: tuple[Listener, ...] = ()
-    figures: tuple[MetricLines, ...] = ()
-    calls: Mapping[bytes, AdminCommand] = field(
-        default_factory=dict
-    )  # by path, at the operators' address
-    on_drain: tuple[
-        Callable[[bool], None], ...
-    ] = ()  # told when draining begins, and when it is taken back
+    reload: Callable[[], None] | None = None
+    listeners: tuple[Listener, ...] = ()
+    metrics: tuple[MetricLines, ...] = ()
+    admin_commands: Mapping[bytes, AdminCommand] = field(default_factory=dict)
+    on_drain: tuple[Callable[[bool], None], ...] = ()
 
     def __bool__(self) -> bool:
-        return bool(self.stages or self.observers or self.services or self.fronts)
+        """Whether anything is switched on that a driver without extensions can't do."""
+        return bool(self.filters or self.observers or self.services or self.listeners)
+
 
+def apply_verdict(
+    verdict: object, terms: RequestTerms, plan_count: int
+) -> RequestTerms | Reject | Abort:
+    """Return the terms that a verdict leaves, or the verdict that ends the request.
 
-def apply(verdict: Any, terms: RequestTerms, plans: int) -> RequestTerms | Reject | Abort:
-    """The terms that a verdict leaves, or the answer that it asks for; ``StageError`` where it is none of these."""
+    Raises ``FilterError`` where it is no verdict, or changes what it must not.
+    """
     if isinstance(verdict, Reject):
-        after = verdict.retry_after
-        if isinstance(after, bool) or not isinstance(after, int) or after < 0:
-            raise FilterError(f"retry_after is no time in microseconds: {after!r}")
+        if not _is_integer(verdict.retry_after_us) or verdict.retry_after_us < 0:
+            raise FilterError(f"retry_after_us is no time: {verdict.retry_after_us!r}")
         return verdict
     if isinstance(verdict, Abort):
         return verdict
@@ -168,13 +203,25 @@
     if not verdict.changes:
         return terms
     changes = dict(verdict.changes)
-    if beyond := sorted(changes.keys() - MAY_CHANGE):
-        raise FilterError(f"a stage may not change {', '.join(map(str, beyond))}")
+    _check_changes(changes, terms, plan_count)
+    return terms._replace(
+        plan=changes.get("plan", terms.plan),
+        timeout_us=changes.get("timeout_us", terms.timeout_us),
+    )
+
+
+def _check_changes(changes: dict[str, int], terms: RequestTerms, plan_count: int) -> None:
+    if forbidden := sorted(changes.keys() - CHANGEABLE_TERMS):
+        raise FilterError(f"a filter may not change {', '.join(map(str, forbidden))}")
     for name, value in changes.items():
-        if isinstance(value, bool) or not isinstance(value, int):
-            raise FilterError(f"{name} is no number: {value!r}")
-    if not 0 <= changes.get("plan", terms.plan) < plans:
-        raise FilterError(f"no plan has the number {changes['plan']}")
-    if not MS <= changes.get("wait", terms.wait) <= max(terms.wait, MS):
-        raise FilterError("wait can only become shorter, down to 1 ms")
-    return terms._replace(**changes)
+        if not _is_integer(value):
+            raise FilterError(f"{name} is no integer: {value!r}")
+    if not 0 <= changes.get("plan", terms.plan) < plan_count:
+        raise FilterError(f"no plan has the index {changes['plan']}")
+    longest_us = max(terms.timeout_us, US_PER_MS)
+    if not US_PER_MS <= changes.get("timeout_us", terms.timeout_us) <= longest_us:
+        raise FilterError("timeout_us can only become shorter, down to 1 ms")
+
+
+def _is_integer(value: object) -> bool:
+    return isinstance(value, int) and not isinstance(value, bool)
--- a/saffrongw/gateway/filter_chain.py
+++ b/saffrongw/gateway/filter_chain.py
@@ -1,318 +1,219 @@
-"""The driver with stages and observers plugged in; a gateway without any runs the plain ``Driver``.
+"""Takes each request through the request filters, one after the other, before the policy sees it.
 
-A request is counted, listed among the open calls and guarded by its timer before its first stage begins, so the
-driver's one final answer holds throughout: also when a stage hangs, the client leaves or the gateway drains.
+The driver has registered the request before its first filter starts, so its one final reply is due
+throughout: also when a filter hangs, the client disconnects or the gateway drains.
 """
 
 from __future__ import annotations
 
 import asyncio
 import inspect
-import logging
-from collections import Counter
-from collections.abc import Callable
+from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field, replace
-from typing import ClassVar
+from typing import Protocol
 
-from ..policy.actions import Action, AdmitRequest, RejectRequest
-from ..policy.events import AdmissionCheckArrived, AttemptOutcome, EndpointId, Event
-from ..policy.settings import Settings
-from .config import EndpointList
-from .driver import (
-    FAILED,
-    MS,
-    ON_THE_WAY,
-    ClientRequest,
-    Driver,
-    RequestTerms,
-    Upstream,
-    UpstreamAttempt,
-    busy_reply,
-)
+from .extension_faults import ExtensionFaults
 from .extensions import (
     Abort,
     Ending,
-    Extensions,
     FilteredRequest,
     FilterError,
-    Observer,
     Reject,
     RequestFilter,
-    apply,
+    Verdict,
+    apply_verdict,
 )
-from .streaming_reply import StreamingReply
-
-log = logging.getLogger(__name__)
+from .request_types import ClientRequest, RequestTerms
 
 
 @dataclass(slots=True, eq=False)
 class FilterRun:
-    """One request's way through the stages."""
-
-    call: ClientRequest
-    request: FilteredRequest
-    seen: list[RequestFilter] = field(default_factory=list)  # those that are owed its end
-    task: asyncio.Task | None = None
-    late: asyncio.TimerHandle | None = None
+    """One request's way through the filters; ``notified`` are those that are owed its end."""
 
+    request: ClientRequest
+    filtered_request: FilteredRequest
+    notified: list[RequestFilter] = field(default_factory=list)
+    task: asyncio.Task[None] | None = None
+    timeout_timer: asyncio.TimerHandle | None = None
 
-class ObservedCluster:
-    """Something between the driver and its hosts: all that it does not override is passed on."""
 
-    def __init__(self, inner: Upstream) -> None:
-        self.inner = inner
+class FilterChainOwner(Protocol):
+    """Carries out what the filters decide on a request."""
 
-    def send(self, attempt: UpstreamAttempt) -> None:
-        """Begin an attempt."""
-        self.inner.send(attempt)
+    loop: asyncio.AbstractEventLoop
 
-    def give_up(self, attempt: UpstreamAttempt) -> None:
-        """Stop waiting for an attempt."""
-        self.inner.give_up(attempt)
-
-    def told(self, listed: EndpointList) -> list[UpstreamAttempt]:
-        """Discovery's list has changed; the attempts that can't begin any more."""
-        return self.inner.told(listed)
-
-    def rest_at(self, server: EndpointId) -> list[UpstreamAttempt]:
-        """A host is taken out by hand: its idle connections are closed; the attempts that can't begin."""
-        return self.inner.rest_at(server)
+    @property
+    def clock(self) -> Callable[[], int]:
+        """The gateway's clock, in microseconds."""
 
-    def take_back(self, attempt: UpstreamAttempt) -> bool:
-        """Whether an attempt's first byte has not left yet; it never will."""
-        return self.inner.take_back(attempt)
+    def request_continued(self, request: ClientRequest, terms: RequestTerms) -> None:
+        """Pass a request to the policy, with these terms."""
 
+    def request_rejected(self, request: ClientRequest, retry_after_us: int) -> None:
+        """Give the final reply of a rejection."""
 
-class _ToldHosts(ObservedCluster):
-    """Observers are told of each attempt before it is sent."""
+    def request_aborted(self, request: ClientRequest) -> None:
+        """Give the final reply of a failure."""
 
-    def __init__(self, inner: Upstream, driver: FilteringDriver) -> None:
-        super().__init__(inner)
-        self.driver = driver
+    def call_after_us(
+        self, delay_us: int, callback: Callable[..., object], *args: object
+    ) -> asyncio.TimerHandle:
+        """Call back after a delay."""
 
-    def send(self, attempt: UpstreamAttempt) -> None:
-        self.driver._tell_observers("attempt_began", attempt)
-        super().send(attempt)
 
+class FilterChain:
+    """Runs the filters.
 
-class FilteringDriver(Driver):
-    """A ``Driver`` whose requests pass stages first, and whose doings observers are told."""
+    ``time_share`` is the part of a request's time that all of them together may take.
+    """
 
     def __init__(
-        self, settings: Settings, seed: int, loop: asyncio.AbstractEventLoop, plugs: Extensions
+        self,
+        owner: FilterChainOwner,
+        filters: tuple[RequestFilter, ...],
+        time_share: float,
+        plan_count: int,
+        faults: ExtensionFaults,
     ) -> None:
-        self.plugs = plugs
-        super().__init__(settings, seed, loop)
-        self.runs: dict[ClientRequest, FilterRun] = {}  # for as long as their calls are open
-        # Checks for others that are being decided.
-        self.decided: dict[int, AdmitRequest | RejectRequest | None] = {}
-        self.leaving: ClientRequest | None = None  # whose client has just gone
-        self.faults: Counter[str] = Counter()  # by stage or observer
-        if plugs.observers:
-            self._decide_plainly = self.gateway.handle
-            self.gateway.handle = self._judge
-
-    # -- stages ---------------------------------------------------------------------------------------------
-
-    def arrived(
-        self, terms: RequestTerms, parts: tuple[bytes, ...], answer: Callable[[bytes], None]
-    ) -> ClientRequest:
-        """A client's request: counted and guarded first, then the stages, then the decision module."""
-        call = self._take(terms, parts, answer)
-        if not self.plugs.stages:
-            self.feed(call.event)
-            return call
-        body = len(parts[5]) if len(parts) > 5 else 0
-        run = FilterRun(
-            call, FilteredRequest(call.event.request, parts[2], terms, body, call.until)
+        """Use these filters in their order."""
+        self.owner = owner
+        self.filters = filters
+        self.time_share = time_share
+        self.plan_count = plan_count
+        self.faults = faults
+        # For as long as the requests are open.
+        self.runs: dict[ClientRequest, FilterRun] = {}
+
+    def start(self, request: ClientRequest, terms: RequestTerms) -> None:
+        """Take a request through all filters."""
+        parts = request.parts
+        body_bytes = len(parts[5]) if len(parts) > 5 else 0
+        filtered_request = FilteredRequest(
+            request.event.request, parts[2], terms, body_bytes, request.deadline_us
         )
-        self.runs[call] = run
-        self._through(run, terms, 0)
-        return call
+        run = self.runs[request] = FilterRun(request, filtered_request)
+        self._run_from(run, terms, 0)
 
-    def _through(self, run: FilterRun, terms: RequestTerms, place: int) -> None:
-        """The stages from this one on, as far as they answer at once."""
-        stages = self.plugs.stages
-        while place < len(stages):
-            stage = stages[place]
-            run.seen.append(stage)
-            try:
-                verdict = stage.on_request(run.request)
-            except Exception as wrong:  # guards the path against a fault of a plugged-in part
-                verdict = self._faulty(stage, wrong)
+    def end(self, request: ClientRequest, ending: Ending) -> None:
+        """Notify the filters that saw a request of its end, and cancel what is awaited for it."""
+        run = self.runs.pop(request, None)
+        if run is None:
+            return
+        self._stop_timeout(run)
+        if run.task:
+            run.task.cancel()
+        for request_filter in run.notified:
+            with self.faults.guard(request_filter.name):
+                request_filter.on_end(run.filtered_request, ending)
+
+    def _run_from(self, run: FilterRun, terms: RequestTerms, index: int) -> None:
+        """Run the filters from this one on, as far as they return a verdict at once."""
+        for position in range(index, len(self.filters)):
+            request_filter = self.filters[position]
+            run.notified.append(request_filter)
+            verdict: Verdict | Awaitable[Verdict] | None = None
+            with self.faults.guard(request_filter.name) as guard:
+                verdict = request_filter.on_request(run.filtered_request)
+            if guard.has_failed:
+                verdict = _fallback(request_filter)
             if inspect.isawaitable(verdict):
-                if run.late is None:  # all stages together share one stretch of time
-                    share = int(self.plugs.time_share * (run.call.until - self.clock()))
-                    run.late = self._after(max(0, share), self._too_late, run)
-                run.task = self.loop.create_task(self._wait(run, stage, verdict, terms, place))
+                self._start_timeout(run)
+                waiting = self._await_verdict(run, request_filter, verdict, terms, position)
+                run.task = self.owner.loop.create_task(waiting)
                 return
-            if (terms := self._apply(run, stage, verdict, terms)) is None:
+            changed = self._apply(run, request_filter, verdict, terms)
+            if changed is None:
                 return
-            place += 1
-        self._decide(run, terms)
+            terms = changed
+        self._stop_timeout(run)
+        self.owner.request_continued(run.request, terms)
 
-    async def _wait(
-        self, run: FilterRun, stage: RequestFilter, verdict, terms: RequestTerms, place: int
+    async def _await_verdict(
+        self,
+        run: FilterRun,
+        request_filter: RequestFilter,
+        awaitable: Awaitable[Verdict],
+        terms: RequestTerms,
+        index: int,
     ) -> None:
+        verdict: Verdict | None = None
+        guard = self.faults.guard(request_filter.name)
         try:
-            verdict = await verdict
+            with guard:
+                verdict = await awaitable
         except asyncio.CancelledError:
-            if run.call.finished:  # by us: its end was told
+            # By ``end``: the request is over.
+            if run.request.is_finished:
                 raise
-            # ``_too_late`` cancelled it, or the stage's own work was cancelled: a stage that took too long.
-            verdict = self._faulty(
-                stage, TimeoutError("no verdict in its share of the request's time")
-            )
-        except Exception as wrong:
-            verdict = self._faulty(stage, wrong)
+            # ``_timed_out`` cancelled it, or the filter's own work was cancelled: a filter that
+            # took too long.
+            error = TimeoutError("no verdict in its share of the request's time")
+            self.faults.record(request_filter.name, error)
+            guard.has_failed = True
+        if guard.has_failed:
+            verdict = _fallback(request_filter)
         run.task = None
-        if not run.call.finished and (terms := self._apply(run, stage, verdict, terms)) is not None:
-            self._through(run, terms, place + 1)
-
-    def _too_late(self, run: FilterRun) -> None:
-        if run.task and not run.call.finished:
-            run.late = None  # what comes after this stage gets its share of what is left
+        if run.request.is_finished:
+            return
+        changed = self._apply(run, request_filter, verdict, terms)
+        if changed is not None:
+            self._run_from(run, changed, index + 1)
+
+    def _start_timeout(self, run: FilterRun) -> None:
+        """Start the time that all filters share, if it does not run yet."""
+        if run.timeout_timer is None:
+            time_left_us = run.request.deadline_us - self.owner.clock()
+            share_us = max(0, int(self.time_share * time_left_us))
+            run.timeout_timer = self.owner.call_after_us(share_us, self._timed_out, run)
+
+    def _stop_timeout(self, run: FilterRun) -> None:
+        if run.timeout_timer:
+            run.timeout_timer.cancel()
+            run.timeout_timer = None
+
+    def _timed_out(self, run: FilterRun) -> None:
+        if run.task and not run.request.is_finished:
+            # The filters after this one get their share of what is left.
+            run.timeout_timer = None
             run.task.cancel()
 
-    def _faulty(self, stage: RequestFilter | Observer, wrong: BaseException):
-        self.faults[stage.name] += 1
-        log.warning("%s: %.200r", stage.name, wrong)
-        return getattr(stage, "fallback", None)
-
     def _apply(
-        self, run: FilterRun, stage: RequestFilter, verdict, terms: RequestTerms
+        self,
+        run: FilterRun,
+        request_filter: RequestFilter,
+        verdict: Verdict | None,
+        terms: RequestTerms,
     ) -> RequestTerms | None:
-        """The terms to go on with; None where the request is answered."""
-        plans = len(self.gateway.s.plans)
-        try:
-            result = apply(verdict, terms, plans)
-        except FilterError as wrong:
-            try:
-                result = apply(self._faulty(stage, wrong), terms, plans)
-            except FilterError:
-                result = (
-                    Reject()
-                )  # not even its fallback is a verdict; nothing was sent, so this is harmless
+        """Return the terms to go on with; None where the request has its final reply."""
+        result = self._checked(request_filter, verdict, terms)
         if isinstance(result, Reject):
-            self._finish(
-                run.call, busy_reply(min(result.retry_after, self.gateway.s.max_retry_after_us))
-            )
+            self.owner.request_rejected(run.request, result.retry_after_us)
             return None
         if isinstance(result, Abort):
-            self._finish(run.call, FAILED)
+            self.owner.request_aborted(run.request)
             return None
         if result is not terms:
-            run.request = replace(run.request, terms=result)
+            run.filtered_request = replace(run.filtered_request, terms=result)
         return result
 
-    def _decide(self, run: FilterRun, terms: RequestTerms) -> None:
-        """All stages let it on: the decision module is told, with the time that is left by now."""
-        call = run.call
-        if run.late:
-            run.late.cancel()
-            run.late = None
-        rest = max(0, call.until - self.clock())
-        spent = call.event.time_left_us - rest
-        left = max(MS, min(rest, terms.wait - ON_THE_WAY - spent))
-        call.event = call.event._replace(plan=terms.plan, time_left_us=left)
-        until = self.clock() + left
-        if until < call.until:  # a stage shortened the wait
-            call.until = until
-            call.guard.cancel()
-            call.guard = self._at(until, self._time_up, call)
-        self.feed(call.event)
-
-    def client_gone(self, call: ClientRequest) -> None:
-        """The client has closed its connection: the stages that saw the request hear so."""
-        self.leaving = call
-        super().client_gone(call)
-        self.leaving = None
-
-    def _close(self, call: ClientRequest) -> None:
-        super()._close(call)
-        self._end_stages(call, Ending.CLIENT_GONE if call is self.leaving else Ending.ANSWERED)
+    def _checked(
+        self, request_filter: RequestFilter, verdict: Verdict | None, terms: RequestTerms
+    ) -> RequestTerms | Reject | Abort:
+        """Apply a verdict.
 
-    def _end_stages(self, call: ClientRequest, ending: Ending) -> None:
-        run = self.runs.pop(call, None)
-        if run is None:
-            return
-        if run.late:
-            run.late.cancel()
-        if run.task:
-            run.task.cancel()
-        for stage in run.seen:
-            try:
-                stage.on_end(run.request, ending)
-            except Exception as wrong:
-                self._faulty(stage, wrong)
-
-    # -- decisions for others -------------------------------------------------------------------------------
-
-    def decide(
-        self, customer: int, plan: int, kind: int, units: float, first: int, spread: int
-    ) -> AdmitRequest | RejectRequest | None:
-        """Whether a request that somebody else sends on is let in, by the same counts; None: not decided."""
-        self.last_number += 1
-        number = self.last_number
-        self.decided[number] = None
-        self.feed(AdmissionCheckArrived(number, customer, plan, kind, units, first, spread))
-        return self.decided.pop(number)
-
-    def _admit(self, action: AdmitRequest) -> None:
-        if action.request in self.decided:
-            self.decided[action.request] = action
-
-    def _refuse(self, action: RejectRequest) -> None:
-        if action.request in self.decided:
-            self.decided[action.request] = action
-        else:
-            super()._refuse(action)
-
-    _DO: ClassVar = Driver._DO | {AdmitRequest: _admit, RejectRequest: _refuse}
-
-    # -- observers ------------------------------------------------------------------------------------------
-
-    def _tell_observers(self, what: str, *args) -> None:
-        for observer in self.plugs.observers:
-            try:
-                getattr(observer, what)(*args)
-            except Exception as wrong:  # guards the path: an observer can't raise into it
-                self._faulty(observer, wrong)
-
-    def _judge(self, now: int, event: Event) -> list[Action]:
-        self._tell_observers("event_in", now, event)
-        actions = self._decide_plainly(now, event)
-        self._tell_observers("actions_out", now, event, tuple(actions))
-        return actions
-
-    def wrap_hosts(self, wrap: Callable[[Upstream], Upstream]) -> None:
-        """Put something between the driver and its hosts."""
-        self._hosts = wrap(self._hosts)
-
-    @property
-    def hosts(self) -> Upstream | None:
-        """Where attempts are sent; with observers they hear of each first."""
-        return self._hosts
-
-    @hosts.setter
-    def hosts(self, hosts: Upstream | None) -> None:
-        self._hosts = _ToldHosts(hosts, self) if hosts and self.plugs.observers else hosts
+        In place of a malformed one the fallback, and in place of that a rejection.
+        """
+        try:
+            return apply_verdict(verdict, terms, self.plan_count)
+        except FilterError as error:
+            self.faults.record(request_filter.name, error)
+        try:
+            return apply_verdict(_fallback(request_filter), terms, self.plan_count)
+        except FilterError:
+            # Nothing was sent, so a rejection is harmless.
+            return Reject()
 
-    def attempt_ended(
-        self,
-        attempt: UpstreamAttempt,
-        outcome: AttemptOutcome,
-        value: bytes | StreamingReply | None = None,
-        report: tuple[float, ...] = (),
-    ) -> None:
-        """What came of an attempt."""
-        if not attempt.ended:
-            self._tell_observers("attempt_ended", attempt, outcome)
-        super().attempt_ended(attempt, outcome, value, report)
 
-    def _finish(self, call: ClientRequest, reply: bytes | StreamingReply) -> None:
-        if not call.finished:
-            self._tell_observers(
-                "answered", call, reply if isinstance(reply, bytes) else reply.head
-            )
-        super()._finish(call, reply)
+def _fallback(request_filter: RequestFilter) -> Verdict | None:
+    """Return what takes the place of a filter's verdict; None where it names none."""
+    return getattr(request_filter, "fallback", None)
--- a/saffrongw/gateway/gossip_transport.py
+++ b/saffrongw/gateway/gossip_transport.py
@@ -33,19 +33,19 @@
 
     def close(self) -> None:
         """Hear and tell nothing more."""
-        self.driver.tell_peer = lambda rank, body: None
+        self.driver.send_gossip = lambda rank, body: None
         self.transport.close()
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:
         """The socket is bound."""
         self.transport = transport
-        self.driver.tell_peer = self.tell
+        self.driver.send_gossip = self.tell
 
     def datagram_received(self, body: bytes, source: Address) -> None:
         """What a stranger sends, or what is too long to be ours, is dropped."""
         rank = self.ranks.get(source)
         if rank is not None and 0 < len(body) <= gossip_codec.SIZE_MOST:
-            self.driver.peer_said(rank, body)
+            self.driver.gossip_received(rank, body)
 
     def error_received(self, error: Exception) -> None:
         """A peer that is down shows as an error of an earlier datagram: it may be lost, like any other."""
--- a/saffrongw/gateway/hot_restart/successor.py
+++ b/saffrongw/gateway/hot_restart/successor.py
@@ -11,7 +11,7 @@
 from ...policy.events import EndpointEntry, EndpointId, EndpointState
 from ..admin_http.handlers import AdminHandlers
 from ..config import DiscoveredEndpoint, EndpointList
-from ..downstream.connection import ClientConnections
+from ..downstream.listener import ClientConnections
 from ..driver import Driver
 from ..gossip_transport import GossipTransport
 from ..upstream.cluster import UpstreamCluster
@@ -81,27 +81,27 @@
             channel.tell("listed", rows)
         for rows in packed(state_transfer.exclusions(gateway)):
             channel.tell("rows", rows)
-        channel.tell("quiesced", self.clients.draining)
+        channel.tell("quiesced", self.clients.shutdown.is_draining)
         channel.tell("greeted")
 
     async def hand_over(self) -> None:
         """The successor serves from now on; here what is held is finished. Without one it is an ordinary end."""
         incumbent, channel = self.incumbent, self.incumbent.channel
-        self.clients.count_down()
+        self.clients.shutdown.start_countdown()
         incumbent.stop_listening()
         if self.peers:
             self.peers.close()
         if await self._say_go(channel):
             self.hosts.hand_over(self._give_host)
-            self.clients.hand_over(self._give_client)
-            await either(self.clients.finish(), incumbent.lost.wait())
+            self.clients.shutdown.hand_over(self._give_client)
+            await either(self.clients.shutdown.finish(), incumbent.lost.wait())
         if not incumbent.lost.is_set():
             await _sent(channel)
             return
         log.warning("takeover: the successor was lost")
-        self.driver.gateway.handed_over, self.hosts.heir = False, None
-        self.clients.take_back()
-        await self.clients.drain(self.accept_for)
+        self.driver.gateway.handed_over, self.hosts.give_to_successor = False, None
+        self.clients.shutdown.take_back()
+        await self.clients.shutdown.drain(self.accept_for)
 
     async def _say_go(self, channel: HandOverChannel) -> bool:
         """All counts, and then the word; False where nobody takes them."""
@@ -118,7 +118,8 @@
     def _give_client(self, fd: int, begun: bytes) -> bool:
         channel = self.incumbent.channel
         if channel is None or not channel.tell("client", len(begun), fds=(fd,)):
-            self.clients.draining = True  # the successor was lost: closed in order, at least
+            # The successor was lost: closed in order, at least.
+            self.clients.shutdown.is_draining = True
             return False
         for at in range(0, len(begun), CHUNK):
             channel.tell("begun", begun[at : at + CHUNK].decode("latin-1"))
@@ -162,7 +163,7 @@
                 entry.zone,
                 entry.cell,
             ]
-            yield [*place, pool.born, entry.size, *pool.address]
+            yield [*place, pool.started_at_us, entry.size, *pool.address]
 
 
 class SuccessorHandOver:
--- a/saffrongw/gateway/request_parser.py
+++ b/saffrongw/gateway/request_parser.py
@@ -1,4 +1,7 @@
-"""A client's command as a request: the exact form, read in one step where it comes in the usual order."""
+"""Parses a client's command as a request.
+
+Only the exact form, in one step where it comes in the common order.
+"""
 
 from __future__ import annotations
 
@@ -6,188 +9,260 @@
 
 from ..policy.settings import Idempotency
 from .config import Config
-from .driver import RequestTerms
-from .resp import VALUE_MOST, MalformedMessageError
+from .request_types import US_PER_MS, RequestTerms
+from .resp import MAX_VALUE_BYTES, MalformedMessageError
+
+MAX_CUSTOMER_BITS = 33
+MAX_TIMEOUT_MS = 3_600_000
 
-CUSTOMER_BITS = 33
-WAIT_MOST = 3_600_000  # ms
-MS = 1_000
+# Texts whose meaning is cached.
+MAX_CACHED_TEXTS = 4_096
 
 _CUSTOMER = re.compile(rb"[0-9a-f]{16}")
-_NUMBER = re.compile(rb"[0-9A-Za-z_-]{1,64}")
-_WAIT = re.compile(rb"[1-9][0-9]{0,6}")
+_REQUEST_ID = re.compile(rb"[0-9A-Za-z_-]{1,64}")
+_TIMEOUT_MS = re.compile(rb"[1-9][0-9]{0,6}")
 _UNITS = re.compile(rb"(0|[1-9][0-9]{0,8})(\.[0-9]{1,9})?")
-_GATEWAYS = re.compile(rb"0|[1-9][0-9]{0,4}")
-_KEY = re.compile(rb"[0-9A-Za-z_-]{1,64}")
-_TERMS = {b"c", b"t", b"d", b"units", b"spread", b"first"}
-# The usual form, whole: customer, id, terms in their usual order, and the header of the body.
-_USUAL = re.compile(
+_NODE_NUMBER = re.compile(rb"0|[1-9][0-9]{0,4}")
+_IDEMPOTENCY_KEY = re.compile(rb"[0-9A-Za-z_-]{1,64}")
+
+# The names that a request's terms have on the wire: class, plan, timeout, units, and the replica
+# set's size and first node. Beside them ``k`` is the idempotency key and ``r=1`` marks a retry.
+_TERM_NAMES = {b"c", b"t", b"d", b"units", b"spread", b"first"}
+
+# The common form: customer, id, terms in their usual order, and the header of the body.
+_COMMON_FORM = re.compile(
     rb"\*(?:4\r\n\$8\r\n(CALL\.GET)|5\r\n\$9\r\n(CALL\.POST))\r\n\$16\r\n(0{7}[01][0-9a-f]{8})\r\n"
     rb"\$([1-9][0-9]?)\r\n([0-9A-Za-z_-]{1,64})\r\n"
     rb"\$([1-9][0-9]{1,2})\r\n((c=[^,=\r\n]{1,64},t=[^,=\r\n]{1,64},d=)([1-9][0-9]{0,6})"
-    rb"((,k=[0-9A-Za-z_-]{1,64})?,(units=[0-9.]{1,19},spread=[0-9]{1,5},first=[0-9]{1,5}(?:,r=1)?)))\r\n"
+    rb"((,k=[0-9A-Za-z_-]{1,64})?,"
+    rb"(units=[0-9.]{1,19},spread=[0-9]{1,5},first=[0-9]{1,5}(?:,r=1)?)))\r\n"
     rb"(?:\$(0|[1-9][0-9]{0,4})\r\n)?"
 )
-_GROUP = re.compile(rb"c=([^,=]+),t=([^,=]+),d=")
+_CLASS_AND_PLAN = re.compile(rb"c=([^,=]+),t=([^,=]+),d=")
 _AMOUNTS = re.compile(
-    rb"units=((?:0|[1-9][0-9]{0,8})(?:\.[0-9]{1,9})?),spread=([1-9][0-9]{0,4}),first=(0|[1-9][0-9]{0,4})(,r=1)?"
+    rb"units=((?:0|[1-9][0-9]{0,8})(?:\.[0-9]{1,9})?),"
+    rb"spread=([1-9][0-9]{0,4}),first=(0|[1-9][0-9]{0,4})(,r=1)?"
 )
-KNOWN_MOST = 4_096  # texts whose meaning is kept
-# As much of it as it takes to refuse one: where it ends, who asks, class and plan.
-_SKIM = re.compile(
+
+# As much of the common form as it takes to reject a request: its end, its customer, its class and
+# plan.
+_SKIMMED_FORM = re.compile(
     rb"\*(?:4\r\n\$8\r\nCALL\.GET|(5)\r\n\$9\r\nCALL\.POST)\r\n\$16\r\n(0{7}[01][0-9a-f]{8})\r\n"
     rb"\$([1-9][0-9]?)\r\n([0-9A-Za-z_-]{1,64})\r\n"
     rb"\$([1-9][0-9]{1,2})\r\n(c=([^,\r\n]{1,64},t=[^,\r\n]{1,64}),[^\r\n]{1,256})\r\n"
     rb"(?:\$(0|[1-9][0-9]{0,4})\r\n)?"
 )
 
-Parsed = tuple[RequestTerms, tuple[bytes, ...]]
+# A request's terms, and its parts as endpoints get them. Bare tuples here and below: one is made
+# for each request.
+ParsedRequest = tuple[RequestTerms, tuple[bytes, ...]]
 
+# Indices of class and plan, and the class's idempotency.
+ClassAndPlan = tuple[int, int, Idempotency]
 
-def parse_request(command: list[bytes], config: Config) -> Parsed:
-    """A request's terms, and its parts as hosts get them: the terms are cut round the value of ``d``.
+# Units, size and first node of the replica set, and whether the request is a retry.
+Amounts = tuple[float, int, int, bool]
 
-    Hosts void what they can't use, so that only the exact forms pass: ``int()`` and ``float()`` take ``1_0``,
-    ``+1``, ``nan`` and blanks.
+
+def parse_request(command: list[bytes], config: Config) -> ParsedRequest:
+    """Parse a command in any order of its terms.
+
+    Its parts have the terms cut round the value of ``d``.
+    Endpoints void what they can't use, so only the exact forms pass: ``int()`` and ``float()``
+    would accept ``1_0``, ``+1``, ``nan`` and blanks. Raises ``MalformedMessageError`` with the text
+    for the client.
     """
     if len(command) != (4 if command[0] == b"CALL.GET" else 5):
         raise MalformedMessageError("wrong number of values")
-    name, customer, number, text = command[:4]
-    if not _CUSTOMER.fullmatch(customer) or (key := int(customer, 16)) >> CUSTOMER_BITS:
+    name, customer, request_id, text = command[:4]
+    if not _CUSTOMER.fullmatch(customer) or int(customer, 16) >> MAX_CUSTOMER_BITS:
         raise MalformedMessageError("customer is not 16 hex digits below 2^33")
-    if not _NUMBER.fullmatch(number):
+    if not _REQUEST_ID.fullmatch(request_id):
         raise MalformedMessageError("the request's id is empty, too long or malformed")
+    terms = _split_terms(text)
+    kind, plan, idempotency = _find_class_and_plan(terms, config)
+    if (name == b"CALL.GET") != (idempotency is Idempotency.IDEMPOTENT):
+        raise MalformedMessageError("this class is served by the other command")
+    is_retry = _check_term_names(terms, idempotency)
+    timeout_ms = terms[b"d"]
+    if not _TIMEOUT_MS.fullmatch(timeout_ms) or int(timeout_ms) > MAX_TIMEOUT_MS:
+        raise MalformedMessageError("term d is out of range")
+    units, set_size, set_first = _parse_amounts(terms, config)
+    start = (b"," + text).index(b",d=") + 2
+    end = start + len(timeout_ms)
+    parts = (name, customer, request_id, text[:start], text[end:], *command[4:])
+    timeout_us = int(timeout_ms) * US_PER_MS
+    return (
+        RequestTerms(
+            int(customer, 16), kind, plan, timeout_us, units, set_size, set_first, is_retry
+        ),
+        parts,
+    )
+
+
+def _split_terms(text: bytes) -> dict[bytes, bytes]:
+    """Split ``NAME=VALUE,NAME=VALUE``."""
     pairs = [pair.split(b"=", 1) for pair in text.split(b",")]
-    try:
-        terms = dict(pairs)
-    except ValueError:
-        raise MalformedMessageError("terms are malformed") from None
+    if any(len(pair) != 2 for pair in pairs):
+        raise MalformedMessageError("terms are malformed")
+    terms = {pair[0]: pair[1] for pair in pairs}
     if len(terms) != len(pairs):
         raise MalformedMessageError("a term stands twice")
-    kind, plan = config.classes.get(terms.get(b"c")), config.plans.get(terms.get(b"t"))
+    return terms
+
+
+def _find_class_and_plan(terms: dict[bytes, bytes], config: Config) -> ClassAndPlan:
+    if b"c" not in terms or b"t" not in terms:
+        raise MalformedMessageError("unknown class or plan")
+    kind, plan = config.classes.get(terms[b"c"]), config.plans.get(terms[b"t"])
     if kind is None or plan is None:
         raise MalformedMessageError("unknown class or plan")
-    effect, gateways = config.settings.classes[kind].idempotency, config.settings.node_count
-    if (name == b"CALL.GET") != (effect is Idempotency.IDEMPOTENT):
-        raise MalformedMessageError("this class is served by the other command")
-    wanted = _TERMS | {b"k"} if effect is Idempotency.IDEMPOTENCY_KEY else _TERMS
-    repeat = terms.pop(b"r", None)
-    if terms.keys() != wanted or repeat not in (None, b"1"):
+    return kind, plan, config.settings.classes[kind].idempotency
+
+
+def _check_term_names(terms: dict[bytes, bytes], idempotency: Idempotency) -> bool:
+    """Check that each term stands that must, and no other.
+
+    Return whether the request is a retry.
+    """
+    has_key = idempotency is Idempotency.IDEMPOTENCY_KEY
+    expected = _TERM_NAMES | {b"k"} if has_key else _TERM_NAMES
+    retry = terms.pop(b"r", None)
+    if terms.keys() != expected or retry not in (None, b"1"):
         raise MalformedMessageError("a term is missing, or one too many")
-    if effect is Idempotency.IDEMPOTENCY_KEY and not _KEY.fullmatch(terms[b"k"]):
+    if has_key and not _IDEMPOTENCY_KEY.fullmatch(terms[b"k"]):
         raise MalformedMessageError("term k is malformed")
-    wait, units, spread, first = (terms[term] for term in (b"d", b"units", b"spread", b"first"))
-    if not _WAIT.fullmatch(wait) or int(wait) > WAIT_MOST:
-        raise MalformedMessageError("term d is out of range")
+    return retry is not None
+
+
+def _parse_amounts(terms: dict[bytes, bytes], config: Config) -> tuple[float, int, int]:
+    """Parse the units, and the size and the first node of the replica set."""
+    units, set_size, set_first = terms[b"units"], terms[b"spread"], terms[b"first"]
     if not _UNITS.fullmatch(units) or not 0 < float(units) <= config.units_most:
         raise MalformedMessageError("term units is out of range")
-    if not _GATEWAYS.fullmatch(spread) or not _GATEWAYS.fullmatch(first):
+    if not _NODE_NUMBER.fullmatch(set_size) or not _NODE_NUMBER.fullmatch(set_first):
         raise MalformedMessageError("terms spread and first are malformed")
-    if not 1 <= int(spread) <= gateways or not int(first) < gateways:
+    node_count = config.settings.node_count
+    if not 1 <= int(set_size) <= node_count or not int(set_first) < node_count:
         raise MalformedMessageError("terms spread and first are out of range")
-    at = (b"," + text).index(b",d=") + 2
-    parts = (name, customer, number, text[:at], text[at + len(wait) :], *command[4:])
-    return RequestTerms(
-        key, kind, plan, int(wait) * MS, float(units), int(spread), int(first), repeat is not None
-    ), parts
+    return float(units), int(set_size), int(set_first)
 
 
 class RequestFormat:
-    """Reads requests in their usual form in one step; what is not of it is left to the framing and ``parse``."""
+    """Reads requests of the common form in one step.
 
-    __slots__ = ("amounts", "classes", "effects", "gateways", "groups", "plans", "units_most")
+    Any other form is left to framing and ``parse_request``.
+    """
+
+    __slots__ = (
+        "amounts_cache",
+        "class_and_plan_cache",
+        "classes",
+        "idempotency_of",
+        "max_units",
+        "node_count",
+        "plans",
+    )
 
     def __init__(self, config: Config) -> None:
-        self.classes, self.plans = config.classes, config.plans
-        self.effects = tuple(c.idempotency for c in config.settings.classes)
-        self.gateways, self.units_most = config.settings.node_count, config.units_most
-        # Texts that come again and again, by their meaning.
-        self.groups: dict[
-            bytes, tuple[int, int, Idempotency]
-        ] = {}  # only those that the settings name
-        self.amounts: dict[bytes, tuple[float, int, int, bool]] = {}
-
-    def _group(self, text: bytes) -> tuple[int, int, Idempotency] | None:
-        """``c=CLASS,t=PLAN,d=`` as numbers of class and plan, and the class's effect."""
-        if (known := self.groups.get(text)) is None:
-            kind_name, plan_name = _GROUP.fullmatch(text).groups()
-            kind, plan = self.classes.get(kind_name), self.plans.get(plan_name)
+        """Use the names and bounds of this configuration."""
+        self.classes = config.classes
+        self.plans = config.plans
+        self.idempotency_of = tuple(each.idempotency for each in config.settings.classes)
+        self.node_count = config.settings.node_count
+        self.max_units = config.units_most
+        # The meaning of texts that come again and again; only classes and plans that the settings
+        # name.
+        self.class_and_plan_cache: dict[bytes, ClassAndPlan] = {}
+        self.amounts_cache: dict[bytes, Amounts] = {}
+
+    def _class_and_plan(self, text: bytes) -> ClassAndPlan | None:
+        """Read ``c=CLASS,t=PLAN,d=``; None where the settings don't name them."""
+        if (cached := self.class_and_plan_cache.get(text)) is None:
+            if (found := _CLASS_AND_PLAN.fullmatch(text)) is None:
+                return None
+            kind, plan = self.classes.get(found[1]), self.plans.get(found[2])
             if kind is None or plan is None:
                 return None
-            known = self.groups[text] = kind, plan, self.effects[kind]
-        return known
+            cached = self.class_and_plan_cache[text] = kind, plan, self.idempotency_of[kind]
+        return cached
 
-    def _amounts(self, text: bytes) -> tuple[float, int, int, bool] | None:
-        """``units=...,spread=...,first=...`` as units, size and first gateway of the set, and whether it is a retry."""
-        if (known := self.amounts.get(text)) is None:
+    def _amounts(self, text: bytes) -> Amounts | None:
+        """Read ``units=...,spread=...,first=...`` and perhaps ``,r=1``.
+
+        None where one is out of range.
+        """
+        if (cached := self.amounts_cache.get(text)) is None:
             if (found := _AMOUNTS.fullmatch(text)) is None:
                 return None
-            units, spread, first = float(found[1]), int(found[2]), int(found[3])
-            if not 0 < units <= self.units_most or spread > self.gateways or first >= self.gateways:
+            units, set_size, set_first = float(found[1]), int(found[2]), int(found[3])
+            if not 0 < units <= self.max_units:
+                return None
+            if set_size > self.node_count or set_first >= self.node_count:
                 return None
-            if len(self.amounts) >= KNOWN_MOST:
-                self.amounts.clear()
-            known = self.amounts[text] = units, spread, first, found[4] is not None
-        return known
+            if len(self.amounts_cache) >= MAX_CACHED_TEXTS:
+                self.amounts_cache.clear()
+            cached = self.amounts_cache[text] = units, set_size, set_first, found[4] is not None
+        return cached
 
     @staticmethod
-    def skim(data: bytes, at: int) -> tuple[int, bytes, bytes] | None:
-        """Where the request at this place ends, its customer, and class and plan as ``CLASS,t=PLAN``."""
-        found = _SKIM.match(data, at)
+    def skim(data: bytes, position: int) -> tuple[int, bytes, bytes] | None:
+        """Return the end of the request at this position, its customer, and ``CLASS,t=PLAN``.
+
+        None: not this form.
+        """
+        found = _SKIMMED_FORM.match(data, position)
         if found is None:
             return None
-        post, customer, id_size, number, size, text, group, body_size = found.groups()
+        post, customer, id_size, request_id, size, text, class_and_plan, body_size = found.groups()
         if (
-            len(number) != int(id_size)
+            len(request_id) != int(id_size)
             or len(text) != int(size)
             or (post is None) != (body_size is None)
         ):
             return None
         if post is None:
-            return found.end(), customer, group
-        last = found.end() + int(body_size)
-        return (last + 2, customer, group) if data[last : last + 2] == b"\r\n" else None
+            return found.end(), customer, class_and_plan
+        end = found.end() + int(body_size)
+        if data[end : end + 2] != b"\r\n":
+            return None
+        return end + 2, customer, class_and_plan
 
-    def read(self, data: bytes, at: int) -> tuple[int, RequestTerms, tuple[bytes, ...]] | None:
-        """Where the request at this place ends, its terms and parts; None: not whole, or not of the usual form."""
-        found = _USUAL.match(data, at)
+    def read(
+        self, data: bytes, position: int
+    ) -> tuple[int, RequestTerms, tuple[bytes, ...]] | None:
+        """Return the end of the request at this position, its terms and its parts.
+
+        None where it is not complete, not of the common form, or malformed.
+        """
+        found = _COMMON_FORM.match(data, position)
         if found is None:
             return None
-        (
-            get,
-            post,
-            customer,
-            id_size,
-            number,
-            size,
-            text,
-            before,
-            wait,
-            after,
-            key,
-            amounts,
-            body_size,
-        ) = found.groups()
+        get, post, customer, id_size, request_id, size, text, *rest = found.groups()
+        before, timeout_ms, after, key, amounts_text, body_size = rest
         if (
-            len(number) != int(id_size)
+            len(request_id) != int(id_size)
             or len(text) != int(size)
             or (post is None) != (body_size is None)
         ):
             return None
-        if (group := self._group(before)) is None or (given := self._amounts(amounts)) is None:
+        if (class_and_plan := self._class_and_plan(before)) is None:
             return None
-        kind, plan, effect = group
-        if (post is None) != (effect is Idempotency.IDEMPOTENT) or (key is None) != (
-            effect is not Idempotency.IDEMPOTENCY_KEY
-        ):
+        if (amounts := self._amounts(amounts_text)) is None:
+            return None
+        kind, plan, idempotency = class_and_plan
+        if (post is None) != (idempotency is Idempotency.IDEMPOTENT):
+            return None
+        if (key is None) != (idempotency is not Idempotency.IDEMPOTENCY_KEY):
             return None
-        if (span := int(wait)) > WAIT_MOST:
+        if (timeout := int(timeout_ms)) > MAX_TIMEOUT_MS:
             return None
         end = found.end()
-        terms = RequestTerms(int(customer, 16), kind, plan, span * MS, *given)
+        terms = RequestTerms(int(customer, 16), kind, plan, timeout * US_PER_MS, *amounts)
         if post is None:
-            return end, terms, (get, customer, number, before, after)
-        last = end + int(body_size)
-        if last - end > VALUE_MOST or data[last : last + 2] != b"\r\n":
+            return end, terms, (get, customer, request_id, before, after)
+        body_end = end + int(body_size)
+        if body_end - end > MAX_VALUE_BYTES or data[body_end : body_end + 2] != b"\r\n":
             return None
-        return last + 2, terms, (post, customer, number, before, after, data[end:last])
+        body = data[end:body_end]
+        return body_end + 2, terms, (post, customer, request_id, before, after, body)
--- /dev/null
+++ b/saffrongw/gateway/request_types.py
@@ -0,0 +1,108 @@
+"""What the gateway keeps of a client's request and of its upstream attempts.
+
+How they reach an upstream.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import NamedTuple, Protocol
+
+from ..policy.events import EndpointId, RequestArrived
+from .config import EndpointList
+from .streaming_reply import StreamingReply
+
+US_PER_MS = 1_000
+
+FAILED = b"-ERR failed\r\n"
+
+FinalReply = bytes | StreamingReply
+SendReply = Callable[[FinalReply], None]
+
+
+def busy_reply(retry_after_us: int) -> bytes:
+    """Encode a rejection, with the retry-after time in whole milliseconds.
+
+    0 leaves that time out.
+    """
+    # Rounded up: a client that came back earlier would be rejected again.
+    retry_after_ms = -(-retry_after_us // US_PER_MS)
+    return b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms else b"-BUSY\r\n"
+
+
+class RequestTerms(NamedTuple):
+    """What a client's command says about its request."""
+
+    customer: int
+    kind: int
+    plan: int
+    timeout_us: int
+    units: float
+    replica_set_size: int
+    replica_set_first: int
+    is_retry: bool
+
+
+@dataclass(slots=True, eq=False)
+class ClientRequest:
+    """A client's request from its last byte to its one final reply.
+
+    ``parts`` holds command, customer, client's id, the terms before and after the value of ``d``,
+    and the body where there is one. ``deadline_us`` is the time of the gateway's clock by which the
+    final reply is due.
+    """
+
+    event: RequestArrived
+    parts: tuple[bytes, ...]
+    deadline_us: int
+    send_reply: SendReply
+    attempts: list[UpstreamAttempt] = field(default_factory=list)
+    deadline_timer: asyncio.TimerHandle | None = None
+    is_finished: bool = False
+
+
+@dataclass(slots=True, eq=False)
+class UpstreamAttempt:
+    """One attempt to have a request served by an endpoint; it ends exactly once.
+
+    ``carrier`` belongs to the upstream package: the connection that carries the attempt, or the
+    pool in which it waits for one. From ``is_fully_sent`` on, when the last byte has left, the
+    endpoint may execute it.
+    """
+
+    request: ClientRequest
+    index: int
+    endpoint_id: EndpointId
+    sent_at_us: int
+    deadline_us: int
+    timeout_timer: asyncio.TimerHandle | None = None
+    carrier: object = None
+    is_fully_sent: bool = False
+    is_ended: bool = False
+
+
+class Upstream(Protocol):
+    """What the driver needs of the cluster of endpoints.
+
+    An attempt's outcome comes back to the driver.
+    """
+
+    def send(self, attempt: UpstreamAttempt) -> None:
+        """Start an attempt."""
+
+    def cancel(self, attempt: UpstreamAttempt) -> None:
+        """Stop waiting for an attempt."""
+
+    def update_endpoints(self, endpoints: EndpointList) -> list[UpstreamAttempt]:
+        """Follow a new endpoint list; return the attempts that can't be started any more."""
+
+    def close_idle_connections(self, endpoint_id: EndpointId) -> list[UpstreamAttempt]:
+        """Close an excluded endpoint's idle connections.
+
+        Return the attempts that can't be started.
+        """
+
+    def withdraw(self, attempt: UpstreamAttempt) -> bool:
+        """Withdraw an attempt of which nothing was sent yet; return whether it was one."""
--- a/saffrongw/gateway/resp.py
+++ b/saffrongw/gateway/resp.py
@@ -1,7 +1,7 @@
-"""Framing of RESP2 in both directions, exact and bounded: only what the protocol names is taken.
+"""Framing of RESP2 in both directions, exact and bounded: only what the protocol names is accepted.
 
-hiredis is not used to read: it allocates what a header claims (``*100000000`` takes 800 MB), waits for 3 GB,
-accepts RESP3 and raises MemoryError or TypeError on some of it.
+hiredis is not used to read: it allocates what a header claims (``*100000000`` takes 800 MB), waits
+for 3 GB, accepts RESP3 and raises MemoryError or TypeError on some of it.
 """
 
 from __future__ import annotations
@@ -9,94 +9,120 @@
 import re
 from typing import NamedTuple
 
-VALUE_MOST = 64 * 1024  # bytes in one value that is taken whole
-LONG_MOST = 4 << 20  # bytes in one that a host gives and that is passed on as it comes
-WORD_MOST = 1024  # bytes in any other part of a command or an answer
-LINE_MOST = 512  # bytes in an error line
-WORDS_MOST = 5  # parts of a command; only the fifth holds a value
+# Of a value that is held whole.
+MAX_VALUE_BYTES = 64 * 1024
+
+# Of an endpoint's value that is streamed.
+MAX_STREAMED_VALUE_BYTES = 4 << 20
+
+# Of any other part of a command or a reply.
+MAX_WORD_BYTES = 1024
+
+# Of an error line.
+MAX_LINE_BYTES = 512
+
+# Parts of a command; only the last one may hold a value.
+MAX_COMMAND_WORDS = 5
+
+# Of the longest header that the patterns below accept.
+MAX_HEADER_BYTES = 10
 
 _COUNT = re.compile(rb"\*([1-9])\r\n")
 _LENGTH = re.compile(rb"\$(0|[1-9][0-9]{0,6})\r\n")
 _LENGTH_OR_NULL = re.compile(rb"\$(-1|0|[1-9][0-9]{0,6})\r\n")
-_COUNT_BEGUN = re.compile(rb"(\*([1-9]\r?)?)?")
-_LENGTH_BEGUN = re.compile(rb"(\$((-|-1|0|[1-9][0-9]{0,6})\r?)?)?")
-_LONG = re.compile(rb"\*3\r\n\$([1-9][0-9]{4,6})\r\n")
-_SERVED = re.compile(rb"\*3\r\n\$(0|[1-9][0-9]{0,4})\r\n")
-_REST = re.compile(rb"\r\n\$-1\r\n\$([1-9][0-9]{0,3})\r\n([a-z0-9_=.,]{1,1000})\r\n")
-_HEADER_MOST = 10  # bytes of the longest header that these take
+_COUNT_PREFIX = re.compile(rb"(\*([1-9]\r?)?)?")
+_LENGTH_PREFIX = re.compile(rb"(\$((-|-1|0|[1-9][0-9]{0,6})\r?)?)?")
+_STREAMED_REPLY = re.compile(rb"\*3\r\n\$([1-9][0-9]{4,6})\r\n")
+_SERVED_REPLY = re.compile(rb"\*3\r\n\$(0|[1-9][0-9]{0,4})\r\n")
+_REPLY_TAIL = re.compile(rb"\r\n\$-1\r\n\$([1-9][0-9]{0,3})\r\n([a-z0-9_=.,]{1,1000})\r\n")
 
 
 class MalformedMessageError(Exception):
-    """Bytes that no whole message of the protocol can begin with: where the next one starts is lost."""
+    """Bytes that no message of the protocol can begin with.
+
+    Where the next message starts is lost.
+    """
 
 
 class _Buffer:
-    """Bytes that have come and were not yet taken."""
+    """Bytes that have arrived; those before ``position`` are consumed."""
 
-    __slots__ = ("at", "data")
+    __slots__ = ("data", "position")
 
     def __init__(self) -> None:
-        self.data, self.at = b"", 0
+        self.data = b""
+        self.position = 0
 
     def feed(self, data: bytes) -> None:
-        """More bytes; what was taken is let go."""
-        self.data, self.at = (self.data[self.at :] + data if self.at < len(self.data) else data), 0
+        """Append bytes, and forget what is consumed."""
+        if self.position < len(self.data):
+            data = self.data[self.position :] + data
+        self.data = data
+        self.position = 0
 
     def __len__(self) -> int:
-        return len(self.data) - self.at
+        return len(self.data) - self.position
 
-    def _header(self, form: re.Pattern, begun: re.Pattern, at: int) -> re.Match | None:
-        """A header at this place; None where it is not whole yet."""
-        if found := form.match(self.data, at):
+    def _header(
+        self, pattern: re.Pattern[bytes], prefix: re.Pattern[bytes], start: int
+    ) -> re.Match[bytes] | None:
+        """Match a header at this position; None where it is not complete yet."""
+        if found := pattern.match(self.data, start):
             return found
-        if begun.fullmatch(self.data[at : at + _HEADER_MOST]):
+        if prefix.fullmatch(self.data[start : start + MAX_HEADER_BYTES]):
             return None
-        raise MalformedMessageError(
-            f"not a header of the protocol: {self.data[at : at + 2 * _HEADER_MOST]!r}"
-        )
-
-    def _bulk(self, at: int, most: int, null: bool = False) -> tuple[bytes | None, int] | None:
-        """A bulk string and where it ends; None where it is not whole yet."""
-        found = self._header(_LENGTH_OR_NULL if null else _LENGTH, _LENGTH_BEGUN, at)
+        shown = self.data[start : start + 2 * MAX_HEADER_BYTES]
+        raise MalformedMessageError(f"not a header of the protocol: {shown!r}")
+
+    def _bulk(
+        self, start: int, max_bytes: int, nullable: bool = False
+    ) -> tuple[bytes | None, int] | None:
+        """Return a bulk string and its end; None where it is not complete yet."""
+        pattern = _LENGTH_OR_NULL if nullable else _LENGTH
+        found = self._header(pattern, _LENGTH_PREFIX, start)
         if found is None:
             return None
-        length, start = int(found[1]), found.end()
+        length, body = int(found[1]), found.end()
         if length < 0:
-            return None, start
-        if length > most:
+            return None, body
+        if length > max_bytes:
             raise MalformedMessageError("a value is too long")
-        end = start + length
-        tail = self.data[end : end + 2]
-        if not b"\r\n".startswith(tail):
+        end = body + length
+        terminator = self.data[end : end + 2]
+        if not b"\r\n".startswith(terminator):
             raise MalformedMessageError("a length does not fit")
-        return (self.data[start:end], end + 2) if len(tail) == 2 else None
+        return (self.data[body:end], end + 2) if len(terminator) == 2 else None
 
 
 class CommandReader(_Buffer):
-    """Commands as clients send them: arrays of up to five bulk strings."""
+    """Reads commands as clients send them: arrays of up to five bulk strings."""
 
     __slots__ = ()
 
     def next(self) -> list[bytes] | None:
-        """The next whole command; None where there is none yet."""
-        head = self._header(_COUNT, _COUNT_BEGUN, self.at)
-        if head is None:
+        """Return the next command; None where it is not complete yet."""
+        header = self._header(_COUNT, _COUNT_PREFIX, self.position)
+        if header is None:
             return None
-        words, at, number = [], head.end(), int(head[1])
-        if number > WORDS_MOST:
+        count = int(header[1])
+        if count > MAX_COMMAND_WORDS:
             raise MalformedMessageError("wrong number of values")
-        for place in range(1, number + 1):
-            bulk = self._bulk(at, VALUE_MOST if place == WORDS_MOST else WORD_MOST)
+        words: list[bytes] = []
+        position = header.end()
+        for number in range(1, count + 1):
+            limit = MAX_VALUE_BYTES if number == MAX_COMMAND_WORDS else MAX_WORD_BYTES
+            bulk = self._bulk(position, limit)
             if bulk is None:
                 return None
-            words.append(bulk[0])
-            at = bulk[1]
-        self.at = at
+            word, position = bulk
+            # Only where null is accepted there is none.
+            words.append(word or b"")
+        self.position = position
         return words
 
 
 class Reply(NamedTuple):
-    """What a host answered: a line, or a value with the figures on use and the load report."""
+    """An endpoint's reply: a line, or a value with a load report."""
 
     line: bytes | None = None
     value: bytes = b""
@@ -104,79 +130,99 @@
 
 
 class ReplyReader(_Buffer):
-    """A host's answers, one at a time."""
+    """Reads an endpoint's replies, one at a time."""
 
     __slots__ = ()
 
-    def _usual(self) -> Reply | None:
-        """A served answer in its usual form (a value, no figures on use, a report) in two steps; else None."""
+    def next(self) -> Reply | None:
+        """Return the next reply; None where it is not complete yet."""
+        if (common := self._common_reply()) is not None:
+            return common
+        if self.data[self.position : self.position + 1] in (b"-", b"+"):
+            return self._line()
+        header = self._header(_COUNT, _COUNT_PREFIX, self.position)
+        if header is None:
+            return None
+        if header[1] != b"3":
+            raise MalformedMessageError("an answer has three parts")
+        position = header.end()
+        parts: list[bytes | None] = []
+        for index in range(3):
+            limit = MAX_WORD_BYTES if index else MAX_VALUE_BYTES
+            bulk = self._bulk(position, limit, nullable=index > 0)
+            if bulk is None:
+                return None
+            part, position = bulk
+            parts.append(part)
+        self.position = position
+        return Reply(None, parts[0] or b"", parts[2])
+
+    def _common_reply(self) -> Reply | None:
+        """Read a served reply in its common form (a value, no usage, a report) in two steps.
+
+        Else None.
+        """
         data = self.data
-        head = _SERVED.match(data, self.at)
-        if head is None or (length := int(head[1])) > VALUE_MOST:
+        header = _SERVED_REPLY.match(data, self.position)
+        if header is None or (length := int(header[1])) > MAX_VALUE_BYTES:
             return None
-        end = head.end() + length
-        rest = _REST.match(data, end)
-        if rest is None or len(rest[2]) != int(rest[1]):
+        end = header.end() + length
+        tail = _REPLY_TAIL.match(data, end)
+        if tail is None or len(tail[2]) != int(tail[1]):
             return None
-        self.at = rest.end()
-        return Reply(None, data[head.end() : end], rest[2])
+        self.position = tail.end()
+        return Reply(None, data[header.end() : end], tail[2])
+
+    def _line(self) -> Reply | None:
+        end = self.data.find(b"\r\n", self.position, self.position + MAX_LINE_BYTES)
+        if end < 0:
+            if len(self) >= MAX_LINE_BYTES:
+                raise MalformedMessageError("a line is too long")
+            return None
+        line, self.position = self.data[self.position : end], end + 2
+        return Reply(line)
+
+    # -- streamed values --------------------------------------------------------------------------
 
-    def long(self) -> int | None:
-        """How long the value is, where the next answer begins with a long one; its head is taken, and it comes next."""
-        found = _LONG.match(self.data, self.at)
-        if found is None or int(found[1]) <= VALUE_MOST:
+    def take_streamed_header(self) -> int | None:
+        """Consume the header of a reply whose value is to be streamed.
+
+        Return the value's length, else None.
+        """
+        found = _STREAMED_REPLY.match(self.data, self.position)
+        if found is None:
             return None
-        if int(found[1]) > LONG_MOST:
+        length = int(found[1])
+        if length <= MAX_VALUE_BYTES:
+            return None
+        if length > MAX_STREAMED_VALUE_BYTES:
             raise MalformedMessageError("a value is too long")
-        self.at = found.end()
-        return int(found[1])
+        self.position = found.end()
+        return length
 
-    def part(self, most: int) -> bytes:
-        """So many bytes of a long value, as far as they have come."""
-        data = self.data[self.at : self.at + most]
-        self.at += len(data)
+    def take_bytes(self, max_bytes: int) -> bytes:
+        """Consume so many bytes of a streamed value, as far as they have arrived."""
+        data = self.data[self.position : self.position + max_bytes]
+        self.position += len(data)
         return data
 
-    def end_of_long(self) -> bool | None:
-        """Whether what follows a long value ends it; None: it has not come yet."""
-        tail = self.data[self.at : self.at + 2]
-        return None if len(tail) < 2 and b"\r\n".startswith(tail) else tail == b"\r\n"
+    def is_at_value_end(self) -> bool | None:
+        """Whether what follows a streamed value ends it; None: it has not arrived yet."""
+        terminator = self.data[self.position : self.position + 2]
+        if len(terminator) < 2 and b"\r\n".startswith(terminator):
+            return None
+        return terminator == b"\r\n"
+
+    def take_streamed_tail(self) -> bool:
+        """Consume what follows a streamed value (its end, usage and report).
 
-    def rest_of_long(self) -> bool:
-        """Take all that stands behind a long value, if it is whole: its end, the figures on use and the report."""
-        at = self.at + 2
+        False where it is not complete yet.
+        """
+        position = self.position + 2
         for _ in range(2):
-            bulk = self._bulk(at, WORD_MOST, null=True)
+            bulk = self._bulk(position, MAX_WORD_BYTES, nullable=True)
             if bulk is None:
                 return False
-            at = bulk[1]
-        self.at = at
+            position = bulk[1]
+        self.position = position
         return True
-
-    def next(self) -> Reply | None:
-        """The next answer, if it is whole."""
-        if (usual := self._usual()) is not None:
-            return usual
-        kind = self.data[self.at : self.at + 1]
-        if kind in (b"-", b"+"):
-            end = self.data.find(b"\r\n", self.at, self.at + LINE_MOST)
-            if end < 0:
-                if len(self) >= LINE_MOST:
-                    raise MalformedMessageError("a line is too long")
-                return None
-            line, self.at = self.data[self.at : end], end + 2
-            return Reply(line)
-        head = self._header(_COUNT, _COUNT_BEGUN, self.at)
-        if head is None:
-            return None
-        if head[1] != b"3":
-            raise MalformedMessageError("an answer has three parts")
-        at, parts = head.end(), []
-        for place in range(3):
-            bulk = self._bulk(at, WORD_MOST if place else VALUE_MOST, null=place > 0)
-            if bulk is None:
-                return None
-            parts.append(bulk[0])
-            at = bulk[1]
-        self.at = at
-        return Reply(None, parts[0], parts[2])
--- a/saffrongw/gateway/streaming_reply.py
+++ b/saffrongw/gateway/streaming_reply.py
@@ -1,9 +1,11 @@
-"""A long value on its way from a host to a client: passed on as it comes, at the pace of its reader.
-
-More of them may be on their way at once than memory holds, so that of each no more is kept than one read of its host
-and what the client's transport holds. Its turn on the client's connection may come later: until then little is
-read of it. What has begun can't be taken back: if its host breaks off, the client's connection is closed, so that the
-client can tell that it is not whole.
+"""A value too long to be held whole.
+
+Passed from an endpoint to a client as it arrives, at the client's pace.
+More of them may be on their way at once than memory could hold. So of each no more is kept than one
+read of its endpoint and what the client's transport buffers. Its turn on the client's connection
+may come later: until then only a little of it is read. What was written can't be taken back: if the
+endpoint breaks off, the client's connection is closed, so that the client can tell that the value
+is not complete.
 """
 
 from __future__ import annotations
@@ -13,131 +15,159 @@
 
 from .metrics import Metrics
 
-AHEAD_MOST = 64 * 1024  # bytes taken from the host before the client's turn for them
-STALL = (
-    5.0  # seconds without a byte from the host, or taken by the client, after which it is given up
-)
+# Bytes read from the endpoint before the client's connection takes them.
+MAX_BUFFERED_BYTES = 64 * 1024
+
+# A value is abandoned after this time without a byte from the endpoint, or taken by the client.
+STALL_TIMEOUT_S = 5.0
 
 
 class Source(Protocol):
-    """Where it comes from."""
+    """The upstream connection from which a streaming reply arrives."""
 
-    def hold(self, held: bool) -> None:
-        """Read no more from the host for now, or again."""
+    def set_paused(self, paused: bool) -> None:
+        """Stop reading from the endpoint, or go on."""
 
-    def drop(self) -> None:
-        """Nobody wants it any more."""
+    def abandon(self) -> None:
+        """Close: nobody wants the rest any more."""
 
 
 class Sink(Protocol):
-    """Where it goes."""
+    """The client's connection to which a streaming reply is written."""
 
-    transport: asyncio.Transport
+    @property
+    def transport(self) -> asyncio.Transport:
+        """The open transport of the connection."""
 
-    def long_value_ended(self, whole: bool) -> None:
-        """All of it is written, or it broke off."""
+    def streaming_ended(self, is_complete: bool) -> None:
+        """Note that the reply is written completely, or that it broke off."""
 
 
 class StreamingReply:
     """One value of ``length`` bytes; it ends exactly once."""
 
     __slots__ = (
-        "ahead",
-        "ended",
-        "figures",
-        "head",
+        "buffered",
+        "bytes_left",
+        "has_progressed",
+        "header",
+        "is_complete",
+        "is_ended",
         "kind",
-        "left",
         "loop",
-        "moved",
+        "metrics",
         "sink",
         "source",
-        "timer",
-        "whole",
+        "stall_timer",
     )
 
     def __init__(self, loop: asyncio.AbstractEventLoop, source: Source, length: int) -> None:
-        self.loop, self.source, self.left = loop, source, length
-        self.head = b"$%d\r\n" % length
-        self.ahead: list[bytes] = []
+        """Start a reply whose header has arrived, and whose bytes follow from this source."""
+        self.loop = loop
+        self.source = source
+        self.bytes_left = length
+        self.header = b"$%d\r\n" % length
+        self.buffered: list[bytes] = []
         self.sink: Sink | None = None
-        self.figures: Metrics | None = None  # set once it is somebody's answer
+        # Set once it is the final reply of a request.
+        self.metrics: Metrics | None = None
         self.kind = 0
-        self.whole = self.ended = False
-        self.moved = False  # since the last look
-        self.timer = loop.call_later(STALL, self._look)
+        self.is_complete = False
+        self.is_ended = False
+        # Since the last check.
+        self.has_progressed = False
+        self.stall_timer = loop.call_later(STALL_TIMEOUT_S, self._check_progress)
 
-    def answers(self, figures: Metrics, kind: int) -> None:
-        """It is the final answer to a request of this class."""
-        self.figures, self.kind = figures, kind
+    @property
+    def is_final_reply(self) -> bool:
+        """Whether it is the final reply of a request."""
+        return self.metrics is not None
+
+    @property
+    def is_broken(self) -> bool:
+        """Whether it broke off before its turn.
+
+        Nothing of it was written, so a failure may still be answered.
+        """
+        return self.is_ended and not self.is_complete
+
+    def count_in(self, metrics: Metrics, kind: int) -> None:
+        """Become the final reply to a request of this class.
+
+        Its end is counted in these metrics.
+        """
+        self.metrics = metrics
+        self.kind = kind
 
     def feed(self, data: bytes) -> None:
-        """More of it has come."""
-        self.moved = True
-        self.left -= len(data)
+        """Take more bytes of the value from the endpoint."""
+        self.has_progressed = True
+        self.bytes_left -= len(data)
         if self.sink:
             self.sink.transport.write(data)
         else:
-            self.ahead.append(data)
-            if sum(map(len, self.ahead)) >= AHEAD_MOST:
-                self.source.hold(True)
+            self.buffered.append(data)
+            if sum(map(len, self.buffered)) >= MAX_BUFFERED_BYTES:
+                self.source.set_paused(True)
 
     def finish(self) -> None:
-        """The host's value has ended where it should."""
-        self.whole = True
+        """Note that the value has arrived completely."""
+        self.is_complete = True
         if self.sink:
             self.sink.transport.write(b"\r\n")
             self._end()
 
-    @property
-    def broken(self) -> bool:
-        """It broke off before its turn came: nothing of it was written, so that it can still be answered as failed."""
-        return self.ended and not self.whole
-
     def attach(self, sink: Sink) -> None:
-        """Its turn has come: what there is of it is written, the rest as it comes."""
-        self.sink, self.moved = sink, True
-        ahead, self.ahead = self.ahead, []
-        sink.transport.write(b"".join((self.head, *ahead, b"\r\n" if self.whole else b"")))
-        if self.whole:
+        """Write what has arrived to the client's connection, and the rest as it arrives."""
+        self.sink = sink
+        self.has_progressed = True
+        buffered, self.buffered = self.buffered, []
+        end = b"\r\n" if self.is_complete else b""
+        sink.transport.write(b"".join((self.header, *buffered, end)))
+        if self.is_complete:
             self._end()
-        elif sink.transport.get_write_buffer_size() < AHEAD_MOST:
-            self.source.hold(False)
-
-    def hold(self, held: bool) -> None:
-        """The client takes no more for now, or again."""
-        self.moved = True
-        if not self.ended and not self.whole:
-            self.source.hold(held)
-
-    def cut(self) -> None:
-        """Its host broke off."""
-        if not self.ended and not self.whole:
+        elif sink.transport.get_write_buffer_size() < MAX_BUFFERED_BYTES:
+            self.source.set_paused(False)
+
+    def set_paused(self, paused: bool) -> None:
+        """Apply the client's backpressure to the endpoint: it takes no more for now, or goes on."""
+        self.has_progressed = True
+        if not self.is_ended and not self.is_complete:
+            self.source.set_paused(paused)
+
+    def source_lost(self) -> None:
+        """Note that the endpoint broke off."""
+        if not self.is_ended and not self.is_complete:
             self._end()
 
-    def drop(self) -> None:
-        """Its client is gone, or nobody's request waits for it."""
-        if not self.ended:
-            self.ended = True
-            self.timer.cancel()
-            if self.figures:
-                self.figures.failed[self.kind] += 1
-            if not self.whole:
-                self.source.drop()
+    def abandon(self) -> None:
+        """Note that the client has disconnected, or that no request waits for the value."""
+        if not self.is_ended:
+            self.is_ended = True
+            self.stall_timer.cancel()
+            if self.metrics:
+                self.metrics.failed[self.kind] += 1
+            if not self.is_complete:
+                self.source.abandon()
 
     def _end(self) -> None:
-        self.ended = True
-        self.timer.cancel()
-        if self.figures:
-            (self.figures.served if self.whole else self.figures.failed)[self.kind] += 1
+        self.is_ended = True
+        self.stall_timer.cancel()
+        if self.metrics:
+            counts = self.metrics.served if self.is_complete else self.metrics.failed
+            counts[self.kind] += 1
         if self.sink:
-            self.sink.long_value_ended(self.whole)
-
-    def _look(self) -> None:
-        """Guards connections and memory: what does not move, its host or its client has given up."""
-        if self.moved or (self.sink is None and self.whole):
-            self.moved = False
-            self.timer = self.loop.call_later(STALL, self._look)
-        elif not self.ended:
-            self.source.drop()
-            self.cut()
+            self.sink.streaming_ended(self.is_complete)
+
+    def _check_progress(self) -> None:
+        """Abandon a value that neither its endpoint nor its client moves on.
+
+        It holds connections and memory.
+        """
+        waits_for_turn = self.sink is None and self.is_complete
+        if self.has_progressed or waits_for_turn:
+            self.has_progressed = False
+            self.stall_timer = self.loop.call_later(STALL_TIMEOUT_S, self._check_progress)
+        elif not self.is_ended:
+            self.source.abandon()
+            self.source_lost()
--- a/saffrongw/leases/component.py
+++ b/saffrongw/leases/component.py
@@ -208,14 +208,14 @@
             return
         now = self.clock()
         self.member.pressed = (
-            self.driver.pressed()
+            self.driver.is_overloaded()
         )  # then it takes nothing that it is offered, and says so
         self._after(self.member.receive(now, self.wall(now), sender, life, packet))
 
     def _turn(self) -> None:
         """All whose time has come, and when to look next."""
         now = self.clock()
-        self.member.pressed = self.driver.pressed()
+        self.member.pressed = self.driver.is_overloaded()
         self._after(self.member.due(now, self.wall(now)))
 
     def _after(self, packets: Packets) -> None:
--- a/saffrongw/ledger/request_filter.py
+++ b/saffrongw/ledger/request_filter.py
@@ -8,7 +8,6 @@
 from hashlib import blake2b
 from pathlib import Path
 
-from saffrongw.gateway.driver import ClientRequest, Upstream, UpstreamAttempt
 from saffrongw.gateway.extensions import (
     Continue,
     Ending,
@@ -17,7 +16,9 @@
     Reject,
     Verdict,
 )
-from saffrongw.gateway.filter_chain import FilteringDriver, ObservedCluster
+from saffrongw.gateway.filtering_driver import FilteringDriver
+from saffrongw.gateway.observers import UpstreamDecorator
+from saffrongw.gateway.request_types import ClientRequest, Upstream, UpstreamAttempt
 
 from ..policy.events import AttemptOutcome
 from .entries import Event, Kind
@@ -32,7 +33,7 @@
 UP_WITHIN = 0.5  # seconds at the start for the ledger to open before clients are served
 
 
-class _GatedHosts(ObservedCluster):
+class _GatedHosts(UpstreamDecorator):
     """Sends to hosts, those of unsafe classes once they are written down."""
 
     def __init__(self, inner: Upstream, ledger: LedgerFilter) -> None:
@@ -41,7 +42,7 @@
 
     def send(self, attempt: UpstreamAttempt) -> None:
         """At once, or when the intent is durable."""
-        if attempt.call.event.kind in self.ledger.kinds:
+        if attempt.request.event.kind in self.ledger.kinds:
             self.ledger.intend(attempt, self.inner)
         else:
             super().send(attempt)
@@ -83,7 +84,7 @@
         self.writer = Writer(
             self.folder, asyncio.get_running_loop(), self.queue_most, self.keep, self.most
         )
-        driver.wrap_hosts(lambda inner: _GatedHosts(inner, self))
+        driver.wrap_upstream(lambda inner: _GatedHosts(inner, self))
         self.writer.start()
         for _ in range(int(UP_WITHIN / 0.01)):
             if self.writer.tried.is_set():
@@ -109,8 +110,8 @@
 
     def intend(self, attempt: UpstreamAttempt, hosts: Upstream) -> None:
         """Write down, then send; what could not be written down is not sent."""
-        call = attempt.call
-        number, ordinal = call.event.request, attempt.number
+        call = attempt.request
+        number, ordinal = call.event.request, attempt.index
         data = {
             "ordinal": ordinal,
             "host": attempt.endpoint_id.decode("utf-8", "replace"),
@@ -129,14 +130,14 @@
                 return
             self.entered.setdefault(number, _Entered(life)).ordinals.add(ordinal)
             # Its time may have been up, or its client gone, before it was written.
-            if attempt.ended or call.finished:
+            if attempt.is_ended or call.is_finished:
                 self._follow(number, Kind.OUTCOME, ordinal=ordinal, outcome="never sent")
-                if not attempt.ended:
+                if not attempt.is_ended:
                     self.driver.attempt_ended(attempt, AttemptOutcome.NOT_SENT)
-                if call.finished:
+                if call.is_finished:
                     self._forget(call)
                 return
-            attempt.sent = self.driver.clock()  # the disk's time is not the host's
+            attempt.sent_at_us = self.driver.clock()  # the disk's time is not the host's
             hosts.send(attempt)
             self._whole(attempt, WHOLE_FIRST)
 
@@ -147,10 +148,10 @@
 
     def _whole(self, attempt: UpstreamAttempt, wait: float) -> None:
         """Record when the last byte has left: at once as a rule, else where a connection has to be opened first."""
-        if attempt.whole:
+        if attempt.is_fully_sent:
             if self._recorded(attempt):
-                self._follow(attempt.call.event.request, Kind.WHOLE, ordinal=attempt.number)
-        elif not attempt.ended:
+                self._follow(attempt.request.event.request, Kind.WHOLE, ordinal=attempt.index)
+        elif not attempt.is_ended:
             asyncio.get_running_loop().call_later(
                 wait, self._whole, attempt, min(2 * wait, WHOLE_MOST)
             )
@@ -178,29 +179,29 @@
 
     def _recorded(self, attempt: UpstreamAttempt) -> bool:
         """Whether this attempt's intent is on the disk."""
-        entered = self.entered.get(attempt.call.event.request)
-        return entered is not None and attempt.number in entered.ordinals
+        entered = self.entered.get(attempt.request.event.request)
+        return entered is not None and attempt.index in entered.ordinals
 
     def _forget(self, call: ClientRequest, ending: UpstreamAttempt | None = None) -> None:
         """An answered call is kept no longer than the last of its attempts is out."""
-        if all(a.ended or a is ending for a in call.attempts):
+        if all(a.is_ended or a is ending for a in call.attempts):
             self.entered.pop(call.event.request, None)
 
     # -- the observer -----------------------------------------------------------------------------------------------
 
     def attempt_ended(self, attempt: UpstreamAttempt, outcome: AttemptOutcome) -> None:
         """Recorded in a group: it delays nobody."""
-        number = attempt.call.event.request
+        number = attempt.request.event.request
         if self._recorded(attempt):
-            never = not attempt.whole and outcome in (
+            never = not attempt.is_fully_sent and outcome in (
                 AttemptOutcome.TIMED_OUT,
                 AttemptOutcome.CANCELLED,
             )
             # What was given up before its last byte had left has not run: hosts begin at the last byte.
             said = "not connected" if never else outcome.value
-            self._follow(number, Kind.OUTCOME, ordinal=attempt.number, outcome=said)
-            if attempt.call.finished:
-                self._forget(attempt.call, ending=attempt)
+            self._follow(number, Kind.OUTCOME, ordinal=attempt.index, outcome=said)
+            if attempt.request.is_finished:
+                self._forget(attempt.request, ending=attempt)
 
     def answered(self, call: ClientRequest, reply: bytes) -> None:
         """The final answer is about to be written."""
--- a/tests/admin/test_cli.py
+++ b/tests/admin/test_cli.py
@@ -96,7 +96,8 @@
     code = (
         "import sys, saffrongw.__main__, saffrongw.gateway.bootstrap as p\n"
         "print([m for m in sys.modules if m.startswith(('saffrongw.operator', 'saffrongw.admin', 'toml_schema',"
-        " 'tomllib', 'saffrongw.gateway.filter_chain', 'testbed', 'sqlite3', 'grpc'))])"
+        " 'tomllib', 'saffrongw.gateway.filter_chain', 'saffrongw.gateway.filtering_driver',"
+        " 'saffrongw.gateway.observers', 'saffrongw.gateway.extension_faults', 'testbed', 'sqlite3', 'grpc'))])"
     )
     assert run("-c", code).stdout.strip() == "[]"
 
--- a/tests/authz/test_attributes.py
+++ b/tests/authz/test_attributes.py
@@ -24,8 +24,8 @@
     turned_away,
 )
 from saffrongw.authz.checks import Kind, Reply
-from saffrongw.gateway.driver import RequestTerms
 from saffrongw.gateway.extensions import FilteredRequest
+from saffrongw.gateway.request_types import RequestTerms
 from testbed.ext_authz_server.server import allow, deny
 
 NAMES = Names(("read", "put"), ("team", "small"), (True, False))
@@ -173,15 +173,17 @@
     from dataclasses import replace
 
     base = key_of(REQUEST)
-    same = replace(REQUEST, number=2, client_id=b"other", until=9, terms=TERMS._replace(wait=5))
+    same = replace(
+        REQUEST, number=2, client_id=b"other", deadline_us=9, terms=TERMS._replace(timeout_us=5)
+    )
     assert key_of(same) == base
     for name, value in (
         ("customer", 8),
         ("kind", 0),
         ("plan", 1),
         ("units", 0.5),
-        ("spread", 1),
-        ("first", 0),
+        ("replica_set_size", 1),
+        ("replica_set_first", 0),
     ):
         assert key_of(replace(REQUEST, terms=TERMS._replace(**{name: value}))) != base
     assert key_of(replace(REQUEST, terms=TERMS._replace(is_retry=False))) != base
--- a/tests/authz/test_request_filter.py
+++ b/tests/authz/test_request_filter.py
@@ -16,7 +16,7 @@
 from saffrongw.authz.checks import Figures
 from saffrongw.authz.request_filter import AuthzFilter, Rules
 from saffrongw.gateway.extensions import Extensions
-from saffrongw.gateway.filter_chain import FilteringDriver
+from saffrongw.gateway.filtering_driver import FilteringDriver
 from testbed.ext_authz_server.server import MODES, Authoriser, Behaviour, allow, deny
 
 NAMES = Names(("read", "put", "bill"), ("team",), (True, False, False))
@@ -57,7 +57,9 @@
         asker, checks = self.stage.asker, self.stage.asker.checks
         kept = (checks.flights, checks.of, checks.joinable, asker.waiting, asker.out)
         kept += (asker.messages, asker.timers, self.stage.askers)
-        return not any(kept) and not self.rig.driver.calls and not self.rig.driver.runs
+        return (
+            not any(kept) and not self.rig.driver.requests and not self.rig.driver.filter_chain.runs
+        )
 
 
 def world_test(function):
@@ -169,9 +171,7 @@
     world.stage.asker.checks.f = Figures(
         share=0.9, timeout_least=2000 * MS, timeout_most=2000 * MS, breaker=PATIENT
     )
-    world.rig.driver.plugs = Extensions(
-        (world.stage,), (), (world.stage,), 5.0
-    )  # no share that would end it before
+    world.rig.driver.filter_chain.time_share = 5.0  # no share that would end it before
     caller = await world.caller()
     caller.call("bill", wait=300)
     assert error((await caller.replied())[0]) == "ERR failed"
@@ -226,7 +226,7 @@
     caller = await world.caller()
     caller.call(wait=3000)
     await until(lambda: authoriser.asked)
-    await world.rig.clients.drain(0)
+    await world.rig.clients.shutdown.drain(0)
     assert await caller.replied() == [b"ok"]
 
 
@@ -329,6 +329,7 @@
             }
             | {"plans": (*package, *package)}
         )
+        world.rig.driver.filter_chain.plan_count = 2
         caller = await world.caller()
         caller.call()
         assert await caller.replied() == [b"ok"]
--- a/tests/authz/test_server.py
+++ b/tests/authz/test_server.py
@@ -16,7 +16,7 @@
 from saffrongw.authz.attributes import METHOD, Fields
 from saffrongw.authz.server import AuthzServer
 from saffrongw.gateway.extensions import Extensions
-from saffrongw.gateway.filter_chain import FilteringDriver
+from saffrongw.gateway.filtering_driver import FilteringDriver
 
 
 def question(**changes) -> published.CheckRequest:
@@ -147,7 +147,7 @@
         with pytest.raises(grpclib.GRPCError) as wrong:
             await ask()
         assert wrong.value.status is grpclib.Status.UNAVAILABLE
-        assert rig.driver.decided == {}
+        assert rig.driver.admission_checks == {}
 
 
 @asyncio_test
--- a/tests/certs/acme_rig.py
+++ b/tests/certs/acme_rig.py
@@ -58,9 +58,9 @@
             self.host, self.host.line(host="h2"), lines=[self.host.line(host=n) for n in "abcdef"]
         )
         self.part = CertsComponent(self.table, self.seed, self.clock)
-        await self.rig.clients.listen()
+        await self.rig.listen()
         await self.part.start(self.rig.driver)
-        await self.rig.clients.open_fronts((self.part.front,))
+        await self.rig.clients.open_listeners((self.part.front,))
         return self
 
     async def stop(self) -> None:
--- a/tests/certs/test_tls_listener.py
+++ b/tests/certs/test_tls_listener.py
@@ -61,9 +61,9 @@
     async def open(self, **changes) -> World:
         self.host = await FakeHost("a").listen()
         self.rig = Rig(self.host, lines=[self.host.line(host=n) for n in "abcdef"], **changes)
-        await self.rig.clients.listen()
+        await self.rig.listen()
         self.front.prepare()
-        await self.rig.clients.open_fronts((self.front,))
+        await self.rig.clients.open_listeners((self.front,))
         return self
 
     @property
@@ -229,7 +229,7 @@
     assert await world.serial() == serial
     for sock in socks:
         sock.close()
-    assert len(world.rig.clients.open) <= 2
+    assert len(world.rig.clients.connections) <= 2
 
 
 @asyncio_test
@@ -311,7 +311,7 @@
     caller, idle = await world.caller(), await world.caller()
     caller.call()
     await until(lambda: late)
-    draining = asyncio.ensure_future(world.rig.clients.drain(0.05))
+    draining = asyncio.ensure_future(world.rig.clients.shutdown.drain(0.05))
     await until(lambda: idle.closed)
     late[0].transport.write(b"*3\r\n$2\r\nok\r\n$-1\r\n$21\r\nlatency_ms=9,util=0.5\r\n")
     assert (await caller.replied(1))[0] == b"ok"
@@ -327,10 +327,10 @@
     await world.open()
     given = []
     plain, secure = await world.rig.caller(), await world.caller()
-    await until(lambda: len(world.rig.clients.open) == 2)
-    world.rig.clients.hand_over(lambda fd, begun: given.append(fd) or True)
+    await until(lambda: len(world.rig.clients.connections) == 2)
+    world.rig.clients.shutdown.hand_over(lambda fd, begun: given.append(fd) or True)
     await until(lambda: secure.closed)
     assert len(given) == 1
-    await world.rig.clients.finish()
-    assert not world.rig.clients.open
+    await world.rig.clients.shutdown.finish()
+    assert not world.rig.clients.connections
     plain.transport.abort()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,7 +15,7 @@
 import uvloop
 
 from saffrongw.gateway import config
-from saffrongw.gateway.downstream.connection import ClientConnections
+from saffrongw.gateway.downstream.listener import ClientConnections
 from saffrongw.gateway.driver import Driver
 from saffrongw.gateway.upstream.cluster import UpstreamCluster
 from saffrongw.policy.actions import Action, SetTimer
@@ -370,22 +370,31 @@
         self.driver = driver(self.config.settings, self.config.seed, self.loop)
         # With one host or two the policy would refuse most of what these tests hold at once.
         self.driver.gateway._patience = lambda request: float("inf")
-        self.hosts = self.driver.hosts = UpstreamCluster(
+        self.cluster = UpstreamCluster(
             self.driver,
             self.config.settings.load_report_fields,
             sockets,
             self.config.idle_close,
             self.config.connect_timeout,
         )
+        self.driver.connect_upstream(self.cluster)
         self.driver.start(self.config.known)
         self.clients = ClientConnections(self.driver, self.config, sockets)
+        self.is_listening = False
         # A machine that is busy beside the tests must not make a request wait so long that it is given up.
-        self.clients.intake.shedder.most_wait = [3_600 * SECOND] * len(self.config.settings.classes)
+        self.clients.admission_queue.shedder.most_wait = [3_600 * SECOND] * len(
+            self.config.settings.classes
+        )
+
+    async def listen(self) -> None:
+        """Accept clients, if it does not yet."""
+        if not self.is_listening:
+            self.is_listening = True
+            await self.clients.listen()
 
     async def caller(self) -> Caller:
         """A client's connection to it."""
-        if self.clients.acceptor is None:
-            await self.clients.listen()
+        await self.listen()
         port = self.clients.acceptor.listener.getsockname()[1]
         _, caller = await self.loop.create_connection(Caller, "127.0.0.1", port)
         return caller
@@ -393,7 +402,7 @@
     def told(self, *lines: dict, whole=False) -> None:
         """News of discovery."""
         raw = {"seq": 2, "whole": whole, "hosts": list(lines)}
-        self.driver.listed(config.parse_endpoint_list(raw, self.config.zones))
+        self.driver.endpoint_list_received(config.parse_endpoint_list(raw, self.config.zones))
 
 
 async def started(host: FakeHost, folder, **changes):
--- a/tests/faults/variants.py
+++ b/tests/faults/variants.py
@@ -12,8 +12,9 @@
 
 from saffrongw.__main__ import main
 from saffrongw.gateway import driver as driving
-from saffrongw.gateway.driver import Driver, UpstreamAttempt
-from saffrongw.gateway.upstream import cluster as hosting
+from saffrongw.gateway.driver import Driver
+from saffrongw.gateway.request_types import UpstreamAttempt
+from saffrongw.gateway.upstream import connection as upstream_connection
 from saffrongw.policy.actions import FailRequest, RejectRequest
 from saffrongw.policy.events import EndpointState
 from saffrongw.policy.rules import Gateway
@@ -59,36 +60,38 @@
 
 @variant
 def swallows_answers() -> None:
-    due, plain = every(30), Driver._finish
+    due, plain = every(30), Driver._send_final_reply
 
     def finish(self, call, reply) -> None:
-        if not call.finished and due():
-            self._close(call)
+        if not call.is_finished and due():
+            self._close_request(call)
         else:
             plain(self, call, reply)
 
-    Driver._finish = finish
+    Driver._send_final_reply = finish
 
 
 @variant
 def answers_twice() -> None:
-    due, plain = every(30), Driver._finish
-    Driver._finish = lambda self, call, reply: plain(self, call, reply + reply if due() else reply)
+    due, plain = every(30), Driver._send_final_reply
+    Driver._send_final_reply = lambda self, call, reply: plain(
+        self, call, reply + reply if due() else reply
+    )
 
 
 @variant
 def answers_late() -> None:
     """Holds an answer until 0.2 s after its time."""
-    due, plain = every(20), Driver._finish
+    due, plain = every(20), Driver._send_final_reply
 
     def finish(self, call, reply) -> None:
-        if call.finished or not due():
+        if call.is_finished or not due():
             plain(self, call, reply)
             return
-        self._close(call)
-        self._after(max(0, call.until - self.clock()) + 200_000, call.answer, reply)
+        self._close_request(call)
+        self._call_after(max(0, call.deadline_us - self.clock()) + 200_000, call.send_reply, reply)
 
-    Driver._finish = finish
+    Driver._send_final_reply = finish
 
 
 @variant
@@ -107,34 +110,34 @@
 
 @variant
 def sends_after_the_answer() -> None:
-    due, plain = every(15), Driver._finish
+    due, plain = every(15), Driver._send_final_reply
 
     def finish(self, call, reply) -> None:
-        first = not call.finished
+        first = not call.is_finished
         plain(self, call, reply)
         if first and call.attempts and due():
             now = self.clock()
             again = UpstreamAttempt(
                 call, len(call.attempts), call.attempts[0].endpoint_id, now, now + 2_000_000
             )
-            self.loop.call_later(0.25, self.hosts.send, again)
+            self.loop.call_later(0.25, self.cluster.send, again)
 
-    Driver._finish = finish
+    Driver._send_final_reply = finish
 
 
 @variant
 def closes_on_requests() -> None:
     """Closes a connection with a request on it that went to a host."""
-    due, plain = every(30), Driver._finish
+    due, plain = every(30), Driver._send_final_reply
 
     def finish(self, call, reply) -> None:
-        if not call.finished and call.attempts and due():
-            self._close(call)
-            call.answer.__self__.client.transport.abort()
+        if not call.is_finished and call.attempts and due():
+            self._close_request(call)
+            call.send_reply.__self__.connection.transport.abort()
         else:
             plain(self, call, reply)
 
-    Driver._finish = finish
+    Driver._send_final_reply = finish
 
 
 # -- no effect twice -------------------------------------------------------------------------------------
@@ -157,7 +160,9 @@
 
 @variant
 def refuses_what_may_have_run() -> None:
-    Driver._DO[FailRequest] = lambda self, action: self._refuse(RejectRequest(action.request, 0))
+    Driver._ACTION_HANDLERS[FailRequest] = lambda self, action: self._reject_request(
+        RejectRequest(action.request, 0)
+    )
 
 
 # -- drains ----------------------------------------------------------------------------------------------
@@ -165,7 +170,7 @@
 
 @variant
 def deaf_to_drains() -> None:
-    plain = Driver.listed
+    plain = Driver.endpoint_list_received
 
     def listed(self, told, cached=False) -> None:
         ready = EndpointState.READY
@@ -177,12 +182,12 @@
         )
         plain(self, replace(told, hosts=hosts), cached)
 
-    Driver.listed = listed
+    Driver.endpoint_list_received = listed
 
 
 @variant
 def hears_of_drains_late() -> None:
-    plain = Driver.listed
+    plain = Driver.endpoint_list_received
 
     def listed(self, told, cached=False) -> None:
         if cached:
@@ -190,7 +195,7 @@
         else:
             self.loop.call_later(2.5, plain, self, told)
 
-    Driver.listed = listed
+    Driver.endpoint_list_received = listed
 
 
 # -- cold hosts ------------------------------------------------------------------------------------------
@@ -248,10 +253,10 @@
 
 @variant
 def ignores_denials() -> None:
-    from saffrongw.authz.request_filter import Proposer
+    from saffrongw.authz.request_filter import Asker
     from saffrongw.gateway.extensions import Continue
 
-    Proposer._verdict = lambda self, request, reply: Continue()
+    Asker._verdict = lambda self, request, reply: Continue()
 
 
 @variant
@@ -269,37 +274,37 @@
 
 @variant
 def ends_by_itself() -> None:
-    due, plain = every(150), Driver.arrived
+    due, plain = every(150), Driver.request_arrived
 
     def arrived(self, *given):
         if due():
             os._exit(3)
         return plain(self, *given)
 
-    Driver.arrived = arrived
+    Driver.request_arrived = arrived
 
 
 @variant
 def ignores_sigterm() -> None:
-    from saffrongw.gateway.downstream.connection import ClientConnections
+    from saffrongw.gateway.downstream.graceful_shutdown import GracefulShutdown
 
     async def drain(self, accept_for) -> None:
         import asyncio
 
         await asyncio.sleep(60)
 
-    ClientConnections.drain = drain
+    GracefulShutdown.drain = drain
 
 
 @variant
 def garbles_commands() -> None:
-    due, plain = every(30), hosting.pack_request
+    due, plain = every(30), upstream_connection.pack_request
 
     def pack(attempt, now) -> bytes:
         packed = plain(attempt, now)
         return packed.replace(b"units=1", b"units=0") if due() else packed
 
-    hosting.pack_request = pack
+    upstream_connection.pack_request = pack
 
 
 # -- leases: each breaks what ``testbed.checker.lease_rules`` judges ---------------------------------------------
--- a/tests/gateway/test_admission_queue.py
+++ b/tests/gateway/test_admission_queue.py
@@ -8,9 +8,9 @@
 import hiredis
 from conftest import FakeHost, Rig, asyncio_test, error, until
 
-from saffrongw.gateway.downstream import connection as clients_module
+from saffrongw.gateway.downstream.graceful_shutdown import UNFINISHED_COMMAND_GRACE_S
 from saffrongw.gateway.request_parser import RequestFormat, parse_request
-from saffrongw.gateway.resp import MalformedMessageError
+from saffrongw.gateway.resp import CommandReader, MalformedMessageError
 
 
 class Pressed(Rig):
@@ -18,8 +18,8 @@
 
     def __init__(self, *hosts: FakeHost) -> None:
         super().__init__(*hosts, sockets=900)  # enough for all that may be begun at once
-        self.clients.intake.at_once = lambda: (
-            type(self.clients.intake).at_once(self.clients.intake) and False
+        self.clients.admission_queue.may_start = lambda: (
+            type(self.clients.admission_queue).may_start(self.clients.admission_queue) and False
         )
 
 
@@ -37,7 +37,11 @@
     caller = await rig.caller()
     caller.transport.write(b"".join(command(b"n%d" % n, customer=n) for n in range(50)))
     assert await caller.replied(50) == [b"ok"] * 50
-    assert not rig.clients.numbers and not rig.driver.calls and not rig.clients.intake.pressed
+    assert (
+        not rig.clients.open_request_ids
+        and not rig.driver.requests
+        and not rig.clients.admission_queue.is_overloaded
+    )
 
 
 @asyncio_test
@@ -56,7 +60,11 @@
     assert len(served) == len(host.commands) >= 64
     assert refused and all(error(reply).startswith("BUSY ") for reply in refused)
     assert len({bytes(c[2]) for c in host.commands}) == len(host.commands)
-    assert not rig.clients.numbers and not rig.driver.calls and not rig.clients.intake.pressed
+    assert (
+        not rig.clients.open_request_ids
+        and not rig.driver.requests
+        and not rig.clients.admission_queue.is_overloaded
+    )
 
 
 @asyncio_test
@@ -79,16 +87,18 @@
 async def test_a_client_that_leaves_while_its_requests_wait_leaves_nothing_behind():
     rig = Pressed(await FakeHost("a").listen())
     caller, other = await rig.caller(), await rig.caller()
-    rig.clients.intake.turning = True  # no turn comes: what is read waits
+    rig.clients.admission_queue.is_turn_open = True  # no turn comes: what is read waits
     caller.transport.write(b"".join(command(b"n%d" % n, customer=n) for n in range(60)))
-    await until(lambda: rig.clients.intake.pressed)
+    await until(lambda: rig.clients.admission_queue.is_overloaded)
     caller.transport.abort()
-    await until(lambda: not rig.clients.intake.pressed)
-    rig.clients.intake.turning = False
+    await until(lambda: not rig.clients.admission_queue.is_overloaded)
+    rig.clients.admission_queue.is_turn_open = False
     other.transport.write(command(b"other", customer=99))
     assert await other.replied() == [b"ok"]
-    await until(lambda: not rig.clients.numbers and not rig.driver.calls)
-    assert not rig.clients.intake.pressed and not rig.clients.intake.shedder.of
+    await until(lambda: not rig.clients.open_request_ids and not rig.driver.requests)
+    assert (
+        not rig.clients.admission_queue.is_overloaded and not rig.clients.admission_queue.shedder.of
+    )
 
 
 @asyncio_test
@@ -107,7 +117,7 @@
 @asyncio_test
 async def test_a_fault_in_beginning_one_request_does_not_leave_the_others_waiting():
     rig = Pressed(await FakeHost("a").listen())
-    plain, faults = rig.driver.arrived, []
+    plain, faults = rig.driver.request_arrived, []
 
     def arrived(terms, parts, answer):
         if parts[2] == b"n3":
@@ -115,13 +125,13 @@
             raise RuntimeError("planted")
         return plain(terms, parts, answer)
 
-    rig.driver.arrived = arrived
+    rig.driver.request_arrived = arrived
     asyncio.get_running_loop().set_exception_handler(lambda loop, context: None)
     caller, other = await rig.caller(), await rig.caller()
     caller.transport.write(b"".join(command(b"n%d" % n, customer=n) for n in range(4)))
     other.transport.write(b"".join(command(b"o%d" % n, customer=10 + n) for n in range(20)))
     assert await other.replied(20) == [b"ok"] * 20
-    assert faults and not rig.clients.intake.pressed
+    assert faults and not rig.clients.admission_queue.is_overloaded
 
 
 @asyncio_test
@@ -138,13 +148,13 @@
 async def test_a_drain_ends_only_when_what_waits_has_its_answer():
     rig = Pressed(await FakeHost("a").listen())
     caller = await rig.caller()
-    rig.clients.intake.turning = True  # no turn comes: what is read waits
+    rig.clients.admission_queue.is_turn_open = True  # no turn comes: what is read waits
     caller.transport.write(b"".join(command(b"n%d" % n, customer=n) for n in range(40)))
-    await until(lambda: len(rig.clients.intake.shedder) == 40)
-    draining = rig.loop.create_task(rig.clients.drain(0.0))
-    done, _ = await asyncio.wait([draining], timeout=clients_module.UNFINISHED_FOR + 0.5)
+    await until(lambda: len(rig.clients.admission_queue.shedder) == 40)
+    draining = rig.loop.create_task(rig.clients.shutdown.drain(0.0))
+    done, _ = await asyncio.wait([draining], timeout=UNFINISHED_COMMAND_GRACE_S + 0.5)
     assert not done
-    rig.clients.intake._turn()
+    rig.clients.admission_queue._run_queue()
     await draining
     await until(lambda: caller.closed)
     assert len(caller.replies) == 40
@@ -189,7 +199,7 @@
             at = lots.randrange(len(raw))
             spoilt.append(raw[:at] + bytes((lots.choice(b"0159$*\r\n,=ckx"),)) + raw[at + 1 :])
     for raw in FORMS + spoilt:
-        reader = clients_module.CommandReader()
+        reader = CommandReader()
         reader.feed(raw)
         try:
             words = reader.next()
@@ -199,7 +209,7 @@
         found, skimmed = form.read(raw, 0), form.skim(raw, 0)
         if found is not None:
             quick += 1
-            assert slow is not None and (reader.at, *slow) == found
+            assert slow is not None and (reader.position, *slow) == found
         if slow is not None and skimmed is not None:
             group = b",t=".join(
                 (
@@ -207,5 +217,5 @@
                     config.plan_names[slow[0].plan].encode(),
                 )
             )
-            assert skimmed == (reader.at, slow[1][1], group)
+            assert skimmed == (reader.position, slow[1][1], group)
     assert quick > 100
--- a/tests/gateway/test_event_interleavings.py
+++ b/tests/gateway/test_event_interleavings.py
@@ -25,9 +25,9 @@
     value,
 )
 
-from saffrongw.gateway.downstream import connection as connection_module
-from saffrongw.gateway.downstream.connection import WAITING_MOST
-from saffrongw.gateway.upstream.cluster import REST_WITHIN
+from saffrongw.gateway.downstream import idle_reaper
+from saffrongw.gateway.downstream.connection import MAX_PIPELINED_COMMANDS
+from saffrongw.gateway.upstream.connection import REPLY_REMAINDER_TIMEOUT_S
 from saffrongw.policy.actions import SendAttempt
 from saffrongw.policy.events import AttemptEnded, AttemptOutcome, ExclusionChanged
 from testbed.runner.processes import die_with_parent
@@ -71,15 +71,15 @@
     await until(lambda: gate.waiting)
     if by_hand:
         rig.told(new.line())
-        rig.driver.excluded(ExclusionChanged(b"a", "operator", True))
+        rig.driver.exclusion_changed(ExclusionChanged(b"a", "operator", True))
     else:
         rig.told(new.line(), old.line("DRAINING"))
     assert await caller.replied() == [b"ok"]
     gate.opened.set()
-    await until(lambda: not rig.hosts.pools[b"a"].opening)
+    await until(lambda: not rig.cluster.pools[b"a"].opening)
     assert (len(old.commands), len(new.commands)) == (0, 1)
     if not by_hand:  # and what comes up for nothing is not kept there
-        await until(lambda: not old.connections and rig.hosts.sockets == 1)
+        await until(lambda: not old.connections and rig.cluster.open_connections == 1)
 
 
 @asyncio_test
@@ -88,8 +88,8 @@
     old, new = [await FakeHost(name).listen() for name in "ab"]
     rig = Rig(old)
     caller = await rig.caller()
-    send, kept = rig.hosts.send, []
-    rig.hosts.send = lambda attempt: (
+    send, kept = rig.cluster.send, []
+    rig.cluster.send = lambda attempt: (
         kept.append(attempt) if attempt.endpoint_id == b"a" else send(attempt)
     )
     caller.call("bill")
@@ -109,7 +109,7 @@
     caller = await rig.caller()
     caller.call()
     assert await caller.replied() == [b"ok"]
-    assert not rig.hosts.pools[b"a"].shut
+    assert not rig.cluster.pools[b"a"].is_draining
 
 
 @asyncio_test
@@ -118,20 +118,20 @@
     among those that close were counted for ever, and after 24 of them no connection was opened any more."""
     host = await FakeHost("a").listen()
     rig = Rig(host, permissions=PERMISSIONS | {"connectTimeout": 50_000})
-    pool = rig.hosts.pools[b"a"]
-    ready = pool.ready
+    pool = rig.cluster.pools[b"a"]
+    connected = pool.connected
 
     def slow(connection) -> None:
-        ready(connection)
+        connected(connection)
         time.sleep(0.08)  # its time-out is due before the loop goes on to say that it is up
 
-    pool.ready = slow
+    pool.connected = slow
     caller = await rig.caller()
     for number in range(3):
         caller.call("bill", wait=20_000, number=b"%d" % number)
     assert await caller.replied(3) == [b"ok"] * 3
-    await until(lambda: rig.hosts.sockets == len(host.connections))
-    assert not rig.hosts.closing and not rig.driver.calls
+    await until(lambda: rig.cluster.open_connections == len(host.connections))
+    assert not rig.cluster.closing and not rig.driver.requests
 
 
 @asyncio_test
@@ -166,7 +166,7 @@
     rig.driver.gateway._choose = choose
     await until(lambda: not late.connections)
     assert (len(late.commands), len(good.commands)) == (0, 1)
-    assert rig.hosts.sockets == len(good.connections) == 1 and not rig.hosts.closing
+    assert rig.cluster.open_connections == len(good.connections) == 1 and not rig.cluster.closing
     rig.loop.remove_reader(here)
     here.close()
     there.close()
@@ -184,9 +184,9 @@
     caller = await rig.caller()
     caller.call("bill", wait=20_000)
     await until(lambda: any(host.commands for host in hosts))
-    (call,) = rig.driver.calls.values()
-    call.attempts[0].whole = False
-    rig.driver._timed_out(call.attempts[0])
+    (call,) = rig.driver.requests.values()
+    call.attempts[0].is_fully_sent = False
+    rig.driver._attempt_timed_out(call.attempts[0])
     outcomes = [event.outcome for event in ended if isinstance(event, AttemptEnded)]
     assert outcomes == [AttemptOutcome.TIMED_OUT]
     assert error((await caller.replied())[0]) == "ERR failed"
@@ -205,13 +205,15 @@
     caller.call(kind, wait=20_000)
     await until(
         lambda: any(
-            attempt.link.rest for call in rig.driver.calls.values() for attempt in call.attempts
+            attempt.carrier.remainder_timer
+            for call in rig.driver.requests.values()
+            for attempt in call.attempts
         )
     )
     host.script = lambda command: value(b"again")
     more = value(b"ok")[9:] if ends else value(b"ok")[9:12]
     assert os.write(host.peer.transport.get_extra_info("socket").fileno(), more) == len(more)
-    time.sleep(REST_WITHIN + 0.1)  # timers come before what there is to read
+    time.sleep(REPLY_REMAINDER_TIMEOUT_S + 0.1)  # timers come before what there is to read
     if ends:
         assert await caller.replied() == [b"ok"]
         assert len(host.commands) == 1 and len(host.connections) == 1
@@ -220,7 +222,7 @@
     else:
         assert error((await caller.replied())[0]) == "ERR failed"
         assert len(host.commands) == 1
-    await until(lambda: not rig.driver.calls and not rig.hosts.closing)
+    await until(lambda: not rig.driver.requests and not rig.cluster.closing)
 
 
 # -- after the final answer, and after the client ---------------------------------------------------------------
@@ -235,15 +237,15 @@
     caller = await rig.caller()
     caller.call(wait=20_000)
     await until(lambda: host.commands)
-    ((number, call),) = rig.driver.calls.items()
+    ((number, call),) = rig.driver.requests.items()
     if over == "answered":
-        rig.driver._finish(call, b"-ERR failed\r\n")
+        rig.driver._send_final_reply(call, b"-ERR failed\r\n")
     elif over == "gone":
-        rig.driver._close(call)
+        rig.driver._close_request(call)
     else:
-        call.until = 0
-    rig.driver._carry_out([SendAttempt(number, b"a", 0)])
-    assert call.attempts[-1].ended and call.attempts[-1].link is None
+        call.deadline_us = 0
+    rig.driver._execute([SendAttempt(number, b"a", 0)])
+    assert call.attempts[-1].is_ended and call.attempts[-1].carrier is None
     await asyncio.sleep(0.05)
     assert len(host.commands) == len(host.connections) == 1
 
@@ -260,7 +262,7 @@
         caller.call(kind, wait=20_000, number=kind.encode())
     await until(lambda: gate.waiting == 3)
     getattr(caller.transport, leave)()
-    await until(lambda: not rig.clients.open and not rig.driver.calls)
+    await until(lambda: not rig.clients.connections and not rig.driver.requests)
     gate.opened.set()
     await until(lambda: len(host.connections) == 3)
     await asyncio.sleep(0.05)
@@ -273,12 +275,12 @@
     host.script = lambda command: None
     caller.call(wait=20_000, number=b"held")
     await until(lambda: host.commands)
-    for _ in range(WAITING_MOST - 1):
+    for _ in range(MAX_PIPELINED_COMMANDS - 1):
         caller.ask(b"PING")
     for number in range(50):
         caller.call(wait=20_000, number=b"more%d" % number)
-    (client,) = rig.clients.open
-    await until(lambda: not client.reading)
+    (client,) = rig.clients.connections
+    await until(lambda: not client.is_reading)
     return caller, client
 
 
@@ -296,18 +298,22 @@
         host.script = lambda command: None
         caller.call(wait=20_000, number=b"held")
         await until(lambda: host.commands)
-        (client,) = rig.clients.open
+        (client,) = rig.clients.connections
     if why == "closing":
         caller.ask(b"NONSENSE")
     elif why == "unread answers":
         client.pause_writing()
     elif why == "handing over":
-        rig.clients.hand_over(lambda fd, begun: False)
-    await until(lambda: not client.reading)
+        rig.clients.shutdown.hand_over(lambda fd, begun: False)
+    await until(lambda: not client.is_reading)
     getattr(caller.transport, leave)()
-    await until(lambda: not rig.driver.calls and not rig.clients.open)
+    await until(lambda: not rig.driver.requests and not rig.clients.connections)
     await until(lambda: not host.connections)
-    assert len(host.commands) == 1 and not rig.clients.unread and not rig.clients.numbers
+    assert (
+        len(host.commands) == 1
+        and not rig.clients.paused_reads.connections
+        and not rig.clients.open_request_ids
+    )
 
 
 @asyncio_test
@@ -318,9 +324,13 @@
     await asyncio.sleep(0.3)  # some looks
     host.script = lambda command: value(b"ok")
     host.connections[0].transport.write(value(b"first"))
-    await caller.replied(WAITING_MOST + 50)
+    await caller.replied(MAX_PIPELINED_COMMANDS + 50)
     assert caller.replies[0] == b"first" and caller.replies[-1] == b"ok"
-    await until(lambda: not rig.clients.unread and not rig.clients.looking)
+    await until(
+        lambda: (
+            not rig.clients.paused_reads.connections and not rig.clients.paused_reads.is_checking
+        )
+    )
 
 
 @asyncio_test
@@ -330,8 +340,8 @@
     host.script = lambda command: None
     rig = Rig(host)
     caller = await rig.caller()
-    await until(lambda: rig.clients.open)
-    (client,) = rig.clients.open
+    await until(lambda: rig.clients.connections)
+    (client,) = rig.clients.connections
     for transport in (client.transport, caller.transport):
         for option in (socket.SO_SNDBUF, socket.SO_RCVBUF):
             transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, option, 4096)
@@ -342,8 +352,8 @@
     await until(lambda: host.commands)
     assert client.transport.get_write_buffer_size() > 1_000_000
     caller.transport.write_eof()
-    await until(lambda: not rig.driver.calls and not host.connections)
-    assert not rig.clients.numbers
+    await until(lambda: not rig.driver.requests and not host.connections)
+    assert not rig.clients.open_request_ids
 
 
 # -- long values --------------------------------------------------------------------------------------------------
@@ -363,7 +373,7 @@
         caller.call(wait=20_000, number=number)
     await until(lambda: len(peers) == 3)
     peers[b"long"].transport.write(value(bytes(300_000))[:50_000])
-    (client,) = rig.clients.open
+    (client,) = rig.clients.connections
     await until(lambda: client.slots[1].reply is not None and client.slots[2].reply is not None)
     return caller, client, peers
 
@@ -375,27 +385,27 @@
     rig = Rig(*hosts)
     caller, client, peers = await behind(rig, hosts)
     peers[b"long"].transport.abort()
-    await until(lambda: client.slots[1].reply.broken)
+    await until(lambda: client.slots[1].reply.is_broken)
     peers[b"first"].transport.write(value(b"1"))
     first, long, after = await caller.replied(3)
     assert (first, error(long), after) == (b"1", "ERR failed", b"3")
     caller.call(number=b"after")  # the connection and the ids are free again
     assert (await caller.replied(4))[3] == b"3"
-    assert not rig.clients.numbers
+    assert not rig.clients.open_request_ids
 
 
 @asyncio_test
 async def test_an_answer_just_before_a_long_value_that_breaks_off_is_not_lost_with_it(monkeypatch):
     monkeypatch.setattr(
-        connection_module, "CLOSE_WITHIN", 60.0
+        idle_reaper, "CLOSE_TIMEOUT_S", 60.0
     )  # the kernel's small windows take their time
     hosts = [await FakeHost(name).listen() for name in "ab"]
     rig = Rig(*hosts)
     caller, client, _ = await behind(rig, hosts)
     first = (
-        next(call for call in rig.driver.calls.values() if call.parts[2] == b"first")
+        next(call for call in rig.driver.requests.values() if call.parts[2] == b"first")
         .attempts[0]
-        .link
+        .carrier
     )
     source = client.slots[1].reply.source
     caller.transport.pause_reading()
@@ -412,7 +422,13 @@
     caller.transport.resume_reading()
     await until(lambda: caller.closed)
     assert len(caller.replies) == 20_001 and caller.replies[-1] == b"1"
-    await until(lambda: not rig.clients.open and not rig.driver.calls and not rig.clients.numbers)
+    await until(
+        lambda: (
+            not rig.clients.connections
+            and not rig.driver.requests
+            and not rig.clients.open_request_ids
+        )
+    )
 
 
 # -- idle connections -------------------------------------------------------------------------------------------------
@@ -432,7 +448,7 @@
         callers.append(await rig.caller())
         callers[-1].ask(b"PING")
         await callers[-1].replied()
-        await until(lambda: len(rig.clients.idle) == place + 1)  # noqa: B023
+        await until(lambda: len(rig.clients.reaper.idle) == place + 1)  # noqa: B023
     return callers
 
 
@@ -440,10 +456,10 @@
 async def test_a_request_on_a_resting_connection_that_is_to_be_swept_is_served():
     rig = Rig(await FakeHost("a").listen())
     asks, rests = await idle(rig, 2)
-    for client in rig.clients.idle:
-        rig.clients.idle[client] -= 100
+    for client in rig.clients.reaper.idle:
+        rig.clients.reaper.idle[client] -= 100
     writes(asks, b"id1")
-    rig.clients._sweep()  # in the same turn
+    rig.clients.reaper._sweep()  # in the same turn
     assert (await asks.replied(2))[1] == b"ok"
     await until(lambda: rests.closed)
     assert not asks.closed
@@ -455,14 +471,14 @@
     """The process stood still: by the clock it is late, and it came in time."""
     rig = Rig(await FakeHost("a").listen())
     caller = await rig.caller()
-    await until(lambda: rig.clients.open)
-    (client,) = rig.clients.open
+    await until(lambda: rig.clients.connections)
+    (client,) = rig.clients.connections
     if begun:
         writes(caller, b"id1", end=begun)
         await until(lambda: len(client.reader))
-    rig.clients.waiting[client] -= 100
+    rig.clients.reaper.awaiting_command[client] -= 100
     writes(caller, b"id1", begin=begun)
-    rig.clients._sweep()  # in the same turn
+    rig.clients.reaper._sweep()  # in the same turn
     assert await caller.replied() == [b"ok"]
     assert not caller.closed
 
@@ -473,16 +489,16 @@
     rig = Rig(await FakeHost("a").listen(), sockets=4)
     asks, rests, *others = await idle(rig, 4)
     writes(asks, b"id1")
-    assert rig.clients.make_room()
+    assert rig.clients.ensure_capacity()
     assert (await asks.replied(2))[1] == b"ok"
     await until(lambda: rests.closed)
     assert not any(caller.closed for caller in (asks, *others))
     newcomer = await rig.caller()
-    await until(lambda: len(rig.clients.open) == 4)
+    await until(lambda: len(rig.clients.connections) == 4)
     writes(newcomer, b"id2")
-    oldest = next(iter(rig.clients.idle))
+    oldest = next(iter(rig.clients.reaper.idle))
     assert (
-        rig.clients.make_room() and oldest not in rig.clients.open
+        rig.clients.ensure_capacity() and oldest not in rig.clients.connections
     )  # not the new one, whose command lies unread
     assert await newcomer.replied() == [b"ok"]
 
@@ -493,8 +509,8 @@
     gone, rests = await idle(rig, 2)
     with socket.socket(fileno=os.dup(gone.transport.get_extra_info("socket").fileno())) as sock:
         sock.shutdown(socket.SHUT_WR)
-    oldest = next(iter(rig.clients.idle))
-    assert rig.clients.make_room() and oldest not in rig.clients.open
+    oldest = next(iter(rig.clients.reaper.idle))
+    assert rig.clients.ensure_capacity() and oldest not in rig.clients.connections
     await until(lambda: gone.closed)
     assert not rests.closed
 
@@ -505,14 +521,14 @@
 @asyncio_test
 async def test_what_lies_in_the_kernels_queue_when_the_listener_closes_is_served():
     rig = Rig(await FakeHost("a").listen())
-    await rig.clients.listen()
+    await rig.listen()
     callers = []
     for number in range(40):
         sock = socket.create_connection(rig.clients.acceptor.listener.getsockname())
         terms = b"c=read,t=team,d=9000,units=1,spread=2,first=0"
         sock.sendall(hiredis.pack_command((b"CALL.GET", b"0" * 15 + b"7", b"n%d" % number, terms)))
         callers.append(sock)
-    await rig.clients.drain(0.0)  # the loop had no turn to accept them
+    await rig.clients.shutdown.drain(0.0)  # the loop had no turn to accept them
     for sock in callers:
         sock.settimeout(10)
         assert sock.recv(64) == b"$2\r\nok\r\n"
@@ -528,7 +544,7 @@
     sock = caller.transport.get_extra_info("socket")
     terms = b"c=read,t=team,d=9000,units=1,spread=2,first=0"
     os.write(sock.fileno(), hiredis.pack_command((b"CALL.GET", b"0" * 15 + b"7", b"id1", terms)))
-    rig.clients.quiesce()  # in the same turn
+    rig.clients.shutdown.quiesce()  # in the same turn
     assert (await caller.replied(2))[1] == b"ok"
     await until(lambda: caller.closed)
 
--- a/tests/gateway/test_event_interleavings_over_sockets.py
+++ b/tests/gateway/test_event_interleavings_over_sockets.py
@@ -7,8 +7,8 @@
 import pytest
 from conftest import SITE, FakeHost, Rig, asyncio_test, until, value
 
-from saffrongw.gateway.driver import UpstreamAttempt
-from saffrongw.gateway.upstream.cluster import UpstreamConnection
+from saffrongw.gateway.request_types import UpstreamAttempt
+from saffrongw.gateway.upstream.connection import UpstreamConnection
 
 # What its host says, what becomes of its connection, of the list, of the client, of its time.
 EVENTS = ("served", "error", "full", "reset", "half", "drains", "gone", "client left", "time is up")
@@ -34,9 +34,12 @@
         self.caller = await self.rig.caller()
         self.caller.call(kind, wait=20_000)
         await until(lambda: self.sent == 1)
-        (self.call,), (self.client,) = self.rig.driver.calls.values(), self.rig.clients.open
+        (self.call,), (self.client,) = (
+            self.rig.driver.requests.values(),
+            self.rig.clients.connections,
+        )
         self.first: UpstreamAttempt = self.call.attempts[0]
-        self.link: UpstreamConnection = self.first.link
+        self.connection: UpstreamConnection = self.first.carrier
         self.host = next(host for host in self.hosts if host.commands)
         self.other = next(host for host in self.hosts if host is not self.host)
         for host in self.hosts:
@@ -55,30 +58,30 @@
             self.client.transport.abort()
             self.client.connection_lost(None)
         elif event == "time is up":
-            self.call.until = self.rig.driver.clock()
+            self.call.deadline_us = self.rig.driver.clock()
             if request := self.rig.driver.gateway.requests.get(self.call.event.request):
-                request.until = self.call.until
-            if not self.call.finished:
-                self.rig.driver._time_up(self.call)
+                request.until = self.call.deadline_us
+            if not self.call.is_finished:
+                self.rig.driver._deadline_passed(self.call)
         elif event in ("drains", "gone"):
             self.rig.told(self.host.line(health="DRAINING" if event == "drains" else "DELETED"))
-        elif not self.link.transport.is_closing():
+        elif not self.connection.transport.is_closing():
             if event == "reset":
-                self.link.transport.abort()
-                self.link.connection_lost(ConnectionResetError())
+                self.connection.transport.abort()
+                self.connection.connection_lost(ConnectionResetError())
             else:
-                self.link.data_received(self.rest() if event == "served" else WORDS[event])
+                self.connection.data_received(self.rest() if event == "served" else WORDS[event])
 
     def rest(self) -> bytes:
         """A whole answer, or what is missing of the one that has begun."""
-        return WORDS["served"][len(WORDS["half"]) if self.link.rest else 0 :]
+        return WORDS["served"][len(WORDS["half"]) if self.connection.remainder_timer else 0 :]
 
     async def ends(self) -> None:
         """What is still out is answered by its host; then nothing is left of it anywhere."""
-        if not self.first.ended:
-            self.link.data_received(self.rest())
-        await until(lambda: not self.rig.driver.calls and not self.rig.driver.gateway.attempts)
-        await until(lambda: not self.rig.hosts.closing and not self.rig.clients.numbers)
+        if not self.first.is_ended:
+            self.connection.data_received(self.rest())
+        await until(lambda: not self.rig.driver.requests and not self.rig.driver.gateway.attempts)
+        await until(lambda: not self.rig.cluster.closing and not self.rig.clients.open_request_ids)
         if not self.left:
             self.caller.ask(b"PING")  # behind all that is answered
         await until(lambda: self.caller.closed if self.left else b"PONG" in self.caller.replies)
@@ -134,12 +137,12 @@
 @asyncio_test
 async def test_a_second_run_is_seen(monkeypatch):
     """The planted fault: nobody notes that a request's last byte has left."""
-    begin = UpstreamConnection.begin
+    start = UpstreamConnection.start
 
     def forgets(self, attempt, now):
-        begin(self, attempt, now)
-        attempt.whole = False
+        start(self, attempt, now)
+        attempt.is_fully_sent = False
 
-    monkeypatch.setattr(UpstreamConnection, "begin", forgets)
+    monkeypatch.setattr(UpstreamConnection, "start", forgets)
     with pytest.raises(AssertionError, match="bill: reset then "):
         await walked("bill", first="reset")
