--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -14,9 +14,11 @@
 from conftest import SITE, FakeHost, Rig, asyncio_test, error, started, until, value
 
 from saffrongw.gateway.bootstrap import LOG_MOST, RateLimitedLogFilter
-from saffrongw.gateway.downstream.connection import IDLE_LEAST, SWEEP, WAITING_MOST
-from saffrongw.gateway.driver import ClientRequest, UpstreamAttempt
-from saffrongw.gateway.upstream.cluster import REST, parse_report
+from saffrongw.gateway.downstream.connection import MAX_PIPELINED_COMMANDS
+from saffrongw.gateway.downstream.idle_reaper import MIN_IDLE_S, SWEEP_INTERVAL_S
+from saffrongw.gateway.request_types import ClientRequest, UpstreamAttempt
+from saffrongw.gateway.upstream.codec import parse_report
+from saffrongw.gateway.upstream.pool import REUSE_DELAY_S
 from saffrongw.policy.actions import RejectRequest, SetTimer
 from saffrongw.policy.events import AttemptEnded, AttemptOutcome
 
@@ -64,10 +66,10 @@
     for connection in host.connections:
         connection.transport.write(value(b"x"))
     await caller.replied(2)
-    await asyncio.sleep(2 * REST)
+    await asyncio.sleep(2 * REUSE_DELAY_S)
     caller.call(number=b"three")
     await until(lambda: len(host.commands) == 3)
-    assert len(host.connections) == rig.hosts.sockets == 2
+    assert len(host.connections) == rig.cluster.open_connections == 2
 
 
 @asyncio_test
@@ -112,7 +114,7 @@
     caller.call("bill", wait=200)
     assert error((await caller.replied())[0]).startswith("ERR")
     await until(lambda: not host.connections)  # the attempt is given up
-    assert rig.driver.calls == rig.driver.gateway.requests == rig.driver.gateway.attempts == {}
+    assert rig.driver.requests == rig.driver.gateway.requests == rig.driver.gateway.attempts == {}
 
 
 @asyncio_test
@@ -127,15 +129,15 @@
     feed = rig.driver.feed
     rig.driver.feed = lambda event: (ended.append(event), feed(event))
     caller = await rig.caller()
-    pool = rig.hosts.pools[b"a"]
-    original = pool.ready
+    pool = rig.cluster.pools[b"a"]
+    original = pool.connected
 
     def narrow(connection):
         sock = connection.transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         original(connection)
 
-    pool.ready = narrow
+    pool.connected = narrow
     terms = b"c=bill,t=team,d=300,units=1,spread=2,first=0"
     caller.ask(b"CALL.POST", b"0000000000000007", b"id", terms, b"x" * 64 * 1024)
     assert error((await caller.replied())[0]).startswith("BUSY")
@@ -154,20 +156,20 @@
     host.port = listener.getsockname()[1]
     rig = Rig(host, permissions=SITE["permissions"] | {"maxAttempts": 1})
     caller = await rig.caller()
-    ready = rig.hosts.pools[b"a"].ready
+    connected = rig.cluster.pools[b"a"].connected
 
     def narrow(connection):
         sock = connection.transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        ready(connection)
+        connected(connection)
 
-    rig.hosts.pools[b"a"].ready = narrow
+    rig.cluster.pools[b"a"].connected = narrow
     terms = b"c=bill,t=team,d=2000,units=1,spread=2,first=0"
     caller.ask(b"CALL.POST", b"0000000000000007", b"id", terms, b"x" * 64 * 1024)
     accepted, _ = await rig.loop.sock_accept(listener)
     await rig.loop.sock_sendall(accepted, b"-BUSY\r\n")
     assert error((await caller.replied())[0]).startswith("BUSY")
-    assert rig.hosts.sockets == 0
+    assert rig.cluster.open_connections == 0
     accepted.close()
     listener.close()
 
@@ -182,7 +184,7 @@
     await until(lambda: host.commands)
     caller.transport.close()
     await until(lambda: not host.connections)
-    await until(lambda: rig.driver.calls == rig.driver.gateway.requests == {})
+    await until(lambda: rig.driver.requests == rig.driver.gateway.requests == {})
 
 
 @asyncio_test
@@ -195,7 +197,7 @@
     caller.call(wait=3000)
     await until(lambda: host.commands)
     caller.transport.close()
-    await until(lambda: not rig.driver.calls)
+    await until(lambda: not rig.driver.requests)
     assert host.connections
     await until(lambda: not host.connections)
     assert rig.driver.gateway.attempts == {}
@@ -337,7 +339,7 @@
     caller = await rig.caller()
     caller.call()
     await caller.replied()
-    await until(lambda: not host.connections and not rig.hosts.sockets)
+    await until(lambda: not host.connections and not rig.cluster.open_connections)
 
 
 @asyncio_test
@@ -365,7 +367,7 @@
     rig.driver.gateway._choose = choose
     caller.call("bill")
     assert (await caller.replied(2))[1] == b"ok"
-    assert rig.driver.calls == rig.driver.gateway.requests == {}
+    assert rig.driver.requests == rig.driver.gateway.requests == {}
 
 
 @asyncio_test
@@ -472,8 +474,8 @@
     rig = Rig(await FakeHost("a").listen())
     caller = await rig.caller()
     caller.transport.pause_reading()
-    await until(lambda: rig.clients.open)
-    (client,) = rig.clients.open
+    await until(lambda: rig.clients.connections)
+    (client,) = rig.clients.connections
     paused = []
     pause = client.pause_writing
     client.transport.set_write_buffer_limits(high=1024)
@@ -497,7 +499,13 @@
     caller.transport.write(sent)
     await until(lambda: caller.closed)
     assert bool(caller.replies) == bool(sent)
-    await until(lambda: not rig.clients.open and not rig.clients.waiting and not rig.clients.ending)
+    await until(
+        lambda: (
+            not rig.clients.connections
+            and not rig.clients.reaper.awaiting_command
+            and not rig.clients.reaper.closing
+        )
+    )
 
 
 @asyncio_test
@@ -509,7 +517,7 @@
     await kept.replied()
     silent = [await rig.caller() for _ in range(40)]
     await until(lambda: sum(caller.closed for caller in silent) >= 30)
-    assert len(rig.clients.open) <= 8
+    assert len(rig.clients.connections) <= 8
     late = await rig.caller()
     late.call(number=b"late")
     assert await late.replied() == [b"ok"]
@@ -560,23 +568,23 @@
     assert "open" in error((await second.replied())[0])
     host.connections[0].transport.write(value(b"x"))
     assert await first.replied() == [b"x"]
-    assert rig.clients.numbers == set()
+    assert rig.clients.open_request_ids == set()
     first.call(number=b"same")
     await until(lambda: len(host.commands) == 2)
 
 
 @asyncio_test
 async def test_many_commands_at_once_wait_unread_and_are_all_answered():
-    """No more than WAITING_MOST are taken at a time, and none is forgotten."""
+    """No more than MAX_PIPELINED_COMMANDS are taken at a time, and none is forgotten."""
     host = await FakeHost("a").listen()
     rig = Rig(host)
     most = []
-    host.script = lambda command: (most.append(len(rig.driver.calls)), value(command[2]))[1]
+    host.script = lambda command: (most.append(len(rig.driver.requests)), value(command[2]))[1]
     caller = await rig.caller()
     for number in range(48):
         caller.call(number=b"%d" % number)
     assert await caller.replied(48) == [b"%d" % number for number in range(48)]
-    assert max(most) <= WAITING_MOST
+    assert max(most) <= MAX_PIPELINED_COMMANDS
     caller.ask(b"PING")
     assert (await caller.replied(49))[48] == b"PONG"
 
@@ -614,7 +622,7 @@
     caller.call("bill", wait=60_000)
     assert error((await caller.replied())[0]).startswith("ERR")
     assert len(host.commands) == 1
-    await until(lambda: not host.connections and not rig.hosts.sockets)
+    await until(lambda: not host.connections and not rig.cluster.open_connections)
 
 
 @asyncio_test
@@ -651,16 +659,16 @@
     caller = await rig.caller()
     caller.call("bill", number=b"one")
     await caller.replied()
-    pool = rig.hosts.pools[b"a"]
+    pool = rig.cluster.pools[b"a"]
     (connection,) = pool.idle
-    connection.idle_since -= 1  # it has rested
+    connection.idle_since_s -= 1  # it has rested
     sock = host.connections[0].transport.get_extra_info("socket")
     os.write(sock.fileno(), value(b"copy"))
     attempt = UpstreamAttempt(
         ClientRequest(None, (b"CALL.GET", b"0", b"x", b"d=", b""), 0, print), 0, b"a", 0, 10**18
     )
     pool.send(attempt)  # the loop has had no turn since the copy was written
-    assert attempt.link is pool and connection not in pool.idle
+    assert attempt.carrier is pool and connection not in pool.idle
 
 
 @asyncio_test
@@ -700,17 +708,17 @@
     old = host.connections[0]
     rig.told(host.line(born_ms=5))
     await until(lambda: old not in host.connections)
-    assert rig.hosts.pools[b"a"].born == 5_000
+    assert rig.cluster.pools[b"a"].started_at_us == 5_000
 
 
 @asyncio_test
 async def test_what_waits_for_a_connection_to_a_host_that_is_gone_goes_elsewhere():
     old, new = [await FakeHost(name).listen() for name in "ab"]
     rig = Rig(old)
-    rig.hosts.pools[b"a"]._open = lambda: asyncio.sleep(30)  # one that never comes up
+    rig.cluster.pools[b"a"]._open = lambda: asyncio.sleep(30)  # one that never comes up
     caller = await rig.caller()
     caller.call("bill")
-    await until(lambda: rig.hosts.pools[b"a"].waiting)
+    await until(lambda: rig.cluster.pools[b"a"].waiting)
     rig.told(old.line("DELETED"), new.line())
     assert await caller.replied() == [b"ok"]
     assert [len(host.commands) for host in (old, new)] == [0, 1]
@@ -736,9 +744,9 @@
     for caller in callers:
         caller.ask(b"PING")
         await until(lambda caller=caller: caller.replies)
-    await until(lambda: len(rig.clients.idle) == 10)
-    for client in rig.clients.idle:
-        rig.clients.idle[client] -= IDLE_LEAST
+    await until(lambda: len(rig.clients.reaper.idle) == 10)
+    for client in rig.clients.reaper.idle:
+        rig.clients.reaper.idle[client] -= MIN_IDLE_S
     await until(lambda: sum(caller.closed for caller in callers) == 6)
-    await asyncio.sleep(2 * SWEEP)
+    await asyncio.sleep(2 * SWEEP_INTERVAL_S)
     assert [caller.closed for caller in callers] == [True] * 6 + [False] * 4
--- a/tests/gateway/test_request_filters.py
+++ b/tests/gateway/test_request_filters.py
@@ -7,7 +7,6 @@
 import pytest
 from conftest import FakeHost, Rig, asyncio_test, error, until
 
-from saffrongw.gateway.driver import RequestTerms
 from saffrongw.gateway.extensions import (
     Abort,
     Continue,
@@ -16,9 +15,10 @@
     FilterError,
     Observer,
     Reject,
-    apply,
+    apply_verdict,
 )
-from saffrongw.gateway.filter_chain import FilteringDriver
+from saffrongw.gateway.filtering_driver import FilteringDriver
+from saffrongw.gateway.request_types import RequestTerms
 
 TERMS = RequestTerms(7, 0, 0, 2_000_000, 1.0, 2, 0, False)
 
@@ -45,19 +45,19 @@
     def __init__(self) -> None:
         self.told = []
 
-    def event_in(self, now, event):
+    def event_received(self, now_us, event):
         self.told.append(event.topic)
 
-    def actions_out(self, now, event, actions):
+    def actions_decided(self, now_us, event, actions):
         self.told += [type(action).__name__ for action in actions]
 
-    def attempt_began(self, attempt):
+    def attempt_started(self, attempt):
         self.told.append("began")
 
     def attempt_ended(self, attempt, outcome):
         self.told.append(outcome.value)
 
-    def answered(self, call, reply):
+    def answered(self, request, reply):
         self.told.append(reply)
 
 
@@ -78,7 +78,7 @@
     assert (seen.client_id, seen.terms.customer, seen.body_bytes) == (b"id5", 7, 4)
     assert stage.ended == [(1, Ending.ANSWERED)]
     assert len(host.commands) == 1
-    await until(lambda: not rig.driver.calls and not rig.driver.runs)
+    await until(lambda: not rig.driver.requests and not rig.driver.filter_chain.runs)
 
 
 @pytest.mark.parametrize(
@@ -99,7 +99,7 @@
         assert error((await caller.replied())[0]) == reply
         assert host.commands == []
         assert rig.driver.gateway.accounts == {}
-        assert rig.driver.calls == {} == rig.driver.runs
+        assert rig.driver.requests == {} == rig.driver.filter_chain.runs
 
     check()
 
@@ -114,7 +114,7 @@
     caller = await rig.caller()
     caller.call(wait=1500)
     await asyncio.sleep(0.05)
-    assert len(rig.driver.calls) == 1  # counted and listed before its first stage ended
+    assert len(rig.driver.requests) == 1  # counted and listed before its first stage ended
     assert rig.driver.gateway.requests == {}
     assert await caller.replied() == [b"ok"]
     terms = dict(pair.split(b"=") for pair in host.commands[0][3].split(b","))
@@ -134,7 +134,7 @@
     assert error((await caller.replied())[0]) == "BUSY"
     assert host.commands == []
     assert stage.ended == [(1, Ending.ANSWERED)]
-    assert rig.driver.faults["scripted"] == 1
+    assert rig.driver.faults.counts["scripted"] == 1
 
 
 @asyncio_test
@@ -148,7 +148,7 @@
     caller = await rig.caller()
     caller.call(wait=2000)
     assert await caller.replied() == [b"ok"]
-    assert rig.driver.faults["scripted"] == 2
+    assert rig.driver.faults.counts["scripted"] == 2
 
 
 @asyncio_test
@@ -166,13 +166,20 @@
     caller = await rig.caller()
     caller.call(wait=400)
     assert error((await caller.replied())[0]) == "ERR failed"  # by the guard of the request itself
-    assert rig.driver.calls == {} == rig.driver.runs
+    assert rig.driver.requests == {} == rig.driver.filter_chain.runs
     closing.append(True)
 
 
 @pytest.mark.parametrize(
     "wrong",
-    [None, "pass", Reject(-1), Reject(1.5), Continue({"customer": 1}), Continue({"wait": 1 << 40})],
+    [
+        None,
+        "pass",
+        Reject(-1),
+        Reject(1.5),
+        Continue({"customer": 1}),
+        Continue({"timeout_us": 1 << 40}),
+    ],
 )
 def test_rubbish_from_a_stage_is_its_fallback_and_counted(wrong):
     @asyncio_test
@@ -181,7 +188,7 @@
         caller = await rig.caller()
         caller.call()
         assert error((await caller.replied())[0]) == "ERR failed"
-        assert rig.driver.faults["scripted"] == 1
+        assert rig.driver.faults.counts["scripted"] == 1
 
     check()
 
@@ -216,8 +223,8 @@
     await until(lambda: stage.seen)
     caller.transport.close()
     await until(lambda: cancelled)
-    assert stage.ended == [(1, Ending.CLIENT_GONE)]
-    assert rig.driver.calls == {} == rig.driver.runs
+    assert stage.ended == [(1, Ending.CLIENT_DISCONNECTED)]
+    assert rig.driver.requests == {} == rig.driver.filter_chain.runs
     assert host.commands == []
 
 
@@ -232,8 +239,8 @@
     rig, _ = await rig_of(Scripted(held))
     caller = await rig.caller()
     caller.call()
-    await until(lambda: rig.driver.calls)
-    drained = asyncio.ensure_future(rig.clients.drain(0))
+    await until(lambda: rig.driver.requests)
+    drained = asyncio.ensure_future(rig.clients.shutdown.drain(0))
     await asyncio.sleep(0.1)
     assert not drained.done()
     release.set()
@@ -247,7 +254,7 @@
         name = "broken"
 
         def __getattribute__(self, name):
-            if name in ("event_in", "answered", "attempt_began"):
+            if name in ("event_received", "answered", "attempt_started"):
                 raise RuntimeError(name)
             return super().__getattribute__(name)
 
@@ -267,27 +274,29 @@
         b"$2\r\nok\r\n",
         "attempt_ended",
     ]
-    assert rig.driver.faults["broken"] >= 3
+    assert rig.driver.faults.counts["broken"] >= 3
 
 
 def test_a_stage_may_only_narrow():
-    assert apply(Continue({"plan": 1, "wait": 500_000}), TERMS, 2).wait == 500_000
+    assert (
+        apply_verdict(Continue({"plan": 1, "timeout_us": 500_000}), TERMS, 2).timeout_us == 500_000
+    )
     for changes in (
         {"plan": 2},
         {"plan": -1},
-        {"wait": 0},
-        {"wait": 3_000_000},
+        {"timeout_us": 0},
+        {"timeout_us": 3_000_000},
         {"units": 0},
         {"plan": True},
     ):
         with pytest.raises(FilterError):
-            apply(Continue(changes), TERMS, 2)
+            apply_verdict(Continue(changes), TERMS, 2)
 
 
 def test_a_shortened_wait_binds():
     @asyncio_test
     async def check():
-        rig, host = await rig_of(Scripted(lambda request: Continue({"wait": 200_000})))
+        rig, host = await rig_of(Scripted(lambda request: Continue({"timeout_us": 200_000})))
         host.script = lambda command: None
         caller = await rig.caller()
         caller.call(wait=30_000)
--- a/tests/gateway/test_streaming_reply.py
+++ b/tests/gateway/test_streaming_reply.py
@@ -10,8 +10,13 @@
 from conftest import Caller, FakeHost, Rig, asyncio_test, error, until, value
 
 from saffrongw.gateway import streaming_reply
-from saffrongw.gateway.resp import LONG_MOST, VALUE_MOST, MalformedMessageError, ReplyReader
-from saffrongw.gateway.upstream.cluster import REST
+from saffrongw.gateway.resp import (
+    MAX_STREAMED_VALUE_BYTES,
+    MAX_VALUE_BYTES,
+    MalformedMessageError,
+    ReplyReader,
+)
+from saffrongw.gateway.upstream.pool import REUSE_DELAY_S
 
 REPORT = b"latency_ms=9,util=0.5"
 LONG = hashlib.shake_128(b"long").digest(300_000)
@@ -29,15 +34,15 @@
     return rig, hosts, caller
 
 
-@pytest.mark.parametrize("length", [VALUE_MOST + 1, 1_000_000, LONG_MOST])
+@pytest.mark.parametrize("length", [MAX_VALUE_BYTES + 1, 1_000_000, MAX_STREAMED_VALUE_BYTES])
 @asyncio_test
 async def test_a_long_value_comes_whole_and_its_connection_is_used_again(length):
     long = hashlib.shake_128(b"%d" % length).digest(length)
     rig, (host,), caller = await asked(lambda command: value(long, REPORT), b"1")
     assert await caller.replied() == [long]
-    await until(lambda: rig.driver.figures.served == [1, 0, 0])
-    assert not rig.clients.numbers and not rig.driver.calls
-    await asyncio.sleep(2 * REST)
+    await until(lambda: rig.driver.metrics.served == [1, 0, 0])
+    assert not rig.clients.open_request_ids and not rig.driver.requests
+    await asyncio.sleep(2 * REUSE_DELAY_S)
     caller.call(number=b"2")
     assert await caller.replied(2) == [long, long]
     assert len(host.connections) == 1
@@ -76,15 +81,15 @@
 @asyncio_test
 async def test_a_reader_that_is_slow_holds_its_host_back_and_nobody_else():
     """No more is kept of it than a few reads, however long it lasts."""
-    long = bytes(LONG_MOST)
+    long = bytes(MAX_STREAMED_VALUE_BYTES)
     script = {b"slow": value(long), b"other": value(b"ok")}
     rig, (_host,), other = await asked(lambda command: script[command[2]])
     port = rig.clients.acceptor.listener.getsockname()[1]
     slow = socket.socket()
     slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     slow.connect(("127.0.0.1", port))
-    await until(lambda: len(rig.clients.open) == 2)
-    for client in rig.clients.open:  # else the kernel alone could hold all of it
+    await until(lambda: len(rig.clients.connections) == 2)
+    for client in rig.clients.connections:  # else the kernel alone could hold all of it
         client.transport.get_extra_info("socket").setsockopt(
             socket.SOL_SOCKET, socket.SO_SNDBUF, 4096
         )
@@ -93,16 +98,16 @@
         b"*4\r\n$8\r\nCALL.GET\r\n$16\r\n0000000000000007\r\n$4\r\nslow\r\n$%d\r\n%b\r\n"
         % (len(terms), terms)
     )
-    await until(lambda: any(c.long for c in rig.clients.open))
-    (value_,) = [c.long for c in rig.clients.open if c.long]
-    await until(lambda: value_.source.held)
-    left = value_.left
+    await until(lambda: any(c.streaming for c in rig.clients.connections))
+    (value_,) = [c.streaming for c in rig.clients.connections if c.streaming]
+    await until(lambda: value_.source.is_paused)
+    left = value_.bytes_left
     other.call(number=b"other")
     assert await other.replied() == [b"ok"]
-    assert value_.left == left > LONG_MOST // 4  # the rest is not even read
+    assert value_.bytes_left == left > MAX_STREAMED_VALUE_BYTES // 4  # the rest is not even read
     got = bytearray()
     slow.setblocking(False)
-    while len(got) < LONG_MOST + len(b"$4194304\r\n\r\n"):
+    while len(got) < MAX_STREAMED_VALUE_BYTES + len(b"$4194304\r\n\r\n"):
         got += await rig.loop.sock_recv(slow, 65536)
     assert bytes(got) == b"$4194304\r\n" + long + b"\r\n"
     slow.close()
@@ -114,12 +119,16 @@
     await until(lambda: any(host.commands for host in hosts))
     (connection,) = [c for host in hosts for c in host.connections]
     connection.transport.write(value(LONG)[:100_000])
-    await until(lambda: rig.driver.figures.attempts == 1 and any(c.long for c in rig.clients.open))
+    await until(
+        lambda: (
+            rig.driver.metrics.attempts == 1 and any(c.streaming for c in rig.clients.connections)
+        )
+    )
     connection.transport.abort()
     await until(lambda: caller.closed)
     assert caller.replies == [] and sum(len(host.commands) for host in hosts) == 1
-    assert rig.driver.figures.failed == [1, 0, 0]
-    assert not rig.clients.numbers and not rig.driver.calls
+    assert rig.driver.metrics.failed == [1, 0, 0]
+    assert not rig.clients.open_request_ids and not rig.driver.requests
 
 
 @asyncio_test
@@ -128,30 +137,32 @@
         lambda command: value(LONG).replace(b"\r\n$-1", b"xx$-1"), b"1"
     )
     await until(lambda: caller.closed)
-    assert caller.replies == [] and rig.driver.figures.failed == [1, 0, 0]
+    assert caller.replies == [] and rig.driver.metrics.failed == [1, 0, 0]
 
 
 @asyncio_test
 async def test_a_client_that_leaves_ends_the_connection_to_the_host():
     rig, (host,), caller = await asked(lambda command: value(LONG)[:200_000], b"1")
-    await until(lambda: any(c.long for c in rig.clients.open))
+    await until(lambda: any(c.streaming for c in rig.clients.connections))
     caller.transport.abort()
     await until(lambda: not host.connections)
-    assert not rig.clients.numbers and rig.hosts.sockets == 0
-    assert rig.driver.figures.failed == [1, 0, 0]
+    assert not rig.clients.open_request_ids and rig.cluster.open_connections == 0
+    assert rig.driver.metrics.failed == [1, 0, 0]
 
 
 @asyncio_test
 async def test_what_does_not_move_is_given_up(monkeypatch):
-    monkeypatch.setattr(streaming_reply, "STALL", 0.1)
+    monkeypatch.setattr(streaming_reply, "STALL_TIMEOUT_S", 0.1)
     rig, (host,), caller = await asked(lambda command: value(LONG)[:200_000], b"1")
     await until(lambda: caller.closed and not host.connections)
-    assert not rig.clients.numbers
+    assert not rig.clients.open_request_ids
 
 
 @asyncio_test
 async def test_one_that_is_too_long_is_no_answer():
-    _rig, (_host,), caller = await asked(lambda command: b"*3\r\n$%d\r\nx" % (LONG_MOST + 1), b"1")
+    _rig, (_host,), caller = await asked(
+        lambda command: b"*3\r\n$%d\r\nx" % (MAX_STREAMED_VALUE_BYTES + 1), b"1"
+    )
     assert error((await caller.replied())[0])
     assert not caller.closed
 
@@ -168,18 +179,18 @@
 def test_the_reader_takes_a_long_value_in_parts():
     reader = ReplyReader()
     reader.feed(b"*3\r\n$70000\r\nabc")
-    assert reader.long() == 70_000
-    assert reader.part(2) + reader.part(9) == b"abc"
-    assert reader.end_of_long() is None
+    assert reader.take_streamed_header() == 70_000
+    assert reader.take_bytes(2) + reader.take_bytes(9) == b"abc"
+    assert reader.is_at_value_end() is None
     reader.feed(b"\r")
-    assert reader.end_of_long() is None
+    assert reader.is_at_value_end() is None
     reader.feed(b"\n$-1\r\n")
-    assert reader.end_of_long() and not reader.rest_of_long()
+    assert reader.is_at_value_end() and not reader.take_streamed_tail()
     reader.feed(b"$2\r\nab\r\n")
-    assert reader.rest_of_long() and not len(reader)
+    assert reader.take_streamed_tail() and not len(reader)
     reader.feed(b"*3\r\n$5000000\r\n")
     with pytest.raises(MalformedMessageError):
-        reader.long()
+        reader.take_streamed_header()
     short = ReplyReader()
     short.feed(b"*3\r\n$65536\r\n")
-    assert short.long() is None
+    assert short.take_streamed_header() is None
--- a/tests/ledger/kill_points.py
+++ b/tests/ledger/kill_points.py
@@ -11,7 +11,7 @@
 
 from saffrongw.__main__ import main
 from saffrongw.gateway.driver import Driver
-from saffrongw.gateway.upstream import cluster as hosting
+from saffrongw.gateway.upstream.connection import UpstreamConnection
 from saffrongw.ledger import request_filter, store
 
 
@@ -50,32 +50,32 @@
 
 def unsafe_begin(step: Callable[[], None], after: bool) -> None:
     """Round the write of an unsafe request to a host's connection."""
-    plain = hosting.UpstreamConnection.begin
+    plain = UpstreamConnection.start
 
     def begin(self, attempt, now) -> None:
-        unsafe = attempt.call.event.kind == 2
+        unsafe = attempt.request.event.kind == 2
         if unsafe and not after:
             step()
         plain(self, attempt, now)
         if unsafe and after:
             step()
 
-    hosting.UpstreamConnection.begin = begin
+    UpstreamConnection.start = begin
 
 
 def answer(step: Callable[[], None], after: bool) -> None:
     """Round the final answer of an unsafe request."""
-    plain = Driver._finish
+    plain = Driver._send_final_reply
 
     def finish(self, call, reply) -> None:
-        unsafe = call.event.kind == 2 and not call.finished
+        unsafe = call.event.kind == 2 and not call.is_finished
         if unsafe and not after:
             step()
         plain(self, call, reply)
         if unsafe and after:
             step()
 
-    Driver._finish = finish
+    Driver._send_final_reply = finish
 
 
 STEPS: dict[str, Callable[[Callable[[], None]], None]] = {
--- a/tests/ledger/test_store.py
+++ b/tests/ledger/test_store.py
@@ -18,7 +18,7 @@
 
 from saffrongw.admin import cli
 from saffrongw.gateway.extensions import Extensions
-from saffrongw.gateway.filter_chain import FilteringDriver
+from saffrongw.gateway.filtering_driver import FilteringDriver
 from saffrongw.ledger import writer as writing
 from saffrongw.ledger.entries import Entry, Event, Kind, Meaning, Try, entries_of, explain, recover
 from saffrongw.ledger.reconcile import ListError, parse, reconcile
@@ -531,7 +531,7 @@
         assert error(reply) in ("BUSY", "ERR failed")
     assert len(world.host.commands) == 20
     release.set()
-    await until(lambda: not world.rig.driver.calls and not world.ledger.entered)
+    await until(lambda: not world.rig.driver.requests and not world.ledger.entered)
     assert len(world.host.commands) == 20  # what was late is not sent
     await world.ledger.stop()
 
@@ -546,7 +546,7 @@
     caller.call("bill")
     await until(lambda: world.ledger.writer.pending)
     caller.transport.close()
-    await until(lambda: not world.rig.driver.calls)
+    await until(lambda: not world.rig.driver.requests)
     release.set()
     await until(lambda: not world.ledger.writer.pending)
     assert world.host.commands == []
