--- a/saffrongw/gateway/downstream/connection.py
+++ b/saffrongw/gateway/downstream/connection.py
@@ -6,19 +6,12 @@
 from collections import deque
 from typing import TYPE_CHECKING, cast
 
-from ...policy.load_shedding import Waiting
 from ..request_parser import parse_request
-from ..request_types import (
-    FAILED,
-    US_PER_MS,
-    ClientRequest,
-    FinalReply,
-    RequestTerms,
-    busy_reply,
-)
+from ..request_types import FAILED, RequestTerms, busy_reply
 from ..resp import CommandReader, MalformedMessageError
 from ..streaming_reply import StreamingReply
 from . import socket_state
+from .reply_slot import ReplySlot
 
 if TYPE_CHECKING:
     from .listener import ClientConnections
@@ -41,60 +34,6 @@
     return b""
 
 
-class ReplySlot:
-    """The position of one command's reply on its connection.
-
-    A ``QueuedRequest`` while its request waits.
-    """
-
-    __slots__ = ("connection", "parts", "reply", "request", "request_id", "terms", "waiting")
-
-    # Set only for a request that waits.
-    terms: RequestTerms
-    parts: tuple[bytes, ...]
-
-    def __init__(self, connection: ClientConnection, request_id: bytes | None = None) -> None:
-        """Make an empty slot; only a request has an id."""
-        self.connection = connection
-        self.request_id = request_id
-        self.reply: FinalReply | None = None
-        self.request: ClientRequest | None = None
-        # While it is in the admission queue.
-        self.waiting: Waiting | None = None
-
-    def start(self) -> None:
-        """Start the request; the time that it waited is taken from its timeout."""
-        waiting, self.waiting = self.waiting, None
-        if waiting is None:
-            return
-        driver = self.connection.clients.driver
-        timeout_us = max(US_PER_MS, waiting.until - driver.clock())
-        terms = self.terms._replace(timeout_us=timeout_us)
-        self.request = driver.request_arrived(terms, self.parts, self.answer)
-
-    def reject(self, reply: bytes) -> None:
-        """Reject the request that waits.
-
-        Written with others of this turn, never within another's reading.
-        """
-        self.reply = reply
-        self.waiting = None
-        clients = self.connection.clients
-        clients.driver.metrics.busy[self.terms.kind] += 1
-        clients.open_request_ids.discard(self.request_id)
-        self.connection.schedule_flush()
-
-    def answer(self, reply: FinalReply) -> None:
-        """Take the final reply; it is written once those before it are."""
-        self.reply = reply
-        # Else slot and request would hold each other until the garbage collector runs.
-        self.request = None
-        # A streaming reply keeps its request open until it is written.
-        if isinstance(reply, bytes):
-            self.connection.clients.open_request_ids.discard(self.request_id)
-        self.connection.flush()
-
-
 class ClientConnection(asyncio.Protocol):
     """One client connection: awaiting a command, busy with some, idle, or closing."""
 
--- a/saffrongw/gateway/downstream/idle_reaper.py
+++ b/saffrongw/gateway/downstream/idle_reaper.py
@@ -58,8 +58,8 @@
         """Note a new connection, from which a command is due."""
         self.awaiting_command[connection] = self.loop.time()
 
-    def forget(self, connection: ClientConnection) -> None:
-        """Forget a connection that is closed."""
+    def remove(self, connection: ClientConnection) -> None:
+        """Remove a connection that is closed from its group."""
         for group in (self.awaiting_command, self.idle, self.closing):
             group.pop(connection, None)
 
--- a/saffrongw/gateway/downstream/listener.py
+++ b/saffrongw/gateway/downstream/listener.py
@@ -133,8 +133,8 @@
     def lost(self, connection: ClientConnection) -> None:
         """Remove a connection that is closed or handed over."""
         self.connections.discard(connection)
-        self.paused_reads.forget(connection)
-        self.reaper.forget(connection)
+        self.paused_reads.remove(connection)
+        self.reaper.remove(connection)
 
     def count_shed(self, class_and_plan: bytes) -> None:
         """Count a request that was rejected before it was parsed; ``CLASS,t=PLAN``."""
--- a/saffrongw/gateway/downstream/paused_reads.py
+++ b/saffrongw/gateway/downstream/paused_reads.py
@@ -36,7 +36,7 @@
             self.is_checking = True
             self.loop.call_later(CHECK_INTERVAL_S, self._check)
 
-    def forget(self, connection: ClientConnection) -> None:
+    def remove(self, connection: ClientConnection) -> None:
         """Check a connection no longer: it is closed."""
         self.connections.discard(connection)
 
--- a/saffrongw/gateway/driver.py
+++ b/saffrongw/gateway/driver.py
@@ -8,7 +8,6 @@
 
 import asyncio
 import logging
-import time
 from collections import deque
 from collections.abc import Callable
 from typing import Any, ClassVar
@@ -39,6 +38,7 @@
 )
 from ..policy.rules import Gateway
 from ..policy.settings import Settings
+from .clock import Clock
 from .config import EndpointList
 from .metrics import Metrics
 from .request_types import (
@@ -68,21 +68,6 @@
     return getattr(event, "request", 0)
 
 
-class Clock:
-    """Unix time in microseconds, read once and then advanced by the monotonic clock.
-
-    It never jumps.
-    """
-
-    def __init__(self) -> None:
-        """Read the wall clock, once."""
-        self.offset_ns = time.time_ns() - time.monotonic_ns()
-
-    def __call__(self) -> int:
-        """Return the time now."""
-        return (self.offset_ns + time.monotonic_ns()) // 1_000
-
-
 class Driver:
     """Owns the policy, its clock and timers, and the requests whose final reply is pending.
 
--- a/saffrongw/gateway/filtering_driver.py
+++ b/saffrongw/gateway/filtering_driver.py
@@ -110,8 +110,10 @@
 
     def _close_request(self, request: ClientRequest) -> None:
         super()._close_request(request)
-        gone = request is self.disconnecting
-        self.filter_chain.end(request, Ending.CLIENT_DISCONNECTED if gone else Ending.ANSWERED)
+        is_disconnect = request is self.disconnecting
+        self.filter_chain.end(
+            request, Ending.CLIENT_DISCONNECTED if is_disconnect else Ending.ANSWERED
+        )
 
     # -- admission checks for other proxies -------------------------------------------------------
 
--- a/saffrongw/gateway/upstream/cluster.py
+++ b/saffrongw/gateway/upstream/cluster.py
@@ -94,13 +94,15 @@
     def _update_endpoint(self, endpoint: DiscoveredEndpoint) -> list[UpstreamAttempt]:
         stranded: list[UpstreamAttempt] = []
         entry, pool = endpoint.entry, self.pools.get(endpoint.entry.endpoint_id)
-        is_gone = entry.state is EndpointState.REMOVED
+        is_removed = entry.state is EndpointState.REMOVED
         if pool and (
-            is_gone or pool.address != endpoint.address or entry.started_at_us > pool.started_at_us
+            is_removed
+            or pool.address != endpoint.address
+            or entry.started_at_us > pool.started_at_us
         ):
             stranded += self.pools.pop(entry.endpoint_id).remove()
             pool = None
-        if is_gone:
+        if is_removed:
             return stranded
         if pool is None:
             pool = ConnectionPool(self, entry.endpoint_id, endpoint.address, entry.started_at_us)
--- a/saffrongw/gateway/upstream/connection.py
+++ b/saffrongw/gateway/upstream/connection.py
@@ -252,4 +252,4 @@
         if self.is_counted:
             self.is_counted = False
             self.cluster.open_connections -= 1
-            self.pool.forget(self)
+            self.pool.discard_idle(self)
--- a/saffrongw/gateway/upstream/pool.py
+++ b/saffrongw/gateway/upstream/pool.py
@@ -146,7 +146,7 @@
             connection.idle_since_s = self.cluster.loop.time()
             self.idle.append(connection)
 
-    def forget(self, connection: UpstreamConnection) -> None:
+    def discard_idle(self, connection: UpstreamConnection) -> None:
         """Remove a connection that closes from the idle ones."""
         if connection in self.idle:
             self.idle.remove(connection)
--- a/tests/gateway/test_admission_queue.py
+++ b/tests/gateway/test_admission_queue.py
@@ -1,4 +1,4 @@
-"""More than the gateway can begin: what waits, what is refused, and that each gets one answer in its order."""
+"""More requests than the gateway can start: what is queued, what is rejected, and one reply to each in order."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from saffrongw.gateway.resp import CommandReader, MalformedMessageError
 
 
-class Pressed(Rig):
-    """A gateway that never begins a request as it is read."""
+class OverloadedRig(Rig):
+    """A gateway that never starts a request as it is read."""
 
     def __init__(self, *hosts: FakeHost) -> None:
-        super().__init__(*hosts, sockets=900)  # enough for all that may be begun at once
+        super().__init__(*hosts, sockets=900)  # enough for all that may be started at once
         self.clients.admission_queue.may_start = lambda: (
             type(self.clients.admission_queue).may_start(self.clients.admission_queue) and False
         )
@@ -32,8 +32,8 @@
 
 
 @asyncio_test
-async def test_what_can_not_be_begun_as_it_is_read_waits_for_its_turn_and_is_served():
-    rig = Pressed(await FakeHost("a").listen())
+async def test_requests_not_started_as_read_are_queued_and_served():
+    rig = OverloadedRig(await FakeHost("a").listen())
     caller = await rig.caller()
     caller.transport.write(b"".join(command(b"n%d" % n, customer=n) for n in range(50)))
     assert await caller.replied(50) == [b"ok"] * 50
@@ -45,13 +45,13 @@
 
 
 @asyncio_test
-async def test_beyond_the_room_requests_are_refused_at_once_in_order_and_nothing_is_left():
+async def test_requests_exceeding_queue_capacity_are_rejected_in_order_without_residue():
     host = await FakeHost("a").listen()
-    rig = Pressed(host)
+    rig = OverloadedRig(host)
     callers = [await rig.caller() for _ in range(4)]
-    for place, caller in enumerate(callers):
+    for index, caller in enumerate(callers):
         caller.transport.write(
-            b"".join(command(b"%d-%d" % (place, n), customer=n) for n in range(500))
+            b"".join(command(b"%d-%d" % (index, n), customer=n) for n in range(500))
         )
     for caller in callers:
         await caller.replied(500)
@@ -68,10 +68,10 @@
 
 
 @asyncio_test
-async def test_a_refusal_behind_an_answer_that_is_owed_waits_for_it():
+async def test_rejection_waits_for_pending_reply_before_it():
     host = await FakeHost("a").listen()
     host.script = lambda command: None
-    rig = Pressed(host)
+    rig = OverloadedRig(host)
     first, flood = await rig.caller(), await rig.caller()
     first.transport.write(command(b"held", wait=1500, customer=1))
     await until(lambda: host.commands)
@@ -84,10 +84,10 @@
 
 
 @asyncio_test
-async def test_a_client_that_leaves_while_its_requests_wait_leaves_nothing_behind():
-    rig = Pressed(await FakeHost("a").listen())
+async def test_client_disconnect_removes_its_queued_requests():
+    rig = OverloadedRig(await FakeHost("a").listen())
     caller, other = await rig.caller(), await rig.caller()
-    rig.clients.admission_queue.is_turn_open = True  # no turn comes: what is read waits
+    rig.clients.admission_queue.is_turn_open = True  # no turn comes: what is read stays queued
     caller.transport.write(b"".join(command(b"n%d" % n, customer=n) for n in range(60)))
     await until(lambda: rig.clients.admission_queue.is_overloaded)
     caller.transport.abort()
@@ -102,10 +102,10 @@
 
 
 @asyncio_test
-async def test_a_command_that_makes_no_sense_amid_a_flood_ends_its_connection_after_the_answers_owed(
+async def test_malformed_command_in_flood_closes_connection_after_pending_replies(
     monkeypatch,
 ):
-    rig = Pressed(await FakeHost("a").listen())
+    rig = OverloadedRig(await FakeHost("a").listen())
     caller = await rig.caller()
     flood = [command(b"n%d" % n, customer=n) for n in range(300)]
     caller.transport.write(b"".join(flood) + command(b"bad", kind=b"nonsense"))
@@ -115,8 +115,8 @@
 
 
 @asyncio_test
-async def test_a_fault_in_beginning_one_request_does_not_leave_the_others_waiting():
-    rig = Pressed(await FakeHost("a").listen())
+async def test_fault_in_starting_one_request_does_not_block_queued_ones():
+    rig = OverloadedRig(await FakeHost("a").listen())
     plain, faults = rig.driver.request_arrived, []
 
     def arrived(terms, parts, answer):
@@ -135,8 +135,8 @@
 
 
 @asyncio_test
-async def test_an_id_that_waits_already_is_refused_as_open():
-    rig = Pressed(await FakeHost("a").listen())
+async def test_id_of_queued_request_is_an_error():
+    rig = OverloadedRig(await FakeHost("a").listen())
     caller = await rig.caller()
     caller.transport.write(command(b"same") * 2)
     await until(lambda: caller.closed)
@@ -145,10 +145,10 @@
 
 
 @asyncio_test
-async def test_a_drain_ends_only_when_what_waits_has_its_answer():
-    rig = Pressed(await FakeHost("a").listen())
+async def test_drain_ends_only_after_queued_requests_have_replies():
+    rig = OverloadedRig(await FakeHost("a").listen())
     caller = await rig.caller()
-    rig.clients.admission_queue.is_turn_open = True  # no turn comes: what is read waits
+    rig.clients.admission_queue.is_turn_open = True  # no turn comes: what is read stays queued
     caller.transport.write(b"".join(command(b"n%d" % n, customer=n) for n in range(40)))
     await until(lambda: len(rig.clients.admission_queue.shedder) == 40)
     draining = rig.loop.create_task(rig.clients.shutdown.drain(0.0))
@@ -188,34 +188,34 @@
 
 
 @asyncio_test
-async def test_the_quick_form_and_the_skim_say_what_the_slow_one_says_or_nothing():
-    """Whole, cut at every byte, and with bytes changed: a quick reading is either the slow one's or none."""
-    rig, lots, quick = Rig(await FakeHost("a").listen()), random.Random(5), 0
+async def test_common_form_and_skim_agree_with_full_parser_or_match_nothing():
+    """Commands are complete, cut at every byte, or have bytes changed."""
+    rig, rng, matched = Rig(await FakeHost("a").listen()), random.Random(5), 0
     form, config = RequestFormat(rig.config), rig.config
-    spoilt = []
+    malformed = []
     for raw in FORMS:
-        spoilt += [raw[:n] for n in range(len(raw))]
+        malformed += [raw[:n] for n in range(len(raw))]
         for _ in range(150):
-            at = lots.randrange(len(raw))
-            spoilt.append(raw[:at] + bytes((lots.choice(b"0159$*\r\n,=ckx"),)) + raw[at + 1 :])
-    for raw in FORMS + spoilt:
+            at = rng.randrange(len(raw))
+            malformed.append(raw[:at] + bytes((rng.choice(b"0159$*\r\n,=ckx"),)) + raw[at + 1 :])
+    for raw in FORMS + malformed:
         reader = CommandReader()
         reader.feed(raw)
         try:
             words = reader.next()
-            slow = words and parse_request(words, config)
+            expected = words and parse_request(words, config)
         except MalformedMessageError:
-            slow = None
+            expected = None
         found, skimmed = form.read(raw, 0), form.skim(raw, 0)
         if found is not None:
-            quick += 1
-            assert slow is not None and (reader.position, *slow) == found
-        if slow is not None and skimmed is not None:
+            matched += 1
+            assert expected is not None and (reader.position, *expected) == found
+        if expected is not None and skimmed is not None:
             group = b",t=".join(
                 (
-                    config.class_names[slow[0].kind].encode(),
-                    config.plan_names[slow[0].plan].encode(),
+                    config.class_names[expected[0].kind].encode(),
+                    config.plan_names[expected[0].plan].encode(),
                 )
             )
-            assert skimmed == (reader.position, slow[1][1], group)
-    assert quick > 100
+            assert skimmed == (reader.position, expected[1][1], group)
+    assert matched > 100
--- a/tests/gateway/test_event_interleavings.py
+++ b/tests/gateway/test_event_interleavings.py
@@ -1,4 +1,4 @@
-"""What comes between two lines: each test makes one bad order of events happen every time, over real connections."""
+"""Each test forces one bad order of events, over real connections."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 PERMISSIONS = SITE["permissions"]
 
 
-class Gate:
-    """Connections to these hosts come up only when the test says so."""
+class ConnectGate:
+    """Holds connections to these endpoints back until the test opens it."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, *hosts: FakeHost) -> None:
         self.opened, self.ports, self.waiting = asyncio.Event(), {host.port for host in hosts}, 0
@@ -51,25 +51,27 @@
 
 
 def slow_to_open(**changes) -> dict:
-    """No time-out of a connection comes in between."""
+    """Settings under which no connect timeout fires."""
     return {"permissions": PERMISSIONS | {"connectTimeout": 60_000_000} | changes}
 
 
-# -- hosts ----------------------------------------------------------------------------------------------------
+# -- endpoints ----------------------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("by_hand", [False, True])
+@pytest.mark.parametrize("is_excluded", [False, True])
 @pytest.mark.parametrize("kind", ["read", "put", "bill"])
 @asyncio_test
-async def test_what_waits_for_a_connection_to_a_host_that_drains_goes_elsewhere(kind, by_hand):
-    """Its connection comes up after the list came: the first byte would be sent past the grace."""
+async def test_attempt_waiting_for_connection_to_draining_endpoint_is_retried_elsewhere(
+    kind, is_excluded
+):
+    """Its connection comes up after the endpoint list: the first byte would be sent after the drain grace."""
     old, new = [await FakeHost(name).listen() for name in "ab"]
     rig = Rig(old, **slow_to_open())
-    gate = Gate(rig.loop, old)
+    gate = ConnectGate(rig.loop, old)
     caller = await rig.caller()
     caller.call(kind)
     await until(lambda: gate.waiting)
-    if by_hand:
+    if is_excluded:
         rig.told(new.line())
         rig.driver.exclusion_changed(ExclusionChanged(b"a", "operator", True))
     else:
@@ -78,30 +80,30 @@
     gate.opened.set()
     await until(lambda: not rig.cluster.pools[b"a"].opening)
     assert (len(old.commands), len(new.commands)) == (0, 1)
-    if not by_hand:  # and what comes up for nothing is not kept there
+    if not is_excluded:  # and a connection that is not needed any more is closed
         await until(lambda: not old.connections and rig.cluster.open_connections == 1)
 
 
 @asyncio_test
-async def test_a_send_that_something_kept_until_its_host_drained_is_decided_anew():
-    """As the ledger does, until its intent is on the disk."""
+async def test_attempt_delayed_until_endpoint_drains_is_decided_anew():
+    """The ledger delays attempts until their intent is on the disk."""
     old, new = [await FakeHost(name).listen() for name in "ab"]
     rig = Rig(old)
     caller = await rig.caller()
-    send, kept = rig.cluster.send, []
+    send, delayed = rig.cluster.send, []
     rig.cluster.send = lambda attempt: (
-        kept.append(attempt) if attempt.endpoint_id == b"a" else send(attempt)
+        delayed.append(attempt) if attempt.endpoint_id == b"a" else send(attempt)
     )
     caller.call("bill")
-    await until(lambda: kept)
+    await until(lambda: delayed)
     rig.told(old.line("DRAINING"), new.line())
-    send(kept[0])
+    send(delayed[0])
     assert await caller.replied() == [b"ok"]
     assert (len(old.commands), len(new.commands)) == (0, 1)
 
 
 @asyncio_test
-async def test_a_host_that_serves_again_after_it_drained_is_used_again():
+async def test_endpoint_ready_again_after_draining_is_used():
     host = await FakeHost("a").listen()
     rig = Rig(host)
     rig.told(host.line("DRAINING"))
@@ -113,9 +115,9 @@
 
 
 @asyncio_test
-async def test_a_connection_that_comes_up_as_its_time_is_over_carries_its_request():
-    """Cancelled then, the loop closes it without a word: its request waited to its end, its descriptor and its place
-    among those that close were counted for ever, and after 24 of them no connection was opened any more."""
+async def test_connection_up_in_turn_of_connect_timeout_carries_its_request():
+    """If it were cancelled, its request would wait to its deadline, and its descriptor and its entry
+    among the closing ones would be counted for ever; after 24 of them none would be opened any more."""
     host = await FakeHost("a").listen()
     rig = Rig(host, permissions=PERMISSIONS | {"connectTimeout": 50_000})
     pool = rig.cluster.pools[b"a"]
@@ -123,7 +125,7 @@
 
     def slow(connection) -> None:
         connected(connection)
-        time.sleep(0.08)  # its time-out is due before the loop goes on to say that it is up
+        time.sleep(0.08)  # its timeout is due before the loop reports that it is up
 
     pool.connected = slow
     caller = await rig.caller()
@@ -135,8 +137,8 @@
 
 
 @asyncio_test
-async def test_a_connection_whose_time_is_over_as_it_comes_up_carries_nothing():
-    """The time-out runs between the kernel's word and ours: the request goes elsewhere, once."""
+async def test_connection_up_after_connect_timeout_in_same_turn_carries_nothing():
+    """The timeout fires between the kernel's report and ours: the request is retried elsewhere, once."""
     late, good = [await FakeHost(name).listen() for name in "ab"]
     rig = Rig(late, permissions=PERMISSIONS | {"connectTimeout": 50_000})
     real, (here, there) = rig.loop.create_connection, socket.socketpair()
@@ -148,9 +150,7 @@
 
     async def connect(factory, *address, **more):
         if address and address[1] == late.port:
-            there.send(
-                b"x"
-            )  # read in the very turn in which the kernel says that the connection is up
+            there.send(b"x")  # read in the very turn in which the kernel reports the connection
         return await real(factory, *address, **more)
 
     rig.loop.add_reader(here, stand_still)
@@ -173,8 +173,8 @@
 
 
 @asyncio_test
-async def test_a_request_whose_last_byte_has_left_unsaid_may_have_run():
-    """The socket took the last byte, the loop says so in its next turn, and the time is up in between."""
+async def test_request_fully_sent_but_not_reported_yet_counts_as_timed_out():
+    """The socket took the last byte, and the timeout fires before the loop reports it."""
     hosts = [await FakeHost(name).listen() for name in "ab"]
     for host in hosts:
         host.script = lambda command: None
@@ -196,8 +196,8 @@
 @pytest.mark.parametrize("kind", ["read", "bill"])
 @pytest.mark.parametrize("ends", [True, False])
 @asyncio_test
-async def test_the_rest_of_an_answer_that_lies_unread_as_its_time_is_over_counts(kind, ends):
-    """The process stands still for longer than the rest may take; the host has sent it at once, or never."""
+async def test_unread_remainder_of_reply_counts_when_remainder_timeout_fires(kind, ends):
+    """The process stands still for longer than the remainder may take; it was sent at once, or never."""
     host = await FakeHost("a").listen()
     host.script = lambda command: value(b"ok")[:9]
     rig = Rig(host)
@@ -213,7 +213,7 @@
     host.script = lambda command: value(b"again")
     more = value(b"ok")[9:] if ends else value(b"ok")[9:12]
     assert os.write(host.peer.transport.get_extra_info("socket").fileno(), more) == len(more)
-    time.sleep(REPLY_REMAINDER_TIMEOUT_S + 0.1)  # timers come before what there is to read
+    time.sleep(REPLY_REMAINDER_TIMEOUT_S + 0.1)  # timers fire before reads
     if ends:
         assert await caller.replied() == [b"ok"]
         assert len(host.commands) == 1 and len(host.connections) == 1
@@ -225,12 +225,12 @@
     await until(lambda: not rig.driver.requests and not rig.cluster.closing)
 
 
-# -- after the final answer, and after the client ---------------------------------------------------------------
+# -- after the final reply, and after the client ---------------------------------------------------------------
 
 
-@pytest.mark.parametrize("over", ["answered", "gone", "time"])
+@pytest.mark.parametrize("over", ["answered", "disconnected", "time"])
 @asyncio_test
-async def test_nothing_is_sent_for_a_call_that_is_over_in_the_same_turn(over):
+async def test_nothing_is_sent_for_request_finished_in_same_turn(over):
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     rig = Rig(host)
@@ -240,7 +240,7 @@
     ((number, call),) = rig.driver.requests.items()
     if over == "answered":
         rig.driver._send_final_reply(call, b"-ERR failed\r\n")
-    elif over == "gone":
+    elif over == "disconnected":
         rig.driver._close_request(call)
     else:
         call.deadline_us = 0
@@ -253,10 +253,10 @@
 @pytest.mark.parametrize("cancel", [False, True])
 @pytest.mark.parametrize("leave", ["close", "abort"])
 @asyncio_test
-async def test_what_waits_for_a_connection_is_not_begun_once_its_client_has_left(leave, cancel):
+async def test_attempt_waiting_for_connection_is_not_sent_after_client_disconnect(leave, cancel):
     host = await FakeHost("a").listen()
     rig = Rig(host, **slow_to_open(cancel=cancel))
-    gate = Gate(rig.loop, host)
+    gate = ConnectGate(rig.loop, host)
     caller = await rig.caller()
     for kind in ("read", "put", "bill"):
         caller.call(kind, wait=20_000, number=kind.encode())
@@ -269,8 +269,8 @@
     assert host.commands == [] and not rig.driver.gateway.attempts
 
 
-async def full(rig: Rig, host: FakeHost):
-    """A client with one request held and so many commands behind it that no more is read."""
+async def client_at_pipeline_limit(rig: Rig, host: FakeHost):
+    """A client with one request in flight and so many commands behind it that no more is read."""
     caller = await rig.caller()
     host.script = lambda command: None
     caller.call(wait=20_000, number=b"held")
@@ -287,12 +287,12 @@
 @pytest.mark.parametrize("leave", ["close", "abort", "write_eof"])
 @pytest.mark.parametrize("why", ["many", "closing", "unread answers", "handing over"])
 @asyncio_test
-async def test_a_client_that_leaves_while_it_is_not_read_from_is_noticed(why, leave):
-    """The loop says nothing of a connection that it does not read: what waited was sent on up to its time."""
+async def test_client_disconnect_is_noticed_while_reads_are_paused(why, leave):
+    """The loop does not report the end of a connection that it does not read from."""
     host = await FakeHost("a").listen()
     rig = Rig(host)
     if why == "many":
-        caller, client = await full(rig, host)
+        caller, client = await client_at_pipeline_limit(rig, host)
     else:
         caller = await rig.caller()
         host.script = lambda command: None
@@ -317,11 +317,11 @@
 
 
 @asyncio_test
-async def test_a_client_that_is_not_read_from_and_stays_is_served_to_the_end():
+async def test_client_with_paused_reads_is_served_completely():
     host = await FakeHost("a").listen()
     rig = Rig(host)
-    caller, _ = await full(rig, host)
-    await asyncio.sleep(0.3)  # some looks
+    caller, _ = await client_at_pipeline_limit(rig, host)
+    await asyncio.sleep(0.3)  # some checks
     host.script = lambda command: value(b"ok")
     host.connections[0].transport.write(value(b"first"))
     await caller.replied(MAX_PIPELINED_COMMANDS + 50)
@@ -334,8 +334,8 @@
 
 
 @asyncio_test
-async def test_a_client_that_ends_its_sending_with_answers_unwritten_has_gone():
-    """The loop closes once all is written, and this client reads nothing: that was never."""
+async def test_client_that_ends_sending_with_unwritten_replies_counts_as_disconnected():
+    """The loop closes once all is written, which never happens for a client that reads nothing."""
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     rig = Rig(host)
@@ -356,11 +356,11 @@
     assert not rig.clients.open_request_ids
 
 
-# -- long values --------------------------------------------------------------------------------------------------
+# -- streaming replies ---------------------------------------------------------------------------------
 
 
-async def behind(rig: Rig, hosts: list[FakeHost]):
-    """A client that asked for three values; the first is held, the second has begun, the third has come."""
+async def three_replies(rig: Rig, hosts: list[FakeHost]):
+    """A client with three requests: the first is in flight, the second streams, the third has its reply."""
     peers, caller = {}, await rig.caller()
 
     def script(command, host):
@@ -379,29 +379,27 @@
 
 
 @asyncio_test
-async def test_a_long_value_that_breaks_off_while_it_waits_is_failed_and_the_rest_is_answered():
-    """Its end came before its turn: then nobody closed its connection, and all behind it waited for ever."""
+async def test_streaming_reply_broken_off_before_its_turn_fails_and_later_replies_are_written():
+    """Its end comes before its turn, when no sink is attached that could report it."""
     hosts = [await FakeHost(name).listen() for name in "ab"]
     rig = Rig(*hosts)
-    caller, client, peers = await behind(rig, hosts)
+    caller, client, peers = await three_replies(rig, hosts)
     peers[b"long"].transport.abort()
     await until(lambda: client.slots[1].reply.is_broken)
     peers[b"first"].transport.write(value(b"1"))
     first, long, after = await caller.replied(3)
     assert (first, error(long), after) == (b"1", "ERR failed", b"3")
-    caller.call(number=b"after")  # the connection and the ids are free again
+    caller.call(number=b"after")  # the connection and the ids are usable again
     assert (await caller.replied(4))[3] == b"3"
     assert not rig.clients.open_request_ids
 
 
 @asyncio_test
-async def test_an_answer_just_before_a_long_value_that_breaks_off_is_not_lost_with_it(monkeypatch):
-    monkeypatch.setattr(
-        idle_reaper, "CLOSE_TIMEOUT_S", 60.0
-    )  # the kernel's small windows take their time
+async def test_reply_written_before_broken_streaming_reply_reaches_client(monkeypatch):
+    monkeypatch.setattr(idle_reaper, "CLOSE_TIMEOUT_S", 60.0)  # the kernel's small windows are slow
     hosts = [await FakeHost(name).listen() for name in "ab"]
     rig = Rig(*hosts)
-    caller, client, _ = await behind(rig, hosts)
+    caller, client, _ = await three_replies(rig, hosts)
     first = (
         next(call for call in rig.driver.requests.values() if call.parts[2] == b"first")
         .attempts[0]
@@ -434,31 +432,31 @@
 # -- idle connections -------------------------------------------------------------------------------------------------
 
 
-def writes(caller: Caller, number: bytes, begin: int = 0, end: int | None = None) -> None:
-    """A request, or a part of it, that is in the gateway's kernel when this returns, and that the loop has not read."""
+def send_unread(caller: Caller, number: bytes, begin: int = 0, end: int | None = None) -> None:
+    """Send a request, or a part of it, that lies unread in the kernel when this returns."""
     terms = b"c=read,t=team,d=9000,units=1,spread=2,first=0"
     command = hiredis.pack_command((b"CALL.GET", b"0" * 15 + b"7", number, terms))[begin:end]
     assert os.write(caller.transport.get_extra_info("socket").fileno(), command) == len(command)
 
 
-async def idle(rig: Rig, count: int) -> list[Caller]:
-    """Connections that have asked and rest, in this order."""
+async def idle_clients(rig: Rig, count: int) -> list[Caller]:
+    """Connections that have sent a command and are idle, in this order."""
     callers = []
-    for place in range(count):
+    for index in range(count):
         callers.append(await rig.caller())
         callers[-1].ask(b"PING")
         await callers[-1].replied()
-        await until(lambda: len(rig.clients.reaper.idle) == place + 1)  # noqa: B023
+        await until(lambda: len(rig.clients.reaper.idle) == index + 1)  # noqa: B023
     return callers
 
 
 @asyncio_test
-async def test_a_request_on_a_resting_connection_that_is_to_be_swept_is_served():
+async def test_unread_request_on_overdue_idle_connection_is_served():
     rig = Rig(await FakeHost("a").listen())
-    asks, rests = await idle(rig, 2)
+    asks, rests = await idle_clients(rig, 2)
     for client in rig.clients.reaper.idle:
         rig.clients.reaper.idle[client] -= 100
-    writes(asks, b"id1")
+    send_unread(asks, b"id1")
     rig.clients.reaper._sweep()  # in the same turn
     assert (await asks.replied(2))[1] == b"ok"
     await until(lambda: rests.closed)
@@ -467,59 +465,61 @@
 
 @pytest.mark.parametrize("begun", [0, 30])
 @asyncio_test
-async def test_a_command_whose_rest_lies_unread_as_its_time_is_over_is_served(begun):
-    """The process stood still: by the clock it is late, and it came in time."""
+async def test_unread_remainder_of_command_is_served_after_command_timeout(begun):
+    """The process stood still: by the clock the command is late, but it arrived in time."""
     rig = Rig(await FakeHost("a").listen())
     caller = await rig.caller()
     await until(lambda: rig.clients.connections)
     (client,) = rig.clients.connections
     if begun:
-        writes(caller, b"id1", end=begun)
+        send_unread(caller, b"id1", end=begun)
         await until(lambda: len(client.reader))
     rig.clients.reaper.awaiting_command[client] -= 100
-    writes(caller, b"id1", begin=begun)
+    send_unread(caller, b"id1", begin=begun)
     rig.clients.reaper._sweep()  # in the same turn
     assert await caller.replied() == [b"ok"]
     assert not caller.closed
 
 
 @asyncio_test
-async def test_a_request_that_comes_as_the_last_descriptor_is_wanted_is_served():
-    """The one that is idle longest makes room, but for one that has just asked; one that has gone does."""
+async def test_unread_request_on_eviction_candidate_is_served():
+    """The longest idle connection is evicted, but not one that has just sent a request."""
     rig = Rig(await FakeHost("a").listen(), sockets=4)
-    asks, rests, *others = await idle(rig, 4)
-    writes(asks, b"id1")
+    asks, rests, *others = await idle_clients(rig, 4)
+    send_unread(asks, b"id1")
     assert rig.clients.ensure_capacity()
     assert (await asks.replied(2))[1] == b"ok"
     await until(lambda: rests.closed)
     assert not any(caller.closed for caller in (asks, *others))
-    newcomer = await rig.caller()
+    new_client = await rig.caller()
     await until(lambda: len(rig.clients.connections) == 4)
-    writes(newcomer, b"id2")
+    send_unread(new_client, b"id2")
     oldest = next(iter(rig.clients.reaper.idle))
     assert (
         rig.clients.ensure_capacity() and oldest not in rig.clients.connections
-    )  # not the new one, whose command lies unread
-    assert await newcomer.replied() == [b"ok"]
+    )  # not the new connection, whose command lies unread
+    assert await new_client.replied() == [b"ok"]
 
 
 @asyncio_test
-async def test_one_that_has_gone_makes_room_though_its_end_lies_unread():
+async def test_disconnected_client_with_unread_end_is_evicted():
     rig = Rig(await FakeHost("a").listen(), sockets=2)
-    gone, rests = await idle(rig, 2)
-    with socket.socket(fileno=os.dup(gone.transport.get_extra_info("socket").fileno())) as sock:
+    disconnected, rests = await idle_clients(rig, 2)
+    with socket.socket(
+        fileno=os.dup(disconnected.transport.get_extra_info("socket").fileno())
+    ) as sock:
         sock.shutdown(socket.SHUT_WR)
     oldest = next(iter(rig.clients.reaper.idle))
     assert rig.clients.ensure_capacity() and oldest not in rig.clients.connections
-    await until(lambda: gone.closed)
+    await until(lambda: disconnected.closed)
     assert not rests.closed
 
 
-# -- the end, and the beginning -----------------------------------------------------------------------------------
+# -- shutdown and start -----------------------------------------------------------------------------------
 
 
 @asyncio_test
-async def test_what_lies_in_the_kernels_queue_when_the_listener_closes_is_served():
+async def test_connections_in_kernel_queue_are_served_when_listener_closes():
     rig = Rig(await FakeHost("a").listen())
     await rig.listen()
     callers = []
@@ -536,7 +536,7 @@
 
 
 @asyncio_test
-async def test_a_request_that_lies_unread_as_its_idle_connection_would_be_closed_is_served():
+async def test_unread_request_on_draining_idle_connection_is_served():
     rig = Rig(await FakeHost("a").listen())
     caller = await rig.caller()
     caller.ask(b"PING")
@@ -550,8 +550,8 @@
 
 
 @asyncio_test
-async def test_a_client_that_goes_on_asking_and_a_host_that_hangs_do_not_outlast_the_end(tmp_path):
-    """SIGKILL comes 3.7 s after SIGTERM: by then all is answered, and the process has ended by itself."""
+async def test_process_ends_in_time_with_busy_client_and_hanging_endpoint(tmp_path):
+    """SIGKILL comes 3.7 s after SIGTERM: by then all is answered, and the process has exited."""
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     process, connect, _ = await started(host, tmp_path)
@@ -559,7 +559,7 @@
     caller.call("bill", wait=60_000, number=b"held")
     await until(lambda: host.commands)
     process.send_signal(signal.SIGTERM)
-    process.send_signal(signal.SIGHUP)  # it reads the file again meanwhile
+    process.send_signal(signal.SIGHUP)  # it reloads meanwhile
     process.send_signal(signal.SIGTERM)
     sent = 0
     while not caller.closed and sent < 2_000:
@@ -569,13 +569,13 @@
     assert await asyncio.wait_for(process.wait(), 10) == 0
     assert len(caller.replies) <= 1 + sent
     assert error(caller.replies[0]) == "ERR failed"
-    said = [error(reply) for reply in caller.replies]
-    assert said.count("BUSY") > 50 and set(said) <= {"BUSY", "ERR failed"}
-    assert said[-1] == "BUSY"  # what came late was not taken to be held
+    replies = [error(reply) for reply in caller.replies]
+    assert replies.count("BUSY") > 50 and set(replies) <= {"BUSY", "ERR failed"}
+    assert replies[-1] == "BUSY"  # late requests were rejected at once
 
 
 def being_read(pipe) -> bool:
-    """Whether somebody has it open for reading."""
+    """Whether a process has the pipe open for reading."""
     try:
         os.close(os.open(pipe, os.O_WRONLY | os.O_NONBLOCK))
     except OSError:
@@ -584,22 +584,22 @@
 
 
 @asyncio_test
-async def test_a_hang_up_between_reading_the_file_and_watching_discovery_is_carried_out(tmp_path):
-    """The file is a pipe here: the program has read it, and goes on only to where it hears signals."""
+async def test_sighup_between_reading_file_and_starting_discovery_is_carried_out(tmp_path):
+    """The file is a pipe: the program has read it and has no signal handlers yet."""
     host = await FakeHost("a").listen()
     file, port = configured(tmp_path)
     text = json.loads(file.read_text())
     file.unlink()
     os.mkfifo(file)
-    asked = []
+    polls = []
 
     class Agent(asyncio.Protocol):
         def data_received(self, data: bytes) -> None:
-            asked.append(data)
+            polls.append(data)
 
     loop = asyncio.get_running_loop()
     server = await loop.create_server(Agent, "127.0.0.1", 0)
-    # So many that the program is still taking them in when the signal comes.
+    # So many that the program is still processing them when the signal arrives.
     known = {"seq": 1, "whole": True, "hosts": [host.line(host=f"s{n}") for n in range(20_000)]}
     process = await asyncio.create_subprocess_exec(
         *(sys.executable, "-m", "saffrongw"),
@@ -610,15 +610,15 @@
     await until(lambda: not being_read(file))
     process.send_signal(signal.SIGHUP)
     there = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-    again = asyncio.create_task(
+    rewrite = asyncio.create_task(
         asyncio.to_thread(file.write_text, json.dumps(text | {"known": known, "discovery": there}))
     )
     try:
-        await until(lambda: asked)
+        await until(lambda: polls)
     finally:
-        if not again.done():  # nobody reads it a second time
+        if not rewrite.done():  # the program does not read it a second time
             os.close(os.open(file, os.O_RDONLY | os.O_NONBLOCK))
         process.terminate()
         await process.wait()
-        await again
+        await rewrite
     assert port
--- a/tests/gateway/test_event_interleavings_over_sockets.py
+++ b/tests/gateway/test_event_interleavings_over_sockets.py
@@ -1,4 +1,4 @@
-"""Repeated attempts over sockets: every order of two and three things that may happen to an attempt, in one turn."""
+"""Retries over sockets: every order of two and three events of an attempt, in one turn of the loop."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from saffrongw.gateway.request_types import UpstreamAttempt
 from saffrongw.gateway.upstream.connection import UpstreamConnection
 
-# What its host says, what becomes of its connection, of the list, of the client, of its time.
+# What its endpoint replies, and what happens to its connection, the endpoint list, the client, its deadline.
 EVENTS = ("served", "error", "full", "reset", "half", "drains", "gone", "client left", "time is up")
 # After these an attempt may have run.
 MAY_HAVE_RUN = {"served", "error", "reset", "half", "time is up"}
@@ -22,10 +22,10 @@
 }
 
 
-class Walk:
-    """One request, held by the first host that it was sent to; what is sent again is answered at once."""
+class AttemptRun:
+    """One request in flight at the first endpoint; a retry of it is answered at once."""
 
-    async def begin(self, kind: str) -> Walk:
+    async def begin(self, kind: str) -> AttemptRun:
         self.kind = kind
         self.hosts = [await FakeHost(name).listen() for name in "ab"]
         for host in self.hosts:
@@ -51,8 +51,8 @@
     def sent(self) -> int:
         return sum(len(host.commands) for host in self.hosts)
 
-    def happens(self, event: str) -> None:
-        """As the loop would call it; a connection that we have closed says nothing more."""
+    def cause(self, event: str) -> None:
+        """Cause an event as the loop would; a connection that we have closed reports nothing more."""
         if event == "client left":
             self.left = True
             self.client.transport.abort()
@@ -70,73 +70,77 @@
                 self.connection.transport.abort()
                 self.connection.connection_lost(ConnectionResetError())
             else:
-                self.connection.data_received(self.rest() if event == "served" else WORDS[event])
+                self.connection.data_received(
+                    self.remainder() if event == "served" else WORDS[event]
+                )
 
-    def rest(self) -> bytes:
-        """A whole answer, or what is missing of the one that has begun."""
+    def remainder(self) -> bytes:
+        """A complete reply, or the remainder of the one that has begun."""
         return WORDS["served"][len(WORDS["half"]) if self.connection.remainder_timer else 0 :]
 
-    async def ends(self) -> None:
-        """What is still out is answered by its host; then nothing is left of it anywhere."""
+    async def finish(self) -> None:
+        """Have the endpoint answer what is in flight; then no state is left anywhere."""
         if not self.first.is_ended:
-            self.connection.data_received(self.rest())
+            self.connection.data_received(self.remainder())
         await until(lambda: not self.rig.driver.requests and not self.rig.driver.gateway.attempts)
         await until(lambda: not self.rig.cluster.closing and not self.rig.clients.open_request_ids)
         if not self.left:
-            self.caller.ask(b"PING")  # behind all that is answered
+            self.caller.ask(b"PING")  # after all that is answered
         await until(lambda: self.caller.closed if self.left else b"PONG" in self.caller.replies)
 
 
-def judged(walk: Walk, order: tuple[str, ...]) -> None:
-    """The rules, by what hosts and the client saw."""
-    if walk.left:
-        assert len(walk.caller.replies) <= 1
+def check_rules(run: AttemptRun, order: tuple[str, ...]) -> None:
+    """Check the rules by what endpoints and the client saw."""
+    if run.left:
+        assert len(run.caller.replies) <= 1
     else:
-        assert len(walk.caller.replies) == 2  # one final answer
-    # What ended the first attempt; its host's late answer, if nothing here did.
+        assert len(run.caller.replies) == 2  # one final reply
+    # What ended the first attempt; its endpoint's late reply, if no event did.
     ended = next((event for event in order if event not in ("drains", "gone", "half")), "served")
     if ended in ("served", "client left", "time is up"):
-        assert walk.sent == 1  # the final answer is given, or owed to nobody
-    spoilt = (
+        assert run.sent == 1  # the final reply is given, or not due any more
+    is_malformed = (
         "half" in order[: order.index(ended)] if ended in order else False
-    )  # behind it nothing else makes sense
-    if (ended in MAY_HAVE_RUN or spoilt) and walk.kind == "bill":
-        assert walk.sent == 1  # never a second run
+    )  # what follows it is malformed
+    if (ended in MAY_HAVE_RUN or is_malformed) and run.kind == "bill":
+        assert run.sent == 1  # never executed twice
     if order[0] in ("drains", "gone"):
-        assert len(walk.host.commands) == 1  # nothing new there
-    assert walk.sent <= 2
+        assert len(run.host.commands) == 1  # no retry there
+    assert run.sent <= 2
 
 
-async def walked(kind: str, first: str | None = None) -> int:
-    """All of them, or those that begin so; how many were sent again."""
-    again = 0
+async def check_orders(kind: str, first: str | None = None) -> int:
+    """Check all orders, or those that start with this event; return how many had a retry."""
+    retries = 0
     for order in (*permutations(EVENTS, 2), *permutations(EVENTS, 3)):
         if first not in (None, order[0]):
             continue
-        walk = await Walk().begin(kind)
+        run = await AttemptRun().begin(kind)
         for event in order:
-            walk.happens(event)
-        await walk.ends()
+            run.cause(event)
+        await run.finish()
         try:
-            judged(walk, order)
+            check_rules(run, order)
         except AssertionError as wrong:
             raise AssertionError(f"{kind}: {' then '.join(order)}") from wrong
-        again += walk.sent == 2
-        walk.caller.transport.abort()
-        for host in walk.hosts:
+        retries += run.sent == 2
+        run.caller.transport.abort()
+        for host in run.hosts:
             host.server.close()
-    return again
+    return retries
 
 
 @pytest.mark.parametrize("kind", ["read", "put", "bill"])
 @asyncio_test
-async def test_every_order_of_two_and_three_events_keeps_the_rules(kind):
-    assert await walked(kind) > 0  # some are sent again: what is certain not to have run, at least
+async def test_every_order_of_two_and_three_events_follows_rules(kind):
+    assert (
+        await check_orders(kind) > 0
+    )  # some are retried: at least what is certain not to have run
 
 
 @asyncio_test
-async def test_a_second_run_is_seen(monkeypatch):
-    """The planted fault: nobody notes that a request's last byte has left."""
+async def test_planted_second_execution_is_detected(monkeypatch):
+    """The planted fault: it is not noted that a request was fully sent."""
     start = UpstreamConnection.start
 
     def forgets(self, attempt, now):
@@ -145,4 +149,4 @@
 
     monkeypatch.setattr(UpstreamConnection, "start", forgets)
     with pytest.raises(AssertionError, match="bill: reset then "):
-        await walked("bill", first="reset")
+        await check_orders("bill", first="reset")
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -1,4 +1,4 @@
-"""Clients and hosts over loopback sockets: one answer each, in order, and what may go out again."""
+"""Clients and endpoints over loopback sockets: one reply each, in order, and what may be retried."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 @asyncio_test
-async def test_a_host_gets_the_command_unchanged_but_for_the_time_left():
+async def test_endpoint_gets_command_unchanged_but_for_remaining_timeout():
     host = await FakeHost("a").listen()
     caller = await Rig(host).caller()
     caller.call("put", wait=1500, number=b"id9", more=",r=1")
@@ -38,7 +38,7 @@
 
 
 @asyncio_test
-async def test_pipelined_commands_are_answered_in_their_order():
+async def test_pipelined_commands_are_answered_in_order():
     slow = []
     host = await FakeHost("a").listen()
     host.script = lambda command: slow.append(command) if command[2] == b"first" else value(b"2")
@@ -54,7 +54,7 @@
 
 
 @asyncio_test
-async def test_attempts_do_not_share_a_connection_and_idle_ones_are_used_again():
+async def test_concurrent_attempts_use_separate_connections_and_idle_ones_are_reused():
     host = await FakeHost("a").listen()
     rig = Rig(host)
     caller = await rig.caller()
@@ -73,7 +73,7 @@
 
 
 @asyncio_test
-async def test_an_unsafe_request_that_was_reset_after_it_was_sent_fails_and_goes_nowhere_else():
+async def test_non_idempotent_request_reset_after_sending_fails_without_retry():
     hosts = [await FakeHost(name).listen() for name in "ab"]
     for host in hosts:
         host.script = lambda command: b"reset"
@@ -84,7 +84,7 @@
 
 
 @asyncio_test
-async def test_an_unsafe_request_goes_again_where_it_was_turned_away_or_not_connected():
+async def test_non_idempotent_request_is_retried_after_rejection_or_failed_connect():
     busy, closed, good = [await FakeHost(name).listen() for name in ("a", "b", "c")]
     closed.server.close()
     busy.script = lambda command: b"-BUSY\r\n"
@@ -95,7 +95,7 @@
 
 
 @asyncio_test
-async def test_a_safe_request_goes_again_after_an_error():
+async def test_idempotent_request_is_retried_after_error():
     hosts = [await FakeHost(name).listen() for name in "ab"]
     replies = [b"-ERR failed util=0.5\r\n", value(b"ok")]
     for host in hosts:
@@ -106,20 +106,20 @@
 
 
 @asyncio_test
-async def test_an_answer_that_never_comes_is_ended_before_the_client_gives_up():
+async def test_attempt_without_reply_fails_before_client_timeout():
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     rig = Rig(host)
     caller = await rig.caller()
     caller.call("bill", wait=200)
     assert error((await caller.replied())[0]).startswith("ERR")
-    await until(lambda: not host.connections)  # the attempt is given up
+    await until(lambda: not host.connections)  # the attempt is cancelled
     assert rig.driver.requests == rig.driver.gateway.requests == rig.driver.gateway.attempts == {}
 
 
 @asyncio_test
-async def test_a_request_that_is_not_written_whole_has_not_run():
-    """A host that reads nothing: the last byte stays here, so that even an unsafe request is refused."""
+async def test_request_not_fully_sent_counts_as_connect_failed():
+    """An endpoint that reads nothing never gets the last byte, so even a non-idempotent request is rejected."""
     listener = socket.create_server(("127.0.0.1", 0))
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     host = FakeHost("a")
@@ -147,8 +147,8 @@
 
 
 @asyncio_test
-async def test_a_connection_answered_before_its_request_was_out_is_not_used_again():
-    """What is left of that request would be taken for the start of the next one."""
+async def test_connection_with_reply_before_end_of_request_is_not_reused():
+    """The rest of that request would be taken for the start of the next one."""
     listener = socket.create_server(("127.0.0.1", 0))
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     listener.setblocking(False)
@@ -175,7 +175,7 @@
 
 
 @asyncio_test
-async def test_a_client_that_closes_is_gone_and_its_attempt_is_given_up():
+async def test_client_disconnect_cancels_its_attempt():
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     rig = Rig(host)
@@ -188,8 +188,8 @@
 
 
 @asyncio_test
-async def test_an_attempt_that_nobody_waits_for_any_more_ends_with_the_requests_time():
-    """Where nothing may be called off, a silent host would else keep the connection for good."""
+async def test_attempt_of_disconnected_client_ends_at_request_deadline_where_cancel_is_forbidden():
+    """A silent endpoint must not hold the connection for good."""
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     rig = Rig(host, permissions=SITE["permissions"] | {"cancel": False})
@@ -274,8 +274,8 @@
     ],
 )
 @asyncio_test
-async def test_what_is_malformed_ends_its_connection_and_reaches_no_host(words):
-    """One bad command is answered and closes: what stands behind it may be anything."""
+async def test_malformed_command_closes_its_connection_and_reaches_no_endpoint(words):
+    """A malformed command is answered, and what follows it is not parsed."""
     host = await FakeHost("a").listen()
     caller = await Rig(host).caller()
     caller.ask(*words)
@@ -305,8 +305,8 @@
     ],
 )
 @asyncio_test
-async def test_where_framing_is_lost_the_connection_is_closed(junk):
-    """What hiredis would wait for, or allocate: 60 MB, a thousand million parts."""
+async def test_lost_framing_closes_connection(junk):
+    """What hiredis would wait for or allocate: 60 MB, a thousand million parts."""
     caller = await Rig(await FakeHost("a").listen()).caller()
     caller.transport.write(junk)
     assert error((await caller.replied())[0]).startswith("ERR")
@@ -314,7 +314,7 @@
 
 
 @asyncio_test
-async def test_nothing_new_goes_to_a_host_that_drains_and_what_it_holds_is_finished():
+async def test_draining_endpoint_gets_no_new_requests_and_finishes_those_in_flight():
     old, new = [await FakeHost(name).listen() for name in "ab"]
     old.script = lambda command: None
     rig = Rig(old)
@@ -333,7 +333,7 @@
 
 
 @asyncio_test
-async def test_idle_connections_are_closed_well_before_the_hosts_limit():
+async def test_idle_upstream_connections_close_before_endpoint_idle_limit():
     host = await FakeHost("a").listen()
     rig = Rig(host, permissions=SITE["permissions"] | {"idleClose": 200_000})
     caller = await rig.caller()
@@ -343,7 +343,7 @@
 
 
 @asyncio_test
-async def test_connections_stay_within_the_limit_on_descriptors():
+async def test_upstream_connections_stay_within_descriptor_limit():
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     rig = Rig(host, sockets=4)
@@ -356,7 +356,7 @@
 
 
 @asyncio_test
-async def test_a_fault_of_the_decisions_fails_one_request_and_no_more():
+async def test_policy_fault_fails_only_its_request():
     host = await FakeHost("a").listen()
     rig = Rig(host)
     caller = await rig.caller()
@@ -371,7 +371,7 @@
 
 
 @asyncio_test
-async def test_a_request_that_the_decisions_forget_is_failed_in_time():
+async def test_request_left_unanswered_by_policy_fails_at_deadline():
     rig = Rig(await FakeHost("a").listen())
     caller = await rig.caller()
     rig.driver.gateway._advance = lambda request: None
@@ -380,8 +380,8 @@
 
 
 @asyncio_test
-async def test_sighup_reads_the_file_again_and_keeps_what_is_open(tmp_path):
-    """Without a handler the signal ends the program; a wrong file must leave all as it was."""
+async def test_sighup_reloads_file_without_closing_connections(tmp_path):
+    """Without a handler the signal ends the program; an invalid file must change nothing."""
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     process, connect, file = await started(host, tmp_path)
@@ -389,11 +389,11 @@
     caller.call(wait=10_000)
     await until(lambda: host.commands)
     text = json.loads(file.read_text())
-    asked = []
+    polls = []
 
     class Agent(asyncio.Protocol):
         def data_received(self, data: bytes) -> None:
-            asked.append(data)
+            polls.append(data)
 
     server = await asyncio.get_running_loop().create_server(Agent, "127.0.0.1", 0)
     for wrong in (
@@ -410,7 +410,7 @@
         json.dumps(text | {"discovery": f"127.0.0.1:{server.sockets[0].getsockname()[1]}"})
     )
     process.send_signal(signal.SIGHUP)
-    await until(lambda: asked)
+    await until(lambda: polls)
     host.connections[0].transport.write(value(b"ok"))
     assert (await caller.replied(5)) == [b"ok"] + [b"PONG"] * 4
     process.send_signal(signal.SIGTERM)
@@ -418,17 +418,19 @@
 
 
 @asyncio_test
-async def test_sigterm_finishes_what_is_held_and_serves_new_connections_for_a_while(tmp_path):
+async def test_sigterm_finishes_requests_in_flight_and_serves_new_connections_for_a_while(tmp_path):
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     process, connect, _ = await started(host, tmp_path)
     holder, idle, stuck = await connect(), await connect(), await connect()
     idle.ask(b"PING")
     await idle.replied()
-    stuck.transport.write(b"*1\r\n$4\r\nPI")  # a command without its end must not hold up the exit
+    stuck.transport.write(b"*1\r\n$4\r\nPI")  # an incomplete command must not hold up the exit
     holder.call(wait=10_000, number=b"held")
     await until(lambda: host.commands)
-    fresh = await connect()  # up and about to send: closed now, its request would be reset
+    fresh = (
+        await connect()
+    )  # connected and about to send: if closed now, its request would be reset
     process.send_signal(signal.SIGTERM)
     await until(lambda: idle.closed)
     fresh.call(wait=10_000, number=b"fresh")
@@ -443,7 +445,7 @@
 
 
 @asyncio_test
-async def test_a_refusal_tells_when_to_come_back_in_whole_milliseconds_and_no_earlier():
+async def test_rejection_rounds_retry_after_up_to_full_milliseconds():
     rig = Rig(await FakeHost("a").listen())
     caller = await rig.caller()
     for wait, line in ((0, "BUSY"), (1_000, "BUSY 1"), (1_001, "BUSY 2")):
@@ -456,21 +458,21 @@
 
 
 @asyncio_test
-async def test_a_fault_of_the_decisions_does_not_stop_the_gossip():
+async def test_policy_fault_does_not_stop_gossip():
     rig = Rig(await FakeHost("a").listen())
-    turns = []
+    gossip_times = []
 
     def turn():
-        turns.append(rig.loop.time())
+        gossip_times.append(rig.loop.time())
         rig.driver.gateway.actions.append(SetTimer(1_000, 0))
         raise RuntimeError("made up")
 
     rig.driver.gateway._turn = turn
-    await until(lambda: len(turns) >= 3)
+    await until(lambda: len(gossip_times) >= 3)
 
 
 @asyncio_test
-async def test_a_client_that_reads_no_answers_is_not_read_from():
+async def test_client_that_reads_no_replies_is_not_read_from():
     rig = Rig(await FakeHost("a").listen())
     caller = await rig.caller()
     caller.transport.pause_reading()
@@ -492,8 +494,8 @@
 
 @pytest.mark.parametrize("sent", [b"", b"*1\r\n$4\r\nPI"])
 @asyncio_test
-async def test_silence_and_half_a_command_are_ended_in_time(sent):
-    """Else connections that say nothing fill the descriptors for good."""
+async def test_silent_client_and_incomplete_command_are_closed_after_timeout(sent):
+    """Silent connections must not use up the descriptors."""
     rig = Rig(await FakeHost("a").listen())
     caller = await rig.caller()
     caller.transport.write(sent)
@@ -509,30 +511,30 @@
 
 
 @asyncio_test
-async def test_silent_connections_make_room_for_those_that_ask():
+async def test_silent_connections_are_evicted_for_those_with_commands():
     host = await FakeHost("a").listen()
     rig = Rig(host, sockets=8)
-    kept = await rig.caller()
-    kept.call()
-    await kept.replied()
+    active = await rig.caller()
+    active.call()
+    await active.replied()
     silent = [await rig.caller() for _ in range(40)]
     await until(lambda: sum(caller.closed for caller in silent) >= 30)
     assert len(rig.clients.connections) <= 8
     late = await rig.caller()
     late.call(number=b"late")
     assert await late.replied() == [b"ok"]
-    kept.call(number=b"again")  # one that has asked stays before those that never did
-    assert (await kept.replied(2))[1] == b"ok"
+    active.call(number=b"again")  # a client that sent a command stays longer than silent ones
+    assert (await active.replied(2))[1] == b"ok"
 
 
 @asyncio_test
-async def test_connections_that_all_have_requests_stay_and_more_are_closed():
+async def test_connections_with_requests_are_not_evicted_and_further_ones_are_closed():
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     rig = Rig(host, sockets=4)
     callers = [await rig.caller() for _ in range(4)]
-    for place, caller in enumerate(callers):
-        caller.call(number=b"%d" % place, wait=10_000)
+    for index, caller in enumerate(callers):
+        caller.call(number=b"%d" % index, wait=10_000)
     await until(lambda: len(host.commands) == 4)
     late = await rig.caller()
     await until(lambda: late.closed)
@@ -543,8 +545,8 @@
 
 
 @asyncio_test
-async def test_the_longest_idle_connection_makes_room_first():
-    """By last use, not by age: the oldest may be the busiest."""
+async def test_longest_idle_connection_is_evicted_first():
+    """The order is by last use, not by age: the oldest may be the busiest."""
     rig = Rig(await FakeHost("a").listen(), sockets=3)
     callers = [await rig.caller() for _ in range(3)]
     for caller in (*callers, callers[0]):
@@ -557,7 +559,7 @@
 
 
 @asyncio_test
-async def test_the_id_of_an_open_request_is_refused_and_free_again_once_it_is_answered():
+async def test_id_of_open_request_is_an_error_until_it_is_answered():
     host = await FakeHost("a").listen()
     host.script = lambda command: None
     rig = Rig(host)
@@ -574,23 +576,23 @@
 
 
 @asyncio_test
-async def test_many_commands_at_once_wait_unread_and_are_all_answered():
-    """No more than MAX_PIPELINED_COMMANDS are taken at a time, and none is forgotten."""
+async def test_commands_over_pipeline_limit_stay_unread_and_are_all_answered():
+    """No more than MAX_PIPELINED_COMMANDS are read at a time, and none is lost."""
     host = await FakeHost("a").listen()
     rig = Rig(host)
-    most = []
-    host.script = lambda command: (most.append(len(rig.driver.requests)), value(command[2]))[1]
+    in_flight = []
+    host.script = lambda command: (in_flight.append(len(rig.driver.requests)), value(command[2]))[1]
     caller = await rig.caller()
     for number in range(48):
         caller.call(number=b"%d" % number)
     assert await caller.replied(48) == [b"%d" % number for number in range(48)]
-    assert max(most) <= MAX_PIPELINED_COMMANDS
+    assert max(in_flight) <= MAX_PIPELINED_COMMANDS
     caller.ask(b"PING")
     assert (await caller.replied(49))[48] == b"PONG"
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [
         b"*3\r\n$-7\r\n$-1\r\n$-1\r\n",
         b"*3\r\n*3\r\n*3\r\n",
@@ -613,10 +615,10 @@
     ],
 )
 @asyncio_test
-async def test_a_spoilt_answer_fails_the_attempt_which_may_have_run(spoilt):
-    """Never served, never taken for a refusal, never waited for: an unsafe request fails at once."""
+async def test_malformed_reply_fails_attempt_that_may_have_run(malformed):
+    """It is never served, never taken for a rejection, never waited for: the request fails at once."""
     host = await FakeHost("a").listen()
-    host.script = lambda command: spoilt
+    host.script = lambda command: malformed
     rig = Rig(host)
     caller = await rig.caller()
     caller.call("bill", wait=60_000)
@@ -626,7 +628,7 @@
 
 
 @asyncio_test
-async def test_more_than_one_answer_is_served_once_and_ends_its_connection():
+async def test_duplicate_reply_is_served_once_and_closes_connection():
     host = await FakeHost("a").listen()
     host.script = lambda command: value(b"good") + value(b"good")
     rig = Rig(host)
@@ -637,8 +639,8 @@
 
 
 @asyncio_test
-async def test_a_late_second_copy_is_not_the_answer_of_the_next_request():
-    """A connection that has just answered is not used at once, nor one on which something has come."""
+async def test_late_duplicate_reply_is_not_taken_for_next_request():
+    """A connection rests after a reply, and is not used again once unexpected data arrived."""
     host = await FakeHost("a").listen()
     rig = Rig(host)
     caller = await rig.caller()
@@ -652,8 +654,8 @@
 
 
 @asyncio_test
-async def test_a_connection_on_which_something_has_come_is_not_used_again():
-    """The loop may not have shown it yet: the socket itself is asked."""
+async def test_idle_connection_with_unread_data_is_not_reused():
+    """The loop may not have reported it yet, so the socket itself is polled."""
     host = await FakeHost("a").listen()
     rig = Rig(host)
     caller = await rig.caller()
@@ -667,12 +669,12 @@
     attempt = UpstreamAttempt(
         ClientRequest(None, (b"CALL.GET", b"0", b"x", b"d=", b""), 0, print), 0, b"a", 0, 10**18
     )
-    pool.send(attempt)  # the loop has had no turn since the copy was written
+    pool.send(attempt)  # the loop had no turn since the duplicate was written
     assert attempt.carrier is pool and connection not in pool.idle
 
 
 @asyncio_test
-async def test_a_report_that_makes_no_sense_is_left_out_and_its_answer_is_served():
+async def test_malformed_load_report_is_ignored_and_reply_is_served():
     host = await FakeHost("a").listen()
     for report in (
         b"util=nan,latency_ms=9",
@@ -686,7 +688,7 @@
         assert await caller.replied() == [b"ok"]
     names = (b"util", b"latency_ms")
     assert parse_report(b"latency_ms=9.5,util=0.1,more=1", names) == (0.1, 9.5)
-    for odd in (
+    for malformed in (
         None,
         b"",
         b"util=inf,latency_ms=1",
@@ -694,12 +696,12 @@
         b"util=1,latency_ms= 2",
         b"util=1e9,latency_ms=2",
     ):
-        assert parse_report(odd, names) == ()
+        assert parse_report(malformed, names) == ()
 
 
 @asyncio_test
-async def test_connections_of_an_old_life_are_not_used_for_the_new_one():
-    """A host restarted under its id must not get what was meant for the one before it."""
+async def test_connections_of_old_incarnation_are_not_used_for_new_one():
+    """An endpoint restarted under its id must not get what was meant for the one before it."""
     host = await FakeHost("a").listen()
     rig = Rig(host)
     caller = await rig.caller()
@@ -712,7 +714,7 @@
 
 
 @asyncio_test
-async def test_what_waits_for_a_connection_to_a_host_that_is_gone_goes_elsewhere():
+async def test_attempt_waiting_for_connection_to_removed_endpoint_is_retried_elsewhere():
     old, new = [await FakeHost(name).listen() for name in "ab"]
     rig = Rig(old)
     rig.cluster.pools[b"a"]._open = lambda: asyncio.sleep(30)  # one that never comes up
@@ -724,11 +726,11 @@
     assert [len(host.commands) for host in (old, new)] == [0, 1]
 
 
-def test_the_log_is_bounded_and_tells_how_much_was_left_out():
+def test_log_is_rate_limited_and_counts_omitted_lines():
     bounded = RateLimitedLogFilter()
     lines = [
-        logging.makeLogRecord({"msg": "odd", "created": 100.0 + place / 1000})
-        for place in range(200)
+        logging.makeLogRecord({"msg": "odd", "created": 100.0 + index / 1000})
+        for index in range(200)
     ]
     assert sum(bounded.filter(line) for line in lines) == LOG_MOST
     later = logging.makeLogRecord({"msg": "odd", "created": 200.0})
@@ -737,8 +739,8 @@
 
 
 @asyncio_test
-async def test_where_many_are_idle_the_longest_idle_are_closed():
-    """Clients hold only so many connections: kept for good after one request, they leave none for others."""
+async def test_longest_idle_connections_close_where_many_are_idle():
+    """Clients hold only so many connections; kept after one request, they would leave none for others."""
     rig = Rig(await FakeHost("a").listen(), sockets=16)
     callers = [await rig.caller() for _ in range(10)]
     for caller in callers:
--- a/tests/gateway/test_request_filters.py
+++ b/tests/gateway/test_request_filters.py
@@ -1,4 +1,4 @@
-"""Stages and observers on sockets: one final answer whatever a stage does, and nothing taken before the first send."""
+"""Filters and observers over sockets: one final reply, and no quota spent before an attempt."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 TERMS = RequestTerms(7, 0, 0, 2_000_000, 1.0, 2, 0, False)
 
 
-class Scripted:
-    """A stage that does what its script says, and keeps what it was told."""
+class ScriptedFilter:
+    """A filter that does what its script says, and records its calls."""
 
     name, fallback = "scripted", Abort()
 
@@ -39,44 +39,44 @@
         self.ended.append((request.number, ending))
 
 
-class Keeper(Observer):
-    """An observer that keeps what it is told."""
+class RecordingObserver(Observer):
+    """An observer that records its notifications."""
 
     def __init__(self) -> None:
-        self.told = []
+        self.events = []
 
     def event_received(self, now_us, event):
-        self.told.append(event.topic)
+        self.events.append(event.topic)
 
     def actions_decided(self, now_us, event, actions):
-        self.told += [type(action).__name__ for action in actions]
+        self.events += [type(action).__name__ for action in actions]
 
     def attempt_started(self, attempt):
-        self.told.append("began")
+        self.events.append("began")
 
     def attempt_ended(self, attempt, outcome):
-        self.told.append(outcome.value)
+        self.events.append(outcome.value)
 
     def answered(self, request, reply):
-        self.told.append(reply)
+        self.events.append(reply)
 
 
-async def rig_of(*stages, observers=(), share=0.4, **changes) -> tuple[Rig, FakeHost]:
+async def rig_of(*filters, observers=(), time_share=0.4, **changes) -> tuple[Rig, FakeHost]:
     host = await FakeHost("a").listen()
-    plugs = Extensions(tuple(stages), tuple(observers), share)
-    return Rig(host, driver=lambda *given: FilteringDriver(*given, plugs), **changes), host
+    extensions = Extensions(tuple(filters), tuple(observers), time_share)
+    return Rig(host, driver=lambda *given: FilteringDriver(*given, extensions), **changes), host
 
 
 @asyncio_test
-async def test_a_stage_that_passes_at_once_changes_nothing():
-    stage = Scripted(lambda request: Continue())
-    rig, host = await rig_of(stage)
+async def test_filter_that_continues_at_once_changes_nothing():
+    request_filter = ScriptedFilter(lambda request: Continue())
+    rig, host = await rig_of(request_filter)
     caller = await rig.caller()
     caller.call("put", number=b"id5")
     assert await caller.replied() == [b"ok"]
-    (seen,) = stage.seen
+    (seen,) = request_filter.seen
     assert (seen.client_id, seen.terms.customer, seen.body_bytes) == (b"id5", 7, 4)
-    assert stage.ended == [(1, Ending.ANSWERED)]
+    assert request_filter.ended == [(1, Ending.ANSWERED)]
     assert len(host.commands) == 1
     await until(lambda: not rig.driver.requests and not rig.driver.filter_chain.runs)
 
@@ -90,10 +90,10 @@
         (Abort(), "ERR failed"),
     ],
 )
-def test_a_stage_refuses_or_fails_before_anything_is_spent(verdict, reply):
+def test_rejecting_or_aborting_filter_spends_no_quota(verdict, reply):
     @asyncio_test
     async def check():
-        rig, host = await rig_of(Scripted(lambda request: verdict))
+        rig, host = await rig_of(ScriptedFilter(lambda request: verdict))
         caller = await rig.caller()
         caller.call()
         assert error((await caller.replied())[0]) == reply
@@ -105,16 +105,16 @@
 
 
 @asyncio_test
-async def test_an_awaited_verdict_lets_the_request_on_with_the_time_that_is_left():
+async def test_awaited_verdict_continues_with_remaining_time():
     async def later(request):
         await asyncio.sleep(0.2)
         return Continue()
 
-    rig, host = await rig_of(Scripted(later))
+    rig, host = await rig_of(ScriptedFilter(later))
     caller = await rig.caller()
     caller.call(wait=1500)
     await asyncio.sleep(0.05)
-    assert len(rig.driver.requests) == 1  # counted and listed before its first stage ended
+    assert len(rig.driver.requests) == 1  # counted and listed before its first filter ended
     assert rig.driver.gateway.requests == {}
     assert await caller.replied() == [b"ok"]
     terms = dict(pair.split(b"=") for pair in host.commands[0][3].split(b","))
@@ -122,29 +122,29 @@
 
 
 @asyncio_test
-async def test_a_stage_that_hangs_gets_its_fallback_within_its_share():
+async def test_hanging_filter_gets_fallback_within_time_share():
     async def never(request):
         await asyncio.Event().wait()
 
-    stage = Scripted(never)
-    stage.fallback = Reject()
-    rig, host = await rig_of(stage, share=0.1)
+    request_filter = ScriptedFilter(never)
+    request_filter.fallback = Reject()
+    rig, host = await rig_of(request_filter, time_share=0.1)
     caller = await rig.caller()
     caller.call(wait=2000)
     assert error((await caller.replied())[0]) == "BUSY"
     assert host.commands == []
-    assert stage.ended == [(1, Ending.ANSWERED)]
+    assert request_filter.ended == [(1, Ending.ANSWERED)]
     assert rig.driver.faults.counts["scripted"] == 1
 
 
 @asyncio_test
-async def test_a_stage_that_hangs_and_falls_back_on_passing_is_passed():
+async def test_hanging_filter_with_continue_fallback_is_passed():
     async def never(request):
         await asyncio.Event().wait()
 
-    stage = Scripted(never)
-    stage.fallback = Continue()
-    rig, _ = await rig_of(stage, stage, share=0.1)
+    request_filter = ScriptedFilter(never)
+    request_filter.fallback = Continue()
+    rig, _ = await rig_of(request_filter, request_filter, time_share=0.1)
     caller = await rig.caller()
     caller.call(wait=2000)
     assert await caller.replied() == [b"ok"]
@@ -152,7 +152,7 @@
 
 
 @asyncio_test
-async def test_a_stage_that_swallows_its_cancellation_cannot_hold_the_answer():
+async def test_filter_that_swallows_cancellation_cannot_delay_final_reply():
     async def stubborn(request):
         while True:
             try:
@@ -162,10 +162,12 @@
                     raise
 
     closing = []
-    rig, _ = await rig_of(Scripted(stubborn), share=0.1)
+    rig, _ = await rig_of(ScriptedFilter(stubborn), time_share=0.1)
     caller = await rig.caller()
     caller.call(wait=400)
-    assert error((await caller.replied())[0]) == "ERR failed"  # by the guard of the request itself
+    assert (
+        error((await caller.replied())[0]) == "ERR failed"
+    )  # by the deadline timer of the request itself
     assert rig.driver.requests == {} == rig.driver.filter_chain.runs
     closing.append(True)
 
@@ -181,10 +183,10 @@
         Continue({"timeout_us": 1 << 40}),
     ],
 )
-def test_rubbish_from_a_stage_is_its_fallback_and_counted(wrong):
+def test_malformed_verdict_becomes_fallback_and_is_counted(wrong):
     @asyncio_test
     async def check():
-        rig, _ = await rig_of(Scripted(lambda request: wrong))
+        rig, _ = await rig_of(ScriptedFilter(lambda request: wrong))
         caller = await rig.caller()
         caller.call()
         assert error((await caller.replied())[0]) == "ERR failed"
@@ -194,20 +196,20 @@
 
 
 @asyncio_test
-async def test_a_stage_without_a_usable_fallback_refuses():
+async def test_filter_without_usable_fallback_rejects():
     def broken(request):
         raise RuntimeError("broken")
 
-    stage = Scripted(broken)
-    stage.fallback = "nothing"
-    rig, _ = await rig_of(stage)
+    request_filter = ScriptedFilter(broken)
+    request_filter.fallback = "nothing"
+    rig, _ = await rig_of(request_filter)
     caller = await rig.caller()
     caller.call()
     assert error((await caller.replied())[0]) == "BUSY"
 
 
 @asyncio_test
-async def test_a_client_that_leaves_ends_the_stage_once_and_nothing_is_sent():
+async def test_client_disconnect_ends_filter_once_and_nothing_is_sent():
     cancelled = []
 
     async def never(request):
@@ -216,27 +218,27 @@
         finally:
             cancelled.append(True)
 
-    stage = Scripted(never)
-    rig, host = await rig_of(stage)
+    request_filter = ScriptedFilter(never)
+    rig, host = await rig_of(request_filter)
     caller = await rig.caller()
     caller.call()
-    await until(lambda: stage.seen)
+    await until(lambda: request_filter.seen)
     caller.transport.close()
     await until(lambda: cancelled)
-    assert stage.ended == [(1, Ending.CLIENT_DISCONNECTED)]
+    assert request_filter.ended == [(1, Ending.CLIENT_DISCONNECTED)]
     assert rig.driver.requests == {} == rig.driver.filter_chain.runs
     assert host.commands == []
 
 
 @asyncio_test
-async def test_draining_waits_for_a_request_in_a_stage():
+async def test_draining_waits_for_request_in_filter():
     release = asyncio.Event()
 
     async def held(request):
         await release.wait()
         return Continue()
 
-    rig, _ = await rig_of(Scripted(held))
+    rig, _ = await rig_of(ScriptedFilter(held))
     caller = await rig.caller()
     caller.call()
     await until(lambda: rig.driver.requests)
@@ -249,7 +251,7 @@
 
 
 @asyncio_test
-async def test_observers_are_told_in_order_and_cannot_raise_into_the_path():
+async def test_observers_are_notified_in_order_and_cannot_raise_into_request_path():
     class Broken(Observer):
         name = "broken"
 
@@ -258,15 +260,17 @@
                 raise RuntimeError(name)
             return super().__getattribute__(name)
 
-    keeper = Keeper()
-    rig, _ = await rig_of(observers=(Broken(), keeper))
+    recorder = RecordingObserver()
+    rig, _ = await rig_of(observers=(Broken(), recorder))
     caller = await rig.caller()
-    keeper.told.clear()
+    recorder.events.clear()
     caller.call()
     assert await caller.replied() == [b"ok"]
-    await until(lambda: "attempt_ended" in keeper.told)
-    told = [item for item in keeper.told if item not in ("timer_fired", "SetTimer", "SendGossip")]
-    assert told == [
+    await until(lambda: "attempt_ended" in recorder.events)
+    seen = [
+        item for item in recorder.events if item not in ("timer_fired", "SetTimer", "SendGossip")
+    ]
+    assert seen == [
         "request_arrived",
         "SendAttempt",
         "began",
@@ -277,7 +281,7 @@
     assert rig.driver.faults.counts["broken"] >= 3
 
 
-def test_a_stage_may_only_narrow():
+def test_filter_may_only_narrow_terms():
     assert (
         apply_verdict(Continue({"plan": 1, "timeout_us": 500_000}), TERMS, 2).timeout_us == 500_000
     )
@@ -293,10 +297,10 @@
             apply_verdict(Continue(changes), TERMS, 2)
 
 
-def test_a_shortened_wait_binds():
+def test_shortened_timeout_is_binding():
     @asyncio_test
     async def check():
-        rig, host = await rig_of(Scripted(lambda request: Continue({"timeout_us": 200_000})))
+        rig, host = await rig_of(ScriptedFilter(lambda request: Continue({"timeout_us": 200_000})))
         host.script = lambda command: None
         caller = await rig.caller()
         caller.call(wait=30_000)
@@ -307,12 +311,13 @@
     check()
 
 
-def test_the_plain_driver_knows_nothing_of_plugs():
-    """Nothing plugged in, nothing paid: no attribute, no loop, no call in the driver's own source."""
+def test_plain_driver_knows_nothing_of_extensions():
+    """Without extensions there is no cost: no attribute, loop or call in the driver's own source."""
     import inspect
 
     from saffrongw.gateway import driver
 
     text = inspect.getsource(driver)
     assert "observer" not in text.lower()
+    assert "filter" not in text.lower()
     assert "stage" not in text.lower()
--- a/tests/gateway/test_streaming_reply.py
+++ b/tests/gateway/test_streaming_reply.py
@@ -1,4 +1,4 @@
-"""Long values from hosts: passed on whole and in order at their reader's pace, and cut so that it shows."""
+"""Streaming replies: complete and in order at the client's pace, and cut so that the client can tell."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 LONG = hashlib.shake_128(b"long").digest(300_000)
 
 
-async def asked(script, *numbers: bytes, host_count=1) -> tuple[Rig, list[FakeHost], Caller]:
-    """A client that has sent these requests to a gateway whose hosts answer by ``script``."""
+async def client_of(script, *numbers: bytes, host_count=1) -> tuple[Rig, list[FakeHost], Caller]:
+    """A client that has sent these requests to a gateway whose endpoints reply by ``script``."""
     hosts = [await FakeHost(name).listen() for name in "abc"[:host_count]]
     for host in hosts:
         host.script = script
@@ -36,9 +36,9 @@
 
 @pytest.mark.parametrize("length", [MAX_VALUE_BYTES + 1, 1_000_000, MAX_STREAMED_VALUE_BYTES])
 @asyncio_test
-async def test_a_long_value_comes_whole_and_its_connection_is_used_again(length):
+async def test_streamed_value_arrives_complete_and_its_connection_is_reused(length):
     long = hashlib.shake_128(b"%d" % length).digest(length)
-    rig, (host,), caller = await asked(lambda command: value(long, REPORT), b"1")
+    rig, (host,), caller = await client_of(lambda command: value(long, REPORT), b"1")
     assert await caller.replied() == [long]
     await until(lambda: rig.driver.metrics.served == [1, 0, 0])
     assert not rig.clients.open_request_ids and not rig.driver.requests
@@ -49,8 +49,8 @@
 
 
 @asyncio_test
-async def test_pieces_of_any_size_make_the_same_value():
-    _rig, (host,), caller = await asked(lambda command: None, b"1")
+async def test_streamed_value_in_pieces_of_any_size_is_the_same():
+    _rig, (host,), caller = await client_of(lambda command: None, b"1")
     await until(lambda: host.commands)
     answer = value(LONG, REPORT)
     head, tail = answer[:40], answer[-40:]
@@ -61,7 +61,7 @@
 
 
 @asyncio_test
-async def test_it_keeps_its_place_between_other_answers():
+async def test_streaming_reply_is_written_at_its_position_among_replies():
     held = []
     script = {b"long": value(LONG), b"after": value(b"3")}
 
@@ -70,7 +70,7 @@
             held.append(host.peer)
         return script.get(command[2])
 
-    _rig, (host,), caller = await asked(answer, b"first", b"long", b"after")
+    _rig, (host,), caller = await client_of(answer, b"first", b"long", b"after")
     await until(lambda: len(host.commands) == 3)
     await asyncio.sleep(0.05)
     assert caller.replies == []
@@ -79,17 +79,17 @@
 
 
 @asyncio_test
-async def test_a_reader_that_is_slow_holds_its_host_back_and_nobody_else():
-    """No more is kept of it than a few reads, however long it lasts."""
+async def test_slow_client_pauses_its_endpoint_and_no_other():
+    """No more of the value is buffered than a few reads, however long the client pauses."""
     long = bytes(MAX_STREAMED_VALUE_BYTES)
     script = {b"slow": value(long), b"other": value(b"ok")}
-    rig, (_host,), other = await asked(lambda command: script[command[2]])
+    rig, (_host,), other = await client_of(lambda command: script[command[2]])
     port = rig.clients.acceptor.listener.getsockname()[1]
     slow = socket.socket()
     slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     slow.connect(("127.0.0.1", port))
     await until(lambda: len(rig.clients.connections) == 2)
-    for client in rig.clients.connections:  # else the kernel alone could hold all of it
+    for client in rig.clients.connections:  # else the kernel alone could buffer all of it
         client.transport.get_extra_info("socket").setsockopt(
             socket.SOL_SOCKET, socket.SO_SNDBUF, 4096
         )
@@ -114,8 +114,8 @@
 
 
 @asyncio_test
-async def test_one_that_breaks_off_closes_its_client_and_goes_nowhere_else():
-    rig, hosts, caller = await asked(lambda command: None, b"1", host_count=2)
+async def test_broken_streaming_reply_closes_client_connection_without_retry():
+    rig, hosts, caller = await client_of(lambda command: None, b"1", host_count=2)
     await until(lambda: any(host.commands for host in hosts))
     (connection,) = [c for host in hosts for c in host.connections]
     connection.transport.write(value(LONG)[:100_000])
@@ -132,8 +132,8 @@
 
 
 @asyncio_test
-async def test_a_value_that_does_not_end_where_it_should_is_cut_before_its_end():
-    rig, (_host,), caller = await asked(
+async def test_streamed_value_with_wrong_length_is_cut_before_its_end():
+    rig, (_host,), caller = await client_of(
         lambda command: value(LONG).replace(b"\r\n$-1", b"xx$-1"), b"1"
     )
     await until(lambda: caller.closed)
@@ -141,8 +141,8 @@
 
 
 @asyncio_test
-async def test_a_client_that_leaves_ends_the_connection_to_the_host():
-    rig, (host,), caller = await asked(lambda command: value(LONG)[:200_000], b"1")
+async def test_client_disconnect_closes_streaming_upstream_connection():
+    rig, (host,), caller = await client_of(lambda command: value(LONG)[:200_000], b"1")
     await until(lambda: any(c.streaming for c in rig.clients.connections))
     caller.transport.abort()
     await until(lambda: not host.connections)
@@ -151,16 +151,16 @@
 
 
 @asyncio_test
-async def test_what_does_not_move_is_given_up(monkeypatch):
+async def test_stalled_streaming_reply_is_abandoned(monkeypatch):
     monkeypatch.setattr(streaming_reply, "STALL_TIMEOUT_S", 0.1)
-    rig, (host,), caller = await asked(lambda command: value(LONG)[:200_000], b"1")
+    rig, (host,), caller = await client_of(lambda command: value(LONG)[:200_000], b"1")
     await until(lambda: caller.closed and not host.connections)
     assert not rig.clients.open_request_ids
 
 
 @asyncio_test
-async def test_one_that_is_too_long_is_no_answer():
-    _rig, (_host,), caller = await asked(
+async def test_streamed_value_over_limit_is_malformed():
+    _rig, (_host,), caller = await client_of(
         lambda command: b"*3\r\n$%d\r\nx" % (MAX_STREAMED_VALUE_BYTES + 1), b"1"
     )
     assert error((await caller.replied())[0])
@@ -168,15 +168,15 @@
 
 
 @asyncio_test
-async def test_one_that_comes_before_its_request_was_whole_or_after_another_answer_is_dropped():
-    _rig, (host,), caller = await asked(lambda command: value(b"ok") + value(LONG), b"1")
+async def test_streamed_value_without_request_is_dropped():
+    _rig, (host,), caller = await client_of(lambda command: value(b"ok") + value(LONG), b"1")
     await until(lambda: caller.replies or caller.closed)
     caller.call(number=b"2")
     await until(lambda: not host.connections or len(caller.replies) == 2)
     assert LONG not in caller.replies
 
 
-def test_the_reader_takes_a_long_value_in_parts():
+def test_reply_reader_consumes_streamed_value_in_parts():
     reader = ReplyReader()
     reader.feed(b"*3\r\n$70000\r\nabc")
     assert reader.take_streamed_header() == 70_000
