--- a/tests/faults/variants.py
+++ b/tests/faults/variants.py
@@ -155,7 +155,7 @@
 
 @variant
 def repeats_keyed_anywhere() -> None:
-    change_settings(classes=lambda c: replace(c, group=DeduplicationScope.ALL))
+    change_settings(classes=lambda c: replace(c, deduplication_scope=DeduplicationScope.ALL))
 
 
 @variant
--- a/tests/gateway/test_admission_queue.py
+++ b/tests/gateway/test_admission_queue.py
@@ -6,7 +6,10 @@
 import random
 
 import hiredis
-from conftest import FakeHost, Rig, asyncio_test, error, until
+from async_testing import asyncio_test, until
+from client_rig import error
+from fake_endpoint import FakeEndpoint
+from gateway_rig import Rig
 
 from saffrongw.gateway.downstream.graceful_shutdown import UNFINISHED_COMMAND_GRACE_S
 from saffrongw.gateway.request_parser import RequestFormat, parse_request
@@ -16,8 +19,8 @@
 class OverloadedRig(Rig):
     """A gateway that never starts a request as it is read."""
 
-    def __init__(self, *hosts: FakeHost) -> None:
-        super().__init__(*hosts, sockets=900)  # enough for all that may be started at once
+    def __init__(self, *endpoints: FakeEndpoint) -> None:
+        super().__init__(*endpoints, sockets=900)  # enough for all that may be started at once
         self.clients.admission_queue.may_start = lambda: (
             type(self.clients.admission_queue).may_start(self.clients.admission_queue) and False
         )
@@ -33,7 +36,7 @@
 
 @asyncio_test
 async def test_requests_not_started_as_read_are_queued_and_served():
-    rig = OverloadedRig(await FakeHost("a").listen())
+    rig = OverloadedRig(await FakeEndpoint("a").listen())
     caller = await rig.caller()
     caller.transport.write(b"".join(command(b"n%d" % n, customer=n) for n in range(50)))
     assert await caller.replied(50) == [b"ok"] * 50
@@ -46,8 +49,8 @@
 
 @asyncio_test
 async def test_requests_exceeding_queue_capacity_are_rejected_in_order_without_residue():
-    host = await FakeHost("a").listen()
-    rig = OverloadedRig(host)
+    endpoint = await FakeEndpoint("a").listen()
+    rig = OverloadedRig(endpoint)
     callers = [await rig.caller() for _ in range(4)]
     for index, caller in enumerate(callers):
         caller.transport.write(
@@ -57,9 +60,9 @@
         await caller.replied(500)
     served = [reply for caller in callers for reply in caller.replies if reply == b"ok"]
     refused = [r for caller in callers for r in caller.replies if r != b"ok"]
-    assert len(served) == len(host.commands) >= 64
+    assert len(served) == len(endpoint.commands) >= 64
     assert refused and all(error(reply).startswith("BUSY ") for reply in refused)
-    assert len({bytes(c[2]) for c in host.commands}) == len(host.commands)
+    assert len({bytes(c[2]) for c in endpoint.commands}) == len(endpoint.commands)
     assert (
         not rig.clients.open_request_ids
         and not rig.driver.requests
@@ -69,12 +72,12 @@
 
 @asyncio_test
 async def test_rejection_waits_for_pending_reply_before_it():
-    host = await FakeHost("a").listen()
-    host.script = lambda command: None
-    rig = OverloadedRig(host)
+    endpoint = await FakeEndpoint("a").listen()
+    endpoint.script = lambda command: None
+    rig = OverloadedRig(endpoint)
     first, flood = await rig.caller(), await rig.caller()
     first.transport.write(command(b"held", wait=1500, customer=1))
-    await until(lambda: host.commands)
+    await until(lambda: endpoint.commands)
     many = [command(b"f%d" % n, customer=n) for n in range(2000)]
     flood.transport.write(b"".join(many))
     first.transport.write(b"".join(command(b"g%d" % n, customer=1) for n in range(200)))
@@ -85,7 +88,7 @@
 
 @asyncio_test
 async def test_client_disconnect_removes_its_queued_requests():
-    rig = OverloadedRig(await FakeHost("a").listen())
+    rig = OverloadedRig(await FakeEndpoint("a").listen())
     caller, other = await rig.caller(), await rig.caller()
     rig.clients.admission_queue.is_turn_open = True  # no turn comes: what is read stays queued
     caller.transport.write(b"".join(command(b"n%d" % n, customer=n) for n in range(60)))
@@ -105,7 +108,7 @@
 async def test_malformed_command_in_flood_closes_connection_after_pending_replies(
     monkeypatch,
 ):
-    rig = OverloadedRig(await FakeHost("a").listen())
+    rig = OverloadedRig(await FakeEndpoint("a").listen())
     caller = await rig.caller()
     flood = [command(b"n%d" % n, customer=n) for n in range(300)]
     caller.transport.write(b"".join(flood) + command(b"bad", kind=b"nonsense"))
@@ -116,7 +119,7 @@
 
 @asyncio_test
 async def test_fault_in_starting_one_request_does_not_block_queued_ones():
-    rig = OverloadedRig(await FakeHost("a").listen())
+    rig = OverloadedRig(await FakeEndpoint("a").listen())
     plain, faults = rig.driver.request_arrived, []
 
     def arrived(terms, parts, answer):
@@ -136,7 +139,7 @@
 
 @asyncio_test
 async def test_id_of_queued_request_is_an_error():
-    rig = OverloadedRig(await FakeHost("a").listen())
+    rig = OverloadedRig(await FakeEndpoint("a").listen())
     caller = await rig.caller()
     caller.transport.write(command(b"same") * 2)
     await until(lambda: caller.closed)
@@ -146,7 +149,7 @@
 
 @asyncio_test
 async def test_drain_ends_only_after_queued_requests_have_replies():
-    rig = OverloadedRig(await FakeHost("a").listen())
+    rig = OverloadedRig(await FakeEndpoint("a").listen())
     caller = await rig.caller()
     rig.clients.admission_queue.is_turn_open = True  # no turn comes: what is read stays queued
     caller.transport.write(b"".join(command(b"n%d" % n, customer=n) for n in range(40)))
@@ -190,7 +193,7 @@
 @asyncio_test
 async def test_common_form_and_skim_agree_with_full_parser_or_match_nothing():
     """Commands are complete, cut at every byte, or have bytes changed."""
-    rig, rng, matched = Rig(await FakeHost("a").listen()), random.Random(5), 0
+    rig, rng, matched = Rig(await FakeEndpoint("a").listen()), random.Random(5), 0
     form, config = RequestFormat(rig.config), rig.config
     malformed = []
     for raw in FORMS:
--- a/tests/gateway/test_event_interleavings.py
+++ b/tests/gateway/test_event_interleavings.py
@@ -12,18 +12,11 @@
 
 import hiredis
 import pytest
-from conftest import (
-    SITE,
-    Caller,
-    FakeHost,
-    Rig,
-    asyncio_test,
-    configured,
-    error,
-    started,
-    until,
-    value,
-)
+from async_testing import asyncio_test, until
+from client_rig import Caller, error
+from fake_endpoint import FakeEndpoint, value
+from gateway_rig import SITE, Rig
+from program_rig import configured, started
 
 from saffrongw.gateway.downstream import idle_reaper
 from saffrongw.gateway.downstream.connection import MAX_PIPELINED_COMMANDS
@@ -38,8 +31,12 @@
 class ConnectGate:
     """Holds connections to these endpoints back until the test opens it."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, *hosts: FakeHost) -> None:
-        self.opened, self.ports, self.waiting = asyncio.Event(), {host.port for host in hosts}, 0
+    def __init__(self, loop: asyncio.AbstractEventLoop, *endpoints: FakeEndpoint) -> None:
+        self.opened, self.ports, self.waiting = (
+            asyncio.Event(),
+            {endpoint.port for endpoint in endpoints},
+            0,
+        )
         self.real = loop.create_connection
         loop.create_connection = self._connect
 
@@ -65,7 +62,7 @@
     kind, is_excluded
 ):
     """Its connection comes up after the endpoint list: the first byte would be sent after the drain grace."""
-    old, new = [await FakeHost(name).listen() for name in "ab"]
+    old, new = [await FakeEndpoint(name).listen() for name in "ab"]
     rig = Rig(old, **slow_to_open())
     gate = ConnectGate(rig.loop, old)
     caller = await rig.caller()
@@ -87,7 +84,7 @@
 @asyncio_test
 async def test_attempt_delayed_until_endpoint_drains_is_decided_anew():
     """The ledger delays attempts until their intent is on the disk."""
-    old, new = [await FakeHost(name).listen() for name in "ab"]
+    old, new = [await FakeEndpoint(name).listen() for name in "ab"]
     rig = Rig(old)
     caller = await rig.caller()
     send, delayed = rig.cluster.send, []
@@ -104,10 +101,10 @@
 
 @asyncio_test
 async def test_endpoint_ready_again_after_draining_is_used():
-    host = await FakeHost("a").listen()
-    rig = Rig(host)
-    rig.told(host.line("DRAINING"))
-    rig.told(host.line())
+    endpoint = await FakeEndpoint("a").listen()
+    rig = Rig(endpoint)
+    rig.told(endpoint.line("DRAINING"))
+    rig.told(endpoint.line())
     caller = await rig.caller()
     caller.call()
     assert await caller.replied() == [b"ok"]
@@ -118,8 +115,8 @@
 async def test_connection_up_in_turn_of_connect_timeout_carries_its_request():
     """If it were cancelled, its request would wait to its deadline, and its descriptor and its entry
     among the closing ones would be counted for ever; after 24 of them none would be opened any more."""
-    host = await FakeHost("a").listen()
-    rig = Rig(host, permissions=PERMISSIONS | {"connectTimeout": 50_000})
+    endpoint = await FakeEndpoint("a").listen()
+    rig = Rig(endpoint, permissions=PERMISSIONS | {"connectTimeout": 50_000})
     pool = rig.cluster.pools[b"a"]
     connected = pool.connected
 
@@ -132,14 +129,14 @@
     for number in range(3):
         caller.call("bill", wait=20_000, number=b"%d" % number)
     assert await caller.replied(3) == [b"ok"] * 3
-    await until(lambda: rig.cluster.open_connections == len(host.connections))
+    await until(lambda: rig.cluster.open_connections == len(endpoint.connections))
     assert not rig.cluster.closing and not rig.driver.requests
 
 
 @asyncio_test
 async def test_connection_up_after_connect_timeout_in_same_turn_carries_nothing():
     """The timeout fires between the kernel's report and ours: the request is retried elsewhere, once."""
-    late, good = [await FakeHost(name).listen() for name in "ab"]
+    late, good = [await FakeEndpoint(name).listen() for name in "ab"]
     rig = Rig(late, permissions=PERMISSIONS | {"connectTimeout": 50_000})
     real, (here, there) = rig.loop.create_connection, socket.socketpair()
     here.setblocking(False)
@@ -175,22 +172,22 @@
 @asyncio_test
 async def test_request_fully_sent_but_not_reported_yet_counts_as_timed_out():
     """The socket took the last byte, and the timeout fires before the loop reports it."""
-    hosts = [await FakeHost(name).listen() for name in "ab"]
-    for host in hosts:
-        host.script = lambda command: None
-    rig = Rig(*hosts)
+    endpoints = [await FakeEndpoint(name).listen() for name in "ab"]
+    for endpoint in endpoints:
+        endpoint.script = lambda command: None
+    rig = Rig(*endpoints)
     ended, feed = [], rig.driver.feed
     rig.driver.feed = lambda event: (ended.append(event), feed(event))
     caller = await rig.caller()
     caller.call("bill", wait=20_000)
-    await until(lambda: any(host.commands for host in hosts))
+    await until(lambda: any(endpoint.commands for endpoint in endpoints))
     (call,) = rig.driver.requests.values()
     call.attempts[0].is_fully_sent = False
     rig.driver._attempt_timed_out(call.attempts[0])
     outcomes = [event.outcome for event in ended if isinstance(event, AttemptEnded)]
     assert outcomes == [AttemptOutcome.TIMED_OUT]
     assert error((await caller.replied())[0]) == "ERR failed"
-    assert sum(len(host.commands) for host in hosts) == 1
+    assert sum(len(endpoint.commands) for endpoint in endpoints) == 1
 
 
 @pytest.mark.parametrize("kind", ["read", "bill"])
@@ -198,9 +195,9 @@
 @asyncio_test
 async def test_unread_remainder_of_reply_counts_when_remainder_timeout_fires(kind, ends):
     """The process stands still for longer than the remainder may take; it was sent at once, or never."""
-    host = await FakeHost("a").listen()
-    host.script = lambda command: value(b"ok")[:9]
-    rig = Rig(host)
+    endpoint = await FakeEndpoint("a").listen()
+    endpoint.script = lambda command: value(b"ok")[:9]
+    rig = Rig(endpoint)
     caller = await rig.caller()
     caller.call(kind, wait=20_000)
     await until(
@@ -210,18 +207,18 @@
             for attempt in call.attempts
         )
     )
-    host.script = lambda command: value(b"again")
+    endpoint.script = lambda command: value(b"again")
     more = value(b"ok")[9:] if ends else value(b"ok")[9:12]
-    assert os.write(host.peer.transport.get_extra_info("socket").fileno(), more) == len(more)
+    assert os.write(endpoint.peer.transport.get_extra_info("socket").fileno(), more) == len(more)
     time.sleep(REPLY_REMAINDER_TIMEOUT_S + 0.1)  # timers fire before reads
     if ends:
         assert await caller.replied() == [b"ok"]
-        assert len(host.commands) == 1 and len(host.connections) == 1
+        assert len(endpoint.commands) == 1 and len(endpoint.connections) == 1
     elif kind == "read":
         assert await caller.replied() == [b"again"]
     else:
         assert error((await caller.replied())[0]) == "ERR failed"
-        assert len(host.commands) == 1
+        assert len(endpoint.commands) == 1
     await until(lambda: not rig.driver.requests and not rig.cluster.closing)
 
 
@@ -231,12 +228,12 @@
 @pytest.mark.parametrize("over", ["answered", "disconnected", "time"])
 @asyncio_test
 async def test_nothing_is_sent_for_request_finished_in_same_turn(over):
-    host = await FakeHost("a").listen()
-    host.script = lambda command: None
-    rig = Rig(host)
+    endpoint = await FakeEndpoint("a").listen()
+    endpoint.script = lambda command: None
+    rig = Rig(endpoint)
     caller = await rig.caller()
     caller.call(wait=20_000)
-    await until(lambda: host.commands)
+    await until(lambda: endpoint.commands)
     ((number, call),) = rig.driver.requests.items()
     if over == "answered":
         rig.driver._send_final_reply(call, b"-ERR failed\r\n")
@@ -247,16 +244,16 @@
     rig.driver._execute([SendAttempt(number, b"a", 0)])
     assert call.attempts[-1].is_ended and call.attempts[-1].carrier is None
     await asyncio.sleep(0.05)
-    assert len(host.commands) == len(host.connections) == 1
+    assert len(endpoint.commands) == len(endpoint.connections) == 1
 
 
 @pytest.mark.parametrize("cancel", [False, True])
 @pytest.mark.parametrize("leave", ["close", "abort"])
 @asyncio_test
 async def test_attempt_waiting_for_connection_is_not_sent_after_client_disconnect(leave, cancel):
-    host = await FakeHost("a").listen()
-    rig = Rig(host, **slow_to_open(cancel=cancel))
-    gate = ConnectGate(rig.loop, host)
+    endpoint = await FakeEndpoint("a").listen()
+    rig = Rig(endpoint, **slow_to_open(cancel=cancel))
+    gate = ConnectGate(rig.loop, endpoint)
     caller = await rig.caller()
     for kind in ("read", "put", "bill"):
         caller.call(kind, wait=20_000, number=kind.encode())
@@ -264,17 +261,17 @@
     getattr(caller.transport, leave)()
     await until(lambda: not rig.clients.connections and not rig.driver.requests)
     gate.opened.set()
-    await until(lambda: len(host.connections) == 3)
+    await until(lambda: len(endpoint.connections) == 3)
     await asyncio.sleep(0.05)
-    assert host.commands == [] and not rig.driver.gateway.attempts
+    assert endpoint.commands == [] and not rig.driver.gateway.attempts
 
 
-async def client_at_pipeline_limit(rig: Rig, host: FakeHost):
+async def client_at_pipeline_limit(rig: Rig, endpoint: FakeEndpoint):
     """A client with one request in flight and so many commands behind it that no more is read."""
     caller = await rig.caller()
-    host.script = lambda command: None
+    endpoint.script = lambda command: None
     caller.call(wait=20_000, number=b"held")
-    await until(lambda: host.commands)
+    await until(lambda: endpoint.commands)
     for _ in range(MAX_PIPELINED_COMMANDS - 1):
         caller.ask(b"PING")
     for number in range(50):
@@ -289,15 +286,15 @@
 @asyncio_test
 async def test_client_disconnect_is_noticed_while_reads_are_paused(why, leave):
     """The loop does not report the end of a connection that it does not read from."""
-    host = await FakeHost("a").listen()
-    rig = Rig(host)
+    endpoint = await FakeEndpoint("a").listen()
+    rig = Rig(endpoint)
     if why == "many":
-        caller, client = await client_at_pipeline_limit(rig, host)
+        caller, client = await client_at_pipeline_limit(rig, endpoint)
     else:
         caller = await rig.caller()
-        host.script = lambda command: None
+        endpoint.script = lambda command: None
         caller.call(wait=20_000, number=b"held")
-        await until(lambda: host.commands)
+        await until(lambda: endpoint.commands)
         (client,) = rig.clients.connections
     if why == "closing":
         caller.ask(b"NONSENSE")
@@ -308,9 +305,9 @@
     await until(lambda: not client.is_reading)
     getattr(caller.transport, leave)()
     await until(lambda: not rig.driver.requests and not rig.clients.connections)
-    await until(lambda: not host.connections)
+    await until(lambda: not endpoint.connections)
     assert (
-        len(host.commands) == 1
+        len(endpoint.commands) == 1
         and not rig.clients.paused_reads.connections
         and not rig.clients.open_request_ids
     )
@@ -318,12 +315,12 @@
 
 @asyncio_test
 async def test_client_with_paused_reads_is_served_completely():
-    host = await FakeHost("a").listen()
-    rig = Rig(host)
-    caller, _ = await client_at_pipeline_limit(rig, host)
+    endpoint = await FakeEndpoint("a").listen()
+    rig = Rig(endpoint)
+    caller, _ = await client_at_pipeline_limit(rig, endpoint)
     await asyncio.sleep(0.3)  # some checks
-    host.script = lambda command: value(b"ok")
-    host.connections[0].transport.write(value(b"first"))
+    endpoint.script = lambda command: value(b"ok")
+    endpoint.connections[0].transport.write(value(b"first"))
     await caller.replied(MAX_PIPELINED_COMMANDS + 50)
     assert caller.replies[0] == b"first" and caller.replies[-1] == b"ok"
     await until(
@@ -336,9 +333,9 @@
 @asyncio_test
 async def test_client_that_ends_sending_with_unwritten_replies_counts_as_disconnected():
     """The loop closes once all is written, which never happens for a client that reads nothing."""
-    host = await FakeHost("a").listen()
-    host.script = lambda command: None
-    rig = Rig(host)
+    endpoint = await FakeEndpoint("a").listen()
+    endpoint.script = lambda command: None
+    rig = Rig(endpoint)
     caller = await rig.caller()
     await until(lambda: rig.clients.connections)
     (client,) = rig.clients.connections
@@ -349,26 +346,26 @@
     client.transport.set_write_buffer_limits(high=1 << 30)
     client.transport.write(b"+PONG\r\n" * 1_000_000)  # more than the kernel holds
     caller.call(wait=20_000, number=b"held")
-    await until(lambda: host.commands)
+    await until(lambda: endpoint.commands)
     assert client.transport.get_write_buffer_size() > 1_000_000
     caller.transport.write_eof()
-    await until(lambda: not rig.driver.requests and not host.connections)
+    await until(lambda: not rig.driver.requests and not endpoint.connections)
     assert not rig.clients.open_request_ids
 
 
 # -- streaming replies ---------------------------------------------------------------------------------
 
 
-async def three_replies(rig: Rig, hosts: list[FakeHost]):
+async def three_replies(rig: Rig, endpoints: list[FakeEndpoint]):
     """A client with three requests: the first is in flight, the second streams, the third has its reply."""
     peers, caller = {}, await rig.caller()
 
-    def script(command, host):
-        peers[command[2]] = host.peer
+    def script(command, endpoint):
+        peers[command[2]] = endpoint.peer
         return value(b"3") if command[2] == b"after" else None
 
-    for host in hosts:
-        host.script = lambda command, host=host: script(command, host)
+    for endpoint in endpoints:
+        endpoint.script = lambda command, endpoint=endpoint: script(command, endpoint)
     for number in (b"first", b"long", b"after"):
         caller.call(wait=20_000, number=number)
     await until(lambda: len(peers) == 3)
@@ -381,9 +378,9 @@
 @asyncio_test
 async def test_streaming_reply_broken_off_before_its_turn_fails_and_later_replies_are_written():
     """Its end comes before its turn, when no sink is attached that could report it."""
-    hosts = [await FakeHost(name).listen() for name in "ab"]
-    rig = Rig(*hosts)
-    caller, client, peers = await three_replies(rig, hosts)
+    endpoints = [await FakeEndpoint(name).listen() for name in "ab"]
+    rig = Rig(*endpoints)
+    caller, client, peers = await three_replies(rig, endpoints)
     peers[b"long"].transport.abort()
     await until(lambda: client.slots[1].reply.is_broken)
     peers[b"first"].transport.write(value(b"1"))
@@ -397,9 +394,9 @@
 @asyncio_test
 async def test_reply_written_before_broken_streaming_reply_reaches_client(monkeypatch):
     monkeypatch.setattr(idle_reaper, "CLOSE_TIMEOUT_S", 60.0)  # the kernel's small windows are slow
-    hosts = [await FakeHost(name).listen() for name in "ab"]
-    rig = Rig(*hosts)
-    caller, client, _ = await three_replies(rig, hosts)
+    endpoints = [await FakeEndpoint(name).listen() for name in "ab"]
+    rig = Rig(*endpoints)
+    caller, client, _ = await three_replies(rig, endpoints)
     first = (
         next(call for call in rig.driver.requests.values() if call.parts[2] == b"first")
         .attempts[0]
@@ -452,7 +449,7 @@
 
 @asyncio_test
 async def test_unread_request_on_overdue_idle_connection_is_served():
-    rig = Rig(await FakeHost("a").listen())
+    rig = Rig(await FakeEndpoint("a").listen())
     asks, rests = await idle_clients(rig, 2)
     for client in rig.clients.reaper.idle:
         rig.clients.reaper.idle[client] -= 100
@@ -467,7 +464,7 @@
 @asyncio_test
 async def test_unread_remainder_of_command_is_served_after_command_timeout(begun):
     """The process stood still: by the clock the command is late, but it arrived in time."""
-    rig = Rig(await FakeHost("a").listen())
+    rig = Rig(await FakeEndpoint("a").listen())
     caller = await rig.caller()
     await until(lambda: rig.clients.connections)
     (client,) = rig.clients.connections
@@ -484,7 +481,7 @@
 @asyncio_test
 async def test_unread_request_on_eviction_candidate_is_served():
     """The longest idle connection is evicted, but not one that has just sent a request."""
-    rig = Rig(await FakeHost("a").listen(), sockets=4)
+    rig = Rig(await FakeEndpoint("a").listen(), sockets=4)
     asks, rests, *others = await idle_clients(rig, 4)
     send_unread(asks, b"id1")
     assert rig.clients.ensure_capacity()
@@ -503,7 +500,7 @@
 
 @asyncio_test
 async def test_disconnected_client_with_unread_end_is_evicted():
-    rig = Rig(await FakeHost("a").listen(), sockets=2)
+    rig = Rig(await FakeEndpoint("a").listen(), sockets=2)
     disconnected, rests = await idle_clients(rig, 2)
     with socket.socket(
         fileno=os.dup(disconnected.transport.get_extra_info("socket").fileno())
@@ -520,7 +517,7 @@
 
 @asyncio_test
 async def test_connections_in_kernel_queue_are_served_when_listener_closes():
-    rig = Rig(await FakeHost("a").listen())
+    rig = Rig(await FakeEndpoint("a").listen())
     await rig.listen()
     callers = []
     for number in range(40):
@@ -537,7 +534,7 @@
 
 @asyncio_test
 async def test_unread_request_on_draining_idle_connection_is_served():
-    rig = Rig(await FakeHost("a").listen())
+    rig = Rig(await FakeEndpoint("a").listen())
     caller = await rig.caller()
     caller.ask(b"PING")
     await caller.replied()
@@ -552,12 +549,12 @@
 @asyncio_test
 async def test_process_ends_in_time_with_busy_client_and_hanging_endpoint(tmp_path):
     """SIGKILL comes 3.7 s after SIGTERM: by then all is answered, and the process has exited."""
-    host = await FakeHost("a").listen()
-    host.script = lambda command: None
-    process, connect, _ = await started(host, tmp_path)
+    endpoint = await FakeEndpoint("a").listen()
+    endpoint.script = lambda command: None
+    process, connect, _ = await started(endpoint, tmp_path)
     caller = await connect()
     caller.call("bill", wait=60_000, number=b"held")
-    await until(lambda: host.commands)
+    await until(lambda: endpoint.commands)
     process.send_signal(signal.SIGTERM)
     process.send_signal(signal.SIGHUP)  # it reloads meanwhile
     process.send_signal(signal.SIGTERM)
@@ -586,7 +583,7 @@
 @asyncio_test
 async def test_sighup_between_reading_file_and_starting_discovery_is_carried_out(tmp_path):
     """The file is a pipe: the program has read it and has no signal handlers yet."""
-    host = await FakeHost("a").listen()
+    endpoint = await FakeEndpoint("a").listen()
     file, port = configured(tmp_path)
     text = json.loads(file.read_text())
     file.unlink()
@@ -600,7 +597,7 @@
     loop = asyncio.get_running_loop()
     server = await loop.create_server(Agent, "127.0.0.1", 0)
     # So many that the program is still processing them when the signal arrives.
-    known = {"seq": 1, "whole": True, "hosts": [host.line(host=f"s{n}") for n in range(20_000)]}
+    known = {"seq": 1, "whole": True, "hosts": [endpoint.line(host=f"s{n}") for n in range(20_000)]}
     process = await asyncio.create_subprocess_exec(
         *(sys.executable, "-m", "saffrongw"),
         env=os.environ | {"LB_CONFIG": str(file)},
--- a/tests/gateway/test_event_interleavings_over_sockets.py
+++ b/tests/gateway/test_event_interleavings_over_sockets.py
@@ -5,7 +5,9 @@
 from itertools import permutations
 
 import pytest
-from conftest import SITE, FakeHost, Rig, asyncio_test, until, value
+from async_testing import asyncio_test, until
+from fake_endpoint import FakeEndpoint, value
+from gateway_rig import SITE, Rig
 
 from saffrongw.gateway.request_types import UpstreamAttempt
 from saffrongw.gateway.upstream.connection import UpstreamConnection
@@ -27,10 +29,10 @@
 
     async def begin(self, kind: str) -> AttemptRun:
         self.kind = kind
-        self.hosts = [await FakeHost(name).listen() for name in "ab"]
-        for host in self.hosts:
-            host.script = lambda command: None
-        self.rig = Rig(*self.hosts, classes=[c | {"group": "all"} for c in SITE["classes"]])
+        self.endpoints = [await FakeEndpoint(name).listen() for name in "ab"]
+        for endpoint in self.endpoints:
+            endpoint.script = lambda command: None
+        self.rig = Rig(*self.endpoints, classes=[c | {"group": "all"} for c in SITE["classes"]])
         self.caller = await self.rig.caller()
         self.caller.call(kind, wait=20_000)
         await until(lambda: self.sent == 1)
@@ -40,16 +42,16 @@
         )
         self.first: UpstreamAttempt = self.call.attempts[0]
         self.connection: UpstreamConnection = self.first.carrier
-        self.host = next(host for host in self.hosts if host.commands)
-        self.other = next(host for host in self.hosts if host is not self.host)
-        for host in self.hosts:
-            host.script = lambda command: value(b"again")
+        self.endpoint = next(endpoint for endpoint in self.endpoints if endpoint.commands)
+        self.other = next(endpoint for endpoint in self.endpoints if endpoint is not self.endpoint)
+        for endpoint in self.endpoints:
+            endpoint.script = lambda command: value(b"again")
         self.left = False
         return self
 
     @property
     def sent(self) -> int:
-        return sum(len(host.commands) for host in self.hosts)
+        return sum(len(endpoint.commands) for endpoint in self.endpoints)
 
     def cause(self, event: str) -> None:
         """Cause an event as the loop would; a connection that we have closed reports nothing more."""
@@ -64,7 +66,7 @@
             if not self.call.is_finished:
                 self.rig.driver._deadline_passed(self.call)
         elif event in ("drains", "gone"):
-            self.rig.told(self.host.line(health="DRAINING" if event == "drains" else "DELETED"))
+            self.rig.told(self.endpoint.line(health="DRAINING" if event == "drains" else "DELETED"))
         elif not self.connection.transport.is_closing():
             if event == "reset":
                 self.connection.transport.abort()
@@ -105,7 +107,7 @@
     if (ended in MAY_HAVE_RUN or is_malformed) and run.kind == "bill":
         assert run.sent == 1  # never executed twice
     if order[0] in ("drains", "gone"):
-        assert len(run.host.commands) == 1  # no retry there
+        assert len(run.endpoint.commands) == 1  # no retry there
     assert run.sent <= 2
 
 
@@ -125,8 +127,8 @@
             raise AssertionError(f"{kind}: {' then '.join(order)}") from wrong
         retries += run.sent == 2
         run.caller.transport.abort()
-        for host in run.hosts:
-            host.server.close()
+        for endpoint in run.endpoints:
+            endpoint.server.close()
     return retries
 
 
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -11,7 +11,11 @@
 
 import hiredis
 import pytest
-from conftest import SITE, FakeHost, Rig, asyncio_test, error, started, until, value
+from async_testing import asyncio_test, until
+from client_rig import error
+from fake_endpoint import FakeEndpoint, value
+from gateway_rig import SITE, Rig
+from program_rig import started
 
 from saffrongw.gateway.bootstrap import LOG_MOST, RateLimitedLogFilter
 from saffrongw.gateway.downstream.connection import MAX_PIPELINED_COMMANDS
@@ -25,11 +29,11 @@
 
 @asyncio_test
 async def test_endpoint_gets_command_unchanged_but_for_remaining_timeout():
-    host = await FakeHost("a").listen()
-    caller = await Rig(host).caller()
+    endpoint = await FakeEndpoint("a").listen()
+    caller = await Rig(endpoint).caller()
     caller.call("put", wait=1500, number=b"id9", more=",r=1")
     assert await caller.replied() == [b"ok"]
-    command, customer, number, terms, body = host.commands[0]
+    command, customer, number, terms, body = endpoint.commands[0]
     assert (command, customer, number, body) == (b"CALL.POST", b"0000000000000007", b"id9", b"BODY")
     sent = dict(pair.split(b"=") for pair in terms.split(b","))
     assert 0 < int(sent.pop(b"d")) < 1500
@@ -40,52 +44,54 @@
 @asyncio_test
 async def test_pipelined_commands_are_answered_in_order():
     slow = []
-    host = await FakeHost("a").listen()
-    host.script = lambda command: slow.append(command) if command[2] == b"first" else value(b"2")
-    caller = await Rig(host).caller()
+    endpoint = await FakeEndpoint("a").listen()
+    endpoint.script = lambda command: (
+        slow.append(command) if command[2] == b"first" else value(b"2")
+    )
+    caller = await Rig(endpoint).caller()
     caller.call(number=b"first")
     caller.call(number=b"second")
     caller.ask(b"PING")
-    await until(lambda: len(host.commands) == 2)
+    await until(lambda: len(endpoint.commands) == 2)
     await asyncio.sleep(0.05)
     assert caller.replies == []
-    host.connections[0].transport.write(value(b"1"))
+    endpoint.connections[0].transport.write(value(b"1"))
     assert await caller.replied(3) == [b"1", b"2", b"PONG"]
 
 
 @asyncio_test
 async def test_concurrent_attempts_use_separate_connections_and_idle_ones_are_reused():
-    host = await FakeHost("a").listen()
-    rig = Rig(host)
+    endpoint = await FakeEndpoint("a").listen()
+    rig = Rig(endpoint)
     caller = await rig.caller()
-    host.script = lambda command: None
+    endpoint.script = lambda command: None
     caller.call(number=b"one")
     caller.call(number=b"two")
-    await until(lambda: len(host.commands) == 2)
-    assert len(host.connections) == 2
-    for connection in host.connections:
+    await until(lambda: len(endpoint.commands) == 2)
+    assert len(endpoint.connections) == 2
+    for connection in endpoint.connections:
         connection.transport.write(value(b"x"))
     await caller.replied(2)
     await asyncio.sleep(2 * REUSE_DELAY_S)
     caller.call(number=b"three")
-    await until(lambda: len(host.commands) == 3)
-    assert len(host.connections) == rig.cluster.open_connections == 2
+    await until(lambda: len(endpoint.commands) == 3)
+    assert len(endpoint.connections) == rig.cluster.open_connections == 2
 
 
 @asyncio_test
 async def test_non_idempotent_request_reset_after_sending_fails_without_retry():
-    hosts = [await FakeHost(name).listen() for name in "ab"]
-    for host in hosts:
-        host.script = lambda command: b"reset"
-    caller = await Rig(*hosts).caller()
+    endpoints = [await FakeEndpoint(name).listen() for name in "ab"]
+    for endpoint in endpoints:
+        endpoint.script = lambda command: b"reset"
+    caller = await Rig(*endpoints).caller()
     caller.call("bill")
     assert error((await caller.replied())[0]).startswith("ERR")
-    assert sum(len(host.commands) for host in hosts) == 1
+    assert sum(len(endpoint.commands) for endpoint in endpoints) == 1
 
 
 @asyncio_test
 async def test_non_idempotent_request_is_retried_after_rejection_or_failed_connect():
-    busy, closed, good = [await FakeHost(name).listen() for name in ("a", "b", "c")]
+    busy, closed, good = [await FakeEndpoint(name).listen() for name in ("a", "b", "c")]
     closed.server.close()
     busy.script = lambda command: b"-BUSY\r\n"
     caller = await Rig(busy, closed, good).caller()
@@ -96,24 +102,24 @@
 
 @asyncio_test
 async def test_idempotent_request_is_retried_after_error():
-    hosts = [await FakeHost(name).listen() for name in "ab"]
+    endpoints = [await FakeEndpoint(name).listen() for name in "ab"]
     replies = [b"-ERR failed util=0.5\r\n", value(b"ok")]
-    for host in hosts:
-        host.script = lambda command: replies.pop(0)
-    caller = await Rig(*hosts).caller()
+    for endpoint in endpoints:
+        endpoint.script = lambda command: replies.pop(0)
+    caller = await Rig(*endpoints).caller()
     caller.call()
     assert await caller.replied() == [b"ok"]
 
 
 @asyncio_test
 async def test_attempt_without_reply_fails_before_client_timeout():
-    host = await FakeHost("a").listen()
-    host.script = lambda command: None
-    rig = Rig(host)
+    endpoint = await FakeEndpoint("a").listen()
+    endpoint.script = lambda command: None
+    rig = Rig(endpoint)
     caller = await rig.caller()
     caller.call("bill", wait=200)
     assert error((await caller.replied())[0]).startswith("ERR")
-    await until(lambda: not host.connections)  # the attempt is cancelled
+    await until(lambda: not endpoint.connections)  # the attempt is cancelled
     assert rig.driver.requests == rig.driver.gateway.requests == rig.driver.gateway.attempts == {}
 
 
@@ -122,9 +128,9 @@
     """An endpoint that reads nothing never gets the last byte, so even a non-idempotent request is rejected."""
     listener = socket.create_server(("127.0.0.1", 0))
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    host = FakeHost("a")
-    host.port = listener.getsockname()[1]
-    rig = Rig(host)
+    endpoint = FakeEndpoint("a")
+    endpoint.port = listener.getsockname()[1]
+    rig = Rig(endpoint)
     ended = []
     feed = rig.driver.feed
     rig.driver.feed = lambda event: (ended.append(event), feed(event))
@@ -152,9 +158,9 @@
     listener = socket.create_server(("127.0.0.1", 0))
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     listener.setblocking(False)
-    host = FakeHost("a")
-    host.port = listener.getsockname()[1]
-    rig = Rig(host, permissions=SITE["permissions"] | {"maxAttempts": 1})
+    endpoint = FakeEndpoint("a")
+    endpoint.port = listener.getsockname()[1]
+    rig = Rig(endpoint, permissions=SITE["permissions"] | {"maxAttempts": 1})
     caller = await rig.caller()
     connected = rig.cluster.pools[b"a"].connected
 
@@ -176,30 +182,30 @@
 
 @asyncio_test
 async def test_client_disconnect_cancels_its_attempt():
-    host = await FakeHost("a").listen()
-    host.script = lambda command: None
-    rig = Rig(host)
+    endpoint = await FakeEndpoint("a").listen()
+    endpoint.script = lambda command: None
+    rig = Rig(endpoint)
     caller = await rig.caller()
     caller.call()
-    await until(lambda: host.commands)
+    await until(lambda: endpoint.commands)
     caller.transport.close()
-    await until(lambda: not host.connections)
+    await until(lambda: not endpoint.connections)
     await until(lambda: rig.driver.requests == rig.driver.gateway.requests == {})
 
 
 @asyncio_test
 async def test_attempt_of_disconnected_client_ends_at_request_deadline_where_cancel_is_forbidden():
     """A silent endpoint must not hold the connection for good."""
-    host = await FakeHost("a").listen()
-    host.script = lambda command: None
-    rig = Rig(host, permissions=SITE["permissions"] | {"cancel": False})
+    endpoint = await FakeEndpoint("a").listen()
+    endpoint.script = lambda command: None
+    rig = Rig(endpoint, permissions=SITE["permissions"] | {"cancel": False})
     caller = await rig.caller()
     caller.call(wait=3000)
-    await until(lambda: host.commands)
+    await until(lambda: endpoint.commands)
     caller.transport.close()
     await until(lambda: not rig.driver.requests)
-    assert host.connections
-    await until(lambda: not host.connections)
+    assert endpoint.connections
+    await until(lambda: not endpoint.connections)
     assert rig.driver.gateway.attempts == {}
 
 
@@ -276,15 +282,15 @@
 @asyncio_test
 async def test_malformed_command_closes_its_connection_and_reaches_no_endpoint(words):
     """A malformed command is answered, and what follows it is not parsed."""
-    host = await FakeHost("a").listen()
-    caller = await Rig(host).caller()
+    endpoint = await FakeEndpoint("a").listen()
+    caller = await Rig(endpoint).caller()
     caller.ask(*words)
     caller.call()
     (reply,) = await caller.replied()
     assert error(reply).startswith("ERR")
     await until(lambda: caller.closed)
     assert len(caller.replies) == 1
-    assert host.commands == []
+    assert endpoint.commands == []
 
 
 @pytest.mark.parametrize(
@@ -307,7 +313,7 @@
 @asyncio_test
 async def test_lost_framing_closes_connection(junk):
     """What hiredis would wait for or allocate: 60 MB, a thousand million parts."""
-    caller = await Rig(await FakeHost("a").listen()).caller()
+    caller = await Rig(await FakeEndpoint("a").listen()).caller()
     caller.transport.write(junk)
     assert error((await caller.replied())[0]).startswith("ERR")
     await until(lambda: caller.closed)
@@ -315,7 +321,7 @@
 
 @asyncio_test
 async def test_draining_endpoint_gets_no_new_requests_and_finishes_those_in_flight():
-    old, new = [await FakeHost(name).listen() for name in "ab"]
+    old, new = [await FakeEndpoint(name).listen() for name in "ab"]
     old.script = lambda command: None
     rig = Rig(old)
     caller = await rig.caller()
@@ -334,31 +340,31 @@
 
 @asyncio_test
 async def test_idle_upstream_connections_close_before_endpoint_idle_limit():
-    host = await FakeHost("a").listen()
-    rig = Rig(host, permissions=SITE["permissions"] | {"idleClose": 200_000})
+    endpoint = await FakeEndpoint("a").listen()
+    rig = Rig(endpoint, permissions=SITE["permissions"] | {"idleClose": 200_000})
     caller = await rig.caller()
     caller.call()
     await caller.replied()
-    await until(lambda: not host.connections and not rig.cluster.open_connections)
+    await until(lambda: not endpoint.connections and not rig.cluster.open_connections)
 
 
 @asyncio_test
 async def test_upstream_connections_stay_within_descriptor_limit():
-    host = await FakeHost("a").listen()
-    host.script = lambda command: None
-    rig = Rig(host, sockets=4)
+    endpoint = await FakeEndpoint("a").listen()
+    endpoint.script = lambda command: None
+    rig = Rig(endpoint, sockets=4)
     caller = await rig.caller()
     for number in range(9):
         caller.call("bill", wait=400, number=b"%d" % number)
     replies = await caller.replied(9)
-    assert len(host.commands) == 4
+    assert len(endpoint.commands) == 4
     assert sorted(error(reply).split()[0] for reply in replies) == ["BUSY"] * 5 + ["ERR"] * 4
 
 
 @asyncio_test
 async def test_policy_fault_fails_only_its_request():
-    host = await FakeHost("a").listen()
-    rig = Rig(host)
+    endpoint = await FakeEndpoint("a").listen()
+    rig = Rig(endpoint)
     caller = await rig.caller()
     choose = rig.driver.gateway._choose
     rig.driver.gateway._choose = lambda request: 1 // 0
@@ -372,7 +378,7 @@
 
 @asyncio_test
 async def test_request_left_unanswered_by_policy_fails_at_deadline():
-    rig = Rig(await FakeHost("a").listen())
+    rig = Rig(await FakeEndpoint("a").listen())
     caller = await rig.caller()
     rig.driver.gateway._advance = lambda request: None
     caller.call(wait=100)
@@ -382,12 +388,12 @@
 @asyncio_test
 async def test_sighup_reloads_file_without_closing_connections(tmp_path):
     """Without a handler the signal ends the program; an invalid file must change nothing."""
-    host = await FakeHost("a").listen()
-    host.script = lambda command: None
-    process, connect, file = await started(host, tmp_path)
+    endpoint = await FakeEndpoint("a").listen()
+    endpoint.script = lambda command: None
+    process, connect, file = await started(endpoint, tmp_path)
     caller = await connect()
     caller.call(wait=10_000)
-    await until(lambda: host.commands)
+    await until(lambda: endpoint.commands)
     text = json.loads(file.read_text())
     polls = []
 
@@ -411,7 +417,7 @@
     )
     process.send_signal(signal.SIGHUP)
     await until(lambda: polls)
-    host.connections[0].transport.write(value(b"ok"))
+    endpoint.connections[0].transport.write(value(b"ok"))
     assert (await caller.replied(5)) == [b"ok"] + [b"PONG"] * 4
     process.send_signal(signal.SIGTERM)
     assert await asyncio.wait_for(process.wait(), 10) == 0
@@ -419,15 +425,15 @@
 
 @asyncio_test
 async def test_sigterm_finishes_requests_in_flight_and_serves_new_connections_for_a_while(tmp_path):
-    host = await FakeHost("a").listen()
-    host.script = lambda command: None
-    process, connect, _ = await started(host, tmp_path)
+    endpoint = await FakeEndpoint("a").listen()
+    endpoint.script = lambda command: None
+    process, connect, _ = await started(endpoint, tmp_path)
     holder, idle, stuck = await connect(), await connect(), await connect()
     idle.ask(b"PING")
     await idle.replied()
     stuck.transport.write(b"*1\r\n$4\r\nPI")  # an incomplete command must not hold up the exit
     holder.call(wait=10_000, number=b"held")
-    await until(lambda: host.commands)
+    await until(lambda: endpoint.commands)
     fresh = (
         await connect()
     )  # connected and about to send: if closed now, its request would be reset
@@ -436,8 +442,8 @@
     fresh.call(wait=10_000, number=b"fresh")
     late = await connect()
     late.call(wait=10_000, number=b"late")
-    await until(lambda: len(host.commands) == 3)
-    for connection in host.connections:
+    await until(lambda: len(endpoint.commands) == 3)
+    for connection in endpoint.connections:
         connection.transport.write(value(b"ok"))
     assert await holder.replied() == await late.replied() == await fresh.replied() == [b"ok"]
     assert await asyncio.wait_for(process.wait(), 10) == 0
@@ -446,7 +452,7 @@
 
 @asyncio_test
 async def test_rejection_rounds_retry_after_up_to_full_milliseconds():
-    rig = Rig(await FakeHost("a").listen())
+    rig = Rig(await FakeEndpoint("a").listen())
     caller = await rig.caller()
     for wait, line in ((0, "BUSY"), (1_000, "BUSY 1"), (1_001, "BUSY 2")):
         rig.driver.gateway._advance = lambda request, wait=wait: rig.driver.gateway.actions.append(
@@ -459,7 +465,7 @@
 
 @asyncio_test
 async def test_policy_fault_does_not_stop_gossip():
-    rig = Rig(await FakeHost("a").listen())
+    rig = Rig(await FakeEndpoint("a").listen())
     gossip_times = []
 
     def turn():
@@ -473,7 +479,7 @@
 
 @asyncio_test
 async def test_client_that_reads_no_replies_is_not_read_from():
-    rig = Rig(await FakeHost("a").listen())
+    rig = Rig(await FakeEndpoint("a").listen())
     caller = await rig.caller()
     caller.transport.pause_reading()
     await until(lambda: rig.clients.connections)
@@ -496,7 +502,7 @@
 @asyncio_test
 async def test_silent_client_and_incomplete_command_are_closed_after_timeout(sent):
     """Silent connections must not use up the descriptors."""
-    rig = Rig(await FakeHost("a").listen())
+    rig = Rig(await FakeEndpoint("a").listen())
     caller = await rig.caller()
     caller.transport.write(sent)
     await until(lambda: caller.closed)
@@ -512,8 +518,8 @@
 
 @asyncio_test
 async def test_silent_connections_are_evicted_for_those_with_commands():
-    host = await FakeHost("a").listen()
-    rig = Rig(host, sockets=8)
+    endpoint = await FakeEndpoint("a").listen()
+    rig = Rig(endpoint, sockets=8)
     active = await rig.caller()
     active.call()
     await active.replied()
@@ -529,16 +535,16 @@
 
 @asyncio_test
 async def test_connections_with_requests_are_not_evicted_and_further_ones_are_closed():
-    host = await FakeHost("a").listen()
-    host.script = lambda command: None
-    rig = Rig(host, sockets=4)
+    endpoint = await FakeEndpoint("a").listen()
+    endpoint.script = lambda command: None
+    rig = Rig(endpoint, sockets=4)
     callers = [await rig.caller() for _ in range(4)]
     for index, caller in enumerate(callers):
         caller.call(number=b"%d" % index, wait=10_000)
-    await until(lambda: len(host.commands) == 4)
+    await until(lambda: len(endpoint.commands) == 4)
     late = await rig.caller()
     await until(lambda: late.closed)
-    for connection in host.connections:
+    for connection in endpoint.connections:
         connection.transport.write(value(b"x"))
     for caller in callers:
         assert await caller.replied() == [b"x"]
@@ -547,7 +553,7 @@
 @asyncio_test
 async def test_longest_idle_connection_is_evicted_first():
     """The order is by last use, not by age: the oldest may be the busiest."""
-    rig = Rig(await FakeHost("a").listen(), sockets=3)
+    rig = Rig(await FakeEndpoint("a").listen(), sockets=3)
     callers = [await rig.caller() for _ in range(3)]
     for caller in (*callers, callers[0]):
         caller.ask(b"PING")
@@ -560,28 +566,31 @@
 
 @asyncio_test
 async def test_id_of_open_request_is_an_error_until_it_is_answered():
-    host = await FakeHost("a").listen()
-    host.script = lambda command: None
-    rig = Rig(host)
+    endpoint = await FakeEndpoint("a").listen()
+    endpoint.script = lambda command: None
+    rig = Rig(endpoint)
     first, second = await rig.caller(), await rig.caller()
     first.call(number=b"same")
-    await until(lambda: host.commands)
+    await until(lambda: endpoint.commands)
     second.call(number=b"same")
     assert "open" in error((await second.replied())[0])
-    host.connections[0].transport.write(value(b"x"))
+    endpoint.connections[0].transport.write(value(b"x"))
     assert await first.replied() == [b"x"]
     assert rig.clients.open_request_ids == set()
     first.call(number=b"same")
-    await until(lambda: len(host.commands) == 2)
+    await until(lambda: len(endpoint.commands) == 2)
 
 
 @asyncio_test
 async def test_commands_over_pipeline_limit_stay_unread_and_are_all_answered():
     """No more than MAX_PIPELINED_COMMANDS are read at a time, and none is lost."""
-    host = await FakeHost("a").listen()
-    rig = Rig(host)
+    endpoint = await FakeEndpoint("a").listen()
+    rig = Rig(endpoint)
     in_flight = []
-    host.script = lambda command: (in_flight.append(len(rig.driver.requests)), value(command[2]))[1]
+    endpoint.script = lambda command: (
+        in_flight.append(len(rig.driver.requests)),
+        value(command[2]),
+    )[1]
     caller = await rig.caller()
     for number in range(48):
         caller.call(number=b"%d" % number)
@@ -617,54 +626,54 @@
 @asyncio_test
 async def test_malformed_reply_fails_attempt_that_may_have_run(malformed):
     """It is never served, never taken for a rejection, never waited for: the request fails at once."""
-    host = await FakeHost("a").listen()
-    host.script = lambda command: malformed
-    rig = Rig(host)
+    endpoint = await FakeEndpoint("a").listen()
+    endpoint.script = lambda command: malformed
+    rig = Rig(endpoint)
     caller = await rig.caller()
     caller.call("bill", wait=60_000)
     assert error((await caller.replied())[0]).startswith("ERR")
-    assert len(host.commands) == 1
-    await until(lambda: not host.connections and not rig.cluster.open_connections)
+    assert len(endpoint.commands) == 1
+    await until(lambda: not endpoint.connections and not rig.cluster.open_connections)
 
 
 @asyncio_test
 async def test_duplicate_reply_is_served_once_and_closes_connection():
-    host = await FakeHost("a").listen()
-    host.script = lambda command: value(b"good") + value(b"good")
-    rig = Rig(host)
+    endpoint = await FakeEndpoint("a").listen()
+    endpoint.script = lambda command: value(b"good") + value(b"good")
+    rig = Rig(endpoint)
     caller = await rig.caller()
     caller.call()
     assert await caller.replied() == [b"good"]
-    await until(lambda: not host.connections)
+    await until(lambda: not endpoint.connections)
 
 
 @asyncio_test
 async def test_late_duplicate_reply_is_not_taken_for_next_request():
     """A connection rests after a reply, and is not used again once unexpected data arrived."""
-    host = await FakeHost("a").listen()
-    rig = Rig(host)
+    endpoint = await FakeEndpoint("a").listen()
+    rig = Rig(endpoint)
     caller = await rig.caller()
     caller.call("bill", number=b"one")
     assert await caller.replied() == [b"ok"]
-    first = host.connections[0]
-    host.script = lambda command: (first.transport.write(value(b"copy")), value(b"good"))[1]
+    first = endpoint.connections[0]
+    endpoint.script = lambda command: (first.transport.write(value(b"copy")), value(b"good"))[1]
     caller.call("bill", number=b"two")
     assert (await caller.replied(2))[1] == b"good"
-    await until(lambda: first not in host.connections)
+    await until(lambda: first not in endpoint.connections)
 
 
 @asyncio_test
 async def test_idle_connection_with_unread_data_is_not_reused():
     """The loop may not have reported it yet, so the socket itself is polled."""
-    host = await FakeHost("a").listen()
-    rig = Rig(host)
+    endpoint = await FakeEndpoint("a").listen()
+    rig = Rig(endpoint)
     caller = await rig.caller()
     caller.call("bill", number=b"one")
     await caller.replied()
     pool = rig.cluster.pools[b"a"]
     (connection,) = pool.idle
     connection.idle_since_s -= 1  # it has rested
-    sock = host.connections[0].transport.get_extra_info("socket")
+    sock = endpoint.connections[0].transport.get_extra_info("socket")
     os.write(sock.fileno(), value(b"copy"))
     attempt = UpstreamAttempt(
         ClientRequest(None, (b"CALL.GET", b"0", b"x", b"d=", b""), 0, print), 0, b"a", 0, 10**18
@@ -675,15 +684,15 @@
 
 @asyncio_test
 async def test_malformed_load_report_is_ignored_and_reply_is_served():
-    host = await FakeHost("a").listen()
+    endpoint = await FakeEndpoint("a").listen()
     for report in (
         b"util=nan,latency_ms=9",
         b"util=-1,latency_ms=9",
         b"util=1_0,latency_ms=9",
         b"\xff\r\n",
     ):
-        host.script = lambda command, report=report: value(b"ok", report)
-        caller = await Rig(host).caller()
+        endpoint.script = lambda command, report=report: value(b"ok", report)
+        caller = await Rig(endpoint).caller()
         caller.call()
         assert await caller.replied() == [b"ok"]
     names = (b"util", b"latency_ms")
@@ -702,20 +711,20 @@
 @asyncio_test
 async def test_connections_of_old_incarnation_are_not_used_for_new_one():
     """An endpoint restarted under its id must not get what was meant for the one before it."""
-    host = await FakeHost("a").listen()
-    rig = Rig(host)
+    endpoint = await FakeEndpoint("a").listen()
+    rig = Rig(endpoint)
     caller = await rig.caller()
     caller.call()
     await caller.replied()
-    old = host.connections[0]
-    rig.told(host.line(born_ms=5))
-    await until(lambda: old not in host.connections)
+    old = endpoint.connections[0]
+    rig.told(endpoint.line(born_ms=5))
+    await until(lambda: old not in endpoint.connections)
     assert rig.cluster.pools[b"a"].started_at_us == 5_000
 
 
 @asyncio_test
 async def test_attempt_waiting_for_connection_to_removed_endpoint_is_retried_elsewhere():
-    old, new = [await FakeHost(name).listen() for name in "ab"]
+    old, new = [await FakeEndpoint(name).listen() for name in "ab"]
     rig = Rig(old)
     rig.cluster.pools[b"a"]._open = lambda: asyncio.sleep(30)  # one that never comes up
     caller = await rig.caller()
@@ -723,7 +732,7 @@
     await until(lambda: rig.cluster.pools[b"a"].waiting)
     rig.told(old.line("DELETED"), new.line())
     assert await caller.replied() == [b"ok"]
-    assert [len(host.commands) for host in (old, new)] == [0, 1]
+    assert [len(endpoint.commands) for endpoint in (old, new)] == [0, 1]
 
 
 def test_log_is_rate_limited_and_counts_omitted_lines():
@@ -741,7 +750,7 @@
 @asyncio_test
 async def test_longest_idle_connections_close_where_many_are_idle():
     """Clients hold only so many connections; kept after one request, they would leave none for others."""
-    rig = Rig(await FakeHost("a").listen(), sockets=16)
+    rig = Rig(await FakeEndpoint("a").listen(), sockets=16)
     callers = [await rig.caller() for _ in range(10)]
     for caller in callers:
         caller.ask(b"PING")
--- a/tests/gateway/test_request_filters.py
+++ b/tests/gateway/test_request_filters.py
@@ -5,7 +5,10 @@
 import asyncio
 
 import pytest
-from conftest import FakeHost, Rig, asyncio_test, error, until
+from async_testing import asyncio_test, until
+from client_rig import error
+from fake_endpoint import FakeEndpoint
+from gateway_rig import Rig
 
 from saffrongw.gateway.extensions import (
     Abort,
@@ -61,23 +64,25 @@
         self.events.append(reply)
 
 
-async def rig_of(*filters, observers=(), time_share=0.4, **changes) -> tuple[Rig, FakeHost]:
-    host = await FakeHost("a").listen()
+async def rig_of(*filters, observers=(), time_share=0.4, **changes) -> tuple[Rig, FakeEndpoint]:
+    endpoint = await FakeEndpoint("a").listen()
     extensions = Extensions(tuple(filters), tuple(observers), time_share)
-    return Rig(host, driver=lambda *given: FilteringDriver(*given, extensions), **changes), host
+    return Rig(
+        endpoint, driver=lambda *given: FilteringDriver(*given, extensions), **changes
+    ), endpoint
 
 
 @asyncio_test
 async def test_filter_that_continues_at_once_changes_nothing():
     request_filter = ScriptedFilter(lambda request: Continue())
-    rig, host = await rig_of(request_filter)
+    rig, endpoint = await rig_of(request_filter)
     caller = await rig.caller()
     caller.call("put", number=b"id5")
     assert await caller.replied() == [b"ok"]
     (seen,) = request_filter.seen
     assert (seen.client_id, seen.terms.customer, seen.body_bytes) == (b"id5", 7, 4)
     assert request_filter.ended == [(1, Ending.ANSWERED)]
-    assert len(host.commands) == 1
+    assert len(endpoint.commands) == 1
     await until(lambda: not rig.driver.requests and not rig.driver.filter_chain.runs)
 
 
@@ -93,11 +98,11 @@
 def test_rejecting_or_aborting_filter_spends_no_quota(verdict, reply):
     @asyncio_test
     async def check():
-        rig, host = await rig_of(ScriptedFilter(lambda request: verdict))
+        rig, endpoint = await rig_of(ScriptedFilter(lambda request: verdict))
         caller = await rig.caller()
         caller.call()
         assert error((await caller.replied())[0]) == reply
-        assert host.commands == []
+        assert endpoint.commands == []
         assert rig.driver.gateway.accounts == {}
         assert rig.driver.requests == {} == rig.driver.filter_chain.runs
 
@@ -110,14 +115,14 @@
         await asyncio.sleep(0.2)
         return Continue()
 
-    rig, host = await rig_of(ScriptedFilter(later))
+    rig, endpoint = await rig_of(ScriptedFilter(later))
     caller = await rig.caller()
     caller.call(wait=1500)
     await asyncio.sleep(0.05)
     assert len(rig.driver.requests) == 1  # counted and listed before its first filter ended
     assert rig.driver.gateway.requests == {}
     assert await caller.replied() == [b"ok"]
-    terms = dict(pair.split(b"=") for pair in host.commands[0][3].split(b","))
+    terms = dict(pair.split(b"=") for pair in endpoint.commands[0][3].split(b","))
     assert int(terms[b"d"]) < 1300
 
 
@@ -128,11 +133,11 @@
 
     request_filter = ScriptedFilter(never)
     request_filter.fallback = Reject()
-    rig, host = await rig_of(request_filter, time_share=0.1)
+    rig, endpoint = await rig_of(request_filter, time_share=0.1)
     caller = await rig.caller()
     caller.call(wait=2000)
     assert error((await caller.replied())[0]) == "BUSY"
-    assert host.commands == []
+    assert endpoint.commands == []
     assert request_filter.ended == [(1, Ending.ANSWERED)]
     assert rig.driver.faults.counts["scripted"] == 1
 
@@ -219,7 +224,7 @@
             cancelled.append(True)
 
     request_filter = ScriptedFilter(never)
-    rig, host = await rig_of(request_filter)
+    rig, endpoint = await rig_of(request_filter)
     caller = await rig.caller()
     caller.call()
     await until(lambda: request_filter.seen)
@@ -227,7 +232,7 @@
     await until(lambda: cancelled)
     assert request_filter.ended == [(1, Ending.CLIENT_DISCONNECTED)]
     assert rig.driver.requests == {} == rig.driver.filter_chain.runs
-    assert host.commands == []
+    assert endpoint.commands == []
 
 
 @asyncio_test
@@ -300,12 +305,14 @@
 def test_shortened_timeout_is_binding():
     @asyncio_test
     async def check():
-        rig, host = await rig_of(ScriptedFilter(lambda request: Continue({"timeout_us": 200_000})))
-        host.script = lambda command: None
+        rig, endpoint = await rig_of(
+            ScriptedFilter(lambda request: Continue({"timeout_us": 200_000}))
+        )
+        endpoint.script = lambda command: None
         caller = await rig.caller()
         caller.call(wait=30_000)
         assert error((await caller.replied())[0]) in ("BUSY", "ERR failed")
-        sent = [event for event in host.commands if event]
+        sent = [event for event in endpoint.commands if event]
         assert int(dict(p.split(b"=") for p in sent[0][3].split(b","))[b"d"]) <= 200
 
     check()
--- a/tests/gateway/test_streaming_reply.py
+++ b/tests/gateway/test_streaming_reply.py
@@ -7,7 +7,10 @@
 import socket
 
 import pytest
-from conftest import Caller, FakeHost, Rig, asyncio_test, error, until, value
+from async_testing import asyncio_test, until
+from client_rig import Caller, error
+from fake_endpoint import FakeEndpoint, value
+from gateway_rig import Rig
 
 from saffrongw.gateway import streaming_reply
 from saffrongw.gateway.resp import (
@@ -22,40 +25,42 @@
 LONG = hashlib.shake_128(b"long").digest(300_000)
 
 
-async def client_of(script, *numbers: bytes, host_count=1) -> tuple[Rig, list[FakeHost], Caller]:
+async def client_of(
+    script, *numbers: bytes, endpoint_count=1
+) -> tuple[Rig, list[FakeEndpoint], Caller]:
     """A client that has sent these requests to a gateway whose endpoints reply by ``script``."""
-    hosts = [await FakeHost(name).listen() for name in "abc"[:host_count]]
-    for host in hosts:
-        host.script = script
-    rig = Rig(*hosts)
+    endpoints = [await FakeEndpoint(name).listen() for name in "abc"[:endpoint_count]]
+    for endpoint in endpoints:
+        endpoint.script = script
+    rig = Rig(*endpoints)
     caller = await rig.caller()
     for number in numbers:
         caller.call(number=number, wait=20_000)
-    return rig, hosts, caller
+    return rig, endpoints, caller
 
 
 @pytest.mark.parametrize("length", [MAX_VALUE_BYTES + 1, 1_000_000, MAX_STREAMED_VALUE_BYTES])
 @asyncio_test
 async def test_streamed_value_arrives_complete_and_its_connection_is_reused(length):
     long = hashlib.shake_128(b"%d" % length).digest(length)
-    rig, (host,), caller = await client_of(lambda command: value(long, REPORT), b"1")
+    rig, (endpoint,), caller = await client_of(lambda command: value(long, REPORT), b"1")
     assert await caller.replied() == [long]
     await until(lambda: rig.driver.metrics.served == [1, 0, 0])
     assert not rig.clients.open_request_ids and not rig.driver.requests
     await asyncio.sleep(2 * REUSE_DELAY_S)
     caller.call(number=b"2")
     assert await caller.replied(2) == [long, long]
-    assert len(host.connections) == 1
+    assert len(endpoint.connections) == 1
 
 
 @asyncio_test
 async def test_streamed_value_in_pieces_of_any_size_is_the_same():
-    _rig, (host,), caller = await client_of(lambda command: None, b"1")
-    await until(lambda: host.commands)
+    _rig, (endpoint,), caller = await client_of(lambda command: None, b"1")
+    await until(lambda: endpoint.commands)
     answer = value(LONG, REPORT)
     head, tail = answer[:40], answer[-40:]
     for piece in [bytes((b,)) for b in head] + [answer[40:-40]] + [bytes((b,)) for b in tail]:
-        host.connections[0].transport.write(piece)
+        endpoint.connections[0].transport.write(piece)
         await asyncio.sleep(0)
     assert await caller.replied() == [LONG]
 
@@ -67,11 +72,11 @@
 
     def answer(command):
         if command[2] == b"first":
-            held.append(host.peer)
+            held.append(endpoint.peer)
         return script.get(command[2])
 
-    _rig, (host,), caller = await client_of(answer, b"first", b"long", b"after")
-    await until(lambda: len(host.commands) == 3)
+    _rig, (endpoint,), caller = await client_of(answer, b"first", b"long", b"after")
+    await until(lambda: len(endpoint.commands) == 3)
     await asyncio.sleep(0.05)
     assert caller.replies == []
     held[0].transport.write(value(b"1"))
@@ -115,9 +120,9 @@
 
 @asyncio_test
 async def test_broken_streaming_reply_closes_client_connection_without_retry():
-    rig, hosts, caller = await client_of(lambda command: None, b"1", host_count=2)
-    await until(lambda: any(host.commands for host in hosts))
-    (connection,) = [c for host in hosts for c in host.connections]
+    rig, endpoints, caller = await client_of(lambda command: None, b"1", endpoint_count=2)
+    await until(lambda: any(endpoint.commands for endpoint in endpoints))
+    (connection,) = [c for endpoint in endpoints for c in endpoint.connections]
     connection.transport.write(value(LONG)[:100_000])
     await until(
         lambda: (
@@ -126,7 +131,7 @@
     )
     connection.transport.abort()
     await until(lambda: caller.closed)
-    assert caller.replies == [] and sum(len(host.commands) for host in hosts) == 1
+    assert caller.replies == [] and sum(len(endpoint.commands) for endpoint in endpoints) == 1
     assert rig.driver.metrics.failed == [1, 0, 0]
     assert not rig.clients.open_request_ids and not rig.driver.requests
 
@@ -142,10 +147,10 @@
 
 @asyncio_test
 async def test_client_disconnect_closes_streaming_upstream_connection():
-    rig, (host,), caller = await client_of(lambda command: value(LONG)[:200_000], b"1")
+    rig, (endpoint,), caller = await client_of(lambda command: value(LONG)[:200_000], b"1")
     await until(lambda: any(c.streaming for c in rig.clients.connections))
     caller.transport.abort()
-    await until(lambda: not host.connections)
+    await until(lambda: not endpoint.connections)
     assert not rig.clients.open_request_ids and rig.cluster.open_connections == 0
     assert rig.driver.metrics.failed == [1, 0, 0]
 
@@ -153,8 +158,8 @@
 @asyncio_test
 async def test_stalled_streaming_reply_is_abandoned(monkeypatch):
     monkeypatch.setattr(streaming_reply, "STALL_TIMEOUT_S", 0.1)
-    rig, (host,), caller = await client_of(lambda command: value(LONG)[:200_000], b"1")
-    await until(lambda: caller.closed and not host.connections)
+    rig, (endpoint,), caller = await client_of(lambda command: value(LONG)[:200_000], b"1")
+    await until(lambda: caller.closed and not endpoint.connections)
     assert not rig.clients.open_request_ids
 
 
@@ -169,10 +174,10 @@
 
 @asyncio_test
 async def test_streamed_value_without_request_is_dropped():
-    _rig, (host,), caller = await client_of(lambda command: value(b"ok") + value(LONG), b"1")
+    _rig, (endpoint,), caller = await client_of(lambda command: value(b"ok") + value(LONG), b"1")
     await until(lambda: caller.replies or caller.closed)
     caller.call(number=b"2")
-    await until(lambda: not host.connections or len(caller.replies) == 2)
+    await until(lambda: not endpoint.connections or len(caller.replies) == 2)
     assert LONG not in caller.replies
 
 
