--- a/saffrongw/gateway/acceptor.py
+++ b/saffrongw/gateway/acceptor.py
@@ -60,9 +60,9 @@
             self.loop.remove_reader(self.listener)
 
     def close(self) -> None:
-        """Accept what is in the kernel's queue, which would be reset otherwise.
+        """Accept what is in the kernel's queue, then close the socket.
 
-        Close the socket.
+        What is left in the queue would be reset.
         """
         if self.is_running:
             for _ in range(MAX_FINAL_ACCEPTS // MAX_ACCEPTS_PER_TURN):
--- a/saffrongw/gateway/admission_queue.py
+++ b/saffrongw/gateway/admission_queue.py
@@ -1,6 +1,5 @@
-"""Starts clients' requests at once while the present turn of the loop has time for it.
+"""Starts clients' requests at once while the loop's turn has time, and queues the others.
 
-The rest waits in a queue.
 Bytes are read and framed as they arrive, so no request grows old unseen in the kernel. A turn that
 would take long is cut short: what it could not start goes to the policy's ``Shedder``, which
 decides what is started next and what is rejected. Endpoints' replies are handled in between: they
--- a/saffrongw/gateway/downstream/connection.py
+++ b/saffrongw/gateway/downstream/connection.py
@@ -83,9 +83,9 @@
             self.streaming.set_paused(False)
 
     def update_reading(self) -> None:
-        """Read only while replies have capacity.
+        """Read only while there is capacity for replies.
 
-        So unprocessed data stays as short as one read.
+        What was read and not processed stays as short as one read.
         """
         is_reading = (
             self.is_writable and not self.is_closing and len(self.slots) < MAX_PIPELINED_COMMANDS
@@ -204,10 +204,7 @@
     # -- replies ----------------------------------------------------------------------------------
 
     def _append_rejections(self, reply: bytes, count: int) -> None:
-        """Append rejections.
-
-        Those in a row share one slot, so that a flood of them costs no objects.
-        """
+        """Append rejections; those in a row share one slot, so that a flood costs no objects."""
         replies = reply * count
         if self.slots and isinstance(pending := self.slots[-1].reply, bytes):
             self.slots[-1].reply = pending + replies
@@ -276,10 +273,7 @@
     # -- the end ----------------------------------------------------------------------------------
 
     def settle(self) -> None:
-        """Hand the connection over or close it, if it is to be.
-
-        Note for the reaper what it waits for.
-        """
+        """Hand the connection over or close it if it is due, and classify it for the reaper."""
         if self.transport.is_closing():
             return
         if not self.slots:
--- a/saffrongw/gateway/downstream/graceful_shutdown.py
+++ b/saffrongw/gateway/downstream/graceful_shutdown.py
@@ -1,7 +1,4 @@
-"""Ends the service of clients in order.
-
-Draining, or handing connections over to a successor process.
-"""
+"""Ends the service of clients by draining or by a hand-over to a successor process."""
 
 from __future__ import annotations
 
@@ -81,9 +78,9 @@
         )
 
     def start_countdown(self) -> float:
-        """Note that the process was told to end.
+        """Start the time that remains until the process is killed, and return its start.
 
-        Return since when its time runs, whoever serves meanwhile.
+        It runs whoever serves the clients meanwhile. A second call changes nothing.
         """
         if self.started_at_s is None:
             self.started_at_s = self.loop.time()
@@ -107,9 +104,9 @@
     def hand_over(self, give_to_successor: GiveToSuccessor) -> None:
         """Give connections to the successor as they fall idle.
 
-        Start nothing more, and reject what waits.
-        The successor accepts from the same kernel queue. The listener is kept open, unused: if the
-        successor is lost, the clients in that queue must not be reset.
+        Nothing more is started, and what is queued is rejected. The successor accepts from the same
+        kernel queue. The listener is kept open, unused: if the successor is lost, the clients in
+        that queue must not be reset.
         """
         self.give_to_successor = give_to_successor
         self.clients.stop_accepting()
--- a/saffrongw/gateway/downstream/idle_reaper.py
+++ b/saffrongw/gateway/downstream/idle_reaper.py
@@ -34,12 +34,11 @@
 
 
 class IdleReaper:
-    """Groups the connections by what they wait for, each group ordered by since when.
+    """Groups the connections by what they wait for, and closes those that are overdue.
 
-    Closes the overdue.
-    ``awaiting_command`` have sent no complete command yet, or a part of one; ``idle`` have no
-    request; ``closing`` are to close once their replies are read. Connections with requests in
-    flight are in none.
+    Each group is in the order of time. ``awaiting_command`` have sent no complete command yet, or a
+    part of one; ``idle`` have no request; ``closing`` are to close once their replies are read.
+    Connections with requests in flight are in none.
     """
 
     def __init__(self, clients: ClientConnections) -> None:
@@ -97,9 +96,9 @@
         return opened_at_s > self.loop.time() - NEW_CONNECTION_S
 
     def evict_one(self) -> bool:
-        """Close a connection without a complete command, or the longest idle one.
+        """Close a connection to make room for another one; return whether one could be closed.
 
-        Return whether there was one.
+        Connections that sent no complete command come first, then the longest idle ones.
         """
         candidates = chain(
             islice(self.awaiting_command, MAX_EVICTION_CANDIDATES),
@@ -142,10 +141,9 @@
                 connection.transport.close()
 
     def _close_idle(self, now_s: float) -> None:
-        """Close idle connections.
+        """Close overdue idle connections, earlier where many are idle.
 
-        Clients may hold only so many, and those that keep one after one request use
-        them up, so where many are idle they are closed earlier."""
+        Clients that keep a connection after one request would use up all that there may be."""
         surplus = len(self.idle) - int(CROWDED_IDLE_SHARE * self.clients.max_connections)
         for index, connection in enumerate(_since(self.idle, now_s - MIN_IDLE_S)):
             is_overdue = index < surplus or self.idle[connection] <= now_s - MAX_IDLE_S
--- a/saffrongw/gateway/driver.py
+++ b/saffrongw/gateway/driver.py
@@ -1,7 +1,7 @@
 """Feeds events to the policy and carries out its actions.
 
-Clock, timers, request ids, deadlines, final replies.
-Every request gets exactly one final reply, and only ``Driver._send_final_reply`` gives it.
+The driver owns timers, request ids, deadlines and final replies. Every request gets exactly one
+final reply, and only ``Driver._send_final_reply`` gives it.
 """
 
 from __future__ import annotations
@@ -69,7 +69,7 @@
 
 
 class Driver:
-    """Owns the policy, its clock and timers, and the requests whose final reply is pending.
+    """Owns the policy, its timers, and the requests whose final reply is pending.
 
     Other parts set three attributes: ``send_gossip`` (the gossip transport), ``is_overloaded`` (the
     downstream) and ``is_successor`` (hot restart: another process with our addresses still runs and
@@ -359,19 +359,13 @@
             self._fail_without_policy(request)
 
     def fail_all_requests(self) -> None:
-        """Fail all requests in flight, which promises nothing.
-
-        The process is about to be killed.
-        """
+        """Fail all requests in flight, because the process is about to be killed."""
         for request in tuple(self.requests.values()):
             if not request.is_finished:
                 self._fail_without_policy(request)
 
     def _fail_without_policy(self, request: ClientRequest) -> None:
-        """Give the final reply without the policy's decision.
-
-        Have the policy forget the request.
-        """
+        """Fail a request without the policy's decision; the policy then forgets it."""
         self._send_final_reply(request, FAILED)
         self.feed(ClientDisconnected(request.event.request))
 
--- a/saffrongw/gateway/extensions.py
+++ b/saffrongw/gateway/extensions.py
@@ -1,9 +1,8 @@
 """The interfaces by which subsystems extend the gateway.
 
-Request filters, observers, services, listeners, commands.
-The rules for filters and observers are in ``docs/notes/request_filters.md``. This module also
-checks what a filter returns; it does no I/O. ``filter_chain.py`` and ``observers.py`` carry both
-out.
+These are request filters, observers, services, listeners and commands. The rules for filters and
+observers are in ``docs/notes/request_filters.md``. This module also checks what a filter returns;
+it does no I/O. ``filter_chain.py`` and ``observers.py`` carry both out.
 """
 
 from __future__ import annotations
@@ -26,9 +25,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Continue:
-    """Verdict.
+    """Verdict: the request goes on, perhaps with changed terms.
 
-    The request goes on, with ``plan`` (its index) or ``timeout_us`` (shorter only) changed.
+    The changes may name ``plan`` (its index) and ``timeout_us`` (shorter only).
     """
 
     changes: Mapping[str, int] = field(default_factory=dict)
@@ -36,9 +35,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Verdict: final reply ``-BUSY``. Nothing was sent, so a retry is harmless.
+    """Verdict: final reply ``-BUSY``; nothing was sent, so a retry is harmless.
 
-    0 leaves the retry-after time out.
+    ``retry_after_us`` 0 leaves the retry-after time out.
     """
 
     retry_after_us: int = 0
@@ -133,10 +132,7 @@
     """
 
     async def start(self, driver: Driver) -> None:
-        """Start.
-
-        Raise ``OSError`` or ``ValueError`` with a plain cause where that is not possible.
-        """
+        """Start the service; raise ``OSError`` or ``ValueError`` where that is not possible."""
 
     async def stop(self) -> None:
         """Stop, within a second or two."""
--- a/saffrongw/gateway/observers.py
+++ b/saffrongw/gateway/observers.py
@@ -1,7 +1,4 @@
-"""Notifies observers.
-
-Puts decorators such as these notifications between the driver and its upstream.
-"""
+"""Notifies observers, and decorates the driver's upstream for that and other purposes."""
 
 from __future__ import annotations
 
--- a/saffrongw/gateway/request_parser.py
+++ b/saffrongw/gateway/request_parser.py
@@ -1,7 +1,4 @@
-"""Parses a client's command as a request.
-
-Only the exact form, in one step where it comes in the common order.
-"""
+"""Parses a client's command as a request, in one step where it has the common form."""
 
 from __future__ import annotations
 
@@ -121,10 +118,7 @@
 
 
 def _check_term_names(terms: dict[bytes, bytes], idempotency: Idempotency) -> bool:
-    """Check that each term stands that must, and no other.
-
-    Return whether the request is a retry.
-    """
+    """Check that all required terms are there and no other; return whether it is a retry."""
     has_key = idempotency is Idempotency.IDEMPOTENCY_KEY
     expected = _TERM_NAMES | {b"k"} if has_key else _TERM_NAMES
     retry = terms.pop(b"r", None)
--- a/saffrongw/gateway/request_types.py
+++ b/saffrongw/gateway/request_types.py
@@ -1,7 +1,4 @@
-"""What the gateway keeps of a client's request and of its upstream attempts.
-
-How they reach an upstream.
-"""
+"""What the driver, the filters and the upstream share: requests, attempts, final replies."""
 
 from __future__ import annotations
 
@@ -23,10 +20,7 @@
 
 
 def busy_reply(retry_after_us: int) -> bytes:
-    """Encode a rejection, with the retry-after time in whole milliseconds.
-
-    0 leaves that time out.
-    """
+    """Encode a rejection, with the retry-after time in whole milliseconds unless it is 0."""
     # Rounded up: a client that came back earlier would be rejected again.
     retry_after_ms = -(-retry_after_us // US_PER_MS)
     return b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms else b"-BUSY\r\n"
--- a/saffrongw/gateway/resp.py
+++ b/saffrongw/gateway/resp.py
@@ -158,10 +158,7 @@
         return Reply(None, parts[0] or b"", parts[2])
 
     def _common_reply(self) -> Reply | None:
-        """Read a served reply in its common form (a value, no usage, a report) in two steps.
-
-        Else None.
-        """
+        """Read a served reply in two steps if it has the common form: value, no usage, report."""
         data = self.data
         header = _SERVED_REPLY.match(data, self.position)
         if header is None or (length := int(header[1])) > MAX_VALUE_BYTES:
@@ -185,9 +182,9 @@
     # -- streamed values --------------------------------------------------------------------------
 
     def take_streamed_header(self) -> int | None:
-        """Consume the header of a reply whose value is to be streamed.
+        """Consume the header of a value that is to be streamed, and return the value's length.
 
-        Return the value's length, else None.
+        None where the next reply is none of these.
         """
         found = _STREAMED_REPLY.match(self.data, self.position)
         if found is None:
@@ -214,10 +211,7 @@
         return terminator == b"\r\n"
 
     def take_streamed_tail(self) -> bool:
-        """Consume what follows a streamed value (its end, usage and report).
-
-        False where it is not complete yet.
-        """
+        """Consume a streamed value's end, usage and report; False where they are not complete."""
         position = self.position + 2
         for _ in range(2):
             bulk = self._bulk(position, MAX_WORD_BYTES, nullable=True)
--- a/saffrongw/gateway/streaming_reply.py
+++ b/saffrongw/gateway/streaming_reply.py
@@ -1,11 +1,10 @@
-"""A value too long to be held whole.
-
-Passed from an endpoint to a client as it arrives, at the client's pace.
-More of them may be on their way at once than memory could hold. So of each no more is kept than one
-read of its endpoint and what the client's transport buffers. Its turn on the client's connection
-may come later: until then only a little of it is read. What was written can't be taken back: if the
-endpoint breaks off, the client's connection is closed, so that the client can tell that the value
-is not complete.
+"""A value that is passed from an endpoint to a client as it arrives, at the client's pace.
+
+It is too long to be held in memory: more of them may be on their way at once than memory could
+hold. So of each no more is kept than one read of its endpoint and what the client's transport
+buffers. Its turn on the client's connection may come later: until then only a little of it is read.
+What was written can't be taken back: if the endpoint breaks off, the client's connection is closed,
+so that the client can tell that the value is not complete.
 """
 
 from __future__ import annotations
@@ -85,17 +84,11 @@
 
     @property
     def is_broken(self) -> bool:
-        """Whether it broke off before its turn.
-
-        Nothing of it was written, so a failure may still be answered.
-        """
+        """Whether it broke off before its turn, so that a failure may still be answered."""
         return self.is_ended and not self.is_complete
 
     def count_in(self, metrics: Metrics, kind: int) -> None:
-        """Become the final reply to a request of this class.
-
-        Its end is counted in these metrics.
-        """
+        """Become the final reply to a request of this class, to be counted in these metrics."""
         self.metrics = metrics
         self.kind = kind
 
@@ -160,10 +153,7 @@
             self.sink.streaming_ended(self.is_complete)
 
     def _check_progress(self) -> None:
-        """Abandon a value that neither its endpoint nor its client moves on.
-
-        It holds connections and memory.
-        """
+        """Abandon a value that does not progress, because it holds connections and memory."""
         waits_for_turn = self.sink is None and self.is_complete
         if self.has_progressed or waits_for_turn:
             self.has_progressed = False
--- a/saffrongw/gateway/upstream/cluster.py
+++ b/saffrongw/gateway/upstream/cluster.py
@@ -78,9 +78,9 @@
     # -- endpoints --------------------------------------------------------------------------------
 
     def update_endpoints(self, endpoints: EndpointList) -> list[UpstreamAttempt]:
-        """Follow a new endpoint list.
+        """Follow a new endpoint list; return the attempts that can't be started any more.
 
-        Return the attempts that waited for a connection to what is gone or drains.
+        They waited for a connection to an endpoint that is removed or drains.
         """
         stranded: list[UpstreamAttempt] = []
         if endpoints.whole:
