--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,8 +11,8 @@
 from client_rig import error as error
 from fake_endpoint import FakeEndpoint
 from fake_endpoint import value as value
-from gateway_rig import SITE as SITE
-from gateway_rig import Rig as Rig
+from loopback_rig import SITE as SITE
+from loopback_rig import Rig as Rig
 from program_rig import configured as configured
 from program_rig import started as started
 
--- a/tests/gateway/test_admission_queue.py
+++ b/tests/gateway/test_admission_queue.py
@@ -9,7 +9,7 @@
 from async_testing import asyncio_test, until
 from client_rig import error
 from fake_endpoint import FakeEndpoint
-from gateway_rig import Rig
+from loopback_rig import Rig
 
 from saffrongw.gateway.downstream.graceful_shutdown import UNFINISHED_COMMAND_GRACE_S
 from saffrongw.gateway.request_parser import RequestFormat, parse_request
--- a/tests/gateway/test_downstream_connection.py
+++ b/tests/gateway/test_downstream_connection.py
@@ -9,7 +9,7 @@
 from async_testing import asyncio_test, until
 from client_rig import error
 from fake_endpoint import FakeEndpoint, value
-from gateway_rig import Rig
+from loopback_rig import Rig
 
 from saffrongw.gateway.downstream.connection import MAX_PIPELINED_COMMANDS
 
--- a/tests/gateway/test_downstream_interleavings.py
+++ b/tests/gateway/test_downstream_interleavings.py
@@ -11,7 +11,7 @@
 from async_testing import asyncio_test, until
 from client_rig import Caller, error
 from fake_endpoint import FakeEndpoint, value
-from gateway_rig import Rig
+from loopback_rig import Rig
 
 from saffrongw.gateway.downstream import idle_reaper
 from saffrongw.gateway.downstream.connection import MAX_PIPELINED_COMMANDS
--- a/tests/gateway/test_driver.py
+++ b/tests/gateway/test_driver.py
@@ -5,7 +5,7 @@
 from async_testing import asyncio_test, until
 from client_rig import error
 from fake_endpoint import FakeEndpoint, value
-from gateway_rig import SITE, Rig
+from loopback_rig import SITE, Rig
 
 from saffrongw.policy.actions import RejectRequest, SetTimer
 
--- a/tests/gateway/test_event_interleavings_over_sockets.py
+++ b/tests/gateway/test_event_interleavings_over_sockets.py
@@ -7,7 +7,7 @@
 import pytest
 from async_testing import asyncio_test, until
 from fake_endpoint import FakeEndpoint, value
-from gateway_rig import SITE, Rig
+from loopback_rig import SITE, Rig
 
 from saffrongw.gateway.request_types import UpstreamAttempt
 from saffrongw.gateway.upstream.connection import UpstreamConnection
--- a/tests/gateway/test_idle_reaper.py
+++ b/tests/gateway/test_idle_reaper.py
@@ -7,7 +7,7 @@
 import pytest
 from async_testing import asyncio_test, until
 from fake_endpoint import FakeEndpoint, value
-from gateway_rig import Rig
+from loopback_rig import Rig
 
 from saffrongw.gateway.downstream.idle_reaper import MIN_IDLE_S, SWEEP_INTERVAL_S
 
--- a/tests/gateway/test_request_filters.py
+++ b/tests/gateway/test_request_filters.py
@@ -8,7 +8,7 @@
 from async_testing import asyncio_test, until
 from client_rig import error
 from fake_endpoint import FakeEndpoint
-from gateway_rig import Rig
+from loopback_rig import Rig
 
 from saffrongw.gateway.extensions import (
     Abort,
--- a/tests/gateway/test_streaming_reply.py
+++ b/tests/gateway/test_streaming_reply.py
@@ -10,7 +10,7 @@
 from async_testing import asyncio_test, until
 from client_rig import Caller, error
 from fake_endpoint import FakeEndpoint, value
-from gateway_rig import Rig
+from loopback_rig import Rig
 
 from saffrongw.gateway import streaming_reply
 from saffrongw.gateway.resp import (
--- a/tests/gateway/test_upstream_cluster.py
+++ b/tests/gateway/test_upstream_cluster.py
@@ -7,7 +7,7 @@
 from async_testing import asyncio_test, until
 from client_rig import error
 from fake_endpoint import FakeEndpoint, value
-from gateway_rig import SITE, Rig
+from loopback_rig import SITE, Rig
 
 
 @asyncio_test
--- a/tests/gateway/test_upstream_codec.py
+++ b/tests/gateway/test_upstream_codec.py
@@ -4,7 +4,7 @@
 
 from async_testing import asyncio_test
 from fake_endpoint import FakeEndpoint, value
-from gateway_rig import Rig
+from loopback_rig import Rig
 
 from saffrongw.gateway.upstream.codec import parse_report
 
--- a/tests/gateway/test_upstream_connection.py
+++ b/tests/gateway/test_upstream_connection.py
@@ -8,7 +8,7 @@
 from async_testing import asyncio_test, until
 from client_rig import error
 from fake_endpoint import FakeEndpoint, value
-from gateway_rig import SITE, Rig
+from loopback_rig import SITE, Rig
 
 from saffrongw.policy.events import AttemptEnded, AttemptOutcome
 
--- a/tests/gateway/test_upstream_interleavings.py
+++ b/tests/gateway/test_upstream_interleavings.py
@@ -11,7 +11,7 @@
 from async_testing import asyncio_test, until
 from client_rig import error
 from fake_endpoint import FakeEndpoint, value
-from gateway_rig import SITE, Rig
+from loopback_rig import SITE, Rig
 
 from saffrongw.gateway.upstream.connection import REPLY_REMAINDER_TIMEOUT_S
 from saffrongw.policy.actions import SendAttempt
--- a/tests/gateway/test_upstream_pool.py
+++ b/tests/gateway/test_upstream_pool.py
@@ -7,7 +7,7 @@
 
 from async_testing import asyncio_test, until
 from fake_endpoint import FakeEndpoint, value
-from gateway_rig import Rig
+from loopback_rig import Rig
 
 from saffrongw.gateway.request_types import ClientRequest, UpstreamAttempt
 from saffrongw.gateway.upstream.pool import REUSE_DELAY_S
--- a/tests/program_rig.py
+++ b/tests/program_rig.py
@@ -10,7 +10,7 @@
 
 from client_rig import Caller
 from fake_endpoint import FakeEndpoint
-from gateway_rig import SITE
+from loopback_rig import SITE
 
 from testbed.runner.processes import die_with_parent, free_port
 
