--- a/saffrongw/gateway/admission_queue.py
+++ b/saffrongw/gateway/admission_queue.py
@@ -23,7 +23,7 @@
 QUEUE_TURN_S = 0.010
 
 
-class QueuedRequest(Protocol):
+class PendingRequest(Protocol):
     """A request that waits; one of both happens, unless its client disconnects."""
 
     def start(self) -> None:
@@ -68,7 +68,7 @@
         return self.shedder.count > 0
 
     def enqueue(
-        self, terms: RequestTerms, class_and_plan: bytes, customer: bytes, queued: QueuedRequest
+        self, terms: RequestTerms, class_and_plan: bytes, customer: bytes, queued: PendingRequest
     ) -> Waiting | None:
         """Let a request wait; return None where it was rejected at once."""
         now = self.driver.clock()
@@ -80,7 +80,7 @@
         shed = self.shedder.offer(now, waiting)
         if shed is None:
             return waiting
-        shed_request = cast("QueuedRequest", shed.tag)
+        shed_request = cast("PendingRequest", shed.tag)
         shed_request.reject(self._update_rejection(now))
         if shed is not waiting:
             return waiting
@@ -96,7 +96,7 @@
         """Reject all that waits: nothing is started any more."""
         rejection = busy_reply(0)
         for waiting in self.shedder.clear():
-            queued = cast("QueuedRequest", waiting.tag)
+            queued = cast("PendingRequest", waiting.tag)
             queued.reject(rejection)
 
     def _update_rejection(self, now: int) -> bytes:
@@ -120,7 +120,7 @@
             # arrived meanwhile.
             now = self.driver.clock()
             for expired in self.shedder.expired(now):
-                queued = cast("QueuedRequest", expired.tag)
+                queued = cast("PendingRequest", expired.tag)
                 queued.reject(self._update_rejection(now))
         finally:
             # Also where one of them raised: the others must not wait for ever.
@@ -132,7 +132,7 @@
     def _start_waiting(self) -> None:
         end_s = monotonic() + QUEUE_TURN_S
         while (waiting := self.shedder.take(self.driver.clock())) is not None:
-            queued = cast("QueuedRequest", waiting.tag)
+            queued = cast("PendingRequest", waiting.tag)
             queued.start()
             if monotonic() >= end_s:
                 break
--- a/saffrongw/gateway/downstream/reply_slot.py
+++ b/saffrongw/gateway/downstream/reply_slot.py
@@ -14,7 +14,7 @@
 class ReplySlot:
     """The position of one command's reply on its connection.
 
-    A ``QueuedRequest`` while its request waits.
+    A ``PendingRequest`` while its request waits.
     """
 
     __slots__ = ("connection", "parts", "reply", "request", "request_id", "terms", "waiting")
