--- a/tests/gateway/test_event_interleavings_over_sockets.py
+++ b/tests/gateway/test_event_interleavings_over_sockets.py
@@ -66,7 +66,9 @@
             if not self.call.is_finished:
                 self.rig.driver._deadline_passed(self.call)
         elif event in ("drains", "gone"):
-            self.rig.told(self.endpoint.line(health="DRAINING" if event == "drains" else "DELETED"))
+            self.rig.update_endpoints(
+                self.endpoint.line(health="DRAINING" if event == "drains" else "DELETED")
+            )
         elif not self.connection.transport.is_closing():
             if event == "reset":
                 self.connection.transport.abort()
--- a/tests/gateway/test_upstream_cluster.py
+++ b/tests/gateway/test_upstream_cluster.py
@@ -18,14 +18,14 @@
     caller = await rig.caller()
     caller.call()
     await until(lambda: old.commands)
-    rig.told(old.line("DRAINING"), new.line())
+    rig.update_endpoints(old.line("DRAINING"), new.line())
     for number in range(5):
         caller.call(number=b"%d" % number)
     await until(lambda: len(new.commands) == 5)
     old.connections[0].transport.write(value(b"last"))
     assert (await caller.replied(6))[0] == b"last"
     assert len(old.commands) == 1
-    rig.told(old.line("DELETED"))
+    rig.update_endpoints(old.line("DELETED"))
     await until(lambda: not old.connections)
 
 
@@ -60,6 +60,6 @@
     caller = await rig.caller()
     caller.call("bill")
     await until(lambda: rig.cluster.pools[b"a"].waiting)
-    rig.told(old.line("DELETED"), new.line())
+    rig.update_endpoints(old.line("DELETED"), new.line())
     assert await caller.replied() == [b"ok"]
     assert [len(endpoint.commands) for endpoint in (old, new)] == [0, 1]
--- a/tests/gateway/test_upstream_interleavings.py
+++ b/tests/gateway/test_upstream_interleavings.py
@@ -58,10 +58,10 @@
     caller.call(kind)
     await until(lambda: gate.waiting)
     if is_excluded:
-        rig.told(new.line())
+        rig.update_endpoints(new.line())
         rig.driver.exclusion_changed(ExclusionChanged(b"a", "operator", True))
     else:
-        rig.told(new.line(), old.line("DRAINING"))
+        rig.update_endpoints(new.line(), old.line("DRAINING"))
     assert await caller.replied() == [b"ok"]
     gate.opened.set()
     await until(lambda: not rig.cluster.pools[b"a"].opening)
@@ -82,18 +82,18 @@
     )
     caller.call("bill")
     await until(lambda: delayed)
-    rig.told(old.line("DRAINING"), new.line())
+    rig.update_endpoints(old.line("DRAINING"), new.line())
     send(delayed[0])
     assert await caller.replied() == [b"ok"]
     assert (len(old.commands), len(new.commands)) == (0, 1)
 
 
 @asyncio_test
-async def test_endpoint_ready_again_after_draining_is_used():
+async def test_endpoint_that_is_ready_after_draining_is_used():
     endpoint = await FakeEndpoint("a").listen()
     rig = Rig(endpoint)
-    rig.told(endpoint.line("DRAINING"))
-    rig.told(endpoint.line())
+    rig.update_endpoints(endpoint.line("DRAINING"))
+    rig.update_endpoints(endpoint.line())
     caller = await rig.caller()
     caller.call()
     assert await caller.replied() == [b"ok"]
@@ -142,7 +142,7 @@
     rig.loop.add_reader(here, stand_still)
     rig.loop.create_connection = connect
     caller = await rig.caller()
-    rig.told(good.line())
+    rig.update_endpoints(good.line())
     rig.driver.gateway._choose, choose = (
         lambda request: rig.driver.gateway.hosts[b"a" if not request.attempts else b"b"],
         rig.driver.gateway._choose,
--- a/tests/gateway/test_upstream_pool.py
+++ b/tests/gateway/test_upstream_pool.py
@@ -76,6 +76,6 @@
     caller.call()
     await caller.replied()
     old = endpoint.connections[0]
-    rig.told(endpoint.line(born_ms=5))
+    rig.update_endpoints(endpoint.line(born_ms=5))
     await until(lambda: old not in endpoint.connections)
     assert rig.cluster.pools[b"a"].started_at_us == 5_000
--- a/tests/loopback_rig.py
+++ b/tests/loopback_rig.py
@@ -118,7 +118,10 @@
         _, caller = await self.loop.create_connection(Caller, "127.0.0.1", port)
         return caller
 
-    def told(self, *lines: dict, whole=False) -> None:
+    def update_endpoints(self, *lines: dict, whole=False) -> None:
         """Give it an endpoint list from discovery: these lines, or all of it."""
         raw = {"seq": 2, "whole": whole, "hosts": list(lines)}
         self.driver.endpoint_list_received(config.parse_endpoint_list(raw, self.config.zones))
+
+    # The earlier name, for tests of other packages.
+    told = update_endpoints
