--- a/saffrongw/gateway/gossip_transport.py
+++ b/saffrongw/gateway/gossip_transport.py
@@ -33,13 +33,13 @@
 
     def close(self) -> None:
         """Hear and tell nothing more."""
-        self.driver.tell_peer = lambda rank, body: None
+        self.driver.send_gossip = lambda rank, body: None
         self.transport.close()
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:
         """The socket is bound."""
         self.transport = transport
-        self.driver.tell_peer = self.tell
+        self.driver.send_gossip = self.tell
 
     def datagram_received(self, body: bytes, source: Address) -> None:
         """What a stranger sends, or what is too long to be ours, is dropped."""
