--- a/saffrongw/admin/cli.py
+++ b/saffrongw/admin/cli.py
@@ -1,4 +1,4 @@
-"""The ``saffrongw`` command line: serve, check, version. Exit status 2 for input that can't be used."""
+"""The ``saffrongw`` command line; exit status 2 for input that can't be used."""
 
 from __future__ import annotations
 
@@ -14,118 +14,134 @@
 from saffrongw.certs.table import REASONS
 from saffrongw.extension_registry import build_extensions
 from saffrongw.gateway import bootstrap
-from saffrongw.gateway.config import parse_config
+from saffrongw.gateway.config import Config
+from saffrongw.gateway.config_file import MALFORMED_INPUT, ConfigFileError, read_config
+from saffrongw.gateway.extensions import Extensions
+
+# The environment's name for the operator file.
+OPERATOR_VARIABLE = "SAFFRONGW_OPERATOR"
 
 
 def serve(config: str | None = None, operator_file: str | None = None) -> int:
-    """Run a gateway; without arguments LB_CONFIG and SAFFRONGW_OPERATOR name the files."""
-    name = operator_file or os.environ.get("SAFFRONGW_OPERATOR")
+    """Run a gateway; without arguments ``LB_CONFIG`` and ``SAFFRONGW_OPERATOR`` name the files."""
+    name = operator_file or os.environ.get(OPERATOR_VARIABLE)
     try:
         file = operator.load(name) if name else None
-    except toml_schema.SchemaError as wrong:
-        return unusable(wrong)
+    except toml_schema.SchemaError as error:
+        return unusable(error)
     if config is None and "LB_CONFIG" not in os.environ:
         return unusable(
-            "no configuration: name one with --config or LB_CONFIG (`make demo` shows a whole fleet)"
+            "no configuration: name one with --config or LB_CONFIG"
+            " (`make demo` shows a whole fleet)"
         )
+    if file is None or name is None:
+        return bootstrap.run(config)
+
+    def build(read: Config) -> Extensions:
+        return build_extensions(file, read, name)
+
     try:
-        return bootstrap.run(
-            config, (lambda read: build_extensions(file, read, name)) if file else None
-        )
-    except (
-        toml_schema.SchemaError
-    ) as wrong:  # a name that the configuration does not have, or a file of TLS
-        return unusable(f"{name}: {wrong}")
+        return bootstrap.run(config, build)
+    except toml_schema.SchemaError as error:
+        # The file names what the configuration does not have, or a TLS file that can't be used.
+        return unusable(f"{name}: {error}")
 
 
 def check(path: Path) -> int:
-    """Validate a file without starting: ``.toml`` is an operator file, ``.json`` a gateway's configuration."""
+    """Validate a file: ``.toml`` is an operator file, ``.json`` a gateway's configuration."""
+    if path.suffix not in (".toml", ".json"):
+        return unusable(f"{path}: neither an operator file (.toml) nor a configuration (.json)")
     try:
         if path.suffix == ".toml":
             operator.load(path)
-        elif path.suffix == ".json":
-            config = parse_config(path.read_text())
-            if config.known.odd:
-                return unusable(f"{path}: known.hosts: {config.known.odd} entries make no sense")
         else:
-            return unusable(f"{path}: neither an operator file (.toml) nor a configuration (.json)")
-    except toml_schema.SchemaError as wrong:
-        return unusable(wrong)
-    except OSError as wrong:
-        return unusable(f"{path}: can't be read: {wrong.strerror or wrong}")
-    except KeyError as wrong:
-        return unusable(f"{path}: the key {wrong.args[0]!r} is missing")
-    except bootstrap.UNUSABLE as wrong:
-        return unusable(f"{path}: {wrong}")
+            malformed = read_config(path).known.odd
+            if malformed:
+                return unusable(f"{path}: known.hosts: {malformed} entries make no sense")
+    except toml_schema.SchemaError as error:
+        return unusable(error)
+    except ConfigFileError as error:
+        return unusable(f"{path}: {_reason(error.reason)}")
+    except MALFORMED_INPUT as error:
+        # TOML whose values can't even be converted.
+        return unusable(f"{path}: {_reason(error)}")
     print(f"{path}: good")
     return 0
 
 
+def _reason(error: Exception) -> str:
+    """Why a file can't be used, without the names of Python's errors."""
+    if isinstance(error, OSError):
+        return f"can't be read: {error.strerror or error}"
+    if isinstance(error, KeyError):
+        return f"the key {error.args[0]!r} is missing"
+    return str(error)
+
+
 def version() -> int:
-    """Print what runs: the project's version, and Python's."""
+    """Print the versions of the project and of Python."""
     print(f"saffrongw {__version__} (Python {sys.version.split()[0]})")
     return 0
 
 
-def _ledger_commands(commands: argparse._SubParsersAction) -> None:
-    """The command and its own commands; ``ledger.py`` carries them out."""
+def _add_ledger_commands(commands: argparse._SubParsersAction) -> None:
+    """Add the arguments of ``saffrongw ledger``; ``ledger.py`` carries it out."""
     ledger = commands.add_parser("ledger", help="what became of unrepeatable requests")
     ledger.add_argument(
         "--state", type=Path, required=True, metavar="DIR", help="the state_dir of [ledger]"
     )
     ledger.add_argument("--json", action="store_true", help="JSON lines")
-    what = ledger.add_subparsers(dest="what", required=True)
-    show = what.add_parser("show", help="the newest entries")
+    actions = ledger.add_subparsers(dest="what", required=True)
+    show = actions.add_parser("show", help="the newest entries")
     show.add_argument("--number", type=int, default=50)
-    find = what.add_parser("find", help="entries of a customer or of a client's id")
+    find = actions.add_parser("find", help="entries of a customer or of a client's id")
     find.add_argument("text")
-    what.add_parser("open", help="entries that may have run and are not settled")
-    told = what.add_parser("explain", help="what is known of one entry, in sentences")
-    told.add_argument("id", help="LIFE-NUMBER, or the client's id")
-    what.add_parser("export", help="every entry, as JSON lines")
-    what.add_parser("verify", help="look through the whole file; status 1 where it is damaged")
-    small = what.add_parser(
+    actions.add_parser("open", help="entries that may have run and are not settled")
+    explain = actions.add_parser("explain", help="what is known of one entry, in sentences")
+    explain.add_argument("id", help="LIFE-NUMBER, or the client's id")
+    actions.add_parser("export", help="every entry, as JSON lines")
+    actions.add_parser("verify", help="look through the whole file; status 1 where it is damaged")
+    compact = actions.add_parser(
         "compact", help="forget old settled entries, give room back (no gateway may run)"
     )
-    small.add_argument("--keep-days", type=float, default=90.0)
-    small.add_argument("--most-mb", type=int, default=512)
-    back = what.add_parser("backup", help="a copy of one moment")
-    back.add_argument("file", type=Path)
-    lists = what.add_parser("import", help="a host's own list of issued reports")
-    lists.add_argument("file", type=Path)
+    compact.add_argument("--keep-days", type=float, default=90.0)
+    compact.add_argument("--most-mb", type=int, default=512)
+    backup = actions.add_parser("backup", help="a copy of one moment")
+    backup.add_argument("file", type=Path)
+    import_list = actions.add_parser("import", help="a host's own list of issued reports")
+    import_list.add_argument("file", type=Path)
 
 
-def _certs_commands(commands: argparse._SubParsersAction) -> None:
-    """Its arguments; ``certs.py`` carries them out."""
+def _add_certs_commands(commands: argparse._SubParsersAction) -> None:
+    """Add the arguments of ``saffrongw certs``; ``certs.py`` carries it out."""
     certs = commands.add_parser("certs", help="certificates of the TLS listener")
-    where = certs.add_mutually_exclusive_group(required=True)
-    where.add_argument(
+    source = certs.add_mutually_exclusive_group(required=True)
+    source.add_argument(
         "--operator", type=Path, metavar="FILE", help="the operator file with [certs]"
     )
-    where.add_argument("--state", type=Path, metavar="DIR", help="the state_dir alone")
+    source.add_argument("--state", type=Path, metavar="DIR", help="the state_dir alone")
     certs.add_argument("--json", action="store_true", help="JSON lines")
-    what = certs.add_subparsers(dest="what", required=True)
-    what.add_parser(
+    actions = certs.add_subparsers(dest="what", required=True)
+    actions.add_parser(
         "list", help="all, the most urgent first; status 1 where one is at warning or worse"
     )
     for name, about in (("show", "all that is known of one"), ("renew", "order it now")):
-        what.add_parser(name, help=about).add_argument("id")
-    revoke = what.add_parser("revoke", help="tell the authority that it is not to be trusted")
+        actions.add_parser(name, help=about).add_argument("id")
+    revoke = actions.add_parser("revoke", help="tell the authority that it is not to be trusted")
     revoke.add_argument("id")
     revoke.add_argument("--reason", choices=REASONS, default="unspecified")
-    roll = what.add_parser("rollover", help="give the account a new key")
-    for one in (revoke, roll):
-        one.add_argument(
+    rollover = actions.add_parser("rollover", help="give the account a new key")
+    for action in (revoke, rollover):
+        action.add_argument(
             "--authority", default="", metavar="URL", help="its directory, where there are several"
         )
-    get = what.add_parser("import", help="put a certificate in service that came another way")
-    get.add_argument("--cert", type=Path, required=True, metavar="PEM")
-    get.add_argument("--key", type=Path, required=True, metavar="PEM")
-    get.add_argument("--id", default="", help="its name here; else the first name that it proves")
+    put = actions.add_parser("import", help="put a certificate in service that came another way")
+    put.add_argument("--cert", type=Path, required=True, metavar="PEM")
+    put.add_argument("--key", type=Path, required=True, metavar="PEM")
+    put.add_argument("--id", default="", help="its name here; else the first name that it proves")
 
 
-def main(argv: Sequence[str] | None = None) -> int:
-    """The command line."""
+def _build_parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser("saffrongw", description="A quota-keeping api gateway.")
     commands = parser.add_subparsers(dest="command", required=True)
     run = commands.add_parser("serve", help="run one gateway in the foreground")
@@ -133,26 +149,32 @@
     run.add_argument(
         "--operator", metavar="FILE", help="the operator file (else SAFFRONGW_OPERATOR)"
     )
-    look = commands.add_parser("check", help="validate an operator file or a configuration")
-    look.add_argument("file", type=Path)
+    validate = commands.add_parser("check", help="validate an operator file or a configuration")
+    validate.add_argument("file", type=Path)
     commands.add_parser("version", help="print the version")
-    _ledger_commands(commands)
-    _certs_commands(commands)
+    _add_ledger_commands(commands)
+    _add_certs_commands(commands)
     leases.arguments(commands)
-    given = parser.parse_args(argv)
-    if given.command == "ledger":
-        from . import ledger  # only here: other commands load nothing of it
+    return parser
 
-        return ledger.run(given)
-    if given.command == "certs":
+
+def main(argv: Sequence[str] | None = None) -> int:
+    """Run one command; its exit status."""
+    arguments = _build_parser().parse_args(argv)
+    # Imported only here: other commands load nothing of these.
+    if arguments.command == "ledger":
+        from . import ledger
+
+        return ledger.run(arguments)
+    if arguments.command == "certs":
         from . import certs
 
-        return certs.run(given)
-    if given.command == "leases":
-        return leases.run(given)
-    if given.command == "serve":
-        return serve(given.config, given.operator)
-    return check(given.file) if given.command == "check" else version()
+        return certs.run(arguments)
+    if arguments.command == "leases":
+        return leases.run(arguments)
+    if arguments.command == "serve":
+        return serve(arguments.config, arguments.operator)
+    return check(arguments.file) if arguments.command == "check" else version()
 
 
 if __name__ == "__main__":
--- a/saffrongw/gateway/admin_http/handlers.py
+++ b/saffrongw/gateway/admin_http/handlers.py
@@ -1,4 +1,4 @@
-"""What operators ask of a running gateway, carried out on its parts."""
+"""What operators can ask of a running gateway, carried out on its parts."""
 
 from __future__ import annotations
 
@@ -10,88 +10,123 @@
 from ..downstream.connection import ClientConnections
 from ..driver import Driver
 from ..extensions import AdminCommand, MetricLines
-from ..metrics import text
+from ..hot_restart.messages import (
+    MalformedMessageError,
+    Message,
+    MessageKind,
+    decode_exclusion,
+    decode_quiesced,
+)
+from ..metrics import render
 
-SOURCE = "operator"
-EXCLUDED_MOST = 4_096  # hosts taken out at once: each is remembered, listed or not
+# The policy's name for exclusions by this address, and for those that a hot restart passes on.
+EXCLUSION_SOURCE = "operator"
+# Each excluded endpoint is remembered, whether it is listed or not.
+MAX_EXCLUDED_ENDPOINTS = 4_096
+
+
+class AdminCallError(Exception):
+    """A call that can't be carried out; its message is the answer's text."""
 
 
 class AdminHandlers:
-    """The gateway as its operators see it (``operators.Operated``)."""
+    """Carries out operators' calls (``server.AdminOperations``) and those of a hot restart.
+
+    The attributes below ``is_serving`` are set by ``bootstrap`` and ``hot_restart`` before use.
+    """
 
     def __init__(self, driver: Driver, clients: ClientConnections, config: Config) -> None:
-        self.driver, self.clients, self.config = driver, clients, config
-        self.serving = False
-        self.more: tuple[MetricLines, ...] = ()  # figures of what is plugged in
-        self.calls: Mapping[bytes, AdminCommand] = {}  # and what else it can be asked
-        self.on_drain: tuple[Callable[[bool], None], ...] = ()
-        self.tell: Callable[..., object] = lambda *message: None  # the other process of an upgrade
-
-    def able(self) -> bool:
+        """Nothing is served yet."""
+        self.driver = driver
+        self.clients = clients
+        self.config = config
+        self.is_serving = False
+        self.extension_metrics: tuple[MetricLines, ...] = ()
+        # Calls of extensions, by path.
+        self.extension_commands: Mapping[bytes, AdminCommand] = {}
+        self.draining_listeners: tuple[Callable[[bool], None], ...] = ()
+        # Sends a message to the other process of a hot restart; without one nobody is notified.
+        self.notify_peer_process: Callable[..., object] = _notify_nobody
+
+    def is_healthy(self) -> bool:
         """Whether this process can serve."""
-        return self.serving
+        return self.is_serving
 
     def stats(self) -> bytes:
-        """The figures as of now."""
-        driver, gateway = self.driver, self.driver.gateway
-        lines = driver.figures.lines(
+        """All metrics as of now, as text."""
+        gateway = self.driver.gateway
+        rows = self.driver.figures.rows(
             self.config.class_names,
             self.clients.inflight,
             len(gateway.hosts),
-            gateway.avoided(driver.clock()),
+            gateway.avoided(self.driver.clock()),
         )
-        for part in self.more:
-            lines += part()
-        return text(lines)
-
-    def cordon(self, server: EndpointId) -> str | None:
-        """Nothing more to a host, until it is called back; why not where there is none of this id."""
-        gateway = self.driver.gateway
-        if not self._known(server):
-            return "no host has this id"
-        if len(gateway.excluded) >= EXCLUDED_MOST and server not in gateway.excluded:
-            return "too many hosts are out"
-        self._exclude(server, True)
-        self.tell("exclusion", state_transfer.text_of(server), True)
-        return None
-
-    def uncordon(self, server: EndpointId) -> str | None:
-        """Use a host again; why not where there is none of this id."""
-        if not self._known(server):
-            return "no host has this id"
-        self._exclude(server, False)
-        self.tell("exclusion", state_transfer.text_of(server), False)
-        return None
-
-    def _exclude(self, server: EndpointId, excluded: bool) -> None:
-        self.driver.excluded(ExclusionChanged(server, SOURCE, excluded))
-
-    def told(self, message: list) -> None:
-        """What operators asked of the other process of an upgrade holds here too."""
-        if message[0] == "exclusion":
-            self._exclude(state_transfer.server_of(message[1]), bool(message[2]))
-        elif message[0] == "quiesced":
-            (self.clients.quiesce if message[1] else self.clients.resume)()
-        else:
-            raise ValueError(f"unknown message {message[0]!r}")
-
-    def _known(self, server: EndpointId) -> bool:
-        gateway = self.driver.gateway
-        return server in gateway.hosts or SOURCE in gateway.excluded.get(server, ())
+        for extension_rows in self.extension_metrics:
+            rows += extension_rows()
+        return render(rows)
+
+    def exclude(self, endpoint_id: EndpointId) -> None:
+        """Send nothing more to an endpoint until it is readmitted."""
+        self._require_known(endpoint_id)
+        excluded = self.driver.gateway.excluded
+        if len(excluded) >= MAX_EXCLUDED_ENDPOINTS and endpoint_id not in excluded:
+            raise AdminCallError("too many hosts are out")
+        self._set_excluded(endpoint_id, True)
+        self._notify_exclusion(endpoint_id, True)
+
+    def readmit(self, endpoint_id: EndpointId) -> None:
+        """Use an excluded endpoint again."""
+        self._require_known(endpoint_id)
+        self._set_excluded(endpoint_id, False)
+        self._notify_exclusion(endpoint_id, False)
 
     def quiesce(self) -> None:
-        """Take no more clients."""
+        """Begin draining: take no more clients."""
         self.clients.quiesce()
-        self.drains(True)
-        self.tell("quiesced", True)
+        self.notify_draining(True)
+        self.notify_peer_process(MessageKind.QUIESCED, True)
 
     def resume(self) -> None:
-        """Take clients again."""
+        """End draining: take clients again."""
         self.clients.resume()
-        self.drains(False)
-        self.tell("quiesced", False)
+        self.notify_draining(False)
+        self.notify_peer_process(MessageKind.QUIESCED, False)
+
+    def notify_draining(self, is_draining: bool) -> None:
+        """Notify the extensions that draining has begun or was taken back."""
+        for notify in self.draining_listeners:
+            notify(is_draining)
+
+    def apply_from_peer_process(self, message: Message) -> None:
+        """Do here what operators asked of the other process of a hot restart.
+
+        Raises ``MalformedMessageError`` for a message of unknown kind.
+        """
+        kind = message[0]
+        if kind == MessageKind.EXCLUSION:
+            exclusion = decode_exclusion(message)
+            self._set_excluded(exclusion.endpoint_id, exclusion.excluded)
+        elif kind == MessageKind.QUIESCED:
+            if decode_quiesced(message):
+                self.clients.quiesce()
+            else:
+                self.clients.resume()
+        else:
+            raise MalformedMessageError(f"unknown message: {kind!r}")
+
+    def _require_known(self, endpoint_id: EndpointId) -> None:
+        gateway = self.driver.gateway
+        is_excluded_here = EXCLUSION_SOURCE in gateway.excluded.get(endpoint_id, ())
+        if endpoint_id not in gateway.hosts and not is_excluded_here:
+            raise AdminCallError("no host has this id")
+
+    def _set_excluded(self, endpoint_id: EndpointId, excluded: bool) -> None:
+        self.driver.excluded(ExclusionChanged(endpoint_id, EXCLUSION_SOURCE, excluded))
+
+    def _notify_exclusion(self, endpoint_id: EndpointId, excluded: bool) -> None:
+        text = state_transfer.text_of(endpoint_id)
+        self.notify_peer_process(MessageKind.EXCLUSION, text, excluded)
+
 
-    def drains(self, on: bool) -> None:
-        """Tell what is plugged in."""
-        for tell in self.on_drain:
-            tell(on)
+def _notify_nobody(*_message: object) -> None:
+    """Stand for the other process where there is none."""
--- a/saffrongw/gateway/admin_http/server.py
+++ b/saffrongw/gateway/admin_http/server.py
@@ -1,7 +1,8 @@
-"""The operators' address: HTTP/1.1, one call a connection. What a call changes is told to the decisions at once.
+"""The HTTP server of the operators' address: HTTP/1.1, one call a connection.
 
-Guards the requests of clients and the calls of others: a caller that sends half a call or nothing holds one of a few
-places for a while and nothing else; those that have not sent a whole call make room first.
+Clients' requests and other operators' calls are protected: a caller that sends an incomplete call
+or nothing holds one of a few connections for a short time. When there are too many, the oldest
+connection without a complete call is closed first.
 """
 
 from __future__ import annotations
@@ -11,203 +12,276 @@
 import re
 import socket
 from collections.abc import Callable, Mapping
-from typing import Protocol
+from http import HTTPStatus
+from typing import NamedTuple, Protocol, cast
 
 import h11
 
 from ..acceptor import Acceptor
 from ..config import Address
+from ..extensions import AdminCommand
+from .handlers import AdminCallError
 
 log = logging.getLogger(__name__)
 
-OPEN_MOST = 32  # callers' connections at once
-CALL_WITHIN = 2.0  # seconds for a whole call
-READ_WITHIN = 1.0  # seconds for its caller to read the answer
-HEAD_MOST, BODY_MOST = 4_096, 256  # bytes of a call
-MORE_MOST = 1_024  # bytes of one to what is plugged in
-METHODS = {
-    b"/admin/health": b"GET",
-    b"/admin/stats": b"GET",
-    b"/admin/cordon": b"POST",
-    b"/admin/uncordon": b"POST",
-    b"/admin/quiesce": b"POST",
-    b"/admin/resume": b"POST",
-}
-_ID = re.compile(rb"[!-~]{1,128}")
-
-
-class Operated(Protocol):
-    """What operators may ask of a gateway; ids are those of discovery."""
-
-    calls: Mapping[
-        bytes, tuple[bytes, Callable[[bytes], tuple[int, bytes]]]
-    ]  # of what is plugged in
-
-    def able(self) -> bool:
+MAX_CONNECTIONS = 32
+LISTEN_BACKLOG = 64
+# How long a caller may take to send its call, and to read the answer.
+CALL_TIMEOUT_S = 2.0
+READ_TIMEOUT_S = 1.0
+MAX_HEAD_BYTES = 4_096
+MAX_BODY_BYTES = 256
+# Of a call to an extension.
+MAX_EXTENSION_BODY_BYTES = 1_024
+_ENDPOINT_ID = re.compile(rb"[!-~]{1,128}")
+_OK = b"ok\n"
+
+
+class AdminResponse(NamedTuple):
+    """An answer's status and text."""
+
+    status: int
+    body: bytes
+
+
+class AdminOperations(Protocol):
+    """What operators can ask of a gateway; endpoint ids are those of discovery.
+
+    Calls that can't be carried out raise ``AdminCallError``.
+    """
+
+    extension_commands: Mapping[bytes, AdminCommand]
+
+    def is_healthy(self) -> bool:
         """Whether this process can serve."""
 
     def stats(self) -> bytes:
-        """The figures."""
+        """All metrics as text."""
 
-    def cordon(self, server: bytes) -> str | None:
-        """Nothing more to a host; None, or why not."""
+    def exclude(self, endpoint_id: bytes) -> None:
+        """Send nothing more to an endpoint."""
 
-    def uncordon(self, server: bytes) -> str | None:
-        """Use it again; None, or why not."""
+    def readmit(self, endpoint_id: bytes) -> None:
+        """Use an excluded endpoint again."""
 
     def quiesce(self) -> None:
-        """Take no more clients."""
+        """Begin draining."""
 
     def resume(self) -> None:
-        """Take clients again."""
+        """End draining."""
 
 
-class Caller(asyncio.Protocol):
-    """One connection with one call on it."""
+class AdminConnection(asyncio.Protocol):
+    """One caller's connection with one call on it."""
 
-    def __init__(self, calls: AdminServer) -> None:
-        self.calls = calls
-        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=HEAD_MOST)
+    # Both are set when the connection opens.
+    transport: asyncio.Transport
+    timeout: asyncio.TimerHandle
+
+    def __init__(self, server: AdminServer) -> None:
+        """Wait for the connection to open."""
+        self.server = server
+        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.request: h11.Request | None = None
         self.body = b""
-        self.transport: asyncio.Transport | None = None
-        self.limit: asyncio.TimerHandle | None = None
 
-    def connection_made(self, transport: asyncio.Transport) -> None:
-        """Somebody calls."""
-        self.transport = transport
-        self.calls.opened(self)
-        self.limit = self.calls.loop.call_later(CALL_WITHIN, transport.abort)
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Start the time limit of the call."""
+        self.transport = cast("asyncio.Transport", transport)
+        self.server.opened(self)
+        self.timeout = self.server.loop.call_later(CALL_TIMEOUT_S, self.transport.abort)
 
     def data_received(self, data: bytes) -> None:
-        """A call, or a part of it."""
+        """Read a call or a part of it; what follows a call that is answered is ignored."""
         if self.http.our_state is h11.DONE or self.transport.is_closing():
-            return  # answered: what comes behind it is no call
+            return
         try:
             self.http.receive_data(data)
-            while True:
-                event = self.http.next_event()
-                if event is h11.NEED_DATA:
-                    if self.http.they_are_waiting_for_100_continue:
-                        go_on = h11.InformationalResponse(status_code=100, headers=[])
-                        self.transport.write(self.http.send(go_on))
-                    return
-                if isinstance(event, h11.Request):
-                    self.request = event
-                elif isinstance(event, h11.Data):
-                    self.body += event.data
-                    plugged = self.request.target in self.calls.operated.calls
-                    if len(self.body) > (MORE_MOST if plugged else BODY_MOST):
-                        return self._answer(413, b"the body is too long\n")
-                elif isinstance(event, h11.EndOfMessage):
-                    return self._answer(*self._outcome())
-                else:  # closed, or paused
-                    return
-        except h11.RemoteProtocolError as wrong:
-            self._answer(wrong.error_status_hint, b"not a call: %.200s\n" % str(wrong).encode())
+            while self._handle(self.http.next_event()):
+                pass
+        except h11.RemoteProtocolError as error:
+            text = b"not a call: %.200s\n" % str(error).encode()
+            self._respond(AdminResponse(error.error_status_hint, text))
+
+    def _handle(self, event: object) -> bool:
+        """Whether the event is handled and another one may be there."""
+        if isinstance(event, h11.Request):
+            self.request = event
+            return True
+        if isinstance(event, h11.Data):
+            return self._receive_body(event.data)
+        if isinstance(event, h11.EndOfMessage):
+            self._respond(self._dispatch())
+        elif event is h11.NEED_DATA and self.http.they_are_waiting_for_100_continue:
+            go_on = h11.InformationalResponse(status_code=HTTPStatus.CONTINUE, headers=[])
+            self.transport.write(self.http.send(go_on))
+        return False
+
+    def _receive_body(self, data: bytes) -> bool:
+        """Whether the body is still within its limit."""
+        assert self.request is not None
+        self.body += data
+        is_extension = self.request.target in self.server.operations.extension_commands
+        if len(self.body) <= (MAX_EXTENSION_BODY_BYTES if is_extension else MAX_BODY_BYTES):
+            return True
+        too_long = AdminResponse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, b"the body is too long\n")
+        self._respond(too_long)
+        return False
 
     def eof_received(self) -> bool:
-        """A caller may end its side and wait for the answer; one that has sent half a call gets none."""
+        """Keep the connection if its call is complete: the caller may have closed only its side."""
         return self.http.our_state is h11.DONE
 
-    def _outcome(self) -> tuple[int, bytes]:
+    def _dispatch(self) -> AdminResponse:
+        """The answer to the call; a fault of the handler is answered at once, not by silence."""
+        assert self.request is not None
+        method, target = self.request.method, self.request.target
         try:
-            return self.calls.outcome(self.request.method, self.request.target, self.body)
-        except Exception:  # guards the caller: a fault of ours is told as one, and at once
-            log.exception("an operator's call failed")
-            return 500, b"the call failed\n"
+            return self.server.dispatch(method, target, self.body)
+        except Exception:
+            log.exception("admin_http: handler failed: method=%s target=%.100r", method, target)
+            return AdminResponse(HTTPStatus.INTERNAL_SERVER_ERROR, b"the call failed\n")
 
-    def _answer(self, status: int, body: bytes) -> None:
+    def _respond(self, response: AdminResponse) -> None:
         if self.http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
-            return self.transport.abort()
-        self.limit.cancel()
+            self.transport.abort()
+            return
+        self.timeout.cancel()
         headers = [
             ("content-type", "text/plain"),
-            ("content-length", str(len(body))),
+            ("content-length", str(len(response.body))),
             ("connection", "close"),
         ]
-        if status == 405:
+        if response.status == HTTPStatus.METHOD_NOT_ALLOWED:
             headers.append(("allow", "GET, POST"))
-        head = self.http.send(h11.Response(status_code=status, headers=headers))
-        with_body = self.request is None or self.request.method != b"HEAD"
-        self.transport.write(head + (body if with_body else b""))
-        self.calls.answered(self)
-        self.limit = self.calls.loop.call_later(READ_WITHIN, self.transport.abort)
+        head = self.http.send(h11.Response(status_code=response.status, headers=headers))
+        has_body = self.request is None or self.request.method != b"HEAD"
+        self.transport.write(head + (response.body if has_body else b""))
+        self.server.answered(self)
+        self.timeout = self.server.loop.call_later(READ_TIMEOUT_S, self.transport.abort)
         self.transport.close()
 
-    def connection_lost(self, error: Exception | None) -> None:
-        """It has closed."""
-        self.limit.cancel()
-        self.calls.closed(self)
+    def connection_lost(self, _error: Exception | None) -> None:
+        """Release the connection."""
+        self.timeout.cancel()
+        self.server.closed(self)
 
 
-class AdminServer:
-    """The listener for operators."""
+class _Route(NamedTuple):
+    """The method and handler of one path."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, operated: Operated) -> None:
-        self.loop, self.operated = loop, operated
-        self.unheard: dict[Caller, None] = {}  # no whole call yet, the oldest first
-        self.open: set[Caller] = set()
+    method: bytes
+    handle: Callable[[bytes], AdminResponse]
+
+
+class AdminServer:
+    """The listener of the operators' address, its connections and its routes."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, operations: AdminOperations) -> None:
+        """Prepare; ``listen`` binds."""
+        self.loop = loop
+        self.operations = operations
+        # Without a complete call, the oldest first.
+        self.incomplete: dict[AdminConnection, None] = {}
+        self.connections: set[AdminConnection] = set()
         self.acceptor: Acceptor | None = None
+        self.routes = {
+            b"/admin/health": _Route(b"GET", self._health),
+            b"/admin/stats": _Route(b"GET", self._stats),
+            b"/admin/cordon": _Route(b"POST", self._exclude),
+            b"/admin/uncordon": _Route(b"POST", self._readmit),
+            b"/admin/quiesce": _Route(b"POST", self._quiesce),
+            b"/admin/resume": _Route(b"POST", self._resume),
+        }
 
     def listen(self, address: Address) -> None:
-        """Answer from now on."""
-        listener = socket.create_server(address, backlog=64, reuse_port=True)
-        self.acceptor = Acceptor(self.loop, listener, self._room, lambda: Caller(self))
+        """Answer calls from now on."""
+        listener = socket.create_server(address, backlog=LISTEN_BACKLOG, reuse_port=True)
+        self.acceptor = Acceptor(
+            self.loop, listener, self._make_room, lambda: AdminConnection(self)
+        )
         self.acceptor.start()
 
     def close(self) -> None:
-        """No more calls."""
+        """Answer no more calls."""
         if self.acceptor:
             self.acceptor.close()
 
-    def _room(self) -> bool:
-        if len(self.open) + self.acceptor.opening < OPEN_MOST:
+    def _make_room(self) -> bool:
+        """Whether one more connection may open; the oldest without a complete call is closed."""
+        assert self.acceptor is not None
+        if len(self.connections) + self.acceptor.opening < MAX_CONNECTIONS:
             return True
-        if (oldest := next(iter(self.unheard), None)) is None:
+        if (oldest := next(iter(self.incomplete), None)) is None:
             return False
         self.closed(oldest)
         oldest.transport.abort()
         return True
 
-    def opened(self, caller: Caller) -> None:
-        """One more."""
-        self.acceptor.opened(caller)
-        self.open.add(caller)
-        self.unheard[caller] = None
+    def opened(self, connection: AdminConnection) -> None:
+        """Count a connection that has opened."""
+        assert self.acceptor is not None
+        self.acceptor.opened(connection)
+        self.connections.add(connection)
+        self.incomplete[connection] = None
 
-    def answered(self, caller: Caller) -> None:
-        """Its call is done."""
-        self.unheard.pop(caller, None)
+    def answered(self, connection: AdminConnection) -> None:
+        """Note that a connection's call is complete."""
+        self.incomplete.pop(connection, None)
 
-    def closed(self, caller: Caller) -> None:
-        """One less."""
-        self.open.discard(caller)
-        self.unheard.pop(caller, None)
+    def closed(self, connection: AdminConnection) -> None:
+        """Forget a connection."""
+        self.connections.discard(connection)
+        self.incomplete.pop(connection, None)
 
-    def outcome(self, method: bytes, target: bytes, body: bytes) -> tuple[int, bytes]:
-        """Status and text for one call."""
+    def dispatch(self, method: bytes, target: bytes, body: bytes) -> AdminResponse:
+        """The answer to one call; ``HEAD`` is taken where ``GET`` is."""
         path = target.partition(b"?")[0]
-        plugged = self.operated.calls.get(path)
-        wanted = plugged[0] if plugged else METHODS.get(path)
-        if wanted is None:
-            return 404, b"no such call\n"
-        if method != wanted and (wanted, method) != (b"GET", b"HEAD"):
-            return 405, b"this call wants " + wanted + b"\n"
-        if plugged:
-            return plugged[1](body)
-        if path == b"/admin/health":
-            return (200, b"ok\n") if self.operated.able() else (503, b"it does not serve yet\n")
-        if path == b"/admin/stats":
-            return 200, self.operated.stats()
-        if path == b"/admin/quiesce":
-            self.operated.quiesce()
-            return 200, b"ok\n"
-        if path == b"/admin/resume":
-            self.operated.resume()
-            return 200, b"ok\n"
-        server = body.strip()
-        if not _ID.fullmatch(server):
-            return 400, b"the body is no host's id\n"
-        why = (self.operated.cordon if path == b"/admin/cordon" else self.operated.uncordon)(server)
-        return (200, b"ok\n") if why is None else (404, why.encode() + b"\n")
+        route = self._route(path)
+        if route is None:
+            return AdminResponse(HTTPStatus.NOT_FOUND, b"no such call\n")
+        if method != route.method and (route.method, method) != (b"GET", b"HEAD"):
+            text = b"this call wants " + route.method + b"\n"
+            return AdminResponse(HTTPStatus.METHOD_NOT_ALLOWED, text)
+        return route.handle(body)
+
+    def _route(self, path: bytes) -> _Route | None:
+        command = self.operations.extension_commands.get(path)
+        if command is None:
+            return self.routes.get(path)
+        method, run = command
+        return _Route(method, lambda body: AdminResponse(*run(body)))
+
+    def _health(self, _body: bytes) -> AdminResponse:
+        if self.operations.is_healthy():
+            return AdminResponse(HTTPStatus.OK, _OK)
+        return AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, b"it does not serve yet\n")
+
+    def _stats(self, _body: bytes) -> AdminResponse:
+        return AdminResponse(HTTPStatus.OK, self.operations.stats())
+
+    def _quiesce(self, _body: bytes) -> AdminResponse:
+        self.operations.quiesce()
+        return AdminResponse(HTTPStatus.OK, _OK)
+
+    def _resume(self, _body: bytes) -> AdminResponse:
+        self.operations.resume()
+        return AdminResponse(HTTPStatus.OK, _OK)
+
+    def _exclude(self, body: bytes) -> AdminResponse:
+        return _change_endpoint(self.operations.exclude, body)
+
+    def _readmit(self, body: bytes) -> AdminResponse:
+        return _change_endpoint(self.operations.readmit, body)
+
+
+def _change_endpoint(change: Callable[[bytes], None], body: bytes) -> AdminResponse:
+    """The answer to a call whose body is an endpoint's id."""
+    endpoint_id = body.strip()
+    if not _ENDPOINT_ID.fullmatch(endpoint_id):
+        return AdminResponse(HTTPStatus.BAD_REQUEST, b"the body is no host's id\n")
+    try:
+        change(endpoint_id)
+    except AdminCallError as error:
+        return AdminResponse(HTTPStatus.NOT_FOUND, str(error).encode() + b"\n")
+    return AdminResponse(HTTPStatus.OK, _OK)
--- a/saffrongw/gateway/bootstrap.py
+++ b/saffrongw/gateway/bootstrap.py
@@ -1,206 +1,261 @@
-"""One gateway as a process: its parts put together, its signals, its log, its end."""
+"""One gateway as a process: its parts are built, serve until a signal, and end in order."""
 
 from __future__ import annotations
 
 import asyncio
 import gc
-import logging
 import os
 import random
 import signal
 import sys
 from collections.abc import Callable
-from dataclasses import replace
+from dataclasses import dataclass
 from pathlib import Path
 
 import uvloop
 
-from ..policy.settings_schema import SettingsError
 from . import signals
 from .admin_http.handlers import AdminHandlers
 from .admin_http.server import AdminServer
-from .config import Config, parse_address, parse_config
+from .config import Config
+from .config_file import ConfigFileError, ConfigReloader, read_effective_config
 from .discovery.client import DiscoveryClient
 from .discovery.poll_schedule import PollSchedule
 from .downstream.connection import ClientConnections
 from .driver import Driver
 from .extensions import Extensions
 from .gossip_transport import GossipTransport
-from .hot_restart.successor import PredecessorHandOver, SuccessorHandOver, either
-from .metrics import Metrics
+from .hot_restart.parts import GatewayParts
+from .hot_restart.predecessor import PredecessorHandOver
+from .hot_restart.successor import SuccessorHandOver
+from .logging_setup import start_log
 from .upstream.cluster import UpstreamCluster
 
-log = logging.getLogger(__name__)
-
-ACCEPT_FOR = 0.5  # seconds after SIGTERM in which new connections are still served
-SPARE = 48  # descriptors for all but clients and hosts: the loop, the watch, peers, logs
-CLIENT_PART = 0.5  # of the descriptors that are left
-LOG_SPAN, LOG_MOST = 10.0, 50  # seconds / lines logged in that time
-UNUSABLE = (
-    OSError,
-    LookupError,
-    ValueError,
-    TypeError,
-    AttributeError,
-    ArithmeticError,
-    RecursionError,
-    SettingsError,
-)
-
-
-class RateLimitedLogFilter(logging.Filter):
-    """Guards against a log that grows with what goes wrong: so many lines in a span, the rest are counted."""
-
-    def __init__(self) -> None:
-        super().__init__()
-        self.began, self.lines = 0.0, 0
-
-    def filter(self, record: logging.LogRecord) -> bool:
-        """Whether this line is written."""
-        if record.created - self.began > LOG_SPAN:
-            if self.lines > LOG_MOST:
-                record.msg = f"({self.lines - LOG_MOST} lines left out before) {record.msg}"
-            self.began, self.lines = record.created, 0
-        self.lines += 1
-        return self.lines <= LOG_MOST
-
-
-def read(path: Path) -> Config:
-    """The configuration's file; LB_ADMIN names the operators' address where the file doesn't."""
-    config = parse_config(path.read_text())
-    told = os.environ.get("LB_ADMIN")
-    return replace(config, admin=parse_address(told)) if told and config.admin is None else config
-
-
-def reload(path: Path, config: Config, watch: DiscoveryClient, figures: Metrics) -> Config:
-    """SIGHUP: read the file again. A wrong one is logged and the old one stays; only the watch can move."""
-    try:
-        new = read(path)
-    except UNUSABLE as wrong:
-        log.warning("reload: no usable configuration, the old one stays: %.200r", wrong)
-        figures.reloads_failed += 1
-        return config
-    figures.reloads += 1
-    if replace(new, discovery=config.discovery, known=config.known, seed=config.seed) != config:
-        log.warning("reload: only another address of discovery takes effect before a restart")
-    watch.move(new.discovery)
-    return replace(config, discovery=new.discovery)
-
-
-async def serve(config: Config, path: Path, plugs: Extensions | None = None) -> None:
-    """Run until SIGTERM or SIGINT; without plugs no stage or observer is looked for at all."""
+# How long new connections are still accepted after SIGTERM.
+ACCEPT_PERIOD_S = 0.5
+# Descriptors for all but clients and endpoints: the event loop, discovery, gossip, logs.
+RESERVED_DESCRIPTORS = 48
+# Of the descriptors that are left.
+CLIENT_DESCRIPTOR_SHARE = 0.5
+US_PER_S = 1e6
+
+
+@dataclass(frozen=True, slots=True)
+class DescriptorBudget:
+    """How many descriptors clients and upstream connections may use."""
+
+    clients: int
+    upstream: int
+
+    @classmethod
+    def of(cls, sockets: int) -> DescriptorBudget:
+        """The division of the configuration's ``limits.sockets``."""
+        available = max(RESERVED_DESCRIPTORS, sockets - RESERVED_DESCRIPTORS)
+        clients = int(CLIENT_DESCRIPTOR_SHARE * available)
+        return cls(clients, available - clients)
+
+
+@dataclass(frozen=True, slots=True)
+class Runtime:
+    """What one run of a gateway is made of."""
+
+    config: Config
+    extensions: Extensions | None
+    parts: GatewayParts
+    # None where no running process was found.
+    successor: SuccessorHandOver | None
+    # Set by SIGTERM and SIGINT.
+    stop_requested: asyncio.Event
+
+
+async def serve(config: Config, path: Path, extensions: Extensions | None = None) -> None:
+    """Run until SIGTERM or SIGINT; ``OSError`` where an address can't be bound.
+
+    The order matters: the running process is asked for its sockets before anything is bound, and
+    SIGHUP is handled only once there is something to reload.
+    """
     loop = asyncio.get_running_loop()
-    stop = asyncio.Event()
+    # Extensions that switch nothing on cost nothing.
+    extensions = extensions or None
+    stop_requested = _stop_on_signals(loop)
+    budget = DescriptorBudget.of(config.sockets)
+    driver = _build_driver(config, loop, extensions)
+    cluster = _build_cluster(config, driver, budget)
+    successor = await SuccessorHandOver.connect(loop, config.listen)
+    await _start_driver(config, driver, successor, extensions)
+    discovery = _start_discovery(config, driver)
+    reloader = ConfigReloader(path, config, discovery, driver.figures)
+    _reload_on_sighup(loop, reloader, extensions)
+    clients = ClientConnections(driver, config, budget.clients)
+    admin = _build_admin(config, driver, clients, extensions)
+    admin_server = AdminServer(loop, admin)
+    if config.admin:
+        admin_server.listen(config.admin)
+    parts = GatewayParts(driver, cluster, clients, admin)
+    runtime = Runtime(config, extensions, parts, successor, stop_requested)
+    if await _must_serve(runtime):
+        await _serve_until_stopped(runtime)
+    elif successor:
+        # Told to end before it came to serve, or replaced: the running process goes on.
+        successor.close()
+    admin_server.close()
+    for service in extensions.services if extensions else ():
+        await service.stop()
+
+
+def _stop_on_signals(loop: asyncio.AbstractEventLoop) -> asyncio.Event:
+    stop_requested = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
-    sockets = max(SPARE, config.sockets - SPARE)
-    client_sockets = int(CLIENT_PART * sockets)
-    if plugs:
-        from .filter_chain import (
-            FilteringDriver,  # only here: a gateway without plugs does not even load it
-        )
-
-        driver: Driver = FilteringDriver(config.settings, config.seed, loop, plugs)
-    else:
-        driver = Driver(config.settings, config.seed, loop)
-    driver.hosts = UpstreamCluster(
+        loop.add_signal_handler(number, stop_requested.set)
+    return stop_requested
+
+
+def _build_driver(
+    config: Config, loop: asyncio.AbstractEventLoop, extensions: Extensions | None
+) -> Driver:
+    if extensions is None:
+        return Driver(config.settings, config.seed, loop)
+    # Only here: a gateway without extensions does not even load it.
+    from .filter_chain import FilteringDriver
+
+    return FilteringDriver(config.settings, config.seed, loop, extensions)
+
+
+def _build_cluster(config: Config, driver: Driver, budget: DescriptorBudget) -> UpstreamCluster:
+    cluster = UpstreamCluster(
         driver,
         config.settings.load_report_fields,
-        sockets - client_sockets,
+        budget.upstream,
         config.idle_close,
         config.connect_timeout,
     )
-    hosts = driver.hosts
-    inheritance = await SuccessorHandOver.of(loop, config.listen)
-    driver.succeeds = inheritance is not None
-    driver.start((inheritance and inheritance.listed) or config.known)
-    for service in plugs.services if plugs else ():
+    driver.hosts = cluster
+    return cluster
+
+
+async def _start_driver(
+    config: Config,
+    driver: Driver,
+    successor: SuccessorHandOver | None,
+    extensions: Extensions | None,
+) -> None:
+    """Start with the running process's endpoint list or the configuration's; start services."""
+    driver.succeeds = successor is not None
+    driver.start((successor and successor.endpoint_list) or config.known)
+    for service in extensions.services if extensions else ():
         await service.start(driver)
-    asking = PollSchedule(
-        config.settings.node_count,
+
+
+def _start_discovery(config: Config, driver: Driver) -> DiscoveryClient:
+    settings = config.settings
+    schedule = PollSchedule(
+        settings.node_count,
         random.Random(config.seed),
         config.known.version if config.known.hosts else None,
-        config.settings.notification_deadline_us / 1e6,
+        settings.notification_deadline_us / US_PER_S,
         has_clients=lambda: driver.last_number > 0,
-        pushed=not config.settings.polls_endpoint_list,
-        grace=config.settings.drain_grace_us / 1e6,
+        pushed=not settings.polls_endpoint_list,
+        grace=settings.drain_grace_us / US_PER_S,
     )
-    watch = DiscoveryClient(loop, config.discovery, config.zones, driver.listed, asking)
-    watch.start()
-
-    def hang_up() -> None:
-        nonlocal config
-        config = reload(path, config, watch, driver.figures)
-        if plugs and plugs.again:
-            plugs.again()
-
-    loop.add_signal_handler(signal.SIGHUP, hang_up)
-    signal.pthread_sigmask(
-        signal.SIG_UNBLOCK, {signal.SIGHUP}
-    )  # one that came since the start is carried out now
-    clients = ClientConnections(driver, config, client_sockets)
-    operations = AdminHandlers(driver, clients, config)
-    if plugs:
-        operations.more, operations.calls, operations.on_drain = (
-            plugs.figures,
-            plugs.calls,
-            plugs.on_drain,
-        )
-    calls = AdminServer(loop, operations)
-    if config.admin:
-        calls.listen(config.admin)
-    if inheritance:
-        inheritance.attach(driver, hosts, clients, operations)
-        operations.serving = True  # the running process does, until it hands over
-        await either(inheritance.go.wait(), stop.wait())
-    if inheritance.falls_to_us if inheritance else not stop.is_set():
-        peers = None
-        if config.peer_listen and config.settings.may_send_gossip:
-            peers = GossipTransport(driver, config.peers, config.settings.node_index)
-            await peers.listen(inheritance and inheritance.peers, config.peer_listen)
-        await clients.listen(inheritance and inheritance.listener)
-        if plugs:
-            await clients.open_fronts(plugs.fronts)
-        operations.serving = True
-        if inheritance:
-            inheritance.serve()
-        estate = PredecessorHandOver(driver, hosts, clients, operations, peers, ACCEPT_FOR)
-        estate.listen()
-        gc.collect()
-        gc.freeze()  # what is loaded by now stays: it need not be looked through again
-        await stop.wait()
-        operations.drains(True)
-        if estate.has_heir:
-            await estate.hand_over()
-        else:
-            await clients.drain(ACCEPT_FOR)
-        estate.close()
-    elif inheritance:
-        inheritance.close()  # told to end before it came to serve, or replaced: the running process goes on
-    calls.close()
-    for service in plugs.services if plugs else ():
-        await service.stop()
+    client = DiscoveryClient(driver.loop, config.discovery, config.zones, driver.listed, schedule)
+    client.start()
+    return client
+
+
+def _reload_on_sighup(
+    loop: asyncio.AbstractEventLoop, reloader: ConfigReloader, extensions: Extensions | None
+) -> None:
+    """Handle SIGHUP from now on; one that has come since the start is handled at once."""
+
+    def reload_all() -> None:
+        reloader.reload()
+        if extensions and extensions.again:
+            extensions.again()
+
+    loop.add_signal_handler(signal.SIGHUP, reload_all)
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
 
 
-def start_log() -> None:
-    """Warnings and worse on standard error, so many lines a span."""
-    logging.basicConfig(level=logging.WARNING, format="%(asctime)s %(levelname)s %(message)s")
-    logging.getLogger().handlers[0].addFilter(RateLimitedLogFilter())
+def _build_admin(
+    config: Config, driver: Driver, clients: ClientConnections, extensions: Extensions | None
+) -> AdminHandlers:
+    admin = AdminHandlers(driver, clients, config)
+    if extensions:
+        admin.extension_metrics = extensions.figures
+        admin.extension_commands = extensions.calls
+        admin.draining_listeners = extensions.on_drain
+    return admin
 
 
-def run(path: str | None = None, plug: Callable[[Config], Extensions] | None = None) -> int:
-    """Read the configuration and serve; one plain line and 1 where it is wrong. Without a path LB_CONFIG names it."""
+async def _must_serve(runtime: Runtime) -> bool:
+    """Wait for the running process to hand over, if there is one; whether this process serves."""
+    successor = runtime.successor
+    if successor is None:
+        return not runtime.stop_requested.is_set()
+    successor.attach(runtime.parts)
+    # The running process serves for both until it hands over.
+    runtime.parts.admin.is_serving = True
+    await successor.wait_for_take_over(runtime.stop_requested)
+    return successor.must_serve
+
+
+async def _serve_until_stopped(runtime: Runtime) -> None:
+    """Listen, serve until a signal, then hand over to a successor or drain."""
+    parts, successor = runtime.parts, runtime.successor
+    gossip = await _listen(runtime)
+    parts.admin.is_serving = True
+    if successor:
+        successor.serve()
+    predecessor = PredecessorHandOver(parts, gossip, ACCEPT_PERIOD_S)
+    predecessor.listen()
+    # What is loaded by now stays: the collector need not look through it again.
+    gc.collect()
+    gc.freeze()
+    await runtime.stop_requested.wait()
+    parts.admin.notify_draining(True)
+    await predecessor.stop()
+    predecessor.close()
+
+
+async def _listen(runtime: Runtime) -> GossipTransport | None:
+    """Open the gossip socket and the listeners, on handed-over sockets if there are any."""
+    config, successor = runtime.config, runtime.successor
+    gossip = None
+    if config.peer_listen and config.settings.may_send_gossip:
+        gossip = GossipTransport(runtime.parts.driver, config.peers, config.settings.node_index)
+        handed_over = successor.gossip_socket if successor else None
+        await gossip.listen(handed_over, config.peer_listen)
+    await runtime.parts.clients.listen(successor.listener if successor else None)
+    if runtime.extensions:
+        await runtime.parts.clients.open_fronts(runtime.extensions.fronts)
+    return gossip
+
+
+def run(
+    path: str | None = None, build_extensions: Callable[[Config], Extensions] | None = None
+) -> int:
+    """Read the configuration and serve; the exit status.
+
+    Without a path ``LB_CONFIG`` names the file. A configuration that can't be used, or an address
+    that can't be bound, is one line on standard error and status 1.
+    """
     start_log()
     signals.block_sighup()
     try:
         file = Path(path if path is not None else os.environ["LB_CONFIG"])
-        config = read(file)
-    except UNUSABLE as wrong:
-        print(f"saffrongw: no usable configuration: {wrong!r}", file=sys.stderr)
-        return 1
+        config = read_effective_config(file)
+    except KeyError as error:
+        return _fail(f"no usable configuration: {error!r}")
+    except ConfigFileError as error:
+        return _fail(f"no usable configuration: {error.reason!r}")
     try:
-        uvloop.run(serve(config, file, plug(config) if plug else None))
-    except OSError as wrong:
-        print(f"saffrongw: can't serve: {wrong}", file=sys.stderr)
-        return 1
+        extensions = build_extensions(config) if build_extensions else None
+        uvloop.run(serve(config, file, extensions))
+    except OSError as error:
+        return _fail(f"can't serve: {error}")
     return 0
+
+
+def _fail(reason: str) -> int:
+    print(f"saffrongw: {reason}", file=sys.stderr)
+    return 1
--- a/saffrongw/gateway/gossip_transport.py
+++ b/saffrongw/gateway/gossip_transport.py
@@ -1,9 +1,10 @@
-"""Datagrams between gateways: who sent one is told by its source address alone."""
+"""The UDP socket for gossip between gateways; a sender is known by its source address alone."""
 
 from __future__ import annotations
 
 import asyncio
 import socket
+from typing import cast
 
 from ..policy import gossip_codec
 from .config import Address
@@ -11,46 +12,55 @@
 
 
 class GossipTransport(asyncio.DatagramProtocol):
-    """The UDP socket at ``peer_listen``."""
+    """Sends and receives gossip datagrams at ``peer_listen``."""
 
-    def __init__(self, driver: Driver, addresses: tuple[Address, ...], own: int) -> None:
-        self.driver, self.addresses = driver, addresses
-        self.ranks = {address: rank for rank, address in enumerate(addresses) if rank != own}
-        self.transport: asyncio.DatagramTransport | None = None
-        self.sock: socket.socket | None = None
+    # Both are set when the socket is open.
+    transport: asyncio.DatagramTransport
+    sock: socket.socket
+
+    def __init__(self, driver: Driver, addresses: tuple[Address, ...], own_index: int) -> None:
+        """``addresses`` of all gateways by node index, this one's among them."""
+        self.driver = driver
+        self.addresses = addresses
+        self.node_indexes = {
+            address: index for index, address in enumerate(addresses) if index != own_index
+        }
 
     async def listen(self, sock: socket.socket | None, address: Address) -> None:
-        """Hear and tell from now on, on a socket that is bound already if there is one."""
+        """Begin on a socket that a hot restart handed over, or on a new one at the address."""
         if sock is None:
             sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            sock.setsockopt(
-                socket.SOL_SOCKET, socket.SO_REUSEPORT, 1
-            )  # a new version binds beside this one
+            # A new version that can't take over binds beside this one.
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
             sock.bind(address)
         sock.setblocking(False)
         self.sock = sock
         await self.driver.loop.create_datagram_endpoint(lambda: self, sock=sock)
 
     def close(self) -> None:
-        """Hear and tell nothing more."""
-        self.driver.tell_peer = lambda rank, body: None
+        """Send and receive nothing more."""
+        self.driver.tell_peer = _discard
         self.transport.close()
 
-    def connection_made(self, transport: asyncio.DatagramTransport) -> None:
-        """The socket is bound."""
-        self.transport = transport
-        self.driver.tell_peer = self.tell
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Let the driver send."""
+        self.transport = cast("asyncio.DatagramTransport", transport)
+        self.driver.tell_peer = self.send
 
     def datagram_received(self, body: bytes, source: Address) -> None:
-        """What a stranger sends, or what is too long to be ours, is dropped."""
-        rank = self.ranks.get(source)
-        if rank is not None and 0 < len(body) <= gossip_codec.SIZE_MOST:
-            self.driver.peer_said(rank, body)
+        """Pass a datagram on; one from an unknown address or of impossible size is dropped."""
+        node_index = self.node_indexes.get(source)
+        if node_index is not None and 0 < len(body) <= gossip_codec.SIZE_MOST:
+            self.driver.peer_said(node_index, body)
 
     def error_received(self, error: Exception) -> None:
-        """A peer that is down shows as an error of an earlier datagram: it may be lost, like any other."""
+        """Ignore the error of an earlier datagram: its receiver is down, and gossip may be lost."""
 
-    def tell(self, rank: int, body: bytes) -> None:
-        """Send to one gateway."""
+    def send(self, node_index: int, body: bytes) -> None:
+        """Send a datagram to one gateway."""
         if len(body) <= gossip_codec.SIZE_MOST and not self.transport.is_closing():
-            self.transport.sendto(body, self.addresses[rank])
+            self.transport.sendto(body, self.addresses[node_index])
+
+
+def _discard(_node_index: int, _body: bytes) -> None:
+    """Send nothing: the socket is closed."""
--- a/saffrongw/gateway/hot_restart/__init__.py
+++ b/saffrongw/gateway/hot_restart/__init__.py
@@ -1,1 +1,1 @@
-"""Hot restart: a new process takes over from the running one while in service."""
+"""Hot restart: a new process takes over from the running one without refusing a client."""
--- a/saffrongw/gateway/hot_restart/channel.py
+++ b/saffrongw/gateway/hot_restart/channel.py
@@ -1,19 +1,19 @@
-"""A new version of the program takes over from the running one, without a request that meets a closed door.
+"""The channel between the running process and its successor, and how they find each other.
 
-The running process listens on a Unix socket in ``$TMPDIR``. Its successor gets there, first: the listener itself
-(one queue of the kernel, so that nothing is reset when one of the two stops accepting), the peers' socket, the list
-of hosts and what is taken out by hand. It waits. On SIGTERM the old one stops accepting, hands over its counts and
-says go; then the clients' connections and those to hosts follow, each as it falls idle. A successor that is lost
-before is forgotten, and the old one goes on; an old one that is lost is succeeded at once.
+The running process listens on a Unix socket in ``$TMPDIR``. A successor connects and is given at
+once the listening socket (one kernel queue, so that no connection is reset when one of the two
+stops accepting), the gossip socket, the endpoint list and the operators' exclusions. Then it waits.
+On SIGTERM the running process stops accepting, sends its state and the word to take over; idle
+client and upstream connections follow. A successor that is lost before that is forgotten; if the
+running process is lost, its successor serves at once.
 
-Messages are packets of at most ``PACKET_MOST`` bytes: a JSON list, its kind first, and descriptors beside it.
+The messages are in ``messages.py``. Each packet is one message with its file descriptors.
 """
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-import json
 import logging
 import os
 import socket
@@ -21,26 +21,41 @@
 from collections import deque
 from collections.abc import Callable, Iterator
 from pathlib import Path
+from typing import NamedTuple
+
+from .messages import (
+    MAX_PACKET_BYTES,
+    MAX_PACKET_FDS,
+    MalformedMessageError,
+    Message,
+    MessageKind,
+    decode,
+    encode,
+)
 
 log = logging.getLogger(__name__)
 
-PACKET_MOST = 32 * 1024  # bytes of a packet
-FDS_MOST = 2  # descriptors in one
-ROWS = 24  # rows of the decisions in one packet, as far as they fit
-QUEUED_MOST = 4_096  # packets that wait to be sent
-ANSWER_WITHIN = 1.0  # seconds for the running process to greet its successor
-_CREDENTIALS = struct.Struct("3i")
+# Packets that wait to be sent.
+MAX_QUEUED_PACKETS = 4_096
+# How long the running process may take to greet its successor, and a stalled one to read.
+ANSWER_TIMEOUT_S = 1.0
+SEND_POLL_INTERVAL_S = 0.002
+LISTEN_BACKLOG = 4
+# Only the owner may connect.
+SOCKET_UMASK = 0o177
+# ``struct ucred``: process, user and group id.
+_PEER_CREDENTIALS = struct.Struct("3i")
 
 
-def path_for(listen: tuple[str, int]) -> Path | None:
-    """Where the process that serves an address is found; None without a place of its own."""
+def socket_path(listen: tuple[str, int]) -> Path | None:
+    """The Unix socket of the process that serves an address; None without ``$TMPDIR``."""
     folder = os.environ.get("TMPDIR")
     return Path(folder) / f"saffrongw-{listen[0]}-{listen[1]}.sock" if folder else None
 
 
 @contextlib.contextmanager
-def address_of(path: Path) -> Iterator[str]:
-    """A name for the path that the kernel takes: it has room for a hundred bytes, and $TMPDIR may be longer."""
+def short_address(path: Path) -> Iterator[str]:
+    """A short name for a socket's path: the kernel allows 108 bytes, ``$TMPDIR`` may be longer."""
     folder = os.open(path.parent, os.O_PATH | os.O_DIRECTORY)
     try:
         yield f"/proc/self/fd/{folder}/{path.name}"
@@ -48,225 +63,253 @@
         os.close(folder)
 
 
-def _same_user(sock: socket.socket) -> bool:
-    """Guards descriptors and counts: only a process of the same user gets them."""
-    raw = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, _CREDENTIALS.size)
-    return _CREDENTIALS.unpack(raw)[1] == os.geteuid()
+def _is_same_user(sock: socket.socket) -> bool:
+    """Whether the peer runs as this user: descriptors and quota counters go to nobody else."""
+    raw = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, _PEER_CREDENTIALS.size)
+    _, user_id, _ = _PEER_CREDENTIALS.unpack(raw)
+    return user_id == os.geteuid()
+
+
+class _QueuedPacket(NamedTuple):
+    """A packet that waits to be sent, with duplicates of its descriptors that the queue owns."""
+
+    data: bytes
+    fds: list[int]
+
+    def close(self) -> None:
+        """Close the duplicates."""
+        for fd in self.fds:
+            os.close(fd)
 
 
 class HandOverChannel:
-    """Packets to and from the other process; each call of ``told`` owns the sockets that it gets."""
+    """Sends packets to the other process and receives its packets.
+
+    ``on_message`` owns the sockets it is given unless it raises ``MalformedMessageError``.
+    ``on_lost`` is called once when the other process has gone or can't be reached.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         sock: socket.socket,
-        told: Callable[[list, list[socket.socket]], None],
-        lost: Callable[[], None],
+        on_message: Callable[[Message, list[socket.socket]], None],
+        on_lost: Callable[[], None],
     ) -> None:
-        self.loop, self.sock, self.told, self.lost = loop, sock, told, lost
-        self.waiting: deque[tuple[bytes, list[int]]] = deque()
-        self.open = True
+        """Receive from now on."""
+        self.loop = loop
+        self.sock = sock
+        self.on_message = on_message
+        self.on_lost = on_lost
+        self.send_queue: deque[_QueuedPacket] = deque()
+        self.is_open = True
         sock.setblocking(False)
         loop.add_reader(sock, self._read)
 
-    def tell(self, *message, fds: tuple[int, ...] = ()) -> bool:
-        """Send one packet; its descriptors stay the caller's. False where nobody will get it."""
-        packet = json.dumps(message, separators=(",", ":")).encode()
-        if not self.open or len(packet) > PACKET_MOST or len(self.waiting) >= QUEUED_MOST:
+    def send(self, *message: object, fds: tuple[int, ...] = ()) -> bool:
+        """Queue one packet; False where it can't arrive. The descriptors stay the caller's."""
+        packet = encode(message)
+        is_full = len(self.send_queue) >= MAX_QUEUED_PACKETS
+        if not self.is_open or len(packet) > MAX_PACKET_BYTES or is_full:
             return False
         try:
-            copies = [os.dup(fd) for fd in fds]
-        except OSError as wrong:
-            log.warning("takeover: %s", wrong)
+            duplicates = [os.dup(fd) for fd in fds]
+        except OSError as error:
+            log.warning("hot_restart: descriptor not duplicated: cause=%s", error)
             return False
-        self.waiting.append((packet, copies))
-        if len(self.waiting) == 1:
+        self.send_queue.append(_QueuedPacket(packet, duplicates))
+        if len(self.send_queue) == 1:
             self._write()
         return True
 
     def _write(self) -> None:
-        while self.waiting:
-            packet, fds = self.waiting[0]
+        while self.send_queue:
+            packet = self.send_queue[0]
             try:
-                if fds:
-                    socket.send_fds(self.sock, [packet], fds)
+                if packet.fds:
+                    socket.send_fds(self.sock, [packet.data], packet.fds)
                 else:
-                    self.sock.send(packet)
+                    self.sock.send(packet.data)
             except BlockingIOError:
                 self.loop.add_writer(self.sock, self._write)
                 return
             except OSError:
-                self.end()
+                self.abort()
                 return
-            self.waiting.popleft()
-            for fd in fds:
-                os.close(fd)
+            self.send_queue.popleft()
+            packet.close()
         self.loop.remove_writer(self.sock)
 
     def _read(self) -> None:
-        while self.open:
+        while self.is_open:
             try:
-                packet, fds, flags, _ = socket.recv_fds(self.sock, PACKET_MOST + 1, FDS_MOST)
+                packet, fds, flags, _ = socket.recv_fds(
+                    self.sock, MAX_PACKET_BYTES + 1, MAX_PACKET_FDS
+                )
             except BlockingIOError:
                 return
             except OSError:
                 packet, fds, flags = b"", [], 0
             if not packet:
-                return self.end()
-            sockets = [socket.socket(fileno=fd) for fd in fds]
-            try:
-                if flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC):
-                    raise ValueError("a packet is cut off")
-                message = json.loads(packet)
-                if not isinstance(message, list) or not message or not isinstance(message[0], str):
-                    raise ValueError("no message")
-                self.told(message, sockets)
-            except (ValueError, LookupError, TypeError, RecursionError) as wrong:
-                for sock in sockets:
-                    sock.close()
-                log.warning("takeover: %.200r", wrong)
-
-    def end(self) -> None:
-        """Give it up, and say so to its owner."""
-        if self.open:
+                self.abort()
+                return
+            self._receive(packet, [socket.socket(fileno=fd) for fd in fds], flags)
+
+    def _receive(self, packet: bytes, sockets: list[socket.socket], flags: int) -> None:
+        try:
+            if flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC):
+                raise MalformedMessageError("the packet is truncated")
+            self.on_message(decode(packet), sockets)
+        except MalformedMessageError as error:
+            for sock in sockets:
+                sock.close()
+            log.warning("hot_restart: malformed message: cause=%.200s", error)
+
+    def abort(self) -> None:
+        """Close and notify the owner that the other process is lost."""
+        if self.is_open:
             self.close()
-            self.lost()
+            self.on_lost()
 
     def close(self) -> None:
-        """Say and hear nothing more; what is not sent is given up."""
-        if self.open:
-            self.open = False
-            self.loop.remove_reader(self.sock)
-            self.loop.remove_writer(self.sock)
-            self.sock.close()
-            for _, fds in self.waiting:
-                for fd in fds:
-                    os.close(fd)
-            self.waiting.clear()
-
-    async def sent(self) -> None:
-        """Wait until all is on its way."""
-        while self.open and self.waiting:
-            await asyncio.sleep(0.002)
-
-
-class RunningProcess:
-    """The running process's side: the Unix socket, and at most one successor."""
+        """Send and receive nothing more; packets that wait are discarded."""
+        if not self.is_open:
+            return
+        self.is_open = False
+        self.loop.remove_reader(self.sock)
+        self.loop.remove_writer(self.sock)
+        self.sock.close()
+        for packet in self.send_queue:
+            packet.close()
+        self.send_queue.clear()
+
+    async def wait_sent(self) -> None:
+        """Wait until the send queue is empty or the channel is closed."""
+        while self.is_open and self.send_queue:
+            await asyncio.sleep(SEND_POLL_INTERVAL_S)
+
+    async def flush(self) -> bool:
+        """Whether all packets were sent in time; a peer that has stopped reading is given up."""
+        try:
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
+                await self.wait_sent()
+        except TimeoutError:
+            self.abort()
+        return self.is_open
+
+
+class SuccessorListener:
+    """The Unix socket of the running process, and the channel to at most one successor."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         path: Path,
-        greet: Callable[[HandOverChannel], None],
-        told: Callable[[list], None],
+        on_connect: Callable[[HandOverChannel], None],
+        on_message: Callable[[Message], None],
     ) -> None:
-        self.loop, self.path, self.greet, self.told = loop, path, greet, told
+        """Prepare; nothing is bound before ``listen``."""
+        self.loop = loop
+        self.path = path
+        self.on_connect = on_connect
+        self.on_message = on_message
         self.listener: socket.socket | None = None
         self.channel: HandOverChannel | None = None
-        self.ready = False  # the successor can serve
-        self.lost = asyncio.Event()  # it came, and has gone
-        self.inode = 0  # of our file
+        self.is_successor_ready = False
+        # Set when a successor had connected and is gone.
+        self.successor_lost = asyncio.Event()
+        # Of the socket's file: another process may have put its own in its place.
+        self.inode = 0
 
     def listen(self) -> None:
-        """Be found from now on. What a process that was killed has left there is taken away."""
+        """Let a successor connect; the file that a killed process has left is replaced."""
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
-            self.path.unlink(missing_ok=True)
-            old = os.umask(0o177)
-            try:
-                with address_of(self.path) as address:
-                    listener.bind(address)
-            finally:
-                os.umask(old)
-            self.inode = self.path.stat().st_ino
-            listener.listen(4)
-        except OSError as wrong:
-            log.warning("no takeover: %s", wrong)
+            self._bind(listener)
+        except OSError as error:
+            log.warning("hot_restart: unavailable: path=%s cause=%s", self.path, error)
             listener.close()
             return
         listener.setblocking(False)
         self.listener = listener
-        self.loop.add_reader(listener, self._accept)
+        self.loop.add_reader(listener, self._accept, listener)
 
-    def _accept(self) -> None:
+    def _bind(self, listener: socket.socket) -> None:
+        self.path.unlink(missing_ok=True)
+        previous_umask = os.umask(SOCKET_UMASK)
+        try:
+            with short_address(self.path) as address:
+                listener.bind(address)
+        finally:
+            os.umask(previous_umask)
+        self.inode = self.path.stat().st_ino
+        listener.listen(LISTEN_BACKLOG)
+
+    def _accept(self, listener: socket.socket) -> None:
         try:
-            sock, _ = self.listener.accept()
+            sock, _ = listener.accept()
         except OSError:
             return
-        if not _same_user(sock):
+        if not _is_same_user(sock):
             sock.close()
             return
-        if self.channel:  # a second one: the first was given up, and must not serve as well
-            self.channel.tell("replaced")
+        # An earlier successor was given up by its supervisor, and must not serve as well.
+        if self.channel:
+            self.channel.send(MessageKind.REPLACED)
             self.channel.close()
-        self.ready = False
-        self.lost.clear()
-        self.channel = HandOverChannel(self.loop, sock, self._hear, self._lost)
-        self.greet(self.channel)
-
-    def _hear(self, message: list, sockets: list[socket.socket]) -> None:
-        for sock in sockets:  # a successor has nothing to give
+        self.is_successor_ready = False
+        self.successor_lost.clear()
+        self.channel = HandOverChannel(self.loop, sock, self._receive, self._lose_successor)
+        self.on_connect(self.channel)
+
+    def _receive(self, message: Message, sockets: list[socket.socket]) -> None:
+        # A successor has no sockets to give.
+        for sock in sockets:
             sock.close()
-        if message[0] == "ready":
-            self.ready = True
+        if message[0] == MessageKind.READY:
+            self.is_successor_ready = True
         else:
-            self.told(message)
+            self.on_message(message)
 
-    def _lost(self) -> None:
-        self.channel, self.ready = None, False
-        self.lost.set()
+    def _lose_successor(self) -> None:
+        self.channel = None
+        self.is_successor_ready = False
+        self.successor_lost.set()
 
     def stop_listening(self) -> None:
-        """The successor will be found instead; one that could not wait for us may be there already."""
-        if self.listener:
-            self.loop.remove_reader(self.listener)
-            self.listener.close()
-            self.listener = None
-            with contextlib.suppress(OSError):
-                if self.path.stat().st_ino == self.inode:
-                    self.path.unlink()
+        """Remove the socket, unless a successor that could not wait has its own there already."""
+        if self.listener is None:
+            return
+        self.loop.remove_reader(self.listener)
+        self.listener.close()
+        self.listener = None
+        with contextlib.suppress(OSError):
+            if self.path.stat().st_ino == self.inode:
+                self.path.unlink()
 
     def close(self) -> None:
-        """Not found any more, and the successor is left alone."""
+        """Stop listening and close the channel to the successor."""
         self.stop_listening()
         if self.channel:
             self.channel.close()
             self.channel = None
 
 
-async def find_running_process(
+async def connect_to_running_process(
     loop: asyncio.AbstractEventLoop, path: Path | None
 ) -> socket.socket | None:
-    """A connection to the process that serves this address; None where there is none, or it does not answer."""
+    """A connection to the process that serves this address; None where none answers in time."""
     if path is None or not path.exists():
         return None
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     sock.setblocking(False)
-    try:
-        async with asyncio.timeout(ANSWER_WITHIN):
-            with address_of(path) as address:
+    # A process that was killed leaves its file, and the connection is refused.
+    with contextlib.suppress(OSError):
+        async with asyncio.timeout(ANSWER_TIMEOUT_S):
+            with short_address(path) as address:
                 await loop.sock_connect(sock, address)
-        if _same_user(sock):
+        if _is_same_user(sock):
             return sock
-        log.warning("takeover: the process at %s is another user's", path)
-    except OSError:  # it was killed and has left its file
-        pass
+        log.warning("hot_restart: socket of another user: path=%s", path)
     sock.close()
     return None
-
-
-def packed(rows) -> list[list]:
-    """Rows in lists that each fit a packet; one that alone is too long is left out and logged."""
-    found, part, size = [], [], 0
-    for row in rows:
-        length = len(json.dumps(row, separators=(",", ":"))) + 1
-        if length > PACKET_MOST - 64:
-            log.warning("takeover: a row of %d bytes is left out", length)
-            continue
-        if part and (len(part) >= ROWS or size + length > PACKET_MOST - 64):
-            found.append(part)
-            part, size = [], 0
-        part.append(row)
-        size += length
-    return [*found, part] if part else found
--- /dev/null
+++ b/saffrongw/gateway/hot_restart/messages.py
@@ -0,0 +1,199 @@
+"""The messages of the hand-over channel: their names on the wire, their limits and their codec.
+
+Two versions of the program speak this protocol with each other, so no name, order or limit in this
+module may change. A packet is a JSON list: the message's kind, then its values. File descriptors
+travel beside it (``SCM_RIGHTS``). State rows are the policy's (``policy/state_transfer.py``).
+"""
+
+from __future__ import annotations
+
+import contextlib
+import json
+import logging
+from collections.abc import Iterable, Iterator
+from enum import StrEnum
+from typing import NamedTuple
+
+from ...policy import state_transfer
+from ...policy.events import EndpointEntry, EndpointId, EndpointState
+from ..config import Address, DiscoveredEndpoint
+
+log = logging.getLogger(__name__)
+
+Message = list  # of JSON values, the kind first
+
+MAX_PACKET_BYTES = 32 * 1024
+# Descriptors that travel with one packet.
+MAX_PACKET_FDS = 2
+# Rows in one packet, as far as they fit.
+MAX_PACKET_ROWS = 24
+# What a packet of rows needs besides them: its kind and brackets.
+ROWS_OVERHEAD_BYTES = 64
+# Bytes of a partial command in one packet: escaped in JSON they can become six times as many.
+PARTIAL_COMMAND_CHUNK_BYTES = 4 * 1024
+
+
+class MessageKind(StrEnum):
+    """The first value of each message, as it stands on the wire."""
+
+    # From the running process: its listener, and its gossip socket if it has one.
+    SOCKETS = "sockets"
+    # From the running process: rows of its endpoint list.
+    ENDPOINTS = "listed"
+    # From the running process: rows of the policy's state.
+    STATE_ROWS = "rows"
+    # From the running process: the successor has all that it needs to get ready.
+    GREETED = "greeted"
+    # From the successor: it can serve.
+    READY = "ready"
+    # From the running process: the successor serves from now on.
+    GO = "go"
+    # From the running process: another successor has connected; this one must not serve.
+    REPLACED = "replaced"
+    # From the running process: a client's idle connection, and how long its partial command is.
+    CLIENT = "client"
+    # From the running process: the next bytes of that partial command.
+    PARTIAL_COMMAND = "begun"
+    # From the running process: an idle connection to an endpoint.
+    UPSTREAM = "host"
+    # From either: an operator has excluded an endpoint or has readmitted it.
+    EXCLUSION = "exclusion"
+    # From either: an operator has begun draining or has ended it.
+    QUIESCED = "quiesced"
+
+
+class MalformedMessageError(ValueError):
+    """A packet or one of its values that no version of the program sends."""
+
+
+class Exclusion(NamedTuple):
+    """An operator's change of one endpoint."""
+
+    endpoint_id: EndpointId
+    excluded: bool
+
+
+class UpstreamConnectionOffer(NamedTuple):
+    """The endpoint to which a handed-over connection leads, and when that endpoint started (us)."""
+
+    endpoint_id: EndpointId
+    started_at_us: int
+
+
+@contextlib.contextmanager
+def _decoding(kind: str) -> Iterator[None]:
+    """Raise ``MalformedMessageError`` with the message's kind where a value can't be converted."""
+    try:
+        yield
+    except (ValueError, LookupError, TypeError) as error:
+        raise MalformedMessageError(f"{kind}: {error!r}") from error
+
+
+def encode(message: Iterable[object]) -> bytes:
+    """One message as the bytes of its packet."""
+    return json.dumps(tuple(message), separators=(",", ":")).encode()
+
+
+def decode(packet: bytes) -> Message:
+    """The message of one packet; ``MalformedMessageError`` where it is no list with a kind."""
+    try:
+        message = json.loads(packet)
+    except (ValueError, RecursionError) as error:
+        raise MalformedMessageError(f"not JSON: {error!r}") from error
+    if not isinstance(message, list) or not message or not isinstance(message[0], str):
+        raise MalformedMessageError("the packet holds no message")
+    return message
+
+
+def decode_rows(message: Message) -> list[list]:
+    """The rows of a message that carries some."""
+    with _decoding(message[0]):
+        return list(message[1])
+
+
+def decode_length(message: Message) -> int:
+    """How many bytes of a partial command follow a client's connection."""
+    with _decoding(message[0]):
+        return int(message[1])
+
+
+def encode_bytes(data: bytes) -> str:
+    """Bytes as text that JSON holds."""
+    return data.decode("latin-1")
+
+
+def decode_bytes(message: Message) -> bytes:
+    """The bytes that a message carries as text."""
+    with _decoding(message[0]):
+        if not isinstance(message[1], str):
+            raise TypeError(f"no text: {message[1]!r:.80}")
+        return message[1].encode("latin-1")
+
+
+def decode_upstream(message: Message) -> UpstreamConnectionOffer:
+    """Where a handed-over upstream connection leads."""
+    with _decoding(message[0]):
+        return UpstreamConnectionOffer(state_transfer.server_of(message[1]), int(message[2]))
+
+
+def decode_exclusion(message: Message) -> Exclusion:
+    """An operator's change of one endpoint."""
+    with _decoding(message[0]):
+        if not isinstance(message[1], str):
+            raise TypeError(f"no endpoint id: {message[1]!r:.80}")
+        return Exclusion(state_transfer.server_of(message[1]), bool(message[2]))
+
+
+def decode_quiesced(message: Message) -> bool:
+    """Whether the other process drains."""
+    with _decoding(message[0]):
+        return bool(message[1])
+
+
+def encode_endpoint(entry: EndpointEntry, started_at_us: int, address: Address) -> list:
+    """One endpoint as a row; ``started_at_us`` is the start of that to which connections lead."""
+    return [
+        state_transfer.text_of(entry.endpoint_id),
+        entry.state.value,
+        entry.zone,
+        entry.cell,
+        started_at_us,
+        entry.size,
+        *address,
+    ]
+
+
+def decode_endpoint(row: list) -> DiscoveredEndpoint:
+    """The endpoint of one row; ``MalformedMessageError`` where the row is none."""
+    with _decoding(MessageKind.ENDPOINTS):
+        endpoint_id, state, zone, cell, started_at_us, size, host, port = row
+        entry = EndpointEntry(
+            state_transfer.server_of(str(endpoint_id)),
+            EndpointState(state),
+            int(zone),
+            int(cell),
+            int(started_at_us),
+            float(size),
+        )
+        return DiscoveredEndpoint(entry, (str(host), int(port)))
+
+
+def pack_rows(rows: Iterable[list]) -> list[list[list]]:
+    """Rows grouped so that each group fits a packet; a row that alone is too long is logged."""
+    groups: list[list[list]] = []
+    group: list[list] = []
+    group_bytes = 0
+    max_bytes = MAX_PACKET_BYTES - ROWS_OVERHEAD_BYTES
+    for row in rows:
+        row_bytes = len(json.dumps(row, separators=(",", ":"))) + 1
+        if row_bytes > max_bytes:
+            log.warning("hot_restart: row left out: bytes=%d max=%d", row_bytes, max_bytes)
+            continue
+        if group and (len(group) >= MAX_PACKET_ROWS or group_bytes + row_bytes > max_bytes):
+            groups.append(group)
+            group, group_bytes = [], 0
+        group.append(row)
+        group_bytes += row_bytes
+    if group:
+        groups.append(group)
+    return groups
--- /dev/null
+++ b/saffrongw/gateway/hot_restart/parts.py
@@ -0,0 +1,20 @@
+"""The parts of a running gateway that a hot restart reads and changes."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from ..admin_http.handlers import AdminHandlers
+from ..downstream.connection import ClientConnections
+from ..driver import Driver
+from ..upstream.cluster import UpstreamCluster
+
+
+@dataclass(frozen=True, slots=True)
+class GatewayParts:
+    """One gateway's driver, its connections on both sides, and the operators' handlers."""
+
+    driver: Driver
+    cluster: UpstreamCluster
+    clients: ClientConnections
+    admin: AdminHandlers
--- /dev/null
+++ b/saffrongw/gateway/hot_restart/predecessor.py
@@ -0,0 +1,141 @@
+"""The running process's side of a hot restart: what it gives to its successor, and when."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Iterator
+
+from ...policy import state_transfer
+from ...policy.events import EndpointId
+from ..gossip_transport import GossipTransport
+from .channel import HandOverChannel, SuccessorListener, socket_path
+from .messages import (
+    PARTIAL_COMMAND_CHUNK_BYTES,
+    MessageKind,
+    encode_bytes,
+    encode_endpoint,
+    pack_rows,
+)
+from .parts import GatewayParts
+from .waiting import wait_for_first
+
+log = logging.getLogger(__name__)
+
+# Packets that may wait before the sender of state rows pauses: far less than the queue holds.
+MAX_UNSENT_PACKETS = 256
+
+
+class PredecessorHandOver:
+    """Lets a successor connect, keeps it informed, and hands over to it when this process ends."""
+
+    def __init__(
+        self, parts: GatewayParts, gossip: GossipTransport | None, accept_period_s: float
+    ) -> None:
+        """``accept_period_s``: how long an ordinary end goes on accepting connections."""
+        self.parts = parts
+        self.gossip = gossip
+        self.accept_period_s = accept_period_s
+        self.successors: SuccessorListener | None = None
+        if path := socket_path(parts.clients.config.listen):
+            self.successors = SuccessorListener(
+                parts.driver.loop, path, self._greet, parts.admin.apply_from_peer_process
+            )
+
+    def listen(self) -> None:
+        """Let a successor connect from now on."""
+        if self.successors:
+            self.successors.listen()
+            self.parts.admin.notify_peer_process = self._notify
+
+    def close(self) -> None:
+        """Let no successor connect any more."""
+        if self.successors:
+            self.successors.close()
+
+    async def stop(self) -> None:
+        """End serving: hand over to a successor that is ready, else drain."""
+        if self.successors and self.successors.is_successor_ready and self.successors.channel:
+            await self._hand_over(self.successors, self.successors.channel)
+        else:
+            await self.parts.clients.drain(self.accept_period_s)
+
+    def _notify(self, *message: object) -> None:
+        if self.successors and self.successors.channel:
+            self.successors.channel.send(*message)
+
+    def _greet(self, channel: HandOverChannel) -> None:
+        """Send all that a successor needs to get ready; it does not serve yet."""
+        parts = self.parts
+        acceptor = parts.clients.acceptor
+        # Successors are let in only once this process listens.
+        assert acceptor is not None
+        fds = [acceptor.listener.fileno()]
+        if self.gossip:
+            fds.append(self.gossip.sock.fileno())
+        channel.send(MessageKind.SOCKETS, len(fds), fds=tuple(fds))
+        for rows in pack_rows(self._endpoint_rows()):
+            channel.send(MessageKind.ENDPOINTS, rows)
+        for rows in pack_rows(state_transfer.exclusions(parts.driver.gateway)):
+            channel.send(MessageKind.STATE_ROWS, rows)
+        channel.send(MessageKind.QUIESCED, parts.clients.draining)
+        channel.send(MessageKind.GREETED)
+
+    def _endpoint_rows(self) -> Iterator[list]:
+        """The endpoint list as rows: as discovery gave it, and where connections lead."""
+        for host in self.parts.driver.gateway.hosts.values():
+            if pool := self.parts.cluster.pools.get(host.entry.endpoint_id):
+                yield encode_endpoint(host.entry, pool.born, pool.address)
+
+    async def _hand_over(self, successors: SuccessorListener, channel: HandOverChannel) -> None:
+        """Let the successor serve, and finish what is in flight here.
+
+        If the successor is lost meanwhile, this process drains as it would without one.
+        """
+        clients, cluster = self.parts.clients, self.parts.cluster
+        clients.count_down()
+        successors.stop_listening()
+        if self.gossip:
+            self.gossip.close()
+        if await self._send_state(channel):
+            cluster.hand_over(self._give_upstream)
+            clients.hand_over(self._give_client)
+            await wait_for_first(clients.finish(), successors.successor_lost.wait())
+        if not successors.successor_lost.is_set():
+            await channel.flush()
+            return
+        log.warning("hot_restart: successor lost: action=drain")
+        self.parts.driver.gateway.handed_over = False
+        cluster.heir = None
+        clients.take_back()
+        await clients.drain(self.accept_period_s)
+
+    async def _send_state(self, channel: HandOverChannel) -> bool:
+        """Send the policy's state and the word to take over; False where the successor is lost."""
+        for rows in pack_rows(state_transfer.export(self.parts.driver.gateway)):
+            channel.send(MessageKind.STATE_ROWS, rows)
+            if len(channel.send_queue) >= MAX_UNSENT_PACKETS and not await channel.flush():
+                break
+        if not channel.send(MessageKind.GO) or not channel.is_open:
+            channel.abort()
+        return channel.is_open
+
+    def _give_client(self, fd: int, partial_command: bytes) -> bool:
+        """Whether a client's idle connection went to the successor, with what was read of it."""
+        channel = self.successors.channel if self.successors else None
+        length = len(partial_command)
+        if channel is None or not channel.send(MessageKind.CLIENT, length, fds=(fd,)):
+            # The successor is lost: connections are closed in order, at least.
+            self.parts.clients.draining = True
+            return False
+        for start in range(0, length, PARTIAL_COMMAND_CHUNK_BYTES):
+            chunk = partial_command[start : start + PARTIAL_COMMAND_CHUNK_BYTES]
+            channel.send(MessageKind.PARTIAL_COMMAND, encode_bytes(chunk))
+        return True
+
+    def _give_upstream(self, endpoint_id: EndpointId, started_at_us: int, fd: int) -> bool:
+        """Whether an idle connection to an endpoint went to the successor."""
+        channel = self.successors.channel if self.successors else None
+        endpoint = state_transfer.text_of(endpoint_id)
+        return channel is not None and channel.send(
+            MessageKind.UPSTREAM, endpoint, started_at_us, fds=(fd,)
+        )
--- a/saffrongw/gateway/hot_restart/successor.py
+++ b/saffrongw/gateway/hot_restart/successor.py
@@ -1,322 +1,228 @@
-"""Both sides of an upgrade in service: what the running gateway gives, and how its successor takes it up."""
+"""The new process's side of a hot restart: what it takes up from the running process."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
 import socket
-from collections.abc import Coroutine
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from functools import partial
 
 from ...policy import state_transfer
-from ...policy.events import EndpointEntry, EndpointId, EndpointState
-from ..admin_http.handlers import AdminHandlers
-from ..config import DiscoveredEndpoint, EndpointList
-from ..downstream.connection import ClientConnections
-from ..driver import Driver
-from ..gossip_transport import GossipTransport
-from ..upstream.cluster import UpstreamCluster
-from .channel import (
-    ANSWER_WITHIN,
-    HandOverChannel,
-    RunningProcess,
-    find_running_process,
-    packed,
-    path_for,
+from ..config import Address, DiscoveredEndpoint, EndpointList
+from .channel import ANSWER_TIMEOUT_S, HandOverChannel, connect_to_running_process, socket_path
+from .messages import (
+    MalformedMessageError,
+    Message,
+    MessageKind,
+    decode_bytes,
+    decode_endpoint,
+    decode_length,
+    decode_rows,
+    decode_upstream,
 )
+from .parts import GatewayParts
+from .waiting import wait_for_first
 
 log = logging.getLogger(__name__)
 
-AT_ONCE = 256  # packets that wait before more is said
-CHUNK = 4 * 1024  # bytes of a command in one packet, which may hold six times as many in JSON
-BEGUN_MOST = 8 << 20  # bytes of a command that was begun, over all that are still to come
-
-
-class PredecessorHandOver:
-    """The running gateway's side."""
-
-    def __init__(
-        self,
-        driver: Driver,
-        hosts: UpstreamCluster,
-        clients: ClientConnections,
-        operations: AdminHandlers,
-        peers: GossipTransport | None,
-        accept_for: float,
-    ) -> None:
-        self.driver, self.hosts, self.clients = driver, hosts, clients
-        self.operations, self.peers, self.accept_for = operations, peers, accept_for
-        path = path_for(clients.config.listen)
-        self.incumbent = (
-            RunningProcess(driver.loop, path, self._greet, operations.told) if path else None
-        )
-
-    def listen(self) -> None:
-        """Be found by a successor from now on."""
-        if self.incumbent:
-            self.incumbent.listen()
-            self.operations.tell = self._tell
+# Of one partial command: more is no client's.
+MAX_PARTIAL_COMMAND_BYTES = 8 << 20
 
-    def close(self) -> None:
-        """Not found any more."""
-        if self.incumbent:
-            self.incumbent.close()
 
-    @property
-    def has_heir(self) -> bool:
-        """Whether a successor can serve."""
-        return self.incumbent is not None and self.incumbent.ready
-
-    def _tell(self, *message) -> None:
-        if self.incumbent.channel:
-            self.incumbent.channel.tell(*message)
-
-    def _greet(self, channel: HandOverChannel) -> None:
-        """All that a successor needs to get ready, while nothing changes hands yet."""
-        fds = [self.clients.acceptor.listener.fileno()]
-        if self.peers:
-            fds.append(self.peers.sock.fileno())
-        channel.tell("sockets", len(fds), fds=tuple(fds))
-        gateway = self.driver.gateway
-        for rows in packed(_listed(gateway.hosts.values(), self.hosts)):
-            channel.tell("listed", rows)
-        for rows in packed(state_transfer.exclusions(gateway)):
-            channel.tell("rows", rows)
-        channel.tell("quiesced", self.clients.draining)
-        channel.tell("greeted")
-
-    async def hand_over(self) -> None:
-        """The successor serves from now on; here what is held is finished. Without one it is an ordinary end."""
-        incumbent, channel = self.incumbent, self.incumbent.channel
-        self.clients.count_down()
-        incumbent.stop_listening()
-        if self.peers:
-            self.peers.close()
-        if await self._say_go(channel):
-            self.hosts.hand_over(self._give_host)
-            self.clients.hand_over(self._give_client)
-            await either(self.clients.finish(), incumbent.lost.wait())
-        if not incumbent.lost.is_set():
-            await _sent(channel)
-            return
-        log.warning("takeover: the successor was lost")
-        self.driver.gateway.handed_over, self.hosts.heir = False, None
-        self.clients.take_back()
-        await self.clients.drain(self.accept_for)
-
-    async def _say_go(self, channel: HandOverChannel) -> bool:
-        """All counts, and then the word; False where nobody takes them."""
-        for rows in packed(state_transfer.export(self.driver.gateway)):
-            channel.tell("rows", rows)
-            if len(channel.waiting) >= AT_ONCE and not await _sent(
-                channel
-            ):  # more than the queue holds
-                break
-        if not channel.tell("go") or not channel.open:
-            channel.end()
-        return channel.open
-
-    def _give_client(self, fd: int, begun: bytes) -> bool:
-        channel = self.incumbent.channel
-        if channel is None or not channel.tell("client", len(begun), fds=(fd,)):
-            self.clients.draining = True  # the successor was lost: closed in order, at least
-            return False
-        for at in range(0, len(begun), CHUNK):
-            channel.tell("begun", begun[at : at + CHUNK].decode("latin-1"))
-        return True
-
-    def _give_host(self, server: EndpointId, born: int, fd: int) -> bool:
-        channel = self.incumbent.channel
-        return channel is not None and channel.tell(
-            "host", state_transfer.text_of(server), born, fds=(fd,)
-        )
-
-
-async def _sent(channel: HandOverChannel) -> bool:
-    """Whether all is on its way. Guards the end: a successor that stands still takes nothing, for ever."""
-    try:
-        async with asyncio.timeout(ANSWER_WITHIN):
-            await channel.sent()
-    except TimeoutError:
-        channel.end()
-    return channel.open
-
-
-async def either(*ways: Coroutine) -> None:
-    """Wait for the first of them."""
-    waits = [asyncio.ensure_future(way) for way in ways]
-    done, late = await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-    for wait in late:
-        wait.cancel()
-    for wait in done:
-        wait.result()  # what went wrong there
-
-
-def _listed(hosts, pools: UpstreamCluster):
-    """The list of hosts as rows: as discovery tells it, and where to connect."""
-    for host in hosts:
-        entry, pool = host.entry, pools.pools.get(host.entry.endpoint_id)
-        if pool:
-            place = [
-                state_transfer.text_of(entry.endpoint_id),
-                entry.state.value,
-                entry.zone,
-                entry.cell,
-            ]
-            yield [*place, pool.born, entry.size, *pool.address]
+@dataclass(slots=True)
+class _IncomingClient:
+    """A client's connection whose partial command has not arrived in full."""
+
+    sock: socket.socket
+    expected_bytes: int
+    partial_command: bytearray = field(default_factory=bytearray)
 
 
 class SuccessorHandOver:
-    """The successor's side."""
+    """Receives sockets, endpoints, state and connections; knows when this process must serve."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
+        """Receive from now on; what needs the gateway's parts waits for ``attach``."""
         self.loop = loop
         self.listener: socket.socket | None = None
-        self.peers: socket.socket | None = None
-        self.hosts: list[DiscoveredEndpoint] = []
-        self.rows: list[list] = []  # until the decisions are there to take them
-        self.notes: list[list] = []  # and what operators asked of the other process
-        self.greeted, self.go = asyncio.Event(), asyncio.Event()
-        self.lost = self.replaced = False
-        self.parts: tuple[Driver, UpstreamCluster, ClientConnections, AdminHandlers] | None = None
-        self.begun: tuple[socket.socket, int, bytearray] | None = (
-            None  # a client's connection still to come
-        )
-        self.adopted: list[tuple] = []  # connections that came before this process listens
-        self.serving = False
-        self.channel = HandOverChannel(loop, sock, self._told, self._lost)
+        self.gossip_socket: socket.socket | None = None
+        self.endpoints: list[DiscoveredEndpoint] = []
+        self.pending_state_rows: list[list] = []
+        self.pending_admin_messages: list[Message] = []
+        self.greeted = asyncio.Event()
+        self.take_over = asyncio.Event()
+        self.is_running_process_lost = False
+        self.is_replaced = False
+        self.parts: GatewayParts | None = None
+        self.incoming_client: _IncomingClient | None = None
+        # Connections that came before this process listens.
+        self.pending_adoptions: list[Callable[[], None]] = []
+        self.is_serving = False
+        self._receivers: dict[str, Callable[[Message, list[socket.socket]], None]] = {
+            MessageKind.SOCKETS: self._receive_sockets,
+            MessageKind.ENDPOINTS: self._receive_endpoints,
+            MessageKind.STATE_ROWS: self._receive_state_rows,
+            MessageKind.GREETED: lambda _message, _sockets: self.greeted.set(),
+            MessageKind.GO: lambda _message, _sockets: self.take_over.set(),
+            MessageKind.REPLACED: self._receive_replaced,
+            MessageKind.CLIENT: self._receive_client,
+            MessageKind.PARTIAL_COMMAND: self._receive_partial_command,
+            MessageKind.UPSTREAM: self._receive_upstream,
+        }
+        self.channel = HandOverChannel(loop, sock, self._receive, self._lose_running_process)
 
     @classmethod
-    async def of(
-        cls, loop: asyncio.AbstractEventLoop, listen: tuple[str, int]
+    async def connect(
+        cls, loop: asyncio.AbstractEventLoop, listen: Address
     ) -> SuccessorHandOver | None:
-        """What the running process gives; None where there is none that answers."""
-        sock = await find_running_process(loop, path_for(listen))
+        """A hand-over from the process that serves an address; None where none answers."""
+        sock = await connect_to_running_process(loop, socket_path(listen))
         if sock is None:
             return None
-        found = cls(loop, sock)
+        hand_over = cls(loop, sock)
         try:
-            async with asyncio.timeout(ANSWER_WITHIN):
-                await found.greeted.wait()
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
+                await hand_over.greeted.wait()
         except TimeoutError:
-            log.warning("takeover: the running process did not answer")
-        if found.lost or not found.greeted.is_set():
-            found.close()
+            log.warning(
+                "hot_restart: running process did not answer: timeout_s=%s", ANSWER_TIMEOUT_S
+            )
+        if hand_over.is_running_process_lost or not hand_over.greeted.is_set():
+            hand_over.close()
             return None
-        return found
+        return hand_over
 
-    def _lost(self) -> None:
-        self.lost = True
+    def _lose_running_process(self) -> None:
+        """Nobody else serves any more: nothing more is waited for."""
+        self.is_running_process_lost = True
         self.greeted.set()
-        self.go.set()  # it is gone: nobody else serves
+        self.take_over.set()
 
     @property
-    def falls_to_us(self) -> bool:
-        """Whether this process is the one to serve, even where it is told to end: nobody else does."""
-        return self.go.is_set() and not self.replaced
+    def must_serve(self) -> bool:
+        """Whether this process is to serve, even if it was told to end: nobody else does."""
+        return self.take_over.is_set() and not self.is_replaced
 
     @property
-    def listed(self) -> EndpointList | None:
-        """The list as the running process has it."""
-        return EndpointList(0, True, tuple(self.hosts)) if self.hosts else None
-
-    def attach(
-        self,
-        driver: Driver,
-        hosts: UpstreamCluster,
-        clients: ClientConnections,
-        operations: AdminHandlers,
-    ) -> None:
-        """The parts are there: take over what was told so far, and all that follows."""
-        self.parts = driver, hosts, clients, operations
-        rows, self.rows = self.rows, []
-        self._adopt(rows)
-        for note in self.notes:
-            operations.told(note)
-        operations.tell = self.channel.tell
-        self.channel.tell("ready")
+    def endpoint_list(self) -> EndpointList | None:
+        """The running process's endpoint list; None where it has none."""
+        return EndpointList(0, True, tuple(self.endpoints)) if self.endpoints else None
+
+    def attach(self, parts: GatewayParts) -> None:
+        """Apply what has arrived to the gateway's parts, and all that follows."""
+        self.parts = parts
+        rows, self.pending_state_rows = self.pending_state_rows, []
+        self._adopt_state(parts, rows)
+        for message in self.pending_admin_messages:
+            parts.admin.apply_from_peer_process(message)
+        parts.admin.notify_peer_process = self.channel.send
+        self.channel.send(MessageKind.READY)
+
+    async def wait_for_take_over(self, stop: asyncio.Event) -> None:
+        """Wait until this process is to serve, or is told to end."""
+        await wait_for_first(self.take_over.wait(), stop.wait())
 
     def serve(self) -> None:
-        """This process listens: connections that came before are served."""
-        self.serving = True
-        adopted, self.adopted = self.adopted, []
-        for method, *args in adopted:
-            method(*args)
+        """Serve the connections that came before this process listened, and all that follow."""
+        self.is_serving = True
+        adoptions, self.pending_adoptions = self.pending_adoptions, []
+        for adopt in adoptions:
+            adopt()
 
     def close(self) -> None:
-        """Nothing more is taken; where it never came to serve, the running process goes on."""
+        """Receive nothing more; the sockets are closed unless this process serves."""
         self.channel.close()
-        for sock in (self.listener, self.peers):
-            if sock and not self.serving:
+        for sock in (self.listener, self.gossip_socket):
+            if sock and not self.is_serving:
                 sock.close()
 
-    def _told(self, message: list, sockets: list[socket.socket]) -> None:
-        kind = message[0]
-        if kind == "sockets":
-            self.listener, *rest = sockets
-            self.peers = rest[0] if rest else None
-        elif kind == "listed":
-            self.hosts += [_entry(row) for row in message[1]]
-        elif kind == "rows":
-            if self.parts:
-                self._adopt(message[1])
-            else:
-                self.rows += message[1]
-        elif kind == "greeted":
-            self.greeted.set()
-        elif kind == "go":
-            self.go.set()
-        elif kind == "replaced":
-            log.warning("takeover: another successor has come, this one ends")
-            self.replaced = True
-        elif kind == "client":
-            (sock,) = sockets
-            self.begun = sock, int(message[1]), bytearray()
-            self._client()
-        elif kind == "begun":
-            self.begun[2].extend(message[1].encode("latin-1"))
-            self._client()
-        elif kind == "host":
-            (sock,) = sockets
-            self._when_serving(
-                self.parts[1].adopt, state_transfer.server_of(message[1]), int(message[2]), sock
-            )
+    def _receive(self, message: Message, sockets: list[socket.socket]) -> None:
+        receive = self._receivers.get(message[0])
+        if receive:
+            receive(message, sockets)
         elif self.parts:
-            self.parts[3].told(message)
+            self.parts.admin.apply_from_peer_process(message)
+        else:
+            self.pending_admin_messages.append(message)
+
+    def _receive_sockets(self, _message: Message, sockets: list[socket.socket]) -> None:
+        if not sockets:
+            raise MalformedMessageError("no listening socket was sent")
+        self.listener = sockets[0]
+        self.gossip_socket = sockets[1] if len(sockets) > 1 else None
+
+    def _receive_endpoints(self, message: Message, _sockets: list[socket.socket]) -> None:
+        self.endpoints += [decode_endpoint(row) for row in decode_rows(message)]
+
+    def _receive_state_rows(self, message: Message, _sockets: list[socket.socket]) -> None:
+        rows = decode_rows(message)
+        if self.parts:
+            self._adopt_state(self.parts, rows)
         else:
-            self.notes.append(message)
-
-    def _client(self) -> None:
-        sock, length, begun = self.begun
-        if length > BEGUN_MOST:
-            self.begun = None
-            raise ValueError("a command that was begun is too long")
-        if len(begun) >= length:
-            self.begun = None
-            self._when_serving(self.parts[2].adopt, sock, bytes(begun))
-
-    def _when_serving(self, method, *args) -> None:
-        if self.serving:
-            method(*args)
+            self.pending_state_rows += rows
+
+    def _receive_replaced(self, _message: Message, _sockets: list[socket.socket]) -> None:
+        log.warning("hot_restart: replaced by another successor: action=end")
+        self.is_replaced = True
+
+    def _receive_client(self, message: Message, sockets: list[socket.socket]) -> None:
+        self.incoming_client = _IncomingClient(_one_socket(sockets), decode_length(message))
+        self._adopt_complete_client()
+
+    def _receive_partial_command(self, message: Message, _sockets: list[socket.socket]) -> None:
+        if self.incoming_client is None:
+            raise MalformedMessageError("a partial command without its connection")
+        self.incoming_client.partial_command.extend(decode_bytes(message))
+        self._adopt_complete_client()
+
+    def _adopt_complete_client(self) -> None:
+        """Adopt the client's connection once its partial command is here."""
+        client = self.incoming_client
+        if client is None:
+            return
+        if client.expected_bytes > MAX_PARTIAL_COMMAND_BYTES:
+            self.incoming_client = None
+            raise MalformedMessageError(
+                f"a partial command of {client.expected_bytes} bytes is too long"
+            )
+        if len(client.partial_command) >= client.expected_bytes:
+            self.incoming_client = None
+            clients = self._attached().clients
+            self._when_serving(partial(clients.adopt, client.sock, bytes(client.partial_command)))
+
+    def _receive_upstream(self, message: Message, sockets: list[socket.socket]) -> None:
+        sock = _one_socket(sockets)
+        offer = decode_upstream(message)
+        cluster = self._attached().cluster
+        self._when_serving(partial(cluster.adopt, offer.endpoint_id, offer.started_at_us, sock))
+
+    def _attached(self) -> GatewayParts:
+        if self.parts is None:
+            raise MalformedMessageError("a connection came before the word to take over")
+        return self.parts
+
+    def _when_serving(self, adopt: Callable[[], None]) -> None:
+        """Adopt a connection now, or when this process listens."""
+        if self.is_serving:
+            adopt()
         else:
-            self.adopted.append((method, *args))
+            self.pending_adoptions.append(adopt)
 
-    def _adopt(self, rows: list) -> None:
-        driver = self.parts[0]
+    @staticmethod
+    def _adopt_state(parts: GatewayParts, rows: list[list]) -> None:
+        """Apply state rows; one that makes no sense is logged and left out, the others stand."""
+        gateway = parts.driver.gateway
         for row in rows:
             try:
-                state_transfer.adopt(driver.gateway, driver.clock(), row)
-            except state_transfer.OddRow as odd:  # the others stand
-                log.warning("takeover: a row is left out: %s", odd)
-
-
-def _entry(row: list) -> DiscoveredEndpoint:
-    server, phase, zone, cell, born, size, host, port = row
-    entry = EndpointEntry(
-        state_transfer.server_of(str(server)),
-        EndpointState(phase),
-        int(zone),
-        int(cell),
-        int(born),
-        float(size),
-    )
-    return DiscoveredEndpoint(entry, (str(host), int(port)))
+                state_transfer.adopt(gateway, parts.driver.clock(), row)
+            except state_transfer.OddRow as error:
+                log.warning("hot_restart: state row left out: cause=%s", error)
+
+
+def _one_socket(sockets: list[socket.socket]) -> socket.socket:
+    """The only socket of a packet."""
+    if len(sockets) != 1:
+        raise MalformedMessageError(f"one socket is needed, not {len(sockets)}")
+    return sockets[0]
--- a/saffrongw/gateway/metrics.py
+++ b/saffrongw/gateway/metrics.py
@@ -1,24 +1,31 @@
-"""What this process has done since its start, counted where it happens, as operators fetch it."""
+"""Metrics that this process has counted since its start, and their text form."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
-PREFIX = "svc"
+# Before each name, as operators' tools know it.
+NAME_PREFIX = "svc"
+
+MetricRow = tuple[str, int]
 
 
 class Metrics:
-    """Counts of final answers by class, and of attempts written whole to hosts."""
+    """Counts of final answers by request class, of attempts sent in full, and of reloads."""
 
     __slots__ = ("attempts", "busy", "failed", "reloads", "reloads_failed", "served")
 
-    def __init__(self, classes: int) -> None:
-        self.served, self.busy, self.failed = [0] * classes, [0] * classes, [0] * classes
+    def __init__(self, class_count: int) -> None:
+        """All counts are 0."""
+        self.served = [0] * class_count
+        self.busy = [0] * class_count
+        self.failed = [0] * class_count
         self.attempts = 0
-        self.reloads = self.reloads_failed = 0
+        self.reloads = 0
+        self.reloads_failed = 0
 
     def answered(self, kind: int, reply: bytes) -> None:
-        """One final answer to a request of a class."""
+        """Count one final answer to a request of a class, by the type of its RESP reply."""
         if reply[:1] in (b"$", b"*"):
             self.served[kind] += 1
         elif reply[:5] == b"-BUSY":
@@ -26,17 +33,17 @@
         else:
             self.failed[kind] += 1
 
-    def lines(
-        self, classes: Sequence[str], inflight: int, hosts_listed: int, hosts_down: int
-    ) -> list[tuple[str, int]]:
-        """Names and values: counts of requests and attempts since the start, requests and hosts as of now."""
-        found = []
-        for kind, name in enumerate(classes):
-            found.append((f"success.{name}", self.served[kind]))
-            found.append((f"busy.{name}", self.busy[kind]))
-            found.append((f"failure.{name}", self.failed[kind]))
+    def rows(
+        self, class_names: Sequence[str], inflight: int, hosts_listed: int, hosts_down: int
+    ) -> list[MetricRow]:
+        """Names and values; the arguments are what the gateway's other parts count as of now."""
+        rows: list[MetricRow] = []
+        for kind, name in enumerate(class_names):
+            rows.append((f"success.{name}", self.served[kind]))
+            rows.append((f"busy.{name}", self.busy[kind]))
+            rows.append((f"failure.{name}", self.failed[kind]))
         return [
-            *found,
+            *rows,
             ("backend_calls", self.attempts),
             ("inflight", inflight),
             ("hosts_listed", hosts_listed),
@@ -46,6 +53,6 @@
         ]
 
 
-def text(lines: Sequence[tuple[str, int]]) -> bytes:
+def render(rows: Sequence[MetricRow]) -> bytes:
     """One ``svc.NAME=VALUE`` a line."""
-    return "".join(f"{PREFIX}.{name}={value}\n" for name, value in lines).encode()
+    return "".join(f"{NAME_PREFIX}.{name}={value}\n" for name, value in rows).encode()
--- a/saffrongw/gateway/signals.py
+++ b/saffrongw/gateway/signals.py
@@ -1,20 +1,26 @@
-"""When this process began, as near as Python can tell: imported before all else, as the rest takes its time to load."""
+"""What must happen before the program's other imports: the start time, and SIGHUP blocked."""
 
 from __future__ import annotations
 
 import signal
 import time
 
-BORN = time.time_ns() // 1_000  # us, Unix time
-LOAD_MOST = 5_000_000  # us: a wall clock that was set meanwhile is not believed further than that
+# Unix time at which this module was imported, as near to the process's start as Python can tell.
+PROCESS_STARTED_US = time.time_ns() // 1_000
+# Imports take less; a larger difference means that the wall clock was set meanwhile.
+MAX_IMPORT_TIME_US = 5_000_000
 
 
 def block_sighup() -> None:
-    """SIGHUP waits until it can be carried out: ignored, it would be lost though the file may have been read before;
-    unheeded, it would end the process."""
+    """Keep SIGHUP pending until the process can carry it out.
+
+    Ignored, it would be lost although the file may have been read before it; unhandled, it would
+    end the process.
+    """
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
 
 
 def process_started_us(now: int) -> int:
-    """From when on no earlier process of this gateway can have sent anything (us; ``now`` by the wall clock)."""
-    return BORN if 0 <= now - BORN <= LOAD_MOST else now
+    """The earliest time at which this process can have sent anything (us; ``now``: wall clock)."""
+    is_believable = 0 <= now - PROCESS_STARTED_US <= MAX_IMPORT_TIME_US
+    return PROCESS_STARTED_US if is_believable else now
--- a/tests/faults/test_hot_restart.py
+++ b/tests/faults/test_hot_restart.py
@@ -1,113 +1,34 @@
-"""A new version beside the old, as real processes: no request meets a closed door, and what fails on the way."""
+"""A new version takes over from the running one, as real processes: none is refused, and faults."""
 
 from __future__ import annotations
 
 import asyncio
-import json
-import os
 import signal
 import socket
-import sys
-from pathlib import Path
 
 import hiredis
-from conftest import SITE, Caller, FakeHost, asyncio_test, configured, error, until, value
-
-from saffrongw.gateway.hot_restart.channel import QUEUED_MOST, HandOverChannel, address_of
-from testbed.runner.processes import die_with_parent, free_port
-
-
-class Gateway:
-    """One process of the program, and its operators' address."""
-
-    @classmethod
-    async def start(cls, folder: Path, file: Path) -> Gateway:
-        self = cls()
-        self.admin = free_port()
-        environment = os.environ | {
-            "LB_CONFIG": str(file),
-            "LB_ADMIN": f"127.0.0.1:{self.admin}",
-            "TMPDIR": str(folder),
-        }
-        self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "saffrongw", env=environment, preexec_fn=die_with_parent
-        )
-        await self.says_yes()
-        return self
-
-    async def call(self, method: str, path: str, body: str = "") -> tuple[int, bytes]:
-        reader, writer = await asyncio.open_connection("127.0.0.1", self.admin)
-        head = f"{method} /admin/{path} HTTP/1.1\r\nhost: x\r\ncontent-length: {len(body)}\r\n\r\n{body}"
-        writer.write(head.encode())
-        answer = await reader.read()
-        writer.close()
-        return int(answer.split()[1]), answer
-
-    async def says_yes(self) -> None:
-        async with asyncio.timeout(20):
-            while True:
-                try:
-                    if (await self.call("GET", "health"))[0] == 200:
-                        return
-                except (OSError, IndexError):
-                    pass
-                await asyncio.sleep(0.02)
-
-    async def ends(self, number=signal.SIGTERM) -> int:
-        self.process.send_signal(number)
-        return await asyncio.wait_for(self.process.wait(), 20)
-
-
-class Place:
-    """One address with its host, and a folder that both processes share."""
-
-    def __init__(self, folder: Path, host: FakeHost, **changes) -> None:
-        self.folder, self.host = folder, host
-        known = {"seq": 1, "whole": True, "hosts": [host.line(host=name) for name in "abcdef"]}
-        site = SITE | changes
-        site["permissions"] = SITE["permissions"] | {"peers": False}
-        self.file, self.port = configured(folder, known=known, settings=site)
-
-    async def gateway(self) -> Gateway:
-        return await Gateway.start(self.folder, self.file)
-
-    async def caller(self) -> Caller:
-        loop = asyncio.get_running_loop()
-        return (await loop.create_connection(Caller, "127.0.0.1", self.port))[1]
+from conftest import SITE, FakeHost, asyncio_test, error, until, value
 
-    @property
-    def socket(self) -> Path:
-        return self.folder / f"saffrongw-127.0.0.1-{self.port}.sock"
-
-
-def unix_sockets(gateway: Gateway) -> int:
-    """How many Unix sockets a process holds that are bound or connected to one that is."""
-    lines = Path("/proc/net/unix").read_text().splitlines()[1:]
-    inodes = {f"socket:[{line.split()[6]}]" for line in lines}
-    folder = Path(f"/proc/{gateway.process.pid}/fd")
-    return sum(os.readlink(fd) in inodes for fd in folder.iterdir())
-
-
-def holds_the_slow(host: FakeHost) -> list:
-    """A host answers each request with its id, but for ``slow``; where that came is added to the list."""
-    held = []
-
-    def script(command):
-        if command[2] != b"slow":
-            return value(command[2])
-        held.append(host.peer)
-
-    host.script = script
-    return held
+from saffrongw.gateway.hot_restart.channel import MAX_QUEUED_PACKETS, HandOverChannel, short_address
+from tests.faults.hot_restart_rig import (
+    FakeSuccessor,
+    RequestLoop,
+    SharedSite,
+    answer_of,
+    hold_slow_requests,
+    receive_kinds,
+)
 
 
 @asyncio_test
-async def test_connections_idle_busy_and_half_read_go_on_and_none_is_refused(tmp_path):
+async def test_idle_busy_and_partly_read_connections_survive_a_hot_restart_and_none_is_refused(
+    tmp_path,
+):
     host = await FakeHost("a").listen()
-    held = holds_the_slow(host)
-    place = Place(tmp_path, host)
-    old = await place.gateway()
-    idle, busy, half = [await place.caller() for _ in range(3)]
+    held = hold_slow_requests(host)
+    site = SharedSite(tmp_path, host)
+    old = await site.gateway()
+    idle, busy, half = [await site.caller() for _ in range(3)]
     idle.call(number=b"first")
     assert await idle.replied() == [b"first"]
     busy.call(number=b"slow")
@@ -122,158 +43,118 @@
     )
     half.transport.write(command[:-9])
     await until(lambda: held)
-    new = await place.gateway()
-    assert (await idle_answer(idle, b"between")) == b"between"  # the old one still serves
-    busy.call(number=b"behind")  # the old one begins it, or the new one
-    stop, refused = asyncio.Event(), []
-
-    async def knock() -> None:
-        number = 0
-        while not stop.is_set():
-            number += 1
-            try:
-                caller = await place.caller()
-            except OSError as wrong:
-                refused.append(wrong)
-                continue
-            caller.call(number=b"k%d" % number)
-            await until(lambda: caller.replies or caller.closed)  # noqa: B023
-            if caller.replies != [b"k%d" % number]:
-                refused.append(caller.replies)
-            caller.transport.close()
-
-    knocking = asyncio.ensure_future(knock())
+    new = await site.gateway()
+    # The running process still serves.
+    assert (await answer_of(idle, b"between")) == b"between"
+    # Either of the two begins it.
+    busy.call(number=b"behind")
+    requests = RequestLoop(site)
     await asyncio.sleep(0.05)
     old.process.terminate()
-    await until(lambda: not holds(old, half))
+    await until(lambda: not old.holds(half))
     half.transport.write(command[-9:])
     assert await half.replied() == [b"half"]
-    assert busy.replies == [] and old.process.returncode is None
+    assert busy.replies == []
+    assert old.process.returncode is None
     held[0].transport.write(value(b"slow"))
     assert await busy.replied(2) == [b"slow", b"behind"]
-    assert await asyncio.wait_for(old.process.wait(), 20) == 0
-    stop.set()
-    await knocking
-    assert refused == []
+    assert await old.wait_end() == 0
+    await requests.stop()
+    assert requests.refused == []
     for caller in (idle, busy, half):
         assert not caller.closed
-        assert (await idle_answer(caller, b"after")) == b"after"
-    ids = [bytes(c[2]) for c in host.commands]
-    assert ids.count(b"half") == ids.count(b"slow") == 1  # nothing ran twice
-    assert await new.ends() == 0
-
-
-def holds(gateway: Gateway, caller: Caller) -> bool:
-    """Whether a process still has a client's connection."""
-    here, there = (caller.transport.get_extra_info(name)[1] for name in ("sockname", "peername"))
-    inodes = set()
-    for line in Path("/proc/net/tcp").read_text().splitlines()[1:]:
-        words = line.split()
-        if [int(words[place].split(":")[1], 16) for place in (1, 2)] == [there, here]:
-            inodes.add(f"socket:[{words[9]}]")
-    folder = Path(f"/proc/{gateway.process.pid}/fd")
-    try:
-        return any(os.readlink(fd) in inodes for fd in folder.iterdir())
-    except OSError:
-        return False
-
-
-async def idle_answer(caller: Caller, number: bytes) -> bytes:
-    count = len(caller.replies)
-    caller.call(number=number)
-    return (await caller.replied(count + 1))[count]
+        assert (await answer_of(caller, b"after")) == b"after"
+    # Nothing ran twice.
+    ids = [bytes(command[2]) for command in host.commands]
+    assert ids.count(b"half") == ids.count(b"slow") == 1
+    assert await new.end() == 0
 
 
 @asyncio_test
-async def test_what_a_customer_spent_and_what_is_out_by_hand_hold_over_an_upgrade(tmp_path):
+async def test_quota_counters_and_exclusions_survive_a_hot_restart(tmp_path):
     host = await FakeHost("a").listen()
     plan = SITE["packages"][0] | {"perSecond": 0.001, "peakUnits": 4.0}
-    place = Place(tmp_path, host, packages=[plan])
-    old = await place.gateway()
+    site = SharedSite(tmp_path, host, packages=[plan])
+    old = await site.gateway()
     assert (await old.call("POST", "cordon", "a"))[0] == 200
-    caller = await place.caller()
+    caller = await site.caller()
     for number in range(8):
         caller.call(number=b"%d" % number)
         await caller.replied(number + 1)
     spent = len(host.commands)
     assert 1 <= spent <= 4
-    new = await place.gateway()
-    assert (await new.call("POST", "cordon", "b"))[0] == 200  # told to one, it holds for both
-    await until_figure(old, b"hosts_down=2")
-    assert await old.ends() == 0
+    new = await site.gateway()
+    # Sent to one process, it holds for both.
+    assert (await new.call("POST", "cordon", "b"))[0] == 200
+    await old.wait_metric("hosts_down=2")
+    assert await old.end() == 0
     caller.call(number=b"again")
     assert error((await caller.replied(9))[8]).startswith("BUSY")
     assert len(host.commands) == spent
     assert b"svc.hosts_down=2" in (await new.call("GET", "stats"))[1]
     assert (await new.call("POST", "uncordon", "a"))[0] == 200
-    third = await place.gateway()  # and once more
-    await until_figure(third, b"hosts_down=1")
-    assert await new.ends() == 0
-    assert await third.ends() == 0
-    assert not place.socket.exists()
-
-
-async def until_figure(gateway: Gateway, line: bytes) -> None:
-    async with asyncio.timeout(10):
-        while b"svc." + line not in (await gateway.call("GET", "stats"))[1]:
-            await asyncio.sleep(0.01)
+    third = await site.gateway()
+    await third.wait_metric("hosts_down=1")
+    assert await new.end() == 0
+    assert await third.end() == 0
+    assert not site.socket_path.exists()
 
 
 @asyncio_test
-async def test_a_successor_that_is_lost_is_forgotten_and_the_next_one_takes_over(tmp_path):
-    place = Place(tmp_path, await FakeHost("a").listen())
-    old = await place.gateway()
-    caller = await place.caller()
-    before = unix_sockets(old)
+async def test_a_lost_successor_is_forgotten_and_the_next_one_takes_over(tmp_path):
+    site = SharedSite(tmp_path, await FakeHost("a").listen())
+    old = await site.gateway()
+    caller = await site.caller()
+    before = old.open_unix_sockets()
     for number in (signal.SIGKILL, signal.SIGTERM):
-        lost = await place.gateway()
-        await lost.ends(number)
-        assert (await idle_answer(caller, b"old%d" % number)) == b"ok"
-        await until(lambda: unix_sockets(old) == before)
-    new = await place.gateway()
-    assert await old.ends() == 0
-    assert (await idle_answer(caller, b"new")) == b"ok"
-    assert await new.ends() == 0
+        lost = await site.gateway()
+        await lost.end(number)
+        assert (await answer_of(caller, b"old%d" % number)) == b"ok"
+        await until(lambda: old.open_unix_sockets() == before)
+    new = await site.gateway()
+    assert await old.end() == 0
+    assert (await answer_of(caller, b"new")) == b"ok"
+    assert await new.end() == 0
 
 
 @asyncio_test
-async def test_a_process_that_is_killed_is_succeeded_at_once_by_the_one_beside_it(tmp_path):
-    place = Place(tmp_path, await FakeHost("a").listen())
-    old = await place.gateway()
-    new = await place.gateway()
-    await old.ends(signal.SIGKILL)
-    caller = await place.caller()  # the listener was never closed
-    assert (await idle_answer(caller, b"1")) == b"ok"
-    third = await place.gateway()  # what the killed one has left in the folder is no bar
-    assert await new.ends() == 0
-    assert (await idle_answer(caller, b"2")) == b"ok"
-    assert await third.ends() == 0
+async def test_a_successor_serves_at_once_when_the_running_process_is_killed(tmp_path):
+    site = SharedSite(tmp_path, await FakeHost("a").listen())
+    old = await site.gateway()
+    new = await site.gateway()
+    await old.end(signal.SIGKILL)
+    # The listener was never closed.
+    caller = await site.caller()
+    assert (await answer_of(caller, b"1")) == b"ok"
+    # The socket that the killed process has left does not matter.
+    third = await site.gateway()
+    assert await new.end() == 0
+    assert (await answer_of(caller, b"2")) == b"ok"
+    assert await third.end() == 0
 
 
 @asyncio_test
-async def test_a_process_that_stands_still_or_a_stranger_does_not_keep_a_new_one_from_serving(
+async def test_a_new_process_serves_alone_when_the_socket_accepts_and_never_answers(
     tmp_path,
 ):
-    place = Place(tmp_path, await FakeHost("a").listen())
+    site = SharedSite(tmp_path, await FakeHost("a").listen())
     stranger = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    with address_of(place.socket) as address:
+    with short_address(site.socket_path) as address:
         stranger.bind(address)
-    stranger.listen(1)  # it accepts and says nothing
-    first = await place.gateway()
-    caller = await place.caller()
-    assert (await idle_answer(caller, b"1")) == b"ok"
+    # It accepts and sends nothing.
+    stranger.listen(1)
+    first = await site.gateway()
+    caller = await site.caller()
+    assert (await answer_of(caller, b"1")) == b"ok"
     stranger.close()
-    assert await first.ends() == 0
+    assert await first.end() == 0
 
 
 @asyncio_test
-async def test_packets_that_make_no_sense_are_left_out(tmp_path):
-    place = Place(tmp_path, await FakeHost("a").listen())
-    old = await place.gateway()
-    sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    with address_of(place.socket) as address:
-        sock.connect(address)
-    sock.settimeout(10)
+async def test_malformed_packets_are_ignored(tmp_path):
+    site = SharedSite(tmp_path, await FakeHost("a").listen())
+    old = await site.gateway()
+    sock = site.connect()
     for packet in (
         b"{",
         b"[]",
@@ -285,207 +166,177 @@
         b"[" * 5000,
     ):
         sock.send(packet)
-    kinds = []
-    while "greeted" not in kinds:
-        packet, fds, _, _ = socket.recv_fds(sock, 65536, 4)
-        for fd in fds:
-            os.close(fd)
-        kinds.append(json.loads(packet)[0])
-    assert kinds[0] == "sockets"
+    assert receive_kinds(sock, "greeted")[0] == "sockets"
     sock.close()
-    caller = await place.caller()
-    assert (await idle_answer(caller, b"1")) == b"ok"
+    caller = await site.caller()
+    assert (await answer_of(caller, b"1")) == b"ok"
     assert old.process.returncode is None
-    assert await old.ends() == 0
+    assert await old.end() == 0
 
 
 @asyncio_test
-async def test_a_successor_that_is_lost_after_the_go_leaves_an_ordinary_end(tmp_path):
-    place = Place(tmp_path, await FakeHost("a").listen())
-    old = await place.gateway()
-    caller = await place.caller()
-    assert (await idle_answer(caller, b"1")) == b"ok"
-    sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    with address_of(place.socket) as address:
-        sock.connect(address)
-    sock.send(b'["ready"]')
-    sock.settimeout(10)
-    while json.loads(sock.recv(65536))[0] != "greeted":
-        pass
-    await until_ready_is_read(old)
+async def test_a_successor_lost_at_sigterm_leaves_an_ordinary_graceful_shutdown(tmp_path):
+    site = SharedSite(tmp_path, await FakeHost("a").listen())
+    old = await site.gateway()
+    caller = await site.caller()
+    assert (await answer_of(caller, b"1")) == b"ok"
+    successor = FakeSuccessor(site)
+    successor.receive_until("greeted")
+    await old.wait_ready_read()
     old.process.terminate()
-    sock.close()
-    assert await asyncio.wait_for(old.process.wait(), 20) == 0
+    successor.sock.close()
+    assert await old.wait_end() == 0
     await until(lambda: caller.closed)
 
 
-async def until_ready_is_read(gateway: Gateway) -> None:
-    """Calls are answered in a later turn of the loop than the packet that came before them."""
-    for _ in range(3):
-        await gateway.call("GET", "health")
-
-
-class Heir:
-    """A successor that this test plays itself, up to where it fails."""
-
-    def __init__(self, place: Place) -> None:
-        self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        with address_of(place.socket) as address:
-            self.sock.connect(address)
-        self.sock.send(b'["ready"]')
-        self.sock.settimeout(20)
-
-    def hears(self, last: str) -> list[str]:
-        """Read up to a kind of message; the kinds. What comes with them is closed."""
-        kinds = []
-        while last not in kinds:
-            packet, fds, _, _ = socket.recv_fds(self.sock, 65536, 4)
-            for fd in fds:
-                os.close(fd)
-            kinds.append(json.loads(packet)[0])
-        return kinds
-
-
 @asyncio_test
-async def test_a_successor_that_is_lost_behind_the_go_leaves_its_clients_to_an_ordinary_end(
+async def test_clients_of_a_successor_lost_after_take_over_are_served_by_the_running_process(
     tmp_path,
 ):
-    """It has the word and dies: what it did not get yet, and who comes now, used to meet a closed door."""
+    """Clients that it was not given yet, and new ones, were refused before."""
     host = await FakeHost("a").listen()
-    held = holds_the_slow(host)
-    place = Place(tmp_path, host)
-    old = await place.gateway()
-    busy = await place.caller()
+    held = hold_slow_requests(host)
+    site = SharedSite(tmp_path, host)
+    old = await site.gateway()
+    busy = await site.caller()
     busy.call(number=b"slow")
     await until(lambda: held)
-    busy.call(number=b"held")  # begun or not, it is to be answered
-    heir = Heir(place)
-    heir.hears("greeted")
-    await until_ready_is_read(old)
+    # Begun or not, it is to be answered.
+    busy.call(number=b"held")
+    successor = FakeSuccessor(site)
+    successor.receive_until("greeted")
+    await old.wait_ready_read()
     old.process.send_signal(signal.SIGTERM)
-    await asyncio.to_thread(heir.hears, "go")
+    await asyncio.to_thread(successor.receive_until, "go")
     busy.call(number=b"behind")
-    caller = await place.caller()  # it lies in the queue that the successor would accept from
+    # It waits in the kernel queue from which the successor would accept.
+    caller = await site.caller()
     caller.call(number=b"late")
-    heir.sock.close()
+    successor.sock.close()
     assert await caller.replied() == [b"late"]
     held[0].transport.write(value(b"slow"))
     assert await busy.replied(3) == [b"slow", b"held", b"behind"]
-    assert await asyncio.wait_for(old.process.wait(), 20) == 0
+    assert await old.wait_end() == 0
 
 
 @asyncio_test
-async def test_a_successor_that_takes_nothing_does_not_hold_up_the_end(tmp_path):
-    """Half commands are more than the channel holds; it stands still, and the old one waited for it for ever."""
-    place = Place(tmp_path, await FakeHost("a").listen())
-    old = await place.gateway()
+async def test_a_successor_that_reads_nothing_does_not_delay_the_end(tmp_path):
+    """Partial commands exceed what the channel holds: the running process waited for ever."""
+    site = SharedSite(tmp_path, await FakeHost("a").listen())
+    old = await site.gateway()
     for _ in range(8):
         terms = b"c=bill,t=team,d=9000,units=1,spread=2,first=0"
         head = hiredis.pack_command((b"CALL.POST", b"0" * 15 + b"7", b"half", terms))
-        (await place.caller()).transport.write(
+        (await site.caller()).transport.write(
             head.replace(b"*4", b"*5") + b"$60000\r\n" + b"\x01" * 50_000
         )
-    heir = Heir(place)
-    heir.hears("greeted")
-    await until_ready_is_read(old)
+    successor = FakeSuccessor(site)
+    successor.receive_until("greeted")
+    await old.wait_ready_read()
     old.process.send_signal(signal.SIGTERM)
-    assert await asyncio.wait_for(old.process.wait(), 20) == 0
-    heir.sock.close()
+    assert await old.wait_end() == 0
+    successor.sock.close()
 
 
 @asyncio_test
-async def test_a_hanging_host_does_not_outlast_the_end_of_a_process_with_a_successor(tmp_path):
-    """SIGKILL comes as for any other: what is held to the last was lost with it."""
+async def test_requests_at_an_endpoint_that_hangs_fail_before_the_running_process_is_killed(
+    tmp_path,
+):
+    """A supervisor sends SIGKILL in time: what was in flight until then would be lost."""
     host = await FakeHost("a").listen()
-    host.script = lambda command: None
-    place = Place(tmp_path, host)
-    old = await place.gateway()
-    caller = await place.caller()
+    host.script = lambda _: None
+    site = SharedSite(tmp_path, host)
+    old = await site.gateway()
+    caller = await site.caller()
     caller.call("bill", wait=60_000, number=b"held")
     await until(lambda: host.commands)
-    new = await place.gateway()
-    assert await old.ends() == 0
+    new = await site.gateway()
+    assert await old.end() == 0
     assert error((await caller.replied())[0]) == "ERR failed"
-    host.script = lambda command: value(b"ok")
-    assert (await idle_answer(caller, b"after")) == b"ok"  # the new one has the connection
-    assert await new.ends() == 0
+    host.script = lambda _: value(b"ok")
+    # The successor has the connection.
+    assert (await answer_of(caller, b"after")) == b"ok"
+    assert await new.end() == 0
 
 
 @asyncio_test
-async def test_a_successor_that_is_told_to_end_as_it_gets_the_word_serves_what_it_got(tmp_path):
-    """Both signals of a supervisor that ends all: the old one has handed over, and the new one just went away."""
-    place = Place(tmp_path, await FakeHost("a").listen())
-    old = await place.gateway()
-    caller = await place.caller()
-    assert (await idle_answer(caller, b"1")) == b"ok"
-    new = await place.gateway()
+async def test_a_successor_stopped_while_taking_over_serves_what_it_was_given(tmp_path):
+    """A supervisor that ends all sends SIGTERM to both: the successor ended without serving."""
+    site = SharedSite(tmp_path, await FakeHost("a").listen())
+    old = await site.gateway()
+    caller = await site.caller()
+    assert (await answer_of(caller, b"1")) == b"ok"
+    new = await site.gateway()
     new.process.send_signal(signal.SIGSTOP)
     old.process.send_signal(signal.SIGTERM)
-    await until(lambda: not holds(old, caller))
-    caller.call(number=b"2")  # it lies in the kernel as the new one goes on
-    late = await place.caller()
+    await until(lambda: not old.holds(caller))
+    # It is unread as the successor goes on.
+    caller.call(number=b"2")
+    late = await site.caller()
     late.call(number=b"3")
     new.process.send_signal(signal.SIGTERM)
     new.process.send_signal(signal.SIGCONT)
     assert (await caller.replied(2))[1] == b"ok"
     assert await late.replied() == [b"ok"]
-    assert await asyncio.wait_for(old.process.wait(), 20) == 0
-    assert await asyncio.wait_for(new.process.wait(), 20) == 0
+    assert await old.wait_end() == 0
+    assert await new.wait_end() == 0
 
 
 @asyncio_test
-async def test_a_successor_that_another_one_replaces_ends_and_does_not_serve_beside(tmp_path):
-    """It took the other's coming for the running one's death: two processes granted the same quotas."""
-    place = Place(tmp_path, await FakeHost("a").listen())
-    old = await place.gateway()
-    first = await place.gateway()
-    second = await place.gateway()
-    assert await asyncio.wait_for(first.process.wait(), 20) == 0
-    caller = await place.caller()
-    assert (await idle_answer(caller, b"1")) == b"ok"
-    assert await old.ends() == 0
-    assert (await idle_answer(caller, b"2")) == b"ok"
-    assert await second.ends() == 0
+async def test_a_replaced_successor_ends_without_serving(tmp_path):
+    """It took its replacement for the predecessor's end: two processes granted the same quotas."""
+    site = SharedSite(tmp_path, await FakeHost("a").listen())
+    old = await site.gateway()
+    first = await site.gateway()
+    second = await site.gateway()
+    assert await first.wait_end() == 0
+    caller = await site.caller()
+    assert (await answer_of(caller, b"1")) == b"ok"
+    assert await old.end() == 0
+    assert (await answer_of(caller, b"2")) == b"ok"
+    assert await second.end() == 0
 
 
 @asyncio_test
-async def test_an_end_leaves_the_file_of_a_process_that_could_not_wait(tmp_path):
-    """A process that stood still is not asked for longer; its end used to take its follower's file with it."""
-    place = Place(tmp_path, await FakeHost("a").listen())
-    old = await place.gateway()
+async def test_an_ending_process_leaves_the_socket_of_the_next_one(tmp_path):
+    """A stalled process is not waited for: at its end it removed the socket of the next one."""
+    site = SharedSite(tmp_path, await FakeHost("a").listen())
+    old = await site.gateway()
     old.process.send_signal(signal.SIGSTOP)
-    new = await place.gateway()
+    new = await site.gateway()
     old.process.send_signal(signal.SIGCONT)
-    assert await old.ends() == 0
-    assert place.socket.exists()
-    third = await place.gateway()
-    caller = await place.caller()
-    assert (await idle_answer(caller, b"1")) == b"ok"
-    assert await new.ends() == 0
-    assert (await idle_answer(caller, b"2")) == b"ok"
-    assert await third.ends() == 0
+    assert await old.end() == 0
+    assert site.socket_path.exists()
+    third = await site.gateway()
+    caller = await site.caller()
+    assert (await answer_of(caller, b"1")) == b"ok"
+    assert await new.end() == 0
+    assert (await answer_of(caller, b"2")) == b"ok"
+    assert await third.end() == 0
 
 
 @asyncio_test
-async def test_many_more_packets_than_the_queue_holds_arrive_in_order_and_a_full_queue_says_so():
+async def test_more_packets_than_the_queue_holds_arrive_in_order_and_a_full_queue_rejects():
     loop = asyncio.get_running_loop()
     got, lost = [], []
     here, there = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    sender = HandOverChannel(loop, here, lambda *told: None, lambda: lost.append("sender"))
+    sender = HandOverChannel(loop, here, lambda *_: None, lambda: lost.append("sender"))
     receiver = HandOverChannel(
-        loop, there, lambda message, sockets: got.append(message[1]), lambda: lost.append(1)
+        loop, there, lambda message, _: got.append(message[1]), lambda: lost.append(1)
     )
-    for number in range(3 * QUEUED_MOST):
-        assert sender.tell("n", number)
-        if len(sender.waiting) >= 256:
-            await sender.sent()
-    await until(lambda: len(got) == 3 * QUEUED_MOST)
-    assert got == list(range(3 * QUEUED_MOST))
-    loop.remove_reader(there)  # it reads nothing any more
-    told = 0
-    while sender.tell("n", "x" * 1000):
-        told += 1
-    assert QUEUED_MOST <= told < 2 * QUEUED_MOST
+    for number in range(3 * MAX_QUEUED_PACKETS):
+        assert sender.send("n", number)
+        if len(sender.send_queue) >= 256:
+            await sender.wait_sent()
+    await until(lambda: len(got) == 3 * MAX_QUEUED_PACKETS)
+    assert got == list(range(3 * MAX_QUEUED_PACKETS))
+    # The receiver reads nothing any more.
+    loop.remove_reader(there)
+    accepted = 0
+    while sender.send("n", "x" * 1000):
+        accepted += 1
+    assert MAX_QUEUED_PACKETS <= accepted < 2 * MAX_QUEUED_PACKETS
     receiver.close()
     sender.close()
-    assert not sender.tell("n", 1) and lost == []
+    assert not sender.send("n", 1)
+    assert lost == []
--- a/tests/gateway/test_gateway.py
+++ b/tests/gateway/test_gateway.py
@@ -13,9 +13,9 @@
 import pytest
 from conftest import SITE, FakeHost, Rig, asyncio_test, error, started, until, value
 
-from saffrongw.gateway.bootstrap import LOG_MOST, RateLimitedLogFilter
 from saffrongw.gateway.downstream.connection import IDLE_LEAST, SWEEP, WAITING_MOST
 from saffrongw.gateway.driver import ClientRequest, UpstreamAttempt
+from saffrongw.gateway.logging_setup import MAX_LINES_PER_SPAN, RateLimitedLogFilter
 from saffrongw.gateway.upstream.cluster import REST, parse_report
 from saffrongw.policy.actions import RejectRequest, SetTimer
 from saffrongw.policy.events import AttemptEnded, AttemptOutcome
@@ -722,10 +722,10 @@
         logging.makeLogRecord({"msg": "odd", "created": 100.0 + place / 1000})
         for place in range(200)
     ]
-    assert sum(bounded.filter(line) for line in lines) == LOG_MOST
+    assert sum(bounded.filter(line) for line in lines) == MAX_LINES_PER_SPAN
     later = logging.makeLogRecord({"msg": "odd", "created": 200.0})
     assert bounded.filter(later)
-    assert later.msg == f"({200 - LOG_MOST} lines left out before) odd"
+    assert later.msg == f"({200 - MAX_LINES_PER_SPAN} lines left out before) odd"
 
 
 @asyncio_test
