--- /dev/null
+++ b/saffrongw/authz/component.py
@@ -0,0 +1,127 @@
+"""The component that ``[authz]`` switches on: built from its table, changed in service."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from functools import partial
+
+from saffrongw.gateway.components import ComponentError, PreparedReload
+from saffrongw.gateway.config import Config
+
+from ..policy.settings import Idempotency
+from .attributes import Names
+from .breaker import BreakerFigures
+from .channel import Channel, Tls
+from .checks import Figures
+from .options import AuthzOptions, BreakerOptions, TlsOptions
+from .request_filter import AuthzFilter, Rules
+
+US_PER_MS = 1_000
+# A check is given at least this, or the whole timeout where that is less.
+MIN_TIMEOUT_MS = 5
+# How this program names itself to authorisation servers.
+GATEWAY_NAME = "saffrongw"
+
+
+def names_of(config: Config) -> Names:
+    """The configuration's classes and plans, and which classes are idempotent."""
+    idempotent = [
+        request_class.idempotency is Idempotency.IDEMPOTENT
+        for request_class in config.settings.classes
+    ]
+    return Names(config.class_names, config.plan_names, tuple(idempotent))
+
+
+def tls_of(options: TlsOptions | None) -> Tls | None:
+    """The files of TLS; None for connections without it."""
+    if options is None:
+        return None
+    return Tls(options.ca, options.cert, options.key, options.server_name)
+
+
+class AuthzComponent:
+    """The request filter of external authorisation and the table that it follows."""
+
+    def __init__(self, options: AuthzOptions, config: Config) -> None:
+        """``ComponentError`` where the table names a class or plan that the configuration lacks."""
+        self.options = options
+        self.names = names_of(config)
+        _check_names(options, self.names)
+        self.filter = AuthzFilter(
+            _figures(options),
+            _rules(options),
+            self.names,
+            _channels(options),
+            GATEWAY_NAME,
+            config.seed,
+        )
+
+    def prepare(self, new: AuthzOptions) -> PreparedReload:
+        """Prepare another table; ``OSError`` where a file of TLS can't be read."""
+        _check_names(new, self.names)
+        if new == self.options:
+            return PreparedReload()
+        prepared = self.filter.prepare(_figures(new), _rules(new), _channels(new))
+        return PreparedReload(partial(self._commit, new, prepared), prepared.abort)
+
+    def _commit(self, new: AuthzOptions, prepared: PreparedReload) -> None:
+        self.options = new
+        prepared.commit()
+
+
+def _check_names(options: AuthzOptions, names: Names) -> None:
+    for position, line in enumerate(options.fail_for):
+        key = f"authz.fail_for[{position}]"
+        if line.class_ and line.class_ not in names.classes:
+            raise ComponentError(f"{key}.class: {line.class_!r} is no class of the configuration")
+        if line.plan:
+            _check_plan(line.plan, names, f"{key}.plan")
+    for position, narrow in enumerate(options.narrow):
+        for plan in (narrow.plan, *narrow.to):
+            _check_plan(plan, names, f"authz.narrow[{position}]")
+
+
+def _check_plan(plan: str, names: Names, key: str) -> None:
+    if plan not in names.plans:
+        raise ComponentError(f"{key}: {plan!r} is no plan of the configuration")
+
+
+def _breaker_figures(options: BreakerOptions) -> BreakerFigures:
+    return BreakerFigures(
+        options.window_ms * US_PER_MS,
+        options.least,
+        options.share,
+        options.in_a_row,
+        options.open_ms * US_PER_MS,
+        options.open_most_ms * US_PER_MS,
+        options.trials,
+        options.successes,
+    )
+
+
+def _figures(options: AuthzOptions) -> Figures:
+    return Figures(
+        options.time_share,
+        options.timeout_ms * US_PER_MS,
+        min(options.timeout_ms, MIN_TIMEOUT_MS) * US_PER_MS,
+        options.in_flight,
+        options.cache_entries,
+        options.cache_most_ms * US_PER_MS,
+        options.coalesce,
+        options.hedge_ms * US_PER_MS,
+        _breaker_figures(options.breaker),
+    )
+
+
+def _rules(options: AuthzOptions) -> Rules:
+    return Rules(
+        options.fail,
+        {(line.class_, line.plan): line.mode for line in options.fail_for},
+        {line.plan: line.to for line in options.narrow},
+    )
+
+
+def _channels(options: AuthzOptions) -> Callable[[], list[Channel]]:
+    """A factory of channels to the servers; it reads the files of TLS."""
+    tls = tls_of(options.tls)
+    return lambda: [Channel(address, tls) for address in options.authorisers]
--- a/saffrongw/authz/request_filter.py
+++ b/saffrongw/authz/request_filter.py
@@ -5,9 +5,11 @@
 import asyncio
 import logging
 import time
-from collections.abc import Awaitable, Callable, Mapping
+from collections.abc import Awaitable, Callable, Coroutine, Mapping
 from dataclasses import dataclass, field
+from typing import Any
 
+from saffrongw.gateway.components import PreparedReload
 from saffrongw.gateway.driver import Driver
 from saffrongw.gateway.extensions import Abort, Continue, Ending, FilteredRequest, Reject, Verdict
 
@@ -211,15 +213,29 @@
 
     def change(self, figures: Figures, rules: Rules, channels: Callable[[], list[Channel]]) -> None:
         """From now on by these; ``OSError`` where a file of TLS can't be read, and then nothing has changed."""
-        old = self.asker
-        self.asker = Asker(figures, rules, self.names, channels(), self.gateway, self.seed)
-        self.figures, self.rules, self.make = figures, rules, channels
-        # What holds where this stage itself fails or the stages' share of time is over.
-        self.fallback = Continue() if rules.fail == "open" else Reject()
-        if old:
-            task = asyncio.get_running_loop().create_task(old.retire())
-            self.retiring.add(task)
-            task.add_done_callback(self.retiring.discard)
+        self.prepare(figures, rules, channels).commit()
+
+    def prepare(
+        self, figures: Figures, rules: Rules, channels: Callable[[], list[Channel]]
+    ) -> PreparedReload:
+        """Open channels for a change; ``OSError`` where a file of TLS can't be read."""
+        new = Asker(figures, rules, self.names, channels(), self.gateway, self.seed)
+
+        def commit() -> None:
+            old, self.asker = self.asker, new
+            self.figures, self.rules, self.make = figures, rules, channels
+            # What holds where this filter itself fails or the filters' share of time is over.
+            self.fallback = Continue() if rules.fail == "open" else Reject()
+            if old:
+                self._end(old.retire())
+
+        return PreparedReload(commit, lambda: self._end(new.close()))
+
+    def _end(self, ending: Coroutine[Any, Any, None]) -> None:
+        """End an earlier or unused set of checks beside the requests."""
+        task = asyncio.get_running_loop().create_task(ending)
+        self.retiring.add(task)
+        task.add_done_callback(self.retiring.discard)
 
     def on_request(self, request: FilteredRequest) -> Verdict | Awaitable[Verdict]:
         """A verdict at once, or when the check has ended."""
--- a/saffrongw/extension_registry.py
+++ b/saffrongw/extension_registry.py
@@ -1,273 +1,164 @@
-"""What an operator file switches on, put together. Each subsystem is imported only where its table stands."""
+"""Puts together what an operator file switches on, and reloads it as one transaction.
+
+A component is imported only where its table stands in the file. This module knows the components by
+name; what each one gives is its builder's (``saffrongw.gateway.components``).
+"""
 
 from __future__ import annotations
 
-import hashlib
+import importlib
 import logging
-from collections.abc import Callable
-from dataclasses import replace
-
-from saffrongw.certs.table import CertsTable
-from saffrongw.channel.table import ChannelTable
-from saffrongw.gateway.config import Config
-from saffrongw.gateway.downstream.connection import Listener
-from saffrongw.gateway.extensions import (
-    AdminCommand,
-    Extensions,
-    LeaderGuard,
-    MetricLines,
-    Observer,
-    RequestFilter,
-    Service,
+from dataclasses import dataclass, replace
+from itertools import chain
+from typing import Any
+
+from saffrongw.gateway.components import (
+    BuildContext,
+    Component,
+    ComponentError,
+    PreparedReload,
 )
-from saffrongw.leases.table import LeasesTable
+from saffrongw.gateway.config import Config
+from saffrongw.gateway.extensions import AdminCommand, Extensions
 from saffrongw.operator import OperatorFile, load
-from saffrongw.operator.file import AuthzServerTable, AuthzTable, LedgerTable, TlsTable
 from toml_schema import SchemaError
 
 log = logging.getLogger(__name__)
 
-MS = 1_000
+
+@dataclass(frozen=True, slots=True)
+class ComponentSpec:
+    """Where the builder of one table of the operator file is."""
+
+    name: str
+    module: str
+    builder: str = "build"
+    # The extra of the package whose libraries it needs; empty for none.
+    extra: str = ""
+    # Whether a reload validates its table by building it where nothing of it runs that could
+    # prepare the change.
+    is_validated_by_building: bool = False
+
+
+# In the order in which filters see a request, services start, and components build on each other.
+COMPONENTS = (
+    ComponentSpec("authz", "saffrongw.authz.build", "build_filter", "authz", True),
+    ComponentSpec("ledger", "saffrongw.ledger.build", is_validated_by_building=True),
+    ComponentSpec("channel", "saffrongw.channel.build", extra="leases"),
+    ComponentSpec("leases", "saffrongw.leases.build", extra="leases"),
+    ComponentSpec("certs", "saffrongw.certs.build", extra="certs"),
+    ComponentSpec("authz_server", "saffrongw.authz.build", "build_server", "authz", True),
+)
 
 
 def build_extensions(file: OperatorFile, config: Config, path: str = "") -> Extensions:
-    """The stages and services; ``FormError`` where the file names what the configuration does not have."""
-    stages: list[RequestFilter] = []
-    services: list[Service] = []
-    stage = None
-    if file.authz:
-        stage = _authz(file.authz, config)
-        stages.append(stage)
-        services.append(stage)
-    observers: list[Observer] = []
-    if file.ledger:
-        ledger = _ledger(file.ledger, config)
-        stages.append(ledger)
-        observers.append(ledger)
-        services.append(ledger)
-    fronts: list[Listener] = []
-    figures: list[MetricLines] = []
-    calls: dict[bytes, AdminCommand] = {}
-    drains: list[Callable[[bool], None]] = []
-    certs = leases = channel = None
-    if file.channel:
-        channel = _channel(file.channel)
-        services.append(channel)
-        figures.append(channel.figures)
-    if file.leases:
-        leases = _leases(file.leases, channel)
-        services.append(leases)
-        figures.append(leases.figures)
-        calls |= leases.calls()
-        drains.append(leases.drain)
-    if file.certs:
-        duty = leases.duty(_duty_of(file.certs)) if leases else None
-        certs = _certs(file.certs, config, duty)
-        services.append(certs)
-        fronts.append(certs.front)
-        figures.append(certs.figures)
-    if file.authz_server:
-        services.append(_authz_server(file.authz_server, config))
-    again = (
-        OperatorFileReloader(
-            path, file, config, stage, {"certs": certs, "channel": channel, "leases": leases}
-        )
-        if path
-        else None
-    )
-    parts = tuple(stages), tuple(observers), tuple(services)
+    """All that the file switches on; with a path it is read again on SIGHUP.
+
+    Raises ``SchemaError`` where the file names what the configuration does not have or needs a
+    library that is not installed.
+    """
+    components: dict[str, Component] = {}
+    context = BuildContext(config, components)
+    for spec in COMPONENTS:
+        if table := getattr(file, spec.name):
+            components[spec.name] = _build(spec, table, context)
+    built = components.values()
+    admin_commands: dict[bytes, AdminCommand] = {}
+    for component in built:
+        admin_commands.update(component.admin_commands)
     return Extensions(
-        *parts, file.stages.time_share, again, tuple(fronts), tuple(figures), calls, tuple(drains)
+        stages=tuple(chain.from_iterable(component.filters for component in built)),
+        observers=tuple(chain.from_iterable(component.observers for component in built)),
+        services=tuple(chain.from_iterable(component.services for component in built)),
+        time_share=file.stages.time_share,
+        again=OperatorFileReloader(path, file, context).reload if path else None,
+        fronts=tuple(chain.from_iterable(component.listeners for component in built)),
+        figures=tuple(chain.from_iterable(component.metrics for component in built)),
+        calls=admin_commands,
+        on_drain=tuple(chain.from_iterable(component.on_drain for component in built)),
     )
 
 
-class OperatorFileReloader:
-    """SIGHUP: the operator file read anew. All of it is valid and takes effect, or none, and the old one stays."""
-
-    def __init__(self, path: str, file: OperatorFile, config: Config, stage, parts: dict) -> None:
-        self.path, self.file, self.config, self.stage = path, file, config, stage
-        self.parts = {
-            name: part for name, part in parts.items() if part
-        }  # they change by prepare and commit
-
-    def __call__(self) -> None:
-        try:
-            new = load(self.path)
-            tables = {name: table for name in self.parts if (table := getattr(new, name))}
-            commits = [self.parts[name].change(table) for name, table in tables.items()]
-            built = build_extensions(
-                replace(new, certs=None, channel=None, leases=None), self.config
-            )
-            if self.stage and new.authz and new.authz != self.file.authz:
-                made = built.stages[0]
-                self.stage.change(made.figures, made.rules, made.make)
-        except (SchemaError, OSError, ValueError) as wrong:
-            log.warning("reload: the operator file that was read first stays: %s", wrong)
-            return
-        for commit in commits:
-            commit()
-        if _fixed(self.file) != _fixed(new):
-            log.warning(
-                "reload: what is switched on or off, [authz_server], [ledger] and [stages] wait for the next start"
-            )
-        self.file = replace(
-            self.file,
-            authz=new.authz if self.stage and new.authz else self.file.authz,
-            **tables,
-        )
-
-
-def _fixed(file: OperatorFile) -> tuple:
-    """What can't change in service."""
-    on = [bool(table) for table in (file.authz, file.certs, file.channel, file.leases)]
-    return file.stages, file.authz_server, file.ledger, on
-
-
-def _channel(table: ChannelTable):
-    try:
-        from saffrongw.channel.component import ChannelComponent
-    except ImportError as missing:
-        raise SchemaError(f"channel needs the extra saffrongw[leases]: {missing}") from None
-    try:
-        return ChannelComponent(table)
-    except ValueError as wrong:
-        raise SchemaError(str(wrong)) from None
-
-
-def _leases(table: LeasesTable, channel):
+def _build(spec: ComponentSpec, table: object, context: BuildContext) -> Component:
+    """One component; ``SchemaError`` with a plain cause where it can't be built."""
     try:
-        from saffrongw.leases.component import LeasesComponent
-    except ImportError as missing:
-        raise SchemaError(f"leases needs the extra saffrongw[leases]: {missing}") from None
-    return LeasesComponent(table, channel)
-
-
-def _duty_of(table: CertsTable) -> str:
-    """The lease under which certificates of one folder are ordered: the same on all gateways that share it."""
-    return f"certs:{hashlib.blake2b(str(table.state_dir).encode(), digest_size=4).hexdigest()}"
-
-
-def _certs(table: CertsTable, config: Config, duty: LeaderGuard | None = None):
+        builder = getattr(importlib.import_module(spec.module), spec.builder)
+    except ImportError as error:
+        if not spec.extra:
+            raise
+        needed = f"{spec.name} needs the extra saffrongw[{spec.extra}]"
+        raise SchemaError(f"{needed}: {error}") from None
     try:
-        from saffrongw.certs.component import CertsComponent
-    except ImportError as missing:
-        raise SchemaError(f"certs needs the extra saffrongw[certs]: {missing}") from None
-    return CertsComponent(table, config.seed, duty=duty)
+        return builder(table, context)
+    except ComponentError as error:
+        raise SchemaError(str(error)) from None
 
 
-def _library(table: str) -> None:
-    try:
-        import google.protobuf  # noqa: F401
-        import grpc  # noqa: F401
-    except ImportError as missing:
-        raise SchemaError(f"{table} needs the extra saffrongw[authz]: {missing}") from None
-
-
-def _names(config: Config):
-    from saffrongw.authz.attributes import Names
-    from saffrongw.policy.settings import Idempotency
-
-    safe = [c.idempotency is Idempotency.IDEMPOTENT for c in config.settings.classes]
-    return Names(config.class_names, config.plan_names, tuple(safe))
-
-
-def _tls(table: TlsTable | None):
-    from saffrongw.authz.channel import Tls
-
-    return Tls(table.ca, table.cert, table.key, table.server_name) if table else None
+class OperatorFileReloader:
+    """Owns the operator file in force, and reads it again on SIGHUP.
 
+    A reload is one transaction over all components: each prepares its change without effect; then
+    all commit, or, where one can't prepare, all abort.
+    """
 
-def _authz(table: AuthzTable, config: Config):
-    _library("authz")
-    from saffrongw.authz.breaker import BreakerFigures
-    from saffrongw.authz.channel import Channel
-    from saffrongw.authz.checks import Figures
-    from saffrongw.authz.request_filter import AuthzFilter, Rules
+    def __init__(self, path: str, file: OperatorFile, context: BuildContext) -> None:
+        """``context`` has the components that run."""
+        self.path = path
+        self.file = file
+        self.context = context
 
-    names = _names(config)
-    for place, line in enumerate(table.fail_for):
-        if line.class_ and line.class_ not in names.classes:
-            raise SchemaError(
-                f"authz.fail_for[{place}].class: {line.class_!r} is no class of the configuration"
-            )
-        if line.plan and line.plan not in names.plans:
-            raise SchemaError(
-                f"authz.fail_for[{place}].plan: {line.plan!r} is no plan of the configuration"
+    def reload(self) -> None:
+        """Put the file as it is now in force; one that can't be used is logged, with no effect."""
+        prepared: list[PreparedReload] = []
+        try:
+            new = load(self.path)
+            for spec in COMPONENTS:
+                self._prepare(spec, new, prepared)
+        except (SchemaError, OSError, ValueError) as error:
+            for change in prepared:
+                change.abort()
+            log.warning("operator_file: reload failed: action=keep cause=%s", error)
+            return
+        for change in prepared:
+            change.commit()
+        if self._needs_restart(new):
+            log.warning(
+                "operator_file: change waits for restart:"
+                " tables=on/off,[authz_server],[ledger],[stages]"
             )
-    for place, line in enumerate(table.narrow):
-        for plan in (line.plan, *line.to):
-            if plan not in names.plans:
-                raise SchemaError(
-                    f"authz.narrow[{place}]: {plan!r} is no plan of the configuration"
-                )
-    b = table.breaker
-    breaker = BreakerFigures(
-        b.window_ms * MS,
-        b.least,
-        b.share,
-        b.in_a_row,
-        b.open_ms * MS,
-        b.open_most_ms * MS,
-        b.trials,
-        b.successes,
-    )
-    figures = Figures(
-        table.time_share,
-        table.timeout_ms * MS,
-        min(table.timeout_ms, 5) * MS,
-        table.in_flight,
-        table.cache_entries,
-        table.cache_most_ms * MS,
-        table.coalesce,
-        table.hedge_ms * MS,
-        breaker,
-    )
-    rules = Rules(
-        table.fail,
-        {(line.class_, line.plan): line.mode for line in table.fail_for},
-        {line.plan: line.to for line in table.narrow},
-    )
-    tls = _tls(table.tls)
-    return AuthzFilter(
-        figures,
-        rules,
-        names,
-        lambda: [Channel(address, tls) for address in table.authorisers],
-        "saffrongw",
-        config.seed,
-    )
-
-
-def _authz_server(table: AuthzServerTable, config: Config):
-    _library("authz_server")
-    from saffrongw.authz.attributes import Fields
-    from saffrongw.authz.server import AuthzServer
-
-    if table.tls and not table.tls.cert:
-        raise SchemaError("authz_server.tls: cert and key are needed")
-    return AuthzServer(
-        table.listen,
-        _names(config),
-        Fields(table.customer, table.plan, table.class_),
-        config.settings.node_count,
-        config.units_most,
-        table.in_flight,
-        _tls(table.tls),
-    )
-
-
-def _ledger(table: LedgerTable, config: Config):
-    from saffrongw.ledger.request_filter import LedgerFilter
-    from saffrongw.policy.settings import Idempotency
-
-    written = (
-        {Idempotency.NON_IDEMPOTENT, Idempotency.IDEMPOTENCY_KEY}
-        if table.keyed
-        else {Idempotency.NON_IDEMPOTENT}
-    )
-    kinds = frozenset(n for n, c in enumerate(config.settings.classes) if c.idempotency in written)
-    classes, plans = config.class_names, config.plan_names
-    keep, most = table.keep_days * 86_400, table.most_mb << 20
-    return LedgerFilter(
-        table.state_dir, kinds, classes, plans, table.queue, keep, most, table.bodies
-    )
+        self.file = replace(self.file, **self._reloaded_tables(new))
+
+    def _prepare(
+        self, spec: ComponentSpec, new: OperatorFile, prepared: list[PreparedReload]
+    ) -> None:
+        """Prepare one component, or validate its table where nothing can be prepared."""
+        table = getattr(new, spec.name)
+        if not table:
+            return
+        running = self.context.components.get(spec.name)
+        if running and running.prepare:
+            prepared.append(running.prepare(table))
+        elif spec.is_validated_by_building:
+            _build(spec, table, self.context)
+
+    def _is_reloadable(self, name: str) -> bool:
+        """Whether a component runs that can change in service."""
+        running = self.context.components.get(name)
+        return running is not None and running.prepare is not None
+
+    def _reloaded_tables(self, new: OperatorFile) -> dict[str, Any]:
+        """The tables that are in force by now."""
+        names = [spec.name for spec in COMPONENTS if self._is_reloadable(spec.name)]
+        return {name: table for name in names if (table := getattr(new, name))}
+
+    def _needs_restart(self, new: OperatorFile) -> bool:
+        """Whether something differs that can't change in service."""
+        if new.stages != self.file.stages:
+            return True
+        for name in (spec.name for spec in COMPONENTS):
+            old_table, new_table = getattr(self.file, name), getattr(new, name)
+            if bool(old_table) != bool(new_table):
+                return True
+            if old_table != new_table and not self._is_reloadable(name):
+                return True
+        return False
--- /dev/null
+++ b/saffrongw/leases/build.py
@@ -0,0 +1,23 @@
+"""Builds the component that ``[leases]`` of the operator file switches on."""
+
+from __future__ import annotations
+
+from saffrongw.channel.component import ChannelComponent
+from saffrongw.gateway.components import BuildContext, Component, PreparedReload
+
+from .component import LeasesComponent
+from .table import LeasesTable
+
+
+def build(table: LeasesTable, context: BuildContext) -> Component:
+    """The gateway's part in the fleet's leases, over the component of ``[channel]``."""
+    leases = LeasesComponent(table, context.instance("channel", ChannelComponent))
+    return Component(
+        leases,
+        services=(leases,),
+        metrics=(leases.figures,),
+        admin_commands=leases.calls(),
+        on_drain=(leases.drain,),
+        leader_guard=leases.duty,
+        prepare=lambda new: PreparedReload(leases.change(new)),
+    )
--- a/saffrongw/operator/file.py
+++ b/saffrongw/operator/file.py
@@ -9,6 +9,7 @@
 from saffrongw.certs.table import CertsTable
 from saffrongw.channel.table import ChannelTable
 from saffrongw.leases.table import LeasesTable
+from saffrongw.ledger.table import LedgerTable
 from toml_schema import ADDRESS, key
 
 MODES = ("open", "closed")
@@ -129,22 +130,6 @@
     )
 
 
-@dataclass(frozen=True, slots=True)
-class LedgerTable:
-    """``[ledger]``: write down unrepeatable requests before they are sent."""
-
-    state_dir: Path = key(about="a folder of its own for each gateway, on a disk that lasts")
-    keyed: bool = key(False, about="keyed classes too")
-    queue: int = key(
-        2000, least=1, most=100_000, about="intents that wait for the disk; beyond it refused"
-    )
-    keep_days: float = key(90.0, least=0.001, most=36_500, about="settled entries")
-    most_mb: int = key(
-        512, least=1, most=1_000_000, about="beyond it the oldest settled entries go"
-    )
-    bodies: bool = key(False, about="keep bodies, not only their digest and length")
-
-
 @dataclass(frozen=True, slots=True)
 class OperatorFile:
     """All tables; a subsystem whose table does not stand in the file is off."""
--- a/tests/authz/test_extension_registry.py
+++ b/tests/authz/test_extension_registry.py
@@ -128,7 +128,7 @@
         assert len(first.asked) == 1
         operator.write_text("[authz]\nauthorisers = 3\n")
         process.send_signal(signal.SIGHUP)
-        await until(lambda: "stays" in (tmp_path / "log").read_text())
+        await until(lambda: "operator_file: reload failed" in (tmp_path / "log").read_text())
         caller.call(number=b"two")
         assert await caller.replied(2) == [b"ok"] * 2
         operator.write_text(f'[authz]\nauthorisers = ["{second.address}"]\n')
