--- a/saffrongw/gateway/bootstrap.py
+++ b/saffrongw/gateway/bootstrap.py
@@ -247,7 +247,7 @@
     except KeyError as error:
         return _fail(f"no usable configuration: {error!r}")
     except ConfigFileError as error:
-        return _fail(f"no usable configuration: {error.reason!r}")
+        return _fail(f"no usable configuration: {error.startup_text}")
     try:
         extensions = build_extensions(config) if build_extensions else None
         uvloop.run(serve(config, file, extensions))
--- a/saffrongw/gateway/config_file.py
+++ b/saffrongw/gateway/config_file.py
@@ -16,6 +16,8 @@
 
 # The environment's name for the operators' address, for a file that has none.
 ADMIN_VARIABLE = "LB_ADMIN"
+# What start-up prints in place of ``SettingsError``: the line is part of the command line's output.
+SETTINGS_ERROR_NAME = "WireError"
 
 # What reading and converting a file of foreign text can raise.
 MALFORMED_INPUT = (
@@ -39,6 +41,13 @@
         self.path = path
         self.reason = reason
 
+    @property
+    def startup_text(self) -> str:
+        """The error as start-up prints it: its ``repr`` by the names of the first version."""
+        if isinstance(self.reason, SettingsError):
+            return f"{SETTINGS_ERROR_NAME}({str(self.reason)!r})"
+        return repr(self.reason)
+
 
 def read_config(path: Path) -> Config:
     """The configuration in a file; ``ConfigFileError`` where it can't be read or parsed."""
--- a/tests/faults/hot_restart_rig.py
+++ b/tests/faults/hot_restart_rig.py
@@ -25,6 +25,8 @@
 
     # What Python runs: tests of the tests put a gateway with a planted fault here.
     COMMAND: ClassVar[tuple[str, ...]] = ("-m", "saffrongw")
+    # All that were started: a test that fails on purpose ends what it leaves.
+    started: ClassVar[list[GatewayProcess]] = []
 
     def __init__(self, process: asyncio.subprocess.Process, admin_port: int) -> None:
         """Take a process that was just started."""
@@ -44,6 +46,7 @@
             sys.executable, *cls.COMMAND, env=environment, preexec_fn=die_with_parent
         )
         gateway = cls(process, admin_port)
+        cls.started.append(gateway)
         await gateway.wait_healthy()
         return gateway
 
--- /dev/null
+++ b/tests/faults/hot_restart_variants.py
@@ -0,0 +1,56 @@
+"""Gateways with one planted fault of hot restart each.
+
+``python -m tests.faults.hot_restart_variants NAME`` runs in place of ``python -m saffrongw``.
+"""
+
+from __future__ import annotations
+
+import sys
+from collections.abc import Callable, Iterator
+
+from saffrongw.__main__ import main
+from saffrongw.gateway.hot_restart.predecessor import PredecessorHandOver
+from saffrongw.gateway.hot_restart.successor import SuccessorHandOver
+from saffrongw.policy import state_transfer
+
+VARIANTS: dict[str, Callable[[], None]] = {}
+
+
+def variant(plant: Callable[[], None]) -> Callable[[], None]:
+    """Keep a planted fault under its function's name, with dashes."""
+    VARIANTS[plant.__name__.replace("_", "-")] = plant
+    return plant
+
+
+@variant
+def no_fault() -> None:
+    """Change nothing: what runs this way passes the tests."""
+
+
+@variant
+def forgets_quota_counters() -> None:
+    """Hand over all state but what customers have spent."""
+    export = state_transfer.export
+
+    def export_without_counters(gateway: object) -> Iterator[list]:
+        return (row for row in export(gateway) if row[0] != "account")
+
+    state_transfer.export = export_without_counters
+
+
+@variant
+def drops_partial_commands() -> None:
+    """Hand over connections without what was read of their next command."""
+    give_client = PredecessorHandOver._give_client
+    PredecessorHandOver._give_client = lambda self, fd, _partial: give_client(self, fd, b"")
+
+
+@variant
+def serves_although_replaced() -> None:
+    """Take the replacement by another successor for the running process's end."""
+    SuccessorHandOver.must_serve = property(lambda self: self.take_over.is_set())
+
+
+if __name__ == "__main__":
+    VARIANTS[sys.argv[1]]()
+    sys.exit(main())
