--- a/saffrongw/operator/file.py
+++ b/saffrongw/operator/file.py
@@ -1,4 +1,8 @@
-"""The tables of the operator file and their bounds. A subsystem adds its dataclasses here and reads nothing else."""
+"""The operator file's schema: its tables with their keys, defaults and bounds.
+
+Field names are the file's keys and don't change. Tables of components are in their packages
+(``table.py``); those of ``authz`` are here, as its package does not know ``toml_schema``.
+"""
 
 from __future__ import annotations
 
@@ -12,12 +16,13 @@
 from saffrongw.ledger.table import LedgerTable
 from toml_schema import ADDRESS, key
 
-MODES = ("open", "closed")
+# What becomes of a request that could not be checked: it continues, or it fails.
+FAIL_MODES = ("open", "closed")
 
 
 @dataclass(frozen=True, slots=True)
 class StagesTable:
-    """``[stages]``: what holds for all stages together."""
+    """``[stages]``: what holds for all request filters together."""
 
     time_share: float = key(
         0.4, least=0.01, most=0.9, about="of a request's time, for all stages together"
@@ -26,8 +31,9 @@
 
 @dataclass(frozen=True, slots=True)
 class TlsTable:
-    """Files of TLS, PEM; they are read again when they change."""
+    """Files of TLS in PEM form; they are read again when they change."""
 
+    # The field ``key`` hides the function of this name: hence its whole name.
     ca: str = toml_schema.key(
         "",
         about="authorities that the other side's certificate must come from; empty: the system's",
@@ -39,6 +45,7 @@
     )
 
     def __post_init__(self) -> None:
+        """Require both files of a certificate, or none."""
         if bool(self.cert) != bool(self.key):
             raise ValueError("cert and key stand together or not at all")
 
@@ -47,18 +54,19 @@
 class FailTable:
     """``[[authz.fail_for]]``: another mode for a class, a plan, or both."""
 
-    mode: str = key(choices=MODES)
+    mode: str = key(choices=FAIL_MODES)
     class_: str = key("")
     plan: str = key("")
 
     def __post_init__(self) -> None:
+        """Require a class or a plan: the mode for all has a key of its own."""
         if not self.class_ and not self.plan:
             raise ValueError("class, plan or both are needed; for all there is authz.fail")
 
 
 @dataclass(frozen=True, slots=True)
 class NarrowTable:
-    """``[[authz.narrow]]``: an authoriser may put requests of this plan under one of those."""
+    """``[[authz.narrow]]``: the plans under which a server may put requests of one plan."""
 
     plan: str = key()
     to: tuple[str, ...] = key()
@@ -66,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BreakerTable:
-    """``[authz.breaker]``: when an authoriser is left alone, and for how long."""
+    """``[authz.breaker]``: when the circuit breaker of a server opens, and for how long."""
 
     window_ms: int = key(2000, least=10, most=600_000)
     least: int = key(10, least=1, most=1000)
@@ -80,10 +88,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AuthzTable:
-    """``[authz]``: ask an authoriser about each request."""
+    """``[authz]``: check each request with an external authorisation server."""
 
     authorisers: tuple[str, ...] = key(form=ADDRESS, about="HOST:PORT, asked by health and load")
-    fail: str = key("closed", choices=MODES, about="where none was reached")
+    fail: str = key("closed", choices=FAIL_MODES, about="where none was reached")
     fail_for: tuple[FailTable, ...] = key(())
     narrow: tuple[NarrowTable, ...] = key(())
     time_share: float = key(
@@ -108,6 +116,7 @@
     breaker: BreakerTable = key(BreakerTable())
 
     def __post_init__(self) -> None:
+        """Require servers, each once."""
         if not self.authorisers:
             raise ValueError("authorisers is empty")
         if len(set(self.authorisers)) < len(self.authorisers):
@@ -116,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AuthzServerTable:
-    """``[authz_server]``: answer Check for other proxies by the gateway's own quotas."""
+    """``[authz_server]``: answer checks of other proxies by this gateway's quotas."""
 
     listen: str = key(form=ADDRESS)
     in_flight: int = key(1000, least=1, most=100_000, about="checks at once; beyond it UNAVAILABLE")
@@ -132,7 +141,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorFile:
-    """All tables; a subsystem whose table does not stand in the file is off."""
+    """The whole file; a component whose table does not stand in it is off."""
 
     stages: StagesTable = key(StagesTable())
     authz: AuthzTable | None = key(None)
@@ -143,10 +152,11 @@
     leases: LeasesTable | None = key(None)
 
     def __post_init__(self) -> None:
+        """Require the channel over which leases are granted."""
         if self.leases and not self.channel:
             raise ValueError("leases needs a [channel]")
 
 
 def load(path: Path | str) -> OperatorFile:
-    """Read and validate; ``toml_schema.FormError`` names file, line, key and cause."""
+    """Read and validate a file; ``toml_schema.SchemaError`` names file, line, key and cause."""
     return toml_schema.load(OperatorFile, path)
