--- a/benchmarks/hot_restart_cost.py
+++ b/benchmarks/hot_restart_cost.py
@@ -1,7 +1,8 @@
-"""What an upgrade in service costs clients: ``python -m benchmarks.hot_restart_cost [--upgrades N] [--rate R]``.
+"""What a hot restart costs clients: ``python -m benchmarks.hot_restart_cost``.
 
-One gateway, one host that answers at once, an open loop of requests on kept connections and on new ones by turns. The
-gateway is replaced again and again; latencies (clock from when a request was due) stand beside those of a run without.
+One gateway, one endpoint that answers at once, an open loop of requests by turns on persistent
+connections and on new ones. The gateway is replaced again and again; latencies, counted from when
+a request was due, stand beside those of a run without a restart.
 """
 
 from __future__ import annotations
@@ -24,127 +25,156 @@
 
 from testbed.runner.processes import free_port
 
-KEPT = 20  # connections that stay
-SPAN = 1.2  # seconds between two upgrades
+PERSISTENT_CONNECTIONS = 20
+RESTART_INTERVAL_S = 1.2
+# Besides the interval, what one restart takes at most.
+RESTART_MARGIN_S = 0.5
+REQUEST_TIMEOUT_S = 2
+POLL_INTERVAL_S = 0.0005
 
 
-class Load:
-    """Requests at a rate, half on kept connections, half on a new one each."""
+class RequestLoad:
+    """Sends requests at a rate: half on persistent connections, half on a new one each."""
 
-    def __init__(self, port: int, rate: float) -> None:
-        self.port, self.rate, self.took, self.lost = port, rate, [], 0
-        self.number = 0
+    def __init__(self, port: int, rate_per_s: float) -> None:
+        """``port`` of the gateway."""
+        self.port = port
+        self.rate_per_s = rate_per_s
+        self.sent = 0
+        self.lost = 0
+        self.latencies_s: list[float] = []
+        self.free: list[Caller] = []
 
     async def connect(self) -> Caller:
-        return (await asyncio.get_running_loop().create_connection(Caller, "127.0.0.1", self.port))[
-            1
-        ]
-
-    async def one(self, due: float, kept: Caller | None) -> None:
-        self.number += 1
-        number = b"%d" % self.number
+        """A new connection."""
+        loop = asyncio.get_running_loop()
+        return (await loop.create_connection(Caller, "127.0.0.1", self.port))[1]
+
+    async def run(self, duration_s: float) -> None:
+        """Send for a time, and wait for the answers."""
+        self.free = [await self.connect() for _ in range(PERSISTENT_CONNECTIONS)]
+        began_s = time.monotonic()
+        async with asyncio.TaskGroup() as tasks:
+            for number in range(int(duration_s * self.rate_per_s)):
+                due_s = began_s + number / self.rate_per_s
+                await asyncio.sleep(max(0.0, due_s - time.monotonic()))
+                is_persistent = number % 2 == 1
+                tasks.create_task(
+                    self._send_on_persistent(due_s) if is_persistent else self._send(due_s, None)
+                )
+
+    async def _send_on_persistent(self, due_s: float) -> None:
+        caller = self.free.pop() if self.free else None
+        await self._send(due_s, caller)
+        if caller:
+            self.free.append(caller)
+
+    async def _send(self, due_s: float, persistent: Caller | None) -> None:
+        self.sent += 1
         try:
-            caller = kept or await self.connect()
-            before = len(caller.replies)
-            caller.call(number=number)
-            while len(caller.replies) == before:
-                if caller.closed or time.monotonic() - due > 2:
-                    raise ConnectionError
-                await asyncio.sleep(0.0005)
-            if not isinstance(caller.replies[before], bytes):
-                raise ConnectionError
-            self.took.append(time.monotonic() - due)
-            if not kept:
-                caller.transport.close()
+            caller = persistent or await self.connect()
+            await self._request(caller, b"%d" % self.sent, due_s)
         except (OSError, RuntimeError):
             self.lost += 1
-
-    async def run(self, span: float) -> None:
-        kept = [await self.connect() for _ in range(KEPT)]
-        free, tasks, began = list(kept), set(), time.monotonic()
-
-        async def on_kept(due: float) -> None:
-            caller = free.pop() if free else None
-            await self.one(due, caller)
-            if caller:
-                free.append(caller)
-
-        for n in range(int(span * self.rate)):
-            due = began + n / self.rate
-            await asyncio.sleep(max(0.0, due - time.monotonic()))
-            task = asyncio.ensure_future(on_kept(due) if n % 2 else self.one(due, None))
-            tasks.add(task)
-            task.add_done_callback(tasks.discard)
-        await asyncio.gather(*tasks)
-
-
-async def start(file: Path, folder: str):
-    admin = free_port()
-    told = os.environ | {"LB_CONFIG": str(file), "LB_ADMIN": f"127.0.0.1:{admin}", "TMPDIR": folder}
-    process = await asyncio.create_subprocess_exec(sys.executable, "-m", "saffrongw", env=told)
-    while True:
-        try:
-            reader, writer = await asyncio.open_connection("127.0.0.1", admin)
-            writer.write(b"GET /admin/health HTTP/1.1\r\nhost: x\r\n\r\n")
-            answer = await reader.read()
-            writer.close()
-            if b" 200 " in answer:
-                return process
-        except OSError:
-            pass
+            return
+        self.latencies_s.append(time.monotonic() - due_s)
+        if not persistent:
+            caller.transport.close()
+
+    async def _request(self, caller: Caller, number: bytes, due_s: float) -> None:
+        """Wait for the answer; ``ConnectionError`` where there is none in time, or an error."""
+        count = len(caller.replies)
+        caller.call(number=number)
+        while len(caller.replies) == count:
+            if caller.closed or time.monotonic() - due_s > REQUEST_TIMEOUT_S:
+                raise ConnectionError("no answer")
+            await asyncio.sleep(POLL_INTERVAL_S)
+        if not isinstance(caller.replies[count], bytes):
+            raise ConnectionError("an error for an answer")
+
+
+async def start(file: Path, folder: str) -> asyncio.subprocess.Process:
+    """A gateway that can serve, with ``folder`` as its ``$TMPDIR``."""
+    admin_port = free_port()
+    admin = f"127.0.0.1:{admin_port}"
+    environment = os.environ | {"LB_CONFIG": str(file), "LB_ADMIN": admin, "TMPDIR": folder}
+    process = await asyncio.create_subprocess_exec(
+        sys.executable, "-m", "saffrongw", env=environment
+    )
+    while not await _is_healthy(admin_port):
         await asyncio.sleep(0.01)
+    return process
+
 
+async def _is_healthy(admin_port: int) -> bool:
+    try:
+        reader, writer = await asyncio.open_connection("127.0.0.1", admin_port)
+    except OSError:
+        return False
+    writer.write(b"GET /admin/health HTTP/1.1\r\nhost: x\r\n\r\n")
+    answer = await reader.read()
+    writer.close()
+    return b" 200 " in answer
 
-async def measure(upgrades: int, rate: float, span: float) -> tuple[Load, list[float]]:
-    """A run with so many upgrades: its load, and how long each old process took to end."""
+
+async def end(process: asyncio.subprocess.Process) -> float:
+    """How long a process takes to end after SIGTERM (s)."""
+    began_s = time.monotonic()
+    process.send_signal(signal.SIGTERM)
+    await process.wait()
+    return time.monotonic() - began_s
+
+
+async def measure(
+    restarts: int, rate_per_s: float, duration_s: float
+) -> tuple[RequestLoad, list[float]]:
+    """A run with so many restarts: its load, and how long each old process took to end (s)."""
     host = await FakeHost("a").listen()
     known = {"seq": 1, "whole": True, "hosts": [host.line(host=name) for name in "abcdefgh"]}
-    ends = []
+    plan = SITE["packages"][0] | {"perSecond": 1e6, "peakUnits": 1e6}
+    permissions = SITE["permissions"] | {"peers": False}
+    settings = SITE | {"packages": [plan], "permissions": permissions}
+    ends_s = []
     with tempfile.TemporaryDirectory() as folder:
-        plan = SITE["packages"][0] | {"perSecond": 1e6, "peakUnits": 1e6}
-        alone = SITE["permissions"] | {"peers": False}
-        site = SITE | {"packages": [plan], "permissions": alone}
-        file, port = configured(Path(folder), known=known, limits={"sockets": 512}, settings=site)
+        limits = {"sockets": 512}
+        file, port = configured(Path(folder), known=known, limits=limits, settings=settings)
         process = await start(file, folder)
-        load = Load(port, rate)
-        running = asyncio.ensure_future(load.run(span))
-        for _ in range(upgrades):
-            await asyncio.sleep(SPAN)
-            new = await start(file, folder)
-            began = time.monotonic()
-            process.send_signal(signal.SIGTERM)
-            await process.wait()
-            ends.append(time.monotonic() - began)
-            process = new
+        load = RequestLoad(port, rate_per_s)
+        running = asyncio.ensure_future(load.run(duration_s))
+        for _ in range(restarts):
+            await asyncio.sleep(RESTART_INTERVAL_S)
+            successor = await start(file, folder)
+            ends_s.append(await end(process))
+            process = successor
         await running
-        process.send_signal(signal.SIGTERM)
-        await process.wait()
+        await end(process)
     host.server.close()
-    return load, ends
+    return load, ends_s
+
+
+def row(restarts: int, load: RequestLoad, ends_s: list[float]) -> list[str]:
+    """One run as a row of the table."""
+    latencies_s = sorted(load.latencies_s)
+    last = len(latencies_s) - 1
+    shown = [f"{latencies_s[int(part * last)] * 1000:.1f}" for part in (0.5, 0.99, 1)]
+    ends = " ".join(f"{end_s:.2f}" for end_s in ends_s)
+    return [str(restarts), str(load.sent), str(load.lost), *shown, ends]
 
 
 async def main() -> None:
-    told = argparse.ArgumentParser(description=__doc__)
-    told.add_argument("--upgrades", type=int, default=5)
-    told.add_argument("--rate", type=float, default=300.0)
-    args = told.parse_args()
-    span = (args.upgrades + 1) * (SPAN + 0.5)
+    """Run without and with restarts, and print both."""
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--upgrades", type=int, default=5)
+    parser.add_argument("--rate", type=float, default=300.0)
+    arguments = parser.parse_args()
+    duration_s = (arguments.upgrades + 1) * (RESTART_INTERVAL_S + RESTART_MARGIN_S)
     table = Table(
-        "upgrades", "requests", "lost", "p50 ms", "p99 ms", "most ms", "old process ended after, s"
+        "restarts", "requests", "lost", "p50 ms", "p99 ms", "max ms", "old process ended after, s"
     )
-    with Console(stderr=True).status("playing both runs ..."):
-        for upgrades in (0, args.upgrades):
-            load, ends = await measure(upgrades, args.rate, span)
-            took = sorted(load.took)
-            figures = [f"{took[int(part * (len(took) - 1))] * 1000:.1f}" for part in (0.5, 0.99, 1)]
-            row = [
-                upgrades,
-                load.number,
-                load.lost,
-                *figures,
-                " ".join(f"{end:.2f}" for end in ends),
-            ]
-            table.add_row(*map(str, row))
+    with Console(stderr=True).status("running without and with restarts ..."):
+        for restarts in (0, arguments.upgrades):
+            load, ends_s = await measure(restarts, arguments.rate, duration_s)
+            table.add_row(*row(restarts, load, ends_s))
     Console().print(table)
 
 
--- a/saffrongw/gateway/admin_http/server.py
+++ b/saffrongw/gateway/admin_http/server.py
@@ -197,9 +197,7 @@
     def listen(self, address: Address) -> None:
         """Answer calls from now on."""
         listener = socket.create_server(address, backlog=LISTEN_BACKLOG, reuse_port=True)
-        self.acceptor = Acceptor(
-            self.loop, listener, self._make_room, lambda: AdminConnection(self)
-        )
+        self.acceptor = Acceptor(self.loop, listener, self._may_open, lambda: AdminConnection(self))
         self.acceptor.start()
 
     def close(self) -> None:
@@ -207,7 +205,7 @@
         if self.acceptor:
             self.acceptor.close()
 
-    def _make_room(self) -> bool:
+    def _may_open(self) -> bool:
         """Whether one more connection may open; the oldest without a complete call is closed."""
         assert self.acceptor is not None
         if len(self.connections) + self.acceptor.opening < MAX_CONNECTIONS:
--- a/tests/faults/hot_restart_rig.py
+++ b/tests/faults/hot_restart_rig.py
@@ -99,7 +99,7 @@
         inodes = {f"socket:[{line.split()[6]}]" for line in lines}
         return sum(target in inodes for target in self._open_files())
 
-    def holds(self, caller: Caller) -> bool:
+    def has_connection(self, caller: Caller) -> bool:
         """Whether it still has a client's connection."""
         here = caller.transport.get_extra_info("sockname")[1]
         there = caller.transport.get_extra_info("peername")[1]
--- a/tests/faults/test_hot_restart.py
+++ b/tests/faults/test_hot_restart.py
@@ -51,7 +51,7 @@
     requests = RequestLoop(site)
     await asyncio.sleep(0.05)
     old.process.terminate()
-    await until(lambda: not old.holds(half))
+    await until(lambda: not old.has_connection(half))
     half.transport.write(command[-9:])
     assert await half.replied() == [b"half"]
     assert busy.replies == []
@@ -269,7 +269,7 @@
     new = await site.gateway()
     new.process.send_signal(signal.SIGSTOP)
     old.process.send_signal(signal.SIGTERM)
-    await until(lambda: not old.holds(caller))
+    await until(lambda: not old.has_connection(caller))
     # It is unread as the successor goes on.
     caller.call(number=b"2")
     late = await site.caller()
