--- a/tests/authz/test_extension_registry.py
+++ b/tests/authz/test_extension_registry.py
@@ -1,4 +1,4 @@
-"""The operator file's table in a real process: switched on, wrong, and changed in service by SIGHUP."""
+"""[authz] in a real process: switched on, malformed, and changed in service by SIGHUP."""
 
 from __future__ import annotations
 
@@ -43,7 +43,9 @@
         ),
     ],
 )
-def test_a_wrong_table_gets_one_line_and_status_2(tmp_path, capsys, text, expected):
+def test_check_answers_a_malformed_table_with_one_line_and_status_2(
+    tmp_path, capsys, text, expected
+):
     (tmp_path / "o.toml").write_text(text)
     assert cli.main(["check", str(tmp_path / "o.toml")]) == 2
     said = capsys.readouterr().err
@@ -62,7 +64,7 @@
         ('[authz.tls]\nca = "/none/ca.pem"\n', "can't serve"),
     ],
 )
-def test_what_the_configuration_does_not_have_ends_the_start(tmp_path, more, expected):
+def test_a_table_that_the_configuration_does_not_fit_ends_the_start(tmp_path, more, expected):
     path, _ = configured(tmp_path)
     operator = tmp_path / "o.toml"
     operator.write_text('[authz]\nauthorisers = ["127.0.0.1:1"]\n' + more)
@@ -79,7 +81,7 @@
     assert "Traceback" not in done.stderr
 
 
-def test_an_operator_file_without_the_table_loads_no_library():
+def test_an_operator_file_without_the_table_loads_neither_library_nor_package():
     text = {
         "listen": "a:1",
         "discovery": "a:1",
@@ -99,58 +101,64 @@
     assert done.stdout.strip() == "[]", done.stderr
 
 
+async def connected(port: int) -> Caller:
+    """A client's connection, once the gateway listens."""
+    loop = asyncio.get_running_loop()
+    async with asyncio.timeout(20):
+        while True:
+            try:
+                return (await loop.create_connection(Caller, "127.0.0.1", port))[1]
+            except OSError:
+                await asyncio.sleep(0.05)
+
+
+async def call_until_rejected(caller: Caller) -> None:
+    """Send requests one after the other until one is not served."""
+    async with asyncio.timeout(10):
+        while caller.replies[-1] == b"ok":
+            number = len(caller.replies) + 1
+            caller.call(number=b"n%d" % number)
+            await caller.replied(number)
+            await asyncio.sleep(0.05)
+
+
 @asyncio_test
-async def test_a_process_asks_and_changes_its_authoriser_on_sighup(tmp_path):
+async def test_a_process_checks_requests_and_changes_its_server_on_sighup(tmp_path):
     host = await FakeHost("a").listen()
     lines = [host.line(host=name) for name in "abcdef"]
     path, port = configured(tmp_path, known={"seq": 1, "whole": True, "hosts": lines})
-    first, second = await Authoriser().start(), await Authoriser(lambda request: deny()).start()
-    operator = tmp_path / "o.toml"
+    first, second = await Authoriser().start(), await Authoriser(lambda _: deny()).start()
+    operator, log = tmp_path / "o.toml", tmp_path / "log"
     operator.write_text(f'[authz]\nauthorisers = ["{first.address}"]\n')
-    process = await asyncio.create_subprocess_exec(
-        sys.executable,
-        "-m",
-        "saffrongw",
-        cwd=ROOT,
-        env=os.environ | {"LB_CONFIG": str(path), "SAFFRONGW_OPERATOR": str(operator)},
-        stderr=(log := (tmp_path / "log").open("w")),
-    )
+    with log.open("w") as stderr:
+        process = await asyncio.create_subprocess_exec(
+            sys.executable,
+            "-m",
+            "saffrongw",
+            cwd=ROOT,
+            env=os.environ | {"LB_CONFIG": str(path), "SAFFRONGW_OPERATOR": str(operator)},
+            stderr=stderr,
+        )
     try:
-        loop, caller = asyncio.get_running_loop(), None
-        async with asyncio.timeout(20):
-            while caller is None:
-                try:
-                    _, caller = await loop.create_connection(Caller, "127.0.0.1", port)
-                except OSError:
-                    await asyncio.sleep(0.05)
+        caller = await connected(port)
         caller.call(number=b"one")
         assert await caller.replied() == [b"ok"]
         assert len(first.asked) == 1
         operator.write_text("[authz]\nauthorisers = 3\n")
         process.send_signal(signal.SIGHUP)
-        await until(lambda: "operator_file: reload failed" in (tmp_path / "log").read_text())
+        await until(lambda: "operator_file: reload failed" in log.read_text())
         caller.call(number=b"two")
         assert await caller.replied(2) == [b"ok"] * 2
         operator.write_text(f'[authz]\nauthorisers = ["{second.address}"]\n')
         process.send_signal(signal.SIGHUP)
-        number = 2
-
-        async def denied() -> bool:
-            nonlocal number
-            number += 1
-            caller.call(number=b"n%d" % number)
-            return (await caller.replied(number))[-1] != b"ok"
-
-        async with asyncio.timeout(10):
-            while not await denied():
-                await asyncio.sleep(0.05)
+        await call_until_rejected(caller)
         assert error(caller.replies[-1]) == "ERR failed"
         assert len(second.asked) == 1
         process.send_signal(signal.SIGTERM)
         async with asyncio.timeout(10):
             assert await process.wait() == 0
     finally:
-        log.close()
         if process.returncode is None:
             process.kill()
-        first.stop(), second.stop()
+        first.stop()
+        second.stop()
--- a/tests/authz/test_request_filter.py
+++ b/tests/authz/test_request_filter.py
@@ -410,6 +410,21 @@
     assert await caller.replied() == [b"ok"]
 
 
+@world_test
+async def test_an_aborted_change_leaves_the_old_checks_and_closes_the_new_channels(open_):
+    world = await open_(await Authoriser().start())
+    asker = world.stage.asker
+    channel = Channel("127.0.0.1:1")
+    prepared = world.stage.prepare(Figures(), Rules("open"), lambda: [channel])
+    prepared.abort()
+    await until(lambda: not world.stage.retiring)
+    assert world.stage.asker is asker
+    assert world.stage.rules.fail == "closed"
+    caller = await world.caller()
+    caller.call()
+    assert await caller.replied() == [b"ok"]
+
+
 # -- TLS -------------------------------------------------------------------------------------------------
 
 
