--- a/saffrongw/extension_registry.py
+++ b/saffrongw/extension_registry.py
@@ -8,9 +8,9 @@
 
 import importlib
 import logging
-from dataclasses import dataclass, replace
+from dataclasses import replace
 from itertools import chain
-from typing import Any
+from typing import Any, NamedTuple
 
 from saffrongw.gateway.components import (
     BuildContext,
@@ -26,8 +26,7 @@
 log = logging.getLogger(__name__)
 
 
-@dataclass(frozen=True, slots=True)
-class ComponentSpec:
+class ComponentSpec(NamedTuple):
     """Where the builder of one table of the operator file is."""
 
     name: str
--- a/saffrongw/gateway/admin_http/server.py
+++ b/saffrongw/gateway/admin_http/server.py
@@ -12,7 +12,6 @@
 import re
 import socket
 from collections.abc import Callable, Mapping
-from http import HTTPStatus
 from typing import NamedTuple, Protocol, cast
 
 import h11
@@ -33,8 +32,17 @@
 MAX_BODY_BYTES = 256
 # Of a call to an extension.
 MAX_EXTENSION_BODY_BYTES = 1_024
+# Statuses; the standard library's names for them would cost every start an import.
+CONTINUE = 100
+OK = 200
+BAD_REQUEST = 400
+NOT_FOUND = 404
+METHOD_NOT_ALLOWED = 405
+BODY_TOO_LARGE = 413
+INTERNAL_ERROR = 500
+UNAVAILABLE = 503
 _ENDPOINT_ID = re.compile(rb"[!-~]{1,128}")
-_OK = b"ok\n"
+_OK_TEXT = b"ok\n"
 
 
 class AdminResponse(NamedTuple):
@@ -113,7 +121,7 @@
         if isinstance(event, h11.EndOfMessage):
             self._respond(self._dispatch())
         elif event is h11.NEED_DATA and self.http.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=HTTPStatus.CONTINUE, headers=[])
+            go_on = h11.InformationalResponse(status_code=CONTINUE, headers=[])
             self.transport.write(self.http.send(go_on))
         return False
 
@@ -124,7 +132,7 @@
         is_extension = self.request.target in self.server.operations.extension_commands
         if len(self.body) <= (MAX_EXTENSION_BODY_BYTES if is_extension else MAX_BODY_BYTES):
             return True
-        too_long = AdminResponse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, b"the body is too long\n")
+        too_long = AdminResponse(BODY_TOO_LARGE, b"the body is too long\n")
         self._respond(too_long)
         return False
 
@@ -140,7 +148,7 @@
             return self.server.dispatch(method, target, self.body)
         except Exception:
             log.exception("admin_http: handler failed: method=%s target=%.100r", method, target)
-            return AdminResponse(HTTPStatus.INTERNAL_SERVER_ERROR, b"the call failed\n")
+            return AdminResponse(INTERNAL_ERROR, b"the call failed\n")
 
     def _respond(self, response: AdminResponse) -> None:
         if self.http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
@@ -152,7 +160,7 @@
             ("content-length", str(len(response.body))),
             ("connection", "close"),
         ]
-        if response.status == HTTPStatus.METHOD_NOT_ALLOWED:
+        if response.status == METHOD_NOT_ALLOWED:
             headers.append(("allow", "GET, POST"))
         head = self.http.send(h11.Response(status_code=response.status, headers=headers))
         has_body = self.request is None or self.request.method != b"HEAD"
@@ -237,10 +245,10 @@
         path = target.partition(b"?")[0]
         route = self._route(path)
         if route is None:
-            return AdminResponse(HTTPStatus.NOT_FOUND, b"no such call\n")
+            return AdminResponse(NOT_FOUND, b"no such call\n")
         if method != route.method and (route.method, method) != (b"GET", b"HEAD"):
             text = b"this call wants " + route.method + b"\n"
-            return AdminResponse(HTTPStatus.METHOD_NOT_ALLOWED, text)
+            return AdminResponse(METHOD_NOT_ALLOWED, text)
         return route.handle(body)
 
     def _route(self, path: bytes) -> _Route | None:
@@ -252,19 +260,19 @@
 
     def _health(self, _body: bytes) -> AdminResponse:
         if self.operations.is_healthy():
-            return AdminResponse(HTTPStatus.OK, _OK)
-        return AdminResponse(HTTPStatus.SERVICE_UNAVAILABLE, b"it does not serve yet\n")
+            return AdminResponse(OK, _OK_TEXT)
+        return AdminResponse(UNAVAILABLE, b"it does not serve yet\n")
 
     def _stats(self, _body: bytes) -> AdminResponse:
-        return AdminResponse(HTTPStatus.OK, self.operations.stats())
+        return AdminResponse(OK, self.operations.stats())
 
     def _quiesce(self, _body: bytes) -> AdminResponse:
         self.operations.quiesce()
-        return AdminResponse(HTTPStatus.OK, _OK)
+        return AdminResponse(OK, _OK_TEXT)
 
     def _resume(self, _body: bytes) -> AdminResponse:
         self.operations.resume()
-        return AdminResponse(HTTPStatus.OK, _OK)
+        return AdminResponse(OK, _OK_TEXT)
 
     def _exclude(self, body: bytes) -> AdminResponse:
         return _change_endpoint(self.operations.exclude, body)
@@ -277,9 +285,9 @@
     """The answer to a call whose body is an endpoint's id."""
     endpoint_id = body.strip()
     if not _ENDPOINT_ID.fullmatch(endpoint_id):
-        return AdminResponse(HTTPStatus.BAD_REQUEST, b"the body is no host's id\n")
+        return AdminResponse(BAD_REQUEST, b"the body is no host's id\n")
     try:
         change(endpoint_id)
     except AdminCallError as error:
-        return AdminResponse(HTTPStatus.NOT_FOUND, str(error).encode() + b"\n")
-    return AdminResponse(HTTPStatus.OK, _OK)
+        return AdminResponse(NOT_FOUND, str(error).encode() + b"\n")
+    return AdminResponse(OK, _OK_TEXT)
--- a/saffrongw/gateway/bootstrap.py
+++ b/saffrongw/gateway/bootstrap.py
@@ -9,8 +9,8 @@
 import signal
 import sys
 from collections.abc import Callable
-from dataclasses import dataclass
 from pathlib import Path
+from typing import NamedTuple
 
 import uvloop
 
@@ -40,8 +40,7 @@
 US_PER_S = 1e6
 
 
-@dataclass(frozen=True, slots=True)
-class DescriptorBudget:
+class DescriptorBudget(NamedTuple):
     """How many descriptors clients and upstream connections may use."""
 
     clients: int
@@ -55,8 +54,7 @@
         return cls(clients, available - clients)
 
 
-@dataclass(frozen=True, slots=True)
-class Runtime:
+class Runtime(NamedTuple):
     """What one run of a gateway is made of."""
 
     config: Config
--- a/saffrongw/gateway/components.py
+++ b/saffrongw/gateway/components.py
@@ -7,8 +7,8 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
-from dataclasses import dataclass, field
-from typing import Any, TypeVar
+from types import MappingProxyType
+from typing import Any, NamedTuple, TypeVar
 
 from .config import Config
 from .extensions import (
@@ -32,16 +32,14 @@
     """Commit or abort where nothing was prepared."""
 
 
-@dataclass(frozen=True, slots=True)
-class PreparedReload:
+class PreparedReload(NamedTuple):
     """A change that is ready: exactly one of the two is called, and neither can fail."""
 
     commit: Callable[[], None] = _do_nothing
     abort: Callable[[], None] = _do_nothing
 
 
-@dataclass(frozen=True, slots=True, eq=False)
-class Component:
+class Component(NamedTuple):
     """What a component gives to the gateway.
 
     ``instance`` is the component itself, for others that build on it. ``prepare`` takes the new
@@ -55,14 +53,13 @@
     services: tuple[Service, ...] = ()
     listeners: tuple[Listener, ...] = ()
     metrics: tuple[MetricLines, ...] = ()
-    admin_commands: Mapping[bytes, AdminCommand] = field(default_factory=dict)
+    admin_commands: Mapping[bytes, AdminCommand] = MappingProxyType({})
     on_drain: tuple[Callable[[bool], None], ...] = ()
     leader_guard: Callable[[str], LeaderGuard] | None = None
     prepare: Callable[[Any], PreparedReload] | None = None
 
 
-@dataclass(frozen=True, slots=True)
-class BuildContext:
+class BuildContext(NamedTuple):
     """What a builder may use besides its table: the configuration and the components before it."""
 
     config: Config
--- a/saffrongw/gateway/hot_restart/parts.py
+++ b/saffrongw/gateway/hot_restart/parts.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from ..admin_http.handlers import AdminHandlers
 from ..downstream.connection import ClientConnections
@@ -10,8 +10,7 @@
 from ..upstream.cluster import UpstreamCluster
 
 
-@dataclass(frozen=True, slots=True)
-class GatewayParts:
+class GatewayParts(NamedTuple):
     """One gateway's driver, its connections on both sides, and the operators' handlers."""
 
     driver: Driver
--- a/saffrongw/gateway/hot_restart/successor.py
+++ b/saffrongw/gateway/hot_restart/successor.py
@@ -6,7 +6,6 @@
 import logging
 import socket
 from collections.abc import Callable
-from dataclasses import dataclass, field
 from functools import partial
 
 from ...policy import state_transfer
@@ -31,13 +30,13 @@
 MAX_PARTIAL_COMMAND_BYTES = 8 << 20
 
 
-@dataclass(slots=True)
 class _IncomingClient:
     """A client's connection whose partial command has not arrived in full."""
 
-    sock: socket.socket
-    expected_bytes: int
-    partial_command: bytearray = field(default_factory=bytearray)
+    def __init__(self, sock: socket.socket, expected_bytes: int) -> None:
+        self.sock = sock
+        self.expected_bytes = expected_bytes
+        self.partial_command = bytearray()
 
 
 class SuccessorHandOver:
--- a/toml_schema/schema.py
+++ b/toml_schema/schema.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import dataclasses
-from typing import TypeVar, cast
+from typing import NamedTuple, TypeVar, cast
 
 T = TypeVar("T")
 
@@ -18,8 +18,7 @@
     """A file that can't be used: one line with file, line, key and cause."""
 
 
-@dataclasses.dataclass(frozen=True, slots=True)
-class KeyRules:
+class KeyRules(NamedTuple):
     """What is allowed for one key, and what it is about.
 
     The bounds are inclusive and for numbers, ``form`` is a regular expression for text.
