--- a/tests/faults/hot_restart_rig.py
+++ b/tests/faults/hot_restart_rig.py
@@ -11,6 +11,7 @@
 from pathlib import Path
 from typing import ClassVar
 
+import hiredis
 from conftest import SITE, Caller, FakeHost, configured, until, value
 
 from saffrongw.gateway.hot_restart.channel import short_address
@@ -192,6 +193,13 @@
     return held
 
 
+def bill_command(number: bytes, body: bytes) -> bytes:
+    """A request of the class that must not run twice, as a client writes it."""
+    terms = b"c=bill,t=team,d=9000,units=1,spread=2,first=0"
+    words: tuple = (b"CALL.POST", b"0000000000000007", number, terms, body)
+    return hiredis.pack_command(words)
+
+
 async def answer_of(caller: Caller, number: bytes) -> bytes:
     """The answer to one more request on a connection where none is open."""
     count = len(caller.replies)
--- a/tests/faults/test_hot_restart.py
+++ b/tests/faults/test_hot_restart.py
@@ -6,7 +6,6 @@
 import signal
 import socket
 
-import hiredis
 from conftest import SITE, FakeHost, asyncio_test, error, until, value
 
 from saffrongw.gateway.hot_restart.channel import MAX_QUEUED_PACKETS, HandOverChannel, short_address
@@ -15,6 +14,7 @@
     RequestLoop,
     SharedSite,
     answer_of,
+    bill_command,
     hold_slow_requests,
     receive_kinds,
 )
@@ -32,15 +32,7 @@
     idle.call(number=b"first")
     assert await idle.replied() == [b"first"]
     busy.call(number=b"slow")
-    command = hiredis.pack_command(
-        (
-            b"CALL.POST",
-            b"0000000000000007",
-            b"half",
-            b"c=bill,t=team,d=9000,units=1,spread=2,first=0",
-            b"BODY",
-        )
-    )
+    command = bill_command(b"half", b"BODY")
     half.transport.write(command[:-9])
     await until(lambda: held)
     new = await site.gateway()
@@ -225,11 +217,8 @@
     site = SharedSite(tmp_path, await FakeHost("a").listen())
     old = await site.gateway()
     for _ in range(8):
-        terms = b"c=bill,t=team,d=9000,units=1,spread=2,first=0"
-        head = hiredis.pack_command((b"CALL.POST", b"0" * 15 + b"7", b"half", terms))
-        (await site.caller()).transport.write(
-            head.replace(b"*4", b"*5") + b"$60000\r\n" + b"\x01" * 50_000
-        )
+        command = bill_command(b"half", b"\x01" * 60_000)
+        (await site.caller()).transport.write(command[: -10_000 - len(b"\r\n")])
     successor = FakeSuccessor(site)
     successor.receive_until("greeted")
     await old.wait_ready_read()
