--- a/benchmarks/fleet/lists.py
+++ b/benchmarks/fleet/lists.py
@@ -1,283 +1,417 @@
-"""How a fleet gets its list: the gateways' ``Asking`` against a list service with one worker, on the virtual clock.
+"""How a fleet gets its endpoint list: the gateways' ``PollSchedule`` in simulation.
 
-    python -m benchmarks.fleet.lists              the table: fleets of 3 to 1,000, every kind of start
-    python -m benchmarks.fleet.lists --before     the same with the waits of the version before
+    python -m benchmarks.fleet.lists              the table: fleets of 3 to 1,000, every kind of
+    start python -m benchmarks.fleet.lists --before     the same with the spans of the version
+    before
 
-Current is a gateway that has heard an answer since the event: its start, or the end of a silence. Least is the time in
-which the service could serve them all if they came in a row, each with the call that the service could answer most
-cheaply.
+The list service has one worker; time is virtual. A gateway is current once it has received an
+answer since the event: its start, or the end of a silence. The shortest time is that in which the
+service could serve all of them if they came in a row, each with the poll that the service could
+answer most cheaply.
 """
 
 from __future__ import annotations
 
 import argparse
 import random
+from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import Any, NamedTuple
 
-from saffrongw.gateway.discovery.poll_schedule import PollRequest, PollSchedule
+from saffrongw.gateway.discovery.poll_schedule import PollAction, PollRequest, PollSchedule
 from testbed.model.list_service import Costs, Desk, Said
 from testbed.simulation.clock import Fleet, Link
 from testbed.simulation.machine import Sent
 
-SECOND = 1_000_000
+US_PER_S = 1_000_000
 SERVICE = "lists"
 VERSION = 41
-NEVER = 1 << 60
+NEVER_US = 1 << 60
+# When the one gateway that starts alone does so.
+ALONE_START_S = 60.0
+# All gateways of one start begin within this time.
+START_SPREAD_S = 0.05
+# The end of a simulation over which the load of watches is measured.
+IDLE_SPAN_S = 60
+# A gateway that is woken more often is woken for nothing.
+MAX_WAKES_PER_GATEWAY = 2_000
 
 
-class Service:
-    """The desk as a machine; a message is (connection, version or None, wait)."""
+class Poll(NamedTuple):
+    """A gateway's message to the service."""
+
+    connection: int
+    version: int | None
+    watch_s: float
+
+
+class Answer(NamedTuple):
+    """The service's message to a gateway."""
+
+    connection: int
+    result: Said
+
+
+class Watch(NamedTuple):
+    """A poll that waits for a change."""
+
+    ends_at_us: int
+    gateway: str
+    connection: int
+
+
+class ListService:
+    """The list service as a machine of the simulation."""
 
     def __init__(self, costs: Costs) -> None:
-        self.desk = Desk(costs)
-        self.watching: list[tuple[int, str, int]] = []  # ends at, who, connection
-        self.now = 0
+        """Begin with nothing to do."""
+        self.queue = Desk(costs)
+        self.watches: list[Watch] = []
 
     def next_at(self) -> int:
-        due = self.desk.due()
-        times = [int(due * SECOND) + 1] if due is not None else []
-        if not self.desk.down:
-            times += [at for at, _, _ in self.watching]
-        return min(times, default=NEVER)
+        """Return when ``due`` is to be called."""
+        due_s = self.queue.due()
+        times = [int(due_s * US_PER_S) + 1] if due_s is not None else []
+        if not self.queue.down:
+            times += [watch.ends_at_us for watch in self.watches]
+        return min(times, default=NEVER_US)
 
     def receive(self, now: int, sender: str, message: tuple[int, int | None, float]) -> Sent:
-        connection, version, wait = message
-        if wait:  # a watch costs nothing until it is answered; nothing changes here
-            self.watching.append((now + int(wait * SECOND), sender, connection))
+        """Queue a poll; a watch costs nothing until it is answered, as nothing changes here."""
+        poll = Poll(*message)
+        if poll.watch_s:
+            ends_at_us = now + int(poll.watch_s * US_PER_S)
+            self.watches.append(Watch(ends_at_us, sender, poll.connection))
         else:
-            self.desk.arrive(now / SECOND, version is None, (sender, connection))
+            self.queue.arrive(now / US_PER_S, poll.version is None, (sender, poll.connection))
         return self.due(now)
 
     def due(self, now: int) -> Sent:
-        self.now = now
-        out = [
-            (who, (connection, said))
-            for (who, connection), said in self.desk.advance((now + 1) / SECOND)
+        """Answer what is done by now, and queue the watches that have ended."""
+        answers = [
+            (gateway, Answer(connection, result))
+            for (gateway, connection), result in self.queue.advance((now + 1) / US_PER_S)
         ]
-        if not self.desk.down:
-            for watch in [w for w in self.watching if w[0] <= now]:
-                self.watching.remove(watch)
-                self.desk.arrive(now / SECOND, False, watch[1:])
-        return out
+        if not self.queue.down:
+            for watch in [watch for watch in self.watches if watch.ends_at_us <= now]:
+                self.watches.remove(watch)
+                self.queue.arrive(now / US_PER_S, False, (watch.gateway, watch.connection))
+        return answers
 
 
 class Gateway:
-    """One gateway's watch. A connection is a number: what comes on an older one is not heard."""
-
-    def __init__(self, asking: PollSchedule, alive: Callable[[], bool], now: int) -> None:
-        self.asking, self.alive, self.connection = asking, alive, 0
-        self.current_at: int | None = None
-        self.calls = 0
-        asking.begin(now / SECOND)
+    """One gateway's polls; what comes on an older connection, which is a number, is ignored."""
+
+    def __init__(
+        self, schedule: PollSchedule, is_up: Callable[[], bool], now: int, has_clients: bool
+    ) -> None:
+        """Start to poll."""
+        self.schedule = schedule
+        self.is_up = is_up
+        self.has_clients = has_clients
+        self.connection = 0
+        self.current_at_us: int | None = None
+        schedule.begin(now / US_PER_S)
 
     def next_at(self) -> int:
-        at = self.asking.next_at()
-        return NEVER if at is None else int(at * SECOND) + 1
+        """Return when ``due`` is to be called."""
+        at_s = self.schedule.next_at()
+        return NEVER_US if at_s is None else int(at_s * US_PER_S) + 1
 
-    def _call(self, call: PollRequest) -> Sent:
-        self.calls += not call.wait
-        return [(SERVICE, (self.connection, call.version, call.wait))]
+    def _send(self, request: PollRequest) -> Sent:
+        return [(SERVICE, Poll(self.connection, request.version, request.watch_s))]
 
     def due(self, now: int) -> Sent:
-        what = self.asking.due(now / SECOND)
-        if what == "connect":
-            self.connection += 1
-            if self.alive():
-                return self._call(self.asking.connected(now / SECOND))
-            self.asking.lost(now / SECOND)
-        elif what == "abort":
-            self.connection += 1
-            self.asking.lost(now / SECOND)
+        """Do what the schedule says."""
+        now_s = now / US_PER_S
+        action = self.schedule.due(now_s)
+        if action is None:
+            return []
+        self.connection += 1
+        if action is PollAction.CONNECT and self.is_up():
+            return self._send(self.schedule.connected(now_s))
+        self.schedule.lost(now_s)
         return []
 
-    def receive(self, now: int, sender: str, message: tuple[int, Said]) -> Sent:
-        connection, said = message
-        if connection != self.connection:
+    def receive(self, now: int, _sender: str, message: tuple[int, Said]) -> Sent:
+        """Apply an answer."""
+        answer = Answer(*message)
+        now_s = now / US_PER_S
+        if answer.connection != self.connection:
             return []
-        if said is Said.REFUSED:
+        if answer.result is Said.REFUSED:
             self.connection += 1
-            self.asking.refused(now / SECOND)
-            self.asking.lost(now / SECOND)
+            self.schedule.rejected(now_s)
+            self.schedule.lost(now_s)
             return []
-        if self.current_at is None:
-            self.current_at = now
-        return self._call(self.asking.answered(now / SECOND, VERSION))
-
-
-class Before(PollSchedule):
-    """The waits of the version before: at once, the whole list, again within a second, or within ``ask_within``."""
-
-    refusals = 0  # in a row
-
-    def first(self) -> float:
+        if self.current_at_us is None:
+            self.current_at_us = now
+        request = self.schedule.answered(now_s, VERSION)
+        return self._send(request) if request else []
+
+
+class EarlierSchedule(PollSchedule):
+    """The spans of the version before: a full fetch at once, again within fixed spans."""
+
+    # In a row.
+    rejections = 0
+
+    def __init__(
+        self,
+        gateways: int,
+        draw: random.Random,
+        version: int | None = None,
+        notification_deadline_s: float = 0.0,
+        **options: Any,  # noqa: ANN401  those of PollSchedule
+    ) -> None:
+        """Keep the deadline of the settings, which bounded the span after a rejection."""
+        super().__init__(gateways, draw, version, notification_deadline_s, **options)
+        self.configured_deadline_s = notification_deadline_s
+
+    def first_poll_span(self) -> float:
+        """Return 0: at once."""
         return 0.0
 
-    def refused(self, now: float, retry_after: float = 0.0) -> None:
-        super().refused(now, retry_after)
-        self.refusals += 1
+    def rejected(self, now: float, retry_after_s: float = 0.0) -> None:
+        """Count the rejections."""
+        super().rejected(now, retry_after_s)
+        self.rejections += 1
 
-    def after_loss(self) -> float:
+    def span_after_loss(self) -> float:
+        """Return the backoff, which was the same for every fleet."""
         return min(1.0, 0.05 * 2 ** min(16, self.failures))
 
-    def after_refusal(self, now: float) -> float:
-        return self.ask_within * min(4, 2 ** min(16, self.refusals))
+    def span_after_rejection(self, _now: float) -> float:
+        """Return the deadline of the settings, doubled twice."""
+        return self.configured_deadline_s * min(4, 2 ** min(16, self.rejections))
 
     def begin(self, now: float, at_once: bool = False) -> None:
+        """Start with a full fetch, and watch for 2 s."""
         super().begin(now, at_once)
-        self.version, self.wait, self.confirm_at = None, 2.0, None
+        self.version = None
+        self.watch_s = 2.0
+        self.full_fetch_at = None
 
-    def answered(self, now: float, version: int, closes: bool = False) -> PollRequest | None:
-        self.refusals = 0
-        return super().answered(now, version, closes)
+    def answered(
+        self, now: float, version: int, connection_closes: bool = False
+    ) -> PollRequest | None:
+        """Forget the rejections."""
+        self.rejections = 0
+        return super().answered(now, version, connection_closes)
 
     def connected(self, now: float) -> PollRequest:
-        if not self.refusals:
+        """Poll for the complete list, but after a rejection."""
+        if not self.rejections:
             self.version = None
         return super().connected(now)
 
-    def _patience(self) -> float:
+    def _answer_timeout(self) -> float:
         return 1.0
 
 
 @dataclass
-class Start:
-    """One story: who starts when, and what the service does."""
+class FleetStart:
+    """One scenario: which gateways start when, and what the service does."""
 
     gateways: int
     costs: Costs = field(default_factory=Costs)
-    kind: type[PollSchedule] = PollSchedule
-    stale: bool = True  # a list is known from before: what is newer is enough
-    clients: float = 1.0  # share of gateways that have clients at once
-    twice_after: float = 0.0  # all are killed and start again after so many seconds
-    down: tuple[float, float] = (0.0, 0.0)  # the service is silent from / until (s)
-    refusing: tuple[float, float] = (0.0, 0.0)
-    alone: bool = False  # all but one run already, and are current
-    ask_within: float = 10.0
-    length: float = 180.0
+    schedule_type: type[PollSchedule] = PollSchedule
+    # A list is known from before: changes are enough.
+    has_known_list: bool = True
+    # Share of gateways that have clients at once.
+    with_clients_share: float = 1.0
+    # All are killed and start again after this time (0: they are not).
+    restart_after_s: float = 0.0
+    # From when until when the service is silent, or rejects all polls.
+    down: tuple[float, float] = (0.0, 0.0)
+    rejecting: tuple[float, float] = (0.0, 0.0)
+    # All but one run already, and are current.
+    alone: bool = False
+    notification_deadline_s: float = 10.0
+    length_s: float = 180.0
     seed: int = 1
 
+    @property
+    def event_s(self) -> float:
+        """The event from which times are measured."""
+        return ALONE_START_S if self.alone else self.down[1] or self.restart_after_s
+
+    @property
+    def cheapest_poll_s(self) -> float:
+        """What the cheapest poll that brings a gateway up to date costs the service."""
+        is_delta = self.has_known_list and self.costs.keeps_changes
+        return self.costs.changes if is_delta else self.costs.whole
+
 
 @dataclass(frozen=True)
-class Result:
-    """Figures of one story; seconds count from the start, or from the end of a silence."""
+class FleetResult:
+    """Figures of one scenario; times count from the event."""
 
     gateways: int
-    current: int
-    half: float
-    nine: float
-    last: float
-    last_with_clients: float
-    least: float
-    calls: int
-    busiest: float  # of calls in a second, over what the service could do in it
-    refused: int
-    idle: float  # share of the worker that watches without news take at the end
-
-
-def play(start: Start) -> Result:
-    """Play one story to its end."""
-    fleet = Fleet(f"lists:{start.seed}", Link(delay=(200, 1_000)))
-    service = Service(start.costs)
-    fleet.add(SERVICE, lambda *_: service)
-    event = start.down[1] or start.twice_after
-    draw = random.Random(start.seed)
-    lone = start.gateways - 1
-
-    def make(name: str, _life: int, now: int, numbers: random.Random) -> Gateway:
-        has = draw.random() < start.clients
-        version = VERSION - 1 if start.stale else None
-        asking = start.kind(
-            start.gateways, numbers, version, start.ask_within, has_clients=lambda: has
+    current_count: int
+    half_current_s: float
+    nine_tenths_current_s: float
+    all_current_s: float
+    # All of those that have clients.
+    clients_current_s: float
+    shortest_s: float
+    polls: int
+    # Polls in the busiest second, as a share of what the service can do in it.
+    peak_load: float
+    rejected: int
+    # Share of the worker that watches without changes take at the end.
+    idle_load: float
+
+
+class FleetSimulation:
+    """One scenario on the virtual clock."""
+
+    def __init__(self, start: FleetStart) -> None:
+        """Build the fleet and schedule what happens to it."""
+        self.start = start
+        self.fleet = Fleet(f"lists:{start.seed}", Link(delay=(200, 1_000)))
+        self.service = ListService(start.costs)
+        self.random = random.Random(start.seed)
+        self.names = [f"g{number}" for number in range(start.gateways)]
+        self.measured = self.names[-1:] if start.alone else self.names
+        self.counts_before: Counter[Said] = Counter()
+        self.fleet.add(SERVICE, lambda *_: self.service)
+        self._schedule_starts()
+        self._schedule_faults()
+        self.fleet.at(int(start.event_s * US_PER_S), self._begin_measurement)
+
+    def _gateway(self, _name: str, _life: int, now: int, numbers: random.Random) -> Gateway:
+        start = self.start
+        has_clients = self.random.random() < start.with_clients_share
+        schedule = start.schedule_type(
+            start.gateways,
+            numbers,
+            VERSION - 1 if start.has_known_list else None,
+            start.notification_deadline_s,
+            has_clients=lambda: has_clients,
         )
-        gateway = Gateway(asking, lambda: not service.desk.down, now)
-        gateway.has = has
-        return gateway
-
-    names = [f"g{number}" for number in range(start.gateways)]
-    for number, name in enumerate(names):
-        late = (
-            60 * SECOND if start.alone and number == lone else int(draw.uniform(0, 0.05) * SECOND)
+        return Gateway(schedule, lambda: not self.service.queue.down, now, has_clients)
+
+    def _schedule_starts(self) -> None:
+        for name in self.names:
+            if self.start.alone and name == self.names[-1]:
+                start_us = int(ALONE_START_S * US_PER_S)
+            else:
+                start_us = int(self.random.uniform(0, START_SPREAD_S) * US_PER_S)
+            self.fleet.add(name, self._gateway, start=start_us)
+        if self.start.restart_after_s:
+            restart_us = int(self.start.restart_after_s * US_PER_S)
+            for name in self.names:
+                self.fleet.at(restart_us, lambda name=name: self.fleet.start(name))
+
+    def _schedule_faults(self) -> None:
+        faults = ((self.start.down, "down"), (self.start.rejecting, "refusing"))
+        for (from_s, until_s), fault in faults:
+            if not until_s:
+                continue
+            for at_s, is_on in ((from_s, True), (until_s, False)):
+                self.fleet.at(
+                    int(at_s * US_PER_S),
+                    lambda fault=fault, is_on=is_on: self._switch(fault, is_on),
+                )
+
+    def _switch(self, fault: str, is_on: bool) -> None:
+        self.service.queue.switch(self.fleet.now / US_PER_S, **{fault: is_on})
+        self.fleet.call(SERVICE, lambda machine, now: machine.due(now))
+
+    def _begin_measurement(self) -> None:
+        """Measure from the event on."""
+        self.counts_before = self.service.queue.counts.copy()
+        self.service.queue.came.clear()
+        for name in self.measured:
+            if (machine := self.fleet.nodes[name].machine) is not None:
+                machine.current_at_us = None
+
+    def run(self) -> FleetResult:
+        """Run to the end of the scenario."""
+        start = self.start
+        self.fleet.run(int((start.event_s + start.length_s) * US_PER_S))
+        assert self.fleet.counts["wakes"] < MAX_WAKES_PER_GATEWAY * start.gateways
+        gateways = [self.fleet.nodes[name].machine for name in self.measured]
+        times_s = self._current_times(gateways)
+        clients_s = self._current_times([gateway for gateway in gateways if gateway.has_clients])
+        until_s = times_s[-1] if times_s else start.length_s
+        arrived_s = [at_s - start.event_s for at_s in self.service.queue.came]
+        polls_s = [at_s for at_s in arrived_s if at_s <= until_s]
+        peak = max((sum(at <= other < at + 1 for other in polls_s) for at in polls_s), default=0)
+        at_end = [at_s for at_s in arrived_s if at_s > start.length_s - IDLE_SPAN_S]
+        return FleetResult(
+            gateways=len(gateways),
+            current_count=len(times_s),
+            half_current_s=quantile(times_s, 0.5, len(gateways)),
+            nine_tenths_current_s=quantile(times_s, 0.9, len(gateways)),
+            all_current_s=until_s,
+            clients_current_s=clients_s[-1] if clients_s else 0.0,
+            shortest_s=len(gateways) * start.cheapest_poll_s,
+            polls=len(polls_s),
+            peak_load=peak * start.cheapest_poll_s,
+            rejected=(self.service.queue.counts - self.counts_before)[Said.REFUSED],
+            idle_load=len(at_end) / IDLE_SPAN_S * start.costs.changes,
         )
-        fleet.add(name, make, start=late)
-    if start.alone:
-        event = 60.0
-    if start.twice_after:
-        for name in names:
-            fleet.at(int(start.twice_after * SECOND), lambda name=name: fleet.start(name))
-
-    def switch(name: str, on: bool) -> None:
-        service.desk.switch(fleet.now / SECOND, **{name: on})
-        fleet.call(SERVICE, lambda machine, now: machine.due(now))
-
-    for span, name in ((start.down, "down"), (start.refusing, "refusing")):
-        for at, on in zip(span, (True, False), strict=True) if span[1] else ():
-            fleet.at(int(at * SECOND), lambda name=name, on=on: switch(name, on))
-    before = service.desk.counts.copy()
-
-    def mark() -> None:
-        nonlocal before
-        before = service.desk.counts.copy()
-        service.desk.came.clear()
-        for name in names if not start.alone else names[lone:]:
-            if (machine := fleet.nodes[name].machine) is not None:
-                machine.current_at = None
-
-    fleet.at(int(event * SECOND), mark)
-    fleet.run(int((event + start.length) * SECOND))
-    assert fleet.counts["wakes"] < 2_000 * start.gateways, "a machine that is woken for nothing"
-    gateways = [fleet.nodes[name].machine for name in (names[lone:] if start.alone else names)]
-    times = sorted((g.current_at / SECOND - event) for g in gateways if g.current_at is not None)
-    busy = sorted(
-        g.current_at / SECOND - event for g in gateways if g.current_at is not None and g.has
-    )
-    until = times[-1] if times else start.length
-    came = [at - event for at in service.desk.came]
-    calls = [at for at in came if at <= until]
-    counts = service.desk.counts - before
-    cheapest = (
-        start.costs.changes if start.stale and start.costs.keeps_changes else start.costs.whole
-    )
-    seconds = [sum(at <= c < at + 1 for c in calls) for at in calls]
-    late = [at for at in came if at > start.length - 60]
 
-    def at(share: float) -> float:
-        place = max(1, round(share * len(gateways)))
-        return times[place - 1] if place <= len(times) else float("inf")
+    def _current_times(self, gateways: list[Gateway]) -> list[float]:
+        """Return when each gateway became current, in order and in seconds from the event."""
+        return sorted(
+            gateway.current_at_us / US_PER_S - self.start.event_s
+            for gateway in gateways
+            if gateway.current_at_us is not None
+        )
+
+
+def quantile(times_s: list[float], share: float, count: int) -> float:
+    """Return when this share of so many gateways was current; infinite where it never was."""
+    position = max(1, round(share * count))
+    return times_s[position - 1] if position <= len(times_s) else float("inf")
 
-    return Result(
-        len(gateways), len(times), at(0.5), at(0.9), until, busy[-1] if busy else 0.0,
-        len(gateways) * cheapest, len(calls), max(seconds, default=0) * cheapest, counts[Said.REFUSED],
-        len(late) / 60 * start.costs.changes,
-    )  # fmt: skip
 
+def simulate(start: FleetStart) -> FleetResult:
+    """Run one scenario."""
+    return FleetSimulation(start).run()
 
-STORIES: dict[str, dict] = {
+
+SCENARIOS: dict[str, dict[str, Any]] = {
     "all at once": {},
-    "all at once, nothing known": {"stale": False},
-    "all at once, whole lists only": {"costs": Costs(keeps_changes=False)},
-    "half have no clients": {"clients": 0.5},
-    "twice within 10 s": {"twice_after": 8.0},
+    "all at once, nothing known": {"has_known_list": False},
+    "all at once, full fetches only": {"costs": Costs(keeps_changes=False)},
+    "half have no clients": {"with_clients_share": 0.5},
+    "twice within 10 s": {"restart_after_s": 8.0},
     "60 s of silence": {"down": (5.0, 65.0)},
     "down at the start, for 60 s": {"down": (0.0, 60.0)},
-    "503 for 30 s at the start": {"refusing": (0.0, 30.0)},
+    "503 for 30 s at the start": {"rejecting": (0.0, 30.0)},
     "a quarter of the speed": {"costs": Costs(0.1, 0.02, 0.01)},
     "one alone": {"alone": True},
 }
 
 
-def table(
-    kind: type[PollSchedule], sizes: tuple[int, ...], out: Callable[[str], None] = print
-) -> None:
-    """One row for each story and size."""
-    out(f"{'start':30} {'fleet':>5} {'calls':>6} {'each':>5} {'busiest':>7} {'away':>5} {'half s':>7} {'nine s':>7} "
-        f"{'last s':>7} {'clients':>7} {'least s':>7} {'x least':>7} {'idle':>5} {'not':>4}")  # fmt: skip
-    for name, how in STORIES.items():
+def row(name: str, size: int, result: FleetResult) -> str:
+    """Return one row of the table."""
+    return (
+        f"{name:30} {size:5} {result.polls:6} {result.polls / result.gateways:5.2f} "
+        f"{result.peak_load:7.2f} {result.rejected:8} {result.half_current_s:7.2f} "
+        f"{result.nine_tenths_current_s:7.2f} {result.all_current_s:7.2f} "
+        f"{result.clients_current_s:7.2f} {result.shortest_s:10.2f} "
+        f"{result.all_current_s / result.shortest_s:7.2f} {result.idle_load:5.2f} "
+        f"{result.gateways - result.current_count:4}"
+    )
+
+
+def print_table(schedule_type: type[PollSchedule], sizes: tuple[int, ...]) -> None:
+    """Print one row for each scenario and size."""
+    print(
+        f"{'start':30} {'fleet':>5} {'polls':>6} {'each':>5} {'peak':>7} {'rejected':>8} "
+        f"{'half s':>7} {'nine s':>7} {'all s':>7} {'clients':>7} {'shortest s':>10} "
+        f"{'x short':>7} {'idle':>5} {'not':>4}"
+    )
+    for name, options in SCENARIOS.items():
         for size in sizes:
-            r = play(Start(size, kind=kind, **how))
-            out(f"{name:30} {size:5} {r.calls:6} {r.calls / r.gateways:5.2f} {r.busiest:7.2f} {r.refused:5} "
-                f"{r.half:7.2f} {r.nine:7.2f} {r.last:7.2f} {r.last_with_clients:7.2f} "
-                f"{r.least:7.2f} {r.last / r.least:7.2f} {r.idle:5.2f} {r.gateways - r.current:4}")  # fmt: skip
+            result = simulate(FleetStart(size, schedule_type=schedule_type, **options))
+            print(row(name, size, result))
 
 
 def main() -> None:
@@ -287,8 +421,8 @@
     )
     parser.add_argument("--before", action="store_true")
     parser.add_argument("--sizes", type=int, nargs="+", default=[3, 50, 200, 1000])
-    chosen = parser.parse_args()
-    table(Before if chosen.before else PollSchedule, tuple(chosen.sizes))
+    options = parser.parse_args()
+    print_table(EarlierSchedule if options.before else PollSchedule, tuple(options.sizes))
 
 
 if __name__ == "__main__":
--- a/saffrongw/extension_registry.py
+++ b/saffrongw/extension_registry.py
@@ -250,7 +250,7 @@
         _names(config),
         Fields(table.customer, table.plan, table.class_),
         config.settings.node_count,
-        config.units_most,
+        config.max_units,
         table.in_flight,
         _tls(table.tls),
     )
--- a/saffrongw/gateway/bootstrap.py
+++ b/saffrongw/gateway/bootstrap.py
@@ -107,8 +107,8 @@
         driver,
         config.settings.load_report_fields,
         sockets - client_sockets,
-        config.idle_close,
-        config.connect_timeout,
+        config.idle_close_s,
+        config.connect_timeout_s,
     )
     hosts = driver.hosts
     inheritance = await SuccessorHandOver.of(loop, config.listen)
@@ -119,11 +119,11 @@
     asking = PollSchedule(
         config.settings.node_count,
         random.Random(config.seed),
-        config.known.version if config.known.hosts else None,
+        config.known.version if config.known.endpoints else None,
         config.settings.notification_deadline_us / 1e6,
         has_clients=lambda: driver.last_number > 0,
         pushed=not config.settings.polls_endpoint_list,
-        grace=config.settings.drain_grace_us / 1e6,
+        drain_grace_s=config.settings.drain_grace_us / 1e6,
     )
     watch = DiscoveryClient(loop, config.discovery, config.zones, driver.listed, asking)
     watch.start()
--- a/saffrongw/gateway/discovery/client.py
+++ b/saffrongw/gateway/discovery/client.py
@@ -1,4 +1,4 @@
-"""The watch on discovery: one kept HTTP connection, the next call at once after each answer."""
+"""The discovery client: one persistent HTTP connection, the next poll at once after each answer."""
 
 from __future__ import annotations
 
@@ -6,225 +6,284 @@
 import json
 import logging
 from collections.abc import Callable, Iterable
+from typing import cast
 
 import h11
 
 from ..config import Address, EndpointList, parse_endpoint_list
-from .poll_schedule import PollRequest, PollSchedule
+from .poll_schedule import PollAction, PollRequest, PollSchedule
 from .watch_events import WatchEventFilter
 
 log = logging.getLogger(__name__)
 
 PATH = "/registry/instances"
-BODY_MOST = 1 << 20  # bytes of one answer: some thousand hosts
-NO_ROOM = 503  # status
-
-
-def seconds(headers: Iterable[tuple[bytes, bytes]]) -> float:
-    """``Retry-After`` in its plain form; 0 where there is none, or a date."""
+# One answer: some thousand endpoints.
+MAX_BODY_BYTES = 1 << 20
+HTTP_OK = 200
+HTTP_UNAVAILABLE = 503
+# Digits of ``Retry-After`` that are read.
+MAX_RETRY_AFTER_DIGITS = 6
+MS_PER_S = 1_000
+
+# Whatever an answer, or the listener that applies its list, raises closes the connection: the poll
+# is then repeated on a new one, and an answer that was not applied is fetched again.
+ANSWER_ERRORS = (
+    ValueError,
+    LookupError,
+    TypeError,
+    AttributeError,
+    RecursionError,
+    ArithmeticError,
+    h11.ProtocolError,
+)
+
+
+class DiscoveryError(ValueError):
+    """An answer of the discovery service can't be used; the message names the cause."""
+
+
+def retry_after_seconds(headers: Iterable[tuple[bytes, bytes]]) -> float:
+    """Return ``Retry-After`` in seconds; 0 where there is none, or where it is a date."""
     for name, value in headers:
-        if name == b"retry-after" and value.strip().isdigit():
-            return float(value.strip()[:6])
+        digits = value.strip()
+        if name == b"retry-after" and digits.isdigit():
+            return float(digits[:MAX_RETRY_AFTER_DIGITS])
     return 0.0
 
 
-class Exchange(asyncio.Protocol):
-    """One HTTP connection with one call out at a time."""
+class DiscoveryConnection(asyncio.Protocol):
+    """One HTTP connection to the discovery service, with one poll in flight at a time."""
+
+    transport: asyncio.Transport
 
-    def __init__(self, watch: DiscoveryClient) -> None:
-        self.watch, self.http = watch, h11.Connection(h11.CLIENT)
-        self.status, self.retry_after, self.body = 0, 0.0, bytearray()
-        self.transport: asyncio.Transport | None = None
+    def __init__(self, client: DiscoveryClient) -> None:
+        """Begin without a transport, which the event loop hands over."""
+        self.client = client
+        self.http = h11.Connection(h11.CLIENT)
+        self.status = 0
+        self.retry_after_s = 0.0
+        self.body = bytearray()
 
-    def connection_made(self, transport: asyncio.Transport) -> None:
-        """Connected: after a gap the whole list is fetched."""
-        self.transport = transport
-        self.watch.connected(self)
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Send the first poll."""
+        self.transport = cast(asyncio.Transport, transport)
+        self.client.connected(self)
 
-    def call(self, target: str, host: str) -> None:
+    def send(self, target: str, host: str) -> None:
         """Send one request."""
         request = h11.Request(method="GET", target=target, headers=[("host", host)])
         self.transport.write(self.http.send(request) + self.http.send(h11.EndOfMessage()))
 
     def data_received(self, data: bytes) -> None:
-        """An answer, or a part of it."""
-        if self.watch.exchange is not self:  # given up: nothing that it says counts any more
-            return
+        """Read an answer, or a part of it; empty data is the end of the connection."""
+        if self.client.connection is not self:
+            return  # Given up: what still arrives must not count.
         try:
-            self.http.receive_data(
-                data
-            )  # nothing: its end, which may be that of an answer without a length
-            while (event := self.http.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
-                if isinstance(event, h11.Response):
-                    self.status, self.retry_after = event.status_code, seconds(event.headers)
-                elif isinstance(event, h11.Data):
-                    self.body += event.data
-                    if len(self.body) > BODY_MOST:  # guards memory against an answer without end
-                        raise ValueError("an answer is too long")
-                elif isinstance(event, h11.EndOfMessage):
-                    body, self.body = bytes(self.body), bytearray()
-                    if self.status != 200:
-                        if self.status == NO_ROOM:
-                            self.watch.turned_away(self.retry_after)
-                        raise ValueError(f"discovery answered {self.status}")
-                    closes = (
-                        self.http.our_state is not h11.DONE
-                    )  # ``Connection: close``, or HTTP/1.0
-                    next_call = self.watch.answered(self.watch.parse(body), closes)
-                    if next_call is None:
-                        self.transport.close()
-                        return
-                    self.http.start_next_cycle()
-                    self.watch.ask(next_call)
-                elif isinstance(event, h11.ConnectionClosed):
-                    break
-        except (
-            ValueError,
-            LookupError,
-            TypeError,
-            AttributeError,
-            RecursionError,
-            ArithmeticError,
-            h11.ProtocolError,
-        ) as wrong:
-            log.warning("discovery: %.200s", wrong)
+            self.http.receive_data(data)
+            self._read_events()
+        except ANSWER_ERRORS as error:
+            log.warning("discovery: answer unusable: error=%.200s", error)
             self.transport.abort()
 
+    def _read_events(self) -> None:
+        while (event := self.http.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
+            if isinstance(event, h11.Response):
+                self.status = event.status_code
+                self.retry_after_s = retry_after_seconds(event.headers)
+            elif isinstance(event, h11.Data):
+                self._append(event.data)
+            elif isinstance(event, h11.EndOfMessage):
+                if not self._answer_complete():
+                    return
+            elif isinstance(event, h11.ConnectionClosed):
+                return
+
+    def _append(self, data: bytes) -> None:
+        """Collect the body; bounded, as an answer without end would use up the memory."""
+        self.body += data
+        if len(self.body) > MAX_BODY_BYTES:
+            raise DiscoveryError(f"an answer is longer than {MAX_BODY_BYTES} bytes")
+
+    def _answer_complete(self) -> bool:
+        """Apply a complete answer and send the next poll; False where the connection ends."""
+        body = bytes(self.body)
+        self.body = bytearray()
+        if self.status != HTTP_OK:
+            if self.status == HTTP_UNAVAILABLE:
+                self.client.rejected(self.retry_after_s)
+            raise DiscoveryError(f"discovery answered {self.status}")
+        # ``Connection: close``, or HTTP/1.0.
+        connection_closes = self.http.our_state is not h11.DONE
+        request = self.client.answered(self.client.parse(body), connection_closes)
+        if request is None:
+            self.transport.close()
+            return False
+        self.http.start_next_cycle()
+        self.client.poll(self, request)
+        return True
+
     def eof_received(self) -> None:
-        """The agent ends it: the last answer may have no other end."""
+        """Read the end of the connection: the last answer may have no other end."""
         self.data_received(b"")
 
-    def connection_lost(self, error: Exception | None) -> None:
-        """Closed by the agent, or by us as it made no sense."""
-        self.watch.lost(self)
+    def connection_lost(self, _error: Exception | None) -> None:
+        """Report the end of the connection, by the service or by us."""
+        self.client.lost(self)
 
 
 class DiscoveryClient:
-    """Keeps the list of hosts up to date for as long as the gateway runs; ``Asking`` says when and for what."""
+    """Keep the endpoint list up to date for as long as the gateway runs.
+
+    ``PollSchedule`` says when to connect and what to poll for; lists go to ``notify`` without older
+    watch events.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         address: Address,
         zones: tuple[str, ...],
-        told: Callable[[EndpointList], None],
-        asking: PollSchedule,
+        notify: Callable[[EndpointList], None],
+        schedule: PollSchedule,
     ) -> None:
-        self.loop, self.address, self.zones, self.told, self.asking = (
-            loop,
-            address,
-            zones,
-            told,
-            asking,
-        )
-        self.news = WatchEventFilter()
-        self.exchange: Exchange | None = None
-        self.opening: Exchange | None = None  # not up yet, and waited for
+        """Begin without a connection."""
+        self.loop = loop
+        self.address = address
+        self.zones = zones
+        self.notify = notify
+        self.schedule = schedule
+        self.watch_events = WatchEventFilter()
+        self.connection: DiscoveryConnection | None = None
+        # The connection that is being opened.
+        self.opening: DiscoveryConnection | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.task: asyncio.Task | None = None
+        self.connect_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin."""
-        self.asking.begin(self.loop.time())
-        self._look()
+        """Begin to poll."""
+        self.schedule.begin(self.loop.time())
+        self._advance()
+
+    def move(self, address: Address) -> None:
+        """Connect to another service at once.
 
-    def _look(self) -> None:
-        """Do what is due, and come back when the next thing is."""
+        A reload named it; what the old one still sends is ignored.
+        """
+        if address == self.address:
+            return
+        self.address = address
+        previous = self.connection
+        self.connection = None
+        if previous:
+            previous.transport.abort()
+        self._cancel_opening()  # It may be on its way to the old address.
+        self.schedule.change_service(self.loop.time())
+        self._advance()
+
+    # -- the schedule
+    # -----------------------------------------------------------------------------------------
+
+    def _advance(self) -> None:
+        """Do what is due, and set the timer for what is due next."""
         now = self.loop.time()
-        what = self.asking.due(now)
-        if what == "connect":
+        action = self.schedule.due(now)
+        if action is PollAction.CONNECT:
             self._connect()
-        elif what == "abort" and self.exchange:
-            self.exchange.transport.abort()
+        elif action is PollAction.ABORT and self.connection:
+            self.connection.transport.abort()
         if self.timer:
             self.timer.cancel()
-        at = self.asking.next_at()
-        self.timer = None if at is None else self.loop.call_later(max(0.0, at - now), self._look)
+        next_at = self.schedule.next_at()
+        if next_at is None:
+            self.timer = None
+        else:
+            self.timer = self.loop.call_later(max(0.0, next_at - now), self._advance)
 
     def _connect(self) -> None:
-        exchange = self.opening = Exchange(self)
-        self.task = self.loop.create_task(self._open(exchange))
-        self.loop.call_later(self.asking.connect_within, self._not_up, exchange)
+        connection = DiscoveryConnection(self)
+        self.opening = connection
+        self.connect_task = self.loop.create_task(self._open(connection))
+        self.loop.call_later(self.schedule.connect_timeout_s, self._connect_failed, connection)
 
-    async def _open(self, exchange: Exchange) -> None:
+    async def _open(self, connection: DiscoveryConnection) -> None:
+        host, port = self.address
         try:
-            await self.loop.create_connection(lambda: exchange, *self.address)
+            await self.loop.create_connection(lambda: connection, host, port)
         except OSError:
-            self._not_up(exchange)
+            self._connect_failed(connection)
+
+    def _connect_failed(self, connection: DiscoveryConnection) -> None:
+        """Give up a connection that was refused or is late.
 
-    def _not_up(self, exchange: Exchange) -> None:
-        """It was refused, or is late. Nothing where it is up or was given up.
+        Nothing happens where it is established or was given up already.
 
-        Guards a connection that comes up in this very turn: cancelled then, the loop closes it without a word, so what
-        is no longer ``opening`` never counts as up.
+        Guards a connection that is established in this very turn of the event loop: when its task
+        is cancelled then, the loop closes it without a callback, so what is no longer ``opening``
+        never counts as established.
         """
-        if self.opening is exchange:
-            self._stop_opening()
-            self.asking.lost(self.loop.time())
-            self._look()
+        if self.opening is connection:
+            self._cancel_opening()
+            self.schedule.lost(self.loop.time())
+            self._advance()
 
-    def _stop_opening(self) -> None:
+    def _cancel_opening(self) -> None:
         self.opening = None
-        if self.task:
-            self.task.cancel()
-            self.task = None
-
-    def turned_away(self, retry_after: float) -> None:
-        """The service has no room."""
-        self.asking.refused(self.loop.time(), retry_after)
-
-    def move(self, address: Address) -> None:
-        """A reload names another agent: connect there at once; what the old one still says is not heard."""
-        if address == self.address:
-            return
-        self.address = address
-        old, self.exchange = self.exchange, None
-        if old:
-            old.transport.abort()
-        self._stop_opening()  # it may be on its way to the old address
-        self.asking.move(self.loop.time())
-        self._look()
-
-    def connected(self, exchange: Exchange) -> None:
-        """A new connection."""
-        if exchange is not self.opening:  # given up, or begun before a move
-            exchange.transport.abort()
+        if self.connect_task:
+            self.connect_task.cancel()
+            self.connect_task = None
+
+    # -- what happens on a connection
+    # -------------------------------------------------------------------------
+
+    def connected(self, connection: DiscoveryConnection) -> None:
+        """Send the first poll of a new connection."""
+        if connection is not self.opening:
+            # Given up, or opened before a move.
+            connection.transport.abort()
             return
-        self.exchange, self.opening, self.task = exchange, None, None
-        self.ask(self.asking.connected(self.loop.time()))
+        self.connection = connection
+        self.opening = None
+        self.connect_task = None
+        self.poll(connection, self.schedule.connected(self.loop.time()))
+
+    def poll(self, connection: DiscoveryConnection, request: PollRequest) -> None:
+        """Send one poll."""
+        target = PATH
+        if request.version is not None:
+            wait_ms = int(request.watch_s * MS_PER_S)
+            target = f"{PATH}?index={request.version}&wait={wait_ms}"
+        host, port = self.address
+        connection.send(target, f"{host}:{port}")
+        self._advance()
 
     def parse(self, body: bytes) -> EndpointList:
-        """An answer as a list; raises where it is none."""
+        """Return an answer as an endpoint list; raises ``ValueError`` where it is none."""
         return parse_endpoint_list(json.loads(body), self.zones)
 
-    def answered(self, listed: EndpointList, closes: bool) -> PollRequest | None:
-        """Pass on what was told, and only then count it as known: what could not be taken in is asked for again.
+    def answered(self, listed: EndpointList, connection_closes: bool) -> PollRequest | None:
+        """Pass an answer on, and only then count its version as known.
+
+        What could not be applied is polled again.
 
-        The next call on this connection; None where it closes.
+        Returns the next poll on this connection; None where the connection closes.
         """
-        if listed.odd:
-            log.warning("discovery: %d odd entries left out", listed.odd)
-        if listed.whole or listed.hosts:
-            self.told(self.news.sift(listed, self.loop.time()))
-        next_call = self.asking.answered(self.loop.time(), listed.version, closes)
-        if next_call is None:
-            self.exchange = None
-            self._look()
-        return next_call
-
-    def lost(self, exchange: Exchange) -> None:
-        """The connection is gone: a new one after a while."""
-        if exchange is self.exchange:
-            self.exchange = None
-            self.asking.lost(self.loop.time())
-            self._look()
-
-    def ask(self, call: PollRequest) -> None:
-        """One call, on the connection that is up."""
-        target = (
-            PATH
-            if call.version is None
-            else f"{PATH}?index={call.version}&wait={int(call.wait * 1000)}"
-        )
-        self.exchange.call(target, ":".join(map(str, self.address)))
-        self._look()
+        if listed.malformed_count:
+            log.warning("discovery: entries malformed: count=%d", listed.malformed_count)
+        if listed.is_complete or listed.endpoints:
+            self.notify(self.watch_events.drop_older(listed, self.loop.time()))
+        request = self.schedule.answered(self.loop.time(), listed.version, connection_closes)
+        if request is None:
+            self.connection = None
+            self._advance()
+        return request
+
+    def rejected(self, retry_after_s: float) -> None:
+        """Take note that the service has no capacity."""
+        self.schedule.rejected(self.loop.time(), retry_after_s)
+
+    def lost(self, connection: DiscoveryConnection) -> None:
+        """Schedule a new connection where the current one is lost."""
+        if connection is self.connection:
+            self.connection = None
+            self.schedule.lost(self.loop.time())
+            self._advance()
--- a/saffrongw/gateway/discovery/watch_events.py
+++ b/saffrongw/gateway/discovery/watch_events.py
@@ -1,64 +1,101 @@
-"""Which of discovery's news count: older ones undo no newer ones. Pure.
+"""Drop watch events that are older than what was last received of an endpoint.
 
-An agent is sent changes late and not always in their order, and after a reload another agent may lag behind the first.
-A host that was heard to drain must not come back by an older line that says it serves. What was heard counts for
-``REMEMBER`` seconds: after that a registry that started anew and counts its versions from the beginning is believed.
+Pure: the caller passes the time.
+
+Watch events reach the gateway late and not always in order, and after a reload another discovery
+agent may lag behind the first. An endpoint that was received as draining must not come back through
+an older event that says it serves. What was received counts for ``RETENTION_S``: after that, a
+registry that started anew and counts its versions from the beginning is believed.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict
 from dataclasses import replace
+from typing import NamedTuple
 
 from ...policy.events import EndpointId, EndpointState
 from ..config import DiscoveredEndpoint, EndpointList
 
-REMEMBER = 30.0  # seconds
+# How long a received version outranks older ones.
+RETENTION_S = 30.0
+
+
+class ReceivedVersion(NamedTuple):
+    """What was last received of one endpoint; ``endpoint`` is None where it was removed."""
+
+    version: int
+    received_at_s: float
+    endpoint: DiscoveredEndpoint | None
 
 
 class WatchEventFilter:
-    """What was heard of each host lately: with which version, when, and the line itself."""
+    """The version that was last received of each endpoint, and the filter of what is older."""
 
     def __init__(self) -> None:
-        self.heard: OrderedDict[EndpointId, tuple[int, float, DiscoveredEndpoint | None]] = (
-            OrderedDict()
-        )
+        """Begin with nothing received."""
+        # Ordered by the time of receipt, the oldest first.
+        self._received: OrderedDict[EndpointId, ReceivedVersion] = OrderedDict()
 
     def __len__(self) -> int:
-        return len(self.heard)
+        """Return the number of endpoints that are remembered."""
+        return len(self._received)
+
+    def drop_older(self, listed: EndpointList, now_s: float) -> EndpointList:
+        """Return a list, or changes, without what is older than what was received.
 
-    def sift(self, listed: EndpointList, now: float) -> EndpointList:
-        """A list, or changes, without what is older than what was heard; now in seconds of any steady clock.
+        In a complete list, endpoints of which something newer was received stand as they were
+        received. ``now_s`` is the time of any monotonic clock.
+        """
+        self._expire(now_s)
+        endpoints = [
+            endpoint
+            for received in listed.endpoints
+            if (endpoint := self._newest(received, listed, now_s)) is not None
+        ]
+        if listed.is_complete:
+            endpoints += self._newer_than_complete(listed, now_s)
+        return replace(listed, endpoints=tuple(endpoints))
+
+    def _expire(self, now_s: float) -> None:
+        oldest_s = now_s - RETENTION_S
+        while self._received and next(iter(self._received.values())).received_at_s < oldest_s:
+            self._received.popitem(last=False)
+
+    def _newest(
+        self, endpoint: DiscoveredEndpoint, listed: EndpointList, now_s: float
+    ) -> DiscoveredEndpoint | None:
+        """Return what the list is to say of an endpoint that it names; None to leave it out."""
+        endpoint_id = endpoint.entry.endpoint_id
+        known = self._received.get(endpoint_id)
+        if known is not None and known.version > listed.version:
+            return known.endpoint if listed.is_complete else None
+        is_removed = endpoint.entry.state is EndpointState.REMOVED
+        self._remember(endpoint_id, listed.version, now_s, None if is_removed else endpoint)
+        return endpoint
 
-        In a whole list, hosts of which something newer was heard stand as they were heard.
+    def _newer_than_complete(self, listed: EndpointList, now_s: float) -> list[DiscoveredEndpoint]:
+        """Return endpoints that a complete list omits but that were received with a newer version.
+
+        The others that it omits are removed as of its version.
         """
-        while self.heard and next(iter(self.heard.values()))[1] < now - REMEMBER:
-            self.heard.popitem(last=False)
-        hosts, named = [], set()
-        for host in listed.hosts:
-            server = host.entry.endpoint_id
-            named.add(server)
-            known = self.heard.get(server)
-            if known and known[0] > listed.version:
-                if listed.whole and known[2]:
-                    hosts.append(known[2])
+        named = {endpoint.entry.endpoint_id for endpoint in listed.endpoints}
+        newer = []
+        for endpoint_id, known in list(self._received.items()):
+            if endpoint_id in named:
                 continue
-            hosts.append(host)
-            gone = host.entry.state is EndpointState.REMOVED
-            self._note(server, listed.version, now, None if gone else host)
-        if listed.whole:
-            for server, (version, _, line) in list(self.heard.items()):
-                if server in named:
-                    continue
-                if version > listed.version:
-                    if line:
-                        hosts.append(line)
-                else:  # left out of the whole list: it is gone, as of this version
-                    self._note(server, listed.version, now, None)
-        return replace(listed, hosts=tuple(hosts))
-
-    def _note(
-        self, server: EndpointId, version: int, now: float, line: DiscoveredEndpoint | None
+            if known.version <= listed.version:
+                self._remember(endpoint_id, listed.version, now_s, None)
+            elif known.endpoint is not None:
+                newer.append(known.endpoint)
+        return newer
+
+    def _remember(
+        self,
+        endpoint_id: EndpointId,
+        version: int,
+        now_s: float,
+        endpoint: DiscoveredEndpoint | None,
     ) -> None:
-        self.heard[server] = version, now, line
-        self.heard.move_to_end(server)
+        self._received[endpoint_id] = ReceivedVersion(version, now_s, endpoint)
+        self._received.move_to_end(endpoint_id)
--- a/saffrongw/gateway/driver.py
+++ b/saffrongw/gateway/driver.py
@@ -232,12 +232,12 @@
 
     def listed(self, listed: EndpointList, cached: bool = False) -> None:
         """Discovery told something."""
-        kind = EndpointListKind.COMPLETE if listed.whole else EndpointListKind.DELTA
+        kind = EndpointListKind.COMPLETE if listed.is_complete else EndpointListKind.DELTA
         if cached:
             kind = EndpointListKind.CACHED
         stranded = self.hosts.told(listed)
         self.feed(
-            EndpointListReceived(kind, listed.version, tuple(host.entry for host in listed.hosts))
+            EndpointListReceived(kind, listed.version, tuple(host.entry for host in listed.endpoints))
         )
         for attempt in stranded:  # only now: where they go next depends on the list
             self.attempt_ended(attempt, AttemptOutcome.CONNECT_FAILED)
--- a/saffrongw/gateway/request_parser.py
+++ b/saffrongw/gateway/request_parser.py
@@ -79,7 +79,7 @@
     wait, units, spread, first = (terms[term] for term in (b"d", b"units", b"spread", b"first"))
     if not _WAIT.fullmatch(wait) or int(wait) > WAIT_MOST:
         raise MalformedMessageError("term d is out of range")
-    if not _UNITS.fullmatch(units) or not 0 < float(units) <= config.units_most:
+    if not _UNITS.fullmatch(units) or not 0 < float(units) <= config.max_units:
         raise MalformedMessageError("term units is out of range")
     if not _GATEWAYS.fullmatch(spread) or not _GATEWAYS.fullmatch(first):
         raise MalformedMessageError("terms spread and first are malformed")
@@ -100,7 +100,7 @@
     def __init__(self, config: Config) -> None:
         self.classes, self.plans = config.classes, config.plans
         self.effects = tuple(c.idempotency for c in config.settings.classes)
-        self.gateways, self.units_most = config.settings.node_count, config.units_most
+        self.gateways, self.units_most = config.settings.node_count, config.max_units
         # Texts that come again and again, by their meaning.
         self.groups: dict[
             bytes, tuple[int, int, Idempotency]
--- a/saffrongw/gateway/upstream/cluster.py
+++ b/saffrongw/gateway/upstream/cluster.py
@@ -431,11 +431,11 @@
         """Follow discovery: idle connections to hosts that are gone or moved are closed. The attempts that
         waited for one are given back."""
         stranded = []
-        if listed.whole:
-            named = {host.entry.endpoint_id for host in listed.hosts}
+        if listed.is_complete:
+            named = {host.entry.endpoint_id for host in listed.endpoints}
             for server in [server for server in self.pools if server not in named]:
                 stranded += self.pools.pop(server).retire()
-        for host in listed.hosts:
+        for host in listed.endpoints:
             entry, pool = host.entry, self.pools.get(host.entry.endpoint_id)
             gone = entry.state is EndpointState.REMOVED
             if pool and (gone or pool.address != host.address or entry.started_at_us > pool.born):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -374,8 +374,8 @@
             self.driver,
             self.config.settings.load_report_fields,
             sockets,
-            self.config.idle_close,
-            self.config.connect_timeout,
+            self.config.idle_close_s,
+            self.config.connect_timeout_s,
         )
         self.driver.start(self.config.known)
         self.clients = ClientConnections(self.driver, self.config, sockets)
--- a/tests/faults/variants.py
+++ b/tests/faults/variants.py
@@ -173,9 +173,9 @@
             replace(h, entry=replace(h.entry, state=ready))
             if h.entry.state is EndpointState.DRAINING
             else h
-            for h in told.hosts
+            for h in told.endpoints
         )
-        plain(self, replace(told, hosts=hosts), cached)
+        plain(self, replace(told, endpoints=hosts), cached)
 
     Driver.listed = listed
 
--- /dev/null
+++ b/tests/gateway/test_gossip_transport.py
@@ -0,0 +1,45 @@
+"""Gossip datagrams between gateways, over loopback sockets."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+
+import pytest
+from conftest import FakeHost, Rig, asyncio_test, until
+
+from saffrongw.gateway.gossip_transport import GossipTransport
+from saffrongw.policy import gossip_codec
+
+
+@asyncio_test
+async def test_datagrams_count_by_their_source_and_malformed_ones_are_dropped():
+    rig = Rig(await FakeHost("a").listen())
+    peer, stranger = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2))
+    for sock in (peer, stranger):
+        sock.bind(("127.0.0.1", 0))
+    loop = asyncio.get_running_loop()
+    transport, _ = await loop.create_datagram_endpoint(
+        lambda: GossipTransport(rig.driver, (("127.0.0.1", 1), peer.getsockname()), 0),
+        local_addr=("127.0.0.1", 0),
+    )
+    own = transport.get_extra_info("sockname")
+    row = gossip_codec.Row(9, 0, 0, 2, 0, 50.0, 50.0, 0.0, ())
+    good = gossip_codec.pack(
+        rig.driver.clock() // 1000, True, True, [gossip_codec.pack_row(row, 0, 2)]
+    )
+    stranger.sendto(good, own)
+    peer.sendto(b"x" * 300, own)
+    peer.sendto(b"\xff" * 40, own)
+    peer.sendto(b"", own)
+    peer.sendto(good, own)
+    await until(lambda: 9 in rig.driver.gateway.accounts)
+    assert list(rig.driver.gateway.heard) == [1]
+    peer.setblocking(False)
+    reply = await loop.sock_recv(peer, 512)
+    assert len(reply) <= gossip_codec.SIZE_MOST
+    stranger.setblocking(False)
+    # A stranger is not answered.
+    with pytest.raises(BlockingIOError):
+        stranger.recv(512)
+    transport.close()
--- a/tests/gateway/test_poll_schedule.py
+++ b/tests/gateway/test_poll_schedule.py
@@ -1,4 +1,4 @@
-"""When a gateway asks its source of lists: spans by the formula, and what a whole fleet makes of them."""
+"""The poll schedule: spans by the formula, and the polls of a whole fleet in simulation."""
 
 from __future__ import annotations
 
@@ -7,21 +7,22 @@
 
 import pytest
 
-from benchmarks.fleet.lists import Before, Start, play
+from benchmarks.fleet.lists import EarlierSchedule, FleetStart, simulate
 from saffrongw.gateway.discovery.poll_schedule import (
-    ANSWER_WITHIN,
-    APART_MOST,
-    CHANGES,
-    CONFIRM,
-    ONE_TURN,
-    PACE_MOST,
-    QUEUE,
-    RETRY_AFTER_MOST,
-    TOLD_AFTER,
-    TOLD_AFTER_WAIT,
-    USE,
-    WATCH_PATIENCE,
-    WHOLE,
+    ANSWER_TIMEOUT_S,
+    DELTA_COST_S,
+    FINAL_READ_S,
+    FULL_FETCH_COST_S,
+    FULL_FETCH_DELAY_S,
+    MAX_LOAD_FACTOR,
+    MAX_RETRY_AFTER_S,
+    MAX_RETRY_SPAN_S,
+    MAX_START_QUEUE_S,
+    NOTIFICATION_DEADLINE_S,
+    TARGET_UTILISATION,
+    WATCH_MARGIN_S,
+    WATCH_NOTIFICATION_DEADLINE_S,
+    PollAction,
     PollRequest,
     PollSchedule,
 )
@@ -29,345 +30,423 @@
 SIZES = (3, 40, 200, 1000)
 
 
-def asking(gateways: int = 200, version: int | None = 7, **more) -> PollSchedule:
-    new = PollSchedule(gateways, random.Random(1), version, **more)
-    new.begin(0.0)
-    return new
+def schedule_of(gateways: int = 200, version: int | None = 7, **more) -> PollSchedule:
+    schedule = PollSchedule(gateways, random.Random(1), version, **more)
+    schedule.begin(0.0)
+    return schedule
 
 
 def connected(now: float = 0.0, **more) -> PollSchedule:
-    """One whose first call is out."""
-    new = asking(**more)
-    assert new.due(new.next_at()) == "connect"
-    new.connected(now)
-    return new
-
-
-def test_it_first_asks_for_what_is_newer_without_waiting_then_watches():
-    new = asking(gateways=3)
-    assert new.next_at() == 0.0 and new.due(0.0) == "connect"
-    assert new.connected(0.0) == PollRequest(7, 0.0, ANSWER_WITHIN)
-    assert new.answered(0.01, 9) == PollRequest(9, 2.0, 2.0 + WATCH_PATIENCE)
-    assert asking(gateways=3, version=None).connected(0.0).version is None  # nothing is known
-    assert asking(gateways=3, version=0).connected(0.0) == PollRequest(
-        0, 0.0, ANSWER_WITHIN
-    )  # a list that never changed
+    """Return a schedule whose first poll is in flight."""
+    schedule = schedule_of(**more)
+    assert schedule.due(schedule.next_at()) is PollAction.CONNECT
+    schedule.connected(now)
+    return schedule
+
+
+def test_first_poll_fetches_changes_without_watching_and_later_polls_watch():
+    schedule = schedule_of(gateways=3)
+    assert schedule.next_at() == 0.0
+    assert schedule.due(0.0) is PollAction.CONNECT
+    assert schedule.connected(0.0) == PollRequest(7, 0.0, ANSWER_TIMEOUT_S)
+    assert schedule.answered(0.01, 9) == PollRequest(9, 2.0, 2.0 + WATCH_MARGIN_S)
+    # Nothing is known.
+    assert schedule_of(gateways=3, version=None).connected(0.0).version is None
+    # A list that never changed.
+    assert schedule_of(gateways=3, version=0).connected(0.0) == PollRequest(
+        0, 0.0, ANSWER_TIMEOUT_S
+    )
 
 
 @pytest.mark.parametrize("gateways", [3, 100, 200, 1000])
-def test_the_first_calls_of_all_make_a_queue_no_longer_than_calls_may_wait(gateways):
+def test_first_polls_of_the_fleet_queue_no_longer_than_the_service_lets_polls_wait(gateways):
     spans = {
-        version: max(asking(gateways, version).first() for _ in range(3)) for version in (None, 7)
+        version: max(schedule_of(gateways, version).first_poll_span() for _ in range(3))
+        for version in (None, 7)
     }
-    for version, cost in ((None, WHOLE), (7, CHANGES)):
-        load = gateways * cost
-        span = max(0.0, load - QUEUE) / USE
-        if (
-            version and span > APART_MOST
-        ):  # what changed counts as told: then the queue has to be longer
-            assert spans[version] == APART_MOST and gateways > 700
+    for version, cost in ((None, FULL_FETCH_COST_S), (7, DELTA_COST_S)):
+        load_s = gateways * cost
+        span_s = max(0.0, load_s - MAX_START_QUEUE_S) / TARGET_UTILISATION
+        if version and span_s > MAX_RETRY_SPAN_S:
+            # The notification deadline goes first: then the queue has to be longer.
+            assert spans[version] == MAX_RETRY_SPAN_S
+            assert gateways > 700
             continue
-        assert spans[version] == pytest.approx(span)
-        assert (
-            load - spans[version] <= QUEUE + 1e-9
-        )  # what comes in the span, less what is done in it
+        assert spans[version] == pytest.approx(span_s)
+        # What arrives in the span, less what is done in it.
+        assert load_s - spans[version] <= MAX_START_QUEUE_S + 1e-9
 
 
-def test_watches_without_news_take_a_tenth_of_the_worker_at_most():
+def test_watches_without_changes_use_at_most_a_tenth_of_the_worker():
     for gateways in (3, 40, 200, 600):
-        assert gateways * CHANGES / asking(gateways).wait <= 0.1 + 1e-9
-    assert asking(3).wait == 2.0
+        assert gateways * DELTA_COST_S / schedule_of(gateways).watch_s <= 0.1 + 1e-9
+    assert schedule_of(3).watch_s == 2.0
 
 
-def test_after_a_refusal_it_waits_as_the_service_says_and_a_draw_of_half_of_what_the_clock_leaves_besides():
-    left = TOLD_AFTER + 1.0 - 2.0  # it began at 0, and is refused at 2
-    for said in (0.0, 7.0):
+def test_after_a_rejection_waits_for_retry_after_plus_a_draw_of_half_of_what_the_deadline_leaves():
+    # It began at 0, and is rejected at 2.
+    remaining_s = NOTIFICATION_DEADLINE_S + 1.0 - 2.0
+    for retry_after_s in (0.0, 7.0):
         waits = []
         for seed in range(50):
-            new = PollSchedule(200, random.Random(seed), 7)
-            new.begin(0.0)
-            new.due(new.next_at())
-            new.connected(1.0)
-            new.refused(2.0, said)
-            new.lost(2.0)  # its connection is closed for that: no second wait
-            waits.append(new.next_at() - 2.0)
-        assert min(waits) >= said
-        assert said + 0.8 * left / 2 < max(waits) <= said + left / 2
-    new = connected()
-    new.refused(1.0, 1e9)
-    assert new.next_at() < 1.0 + RETRY_AFTER_MOST + 100
-
-
-def test_refusals_are_answered_by_tries_spread_over_the_fleets_load_and_never_far_apart():
+            schedule = PollSchedule(200, random.Random(seed), 7)
+            schedule.begin(0.0)
+            schedule.due(schedule.next_at())
+            schedule.connected(1.0)
+            schedule.rejected(2.0, retry_after_s)
+            # Its connection is closed for that: no second delay.
+            schedule.lost(2.0)
+            waits.append(schedule.next_at() - 2.0)
+        assert min(waits) >= retry_after_s
+        assert retry_after_s + 0.8 * remaining_s / 2 < max(waits) <= retry_after_s + remaining_s / 2
+    schedule = connected()
+    schedule.rejected(1.0, 1e9)
+    assert schedule.next_at() < 1.0 + MAX_RETRY_AFTER_S + 100
+
+
+def test_attempts_after_rejections_spread_over_the_fleet_load_within_the_maximum_span():
     for gateways in SIZES:
-        least = min(APART_MOST, max(1.0, gateways * CHANGES / USE))
-        for late in range(0, 60, 3):
-            assert least <= asking(gateways).after_refusal(float(late)) <= APART_MOST
-        assert asking(gateways).after_refusal(TOLD_AFTER + 1.0) == least  # it has just run out
-        assert (
-            asking(gateways).after_refusal(60.0) == APART_MOST
-        )  # no room for a minute: as far apart as may be
-    assert (
-        asking(3, ask_within=2.0).after_refusal(0.0) == 1.5
-    )  # the settings may count it as told sooner
-
-
-def test_a_service_that_is_gone_is_tried_again_over_a_span_of_the_fleet():
-    small, large = asking(gateways=3), asking(gateways=200)
-    assert small.after_loss() == 0.05 and large.after_loss() == pytest.approx(200 * CHANGES / USE)
+        shortest_s = min(MAX_RETRY_SPAN_S, max(1.0, gateways * DELTA_COST_S / TARGET_UTILISATION))
+        for now in range(0, 60, 3):
+            span_s = schedule_of(gateways).span_after_rejection(float(now))
+            assert shortest_s <= span_s <= MAX_RETRY_SPAN_S
+        # The deadline has just expired.
+        expired_at = NOTIFICATION_DEADLINE_S + 1.0
+        assert schedule_of(gateways).span_after_rejection(expired_at) == shortest_s
+        # No capacity for a minute: the maximum.
+        assert schedule_of(gateways).span_after_rejection(60.0) == MAX_RETRY_SPAN_S
+    # The settings may have a shorter deadline.
+    assert schedule_of(3, notification_deadline_s=2.0).span_after_rejection(0.0) == 1.5
+
+
+def test_backoff_to_an_unreachable_service_grows_with_the_fleet_size():
+    small, large = schedule_of(gateways=3), schedule_of(gateways=200)
+    assert small.span_after_loss() == 0.05
+    assert large.span_after_loss() == pytest.approx(200 * DELTA_COST_S / TARGET_UTILISATION)
     for each in (small, large):
         for now in range(12):
-            assert each.due(each.next_at()) == "connect"
+            assert each.due(each.next_at()) is PollAction.CONNECT
             each.lost(float(now))
-    assert small.after_loss() == 1.0 and large.after_loss() == APART_MOST < 200 * WHOLE / USE
-
-
-def test_who_has_no_clients_yet_waits_longer():
-    assert asking(has_clients=lambda: False).after_loss() == 2 * asking().after_loss()
-
-
-def test_a_silent_answer_is_given_up_and_only_a_call_that_does_not_watch_tells_of_load():
-    new = connected()
-    assert new.due(new.next_at() - 0.001) == ""
-    assert new.due(new.next_at()) == ""  # it may lie unread: the loop reads once more
-    assert new.due(new.next_at()) == "abort"
-    new.lost(10.0)
-    assert new.pace == 2.0
-    new.due(new.next_at())
-    new.connected(20.0)
-    new.answered(20.01, 8)
-    assert new.pace == 1.0
-    assert new.due(new.next_at()) == ""
-    assert new.due(new.next_at()) == "abort"
-    new.lost(40.0)
-    assert new.pace == 1.0
-
-
-def test_answers_that_took_long_stretch_the_spans_and_quick_ones_shrink_them_again():
-    new = connected(now=0.0)
-    new.answered(0.9, 8)
-    assert new.pace == 2.0
-    new.lost(1.0)
-    new.due(new.next_at())
-    new.connected(2.0)
-    new.answered(2.01, 8)
-    assert new.pace == 1.0
-
-
-def test_a_registry_that_counts_anew_is_asked_for_the_whole_list_and_later_once_in_any_case():
-    new = connected()
-    assert new.answered(0.1, 3).version is None  # it knew 7
-    assert new.answered(0.2, 3).version == 3
-    new = connected()
-    assert new.answered(0.1, 7) == PollRequest(7, 10.0, 10.0 + WATCH_PATIENCE)
-    late = new.answered(3 * CONFIRM, 8)
-    assert late.version is None
-    assert new.answered(3 * CONFIRM + 0.1, 8).version == 8
-    assert new.answered(9 * CONFIRM, 8).version == 8  # once
-
-
-def test_another_service_is_asked_at_once_for_everything():
-    new = connected()
-    new.move(5.0)
-    assert new.next_at() == 5.0 and new.due(5.0) == "connect"
-    assert new.connected(5.0).version is None
-
-
-def test_an_answer_that_came_while_the_process_stood_still_is_read_before_it_is_given_up():
-    new = connected()
-    late = new.next_at() + 5.0
-    assert new.due(late) == "" and new.next_at() == late + ONE_TURN
-    new.answered(late + ONE_TURN, 8)
-    assert new.due(late + ONE_TURN) == "" and not new.gave_up
-
-
-def test_behind_an_answer_that_closes_its_connection_the_watch_goes_on_at_once_on_the_next():
-    new = connected(gateways=3)
-    assert new.answered(0.1, 8, closes=True) is None
-    new.lost(0.1)
-    assert new.next_at() == 0.1 and new.due(0.1) == "connect"
-    assert new.connected(0.1) == PollRequest(8, 2.0, 2.0 + WATCH_PATIENCE)
-    new.lost(0.2)  # and one that is lost without an answer is asked what it missed
-    new.due(new.next_at())
-    assert new.connected(0.3).wait == 0.0
-
-
-# -- the told clock -------------------------------------------------------------------------------------------
-
-
-def heard(
-    new: PollSchedule, silent: tuple[float, float], connects: bool = True, delay: float = 0.002
+    assert small.span_after_loss() == 1.0
+    assert large.span_after_loss() == MAX_RETRY_SPAN_S
+    assert MAX_RETRY_SPAN_S < 200 * FULL_FETCH_COST_S / TARGET_UTILISATION
+
+
+def test_a_gateway_without_clients_backs_off_for_longer():
+    assert (
+        schedule_of(has_clients=lambda: False).span_after_loss()
+        == 2 * schedule_of().span_after_loss()
+    )
+
+
+def test_a_silent_poll_is_abandoned_and_only_one_that_does_not_watch_raises_the_load_factor():
+    schedule = connected()
+    assert schedule.due(schedule.next_at() - 0.001) is None
+    # The answer may lie unread: the event loop reads once more.
+    assert schedule.due(schedule.next_at()) is None
+    assert schedule.due(schedule.next_at()) is PollAction.ABORT
+    schedule.lost(10.0)
+    assert schedule.load_factor == 2.0
+    schedule.due(schedule.next_at())
+    schedule.connected(20.0)
+    schedule.answered(20.01, 8)
+    assert schedule.load_factor == 1.0
+    assert schedule.due(schedule.next_at()) is None
+    assert schedule.due(schedule.next_at()) is PollAction.ABORT
+    schedule.lost(40.0)
+    assert schedule.load_factor == 1.0
+
+
+def test_slow_answers_raise_the_load_factor_and_quick_ones_lower_it():
+    schedule = connected(now=0.0)
+    schedule.answered(0.9, 8)
+    assert schedule.load_factor == 2.0
+    schedule.lost(1.0)
+    schedule.due(schedule.next_at())
+    schedule.connected(2.0)
+    schedule.answered(2.01, 8)
+    assert schedule.load_factor == 1.0
+
+
+def test_a_registry_that_counts_anew_is_fully_fetched_and_each_start_fully_fetches_once_later():
+    schedule = connected()
+    # It knew 7.
+    assert schedule.answered(0.1, 3).version is None
+    assert schedule.answered(0.2, 3).version == 3
+    schedule = connected()
+    assert schedule.answered(0.1, 7) == PollRequest(7, 10.0, 10.0 + WATCH_MARGIN_S)
+    full_fetch = schedule.answered(3 * FULL_FETCH_DELAY_S, 8)
+    assert full_fetch.version is None
+    assert schedule.answered(3 * FULL_FETCH_DELAY_S + 0.1, 8).version == 8
+    # Only once.
+    assert schedule.answered(9 * FULL_FETCH_DELAY_S, 8).version == 8
+
+
+def test_a_changed_service_is_fully_fetched_at_once():
+    schedule = connected()
+    schedule.change_service(5.0)
+    assert schedule.next_at() == 5.0
+    assert schedule.due(5.0) is PollAction.CONNECT
+    assert schedule.connected(5.0).version is None
+
+
+def test_an_answer_that_arrived_while_the_process_stood_still_is_read_before_the_abort():
+    schedule = connected()
+    resumed_at = schedule.next_at() + 5.0
+    assert schedule.due(resumed_at) is None
+    assert schedule.next_at() == resumed_at + FINAL_READ_S
+    schedule.answered(resumed_at + FINAL_READ_S, 8)
+    assert schedule.due(resumed_at + FINAL_READ_S) is None
+    assert not schedule.was_silent
+
+
+def test_after_an_answer_that_closes_the_connection_the_next_one_watches_at_once():
+    schedule = connected(gateways=3)
+    assert schedule.answered(0.1, 8, connection_closes=True) is None
+    schedule.lost(0.1)
+    assert schedule.next_at() == 0.1
+    assert schedule.due(0.1) is PollAction.CONNECT
+    assert schedule.connected(0.1) == PollRequest(8, 2.0, 2.0 + WATCH_MARGIN_S)
+    # A connection that is lost without an answer is followed by a poll for what was missed.
+    schedule.lost(0.2)
+    schedule.due(schedule.next_at())
+    assert schedule.connected(0.3).watch_s == 0.0
+
+
+# -- the notification deadline --
+
+
+def received_at(
+    schedule: PollSchedule,
+    silent_from: float,
+    silent_until: float,
+    connects: bool = True,
+    delay_s: float = 0.002,
 ) -> float:
-    """When the first answer after the silence comes. What is asked in it is never answered; connections come up
-    then only if it ``connects``. Each answer takes ``delay``, a watch its time."""
-    at, answer = new.begin(0.0, at_once=True) or 0.0, None
+    """Return when the first answer after a silence is received.
+
+    Polls that are sent in the silence are never answered; connections are established then only if
+    it ``connects``. Each answer takes ``delay_s``, a watch its time.
+    """
+    schedule.begin(0.0, at_once=True)
+    now = 0.0
+    answer_at = None
     while True:
-        due = new.next_at()
-        if answer is not None and (due is None or answer <= due):
-            at = answer
-            answer = None
-            if at >= silent[1]:
-                return at
-            call = new.answered(at, 7)
+        due_at = schedule.next_at()
+        if answer_at is not None and (due_at is None or answer_at <= due_at):
+            now = answer_at
+            answer_at = None
+            if now >= silent_until:
+                return now
+            request = schedule.answered(now, 7)
         else:
-            at = max(at, due)
-            what = new.due(at)
-            if what == "abort":
-                answer = None
-                new.lost(at)
-            if what != "connect":
+            now = max(now, due_at)
+            action = schedule.due(now)
+            if action is PollAction.ABORT:
+                answer_at = None
+                schedule.lost(now)
+            if action is not PollAction.CONNECT:
                 continue
-            if not connects and silent[0] <= at < silent[1]:
-                new.lost(at + delay)
+            if not connects and silent_from <= now < silent_until:
+                schedule.lost(now + delay_s)
                 continue
-            call = new.connected(at)
-        took = call.wait or delay
-        swallowed = silent[0] <= at < silent[1] or (
-            call.wait and at < silent[1] and at + took >= silent[0]
+            request = schedule.connected(now)
+        duration_s = request.watch_s or delay_s
+        is_sent_in_silence = silent_from <= now < silent_until
+        is_watch_into_silence = (
+            request.watch_s and now < silent_until and now + duration_s >= silent_from
         )
-        answer = None if swallowed else at + took
+        is_unanswered = is_sent_in_silence or is_watch_into_silence
+        answer_at = None if is_unanswered else now + duration_s
 
 
-@pytest.mark.parametrize("grace", [0.25, 1.0])
+def next_connection(schedule: PollSchedule) -> float:
+    """Leave the poll in flight without an answer; return when the next connection is opened."""
+    while True:
+        at = schedule.next_at()
+        action = schedule.due(at)
+        if action is PollAction.CONNECT:
+            return at
+        if action is PollAction.ABORT:
+            schedule.lost(at)
+
+
+@pytest.mark.parametrize("grace_s", [0.25, 1.0])
 @pytest.mark.parametrize("gateways", SIZES)
-def test_what_an_agent_has_on_its_return_is_heard_within_the_grace(gateways, grace):
-    """Herd at 200 gateways broke the drain rule by it: a doubled pace and a draw of 6 s after 8 s of silence."""
+def test_changes_of_a_returning_agent_are_received_within_the_drain_grace(gateways, grace_s):
+    """A doubled load factor and a backoff of 6 s after 8 s of silence once broke the drain rule."""
     for connects in (True, False):
         for seed in range(60):
-            back = 12.0 + seed * 0.173
-            new = PollSchedule(gateways, random.Random(seed), 7, 10.0, pushed=True, grace=grace)
-            assert heard(new, (3.0, back), connects) <= back + grace
+            back_at = 12.0 + seed * 0.173
+            schedule = PollSchedule(
+                gateways, random.Random(seed), 7, 10.0, pushed=True, drain_grace_s=grace_s
+            )
+            assert received_at(schedule, 3.0, back_at, connects) <= back_at + grace_s
 
 
-@pytest.mark.parametrize("grace", [0.25, 1.0])
+@pytest.mark.parametrize("grace_s", [0.25, 1.0])
 @pytest.mark.parametrize("pushed", [True, False])
 @pytest.mark.parametrize("gateways", SIZES)
-def test_what_a_silent_watch_misses_is_heard_before_it_binds(gateways, pushed, grace):
-    for pace in (1.0, PACE_MOST):
+def test_changes_missed_by_a_silent_watch_are_received_before_they_bind(gateways, pushed, grace_s):
+    for load_factor in (1.0, MAX_LOAD_FACTOR):
         for seed in range(40):
-            new = PollSchedule(gateways, random.Random(seed), 7, 10.0, pushed=pushed, grace=grace)
-            new.begin(0.0, at_once=True)
-            new.due(0.0)
-            new.connected(0.0)
-            new.pace = pace
-            new.answered(1.0, 7)
-            fell, new.pace = 1.0, pace
-            while (what := new.due(at := new.next_at())) != "connect":
-                if what == "abort":
-                    new.lost(at)
-            call = new.connected(at)
-            told = max(fell + TOLD_AFTER, fell + new.wait + TOLD_AFTER_WAIT)
-            # the answer itself: at once by an agent, behind all the others by a service
-            took = 0.002 if pushed else min(QUEUE, gateways * CHANGES)
-            assert call.wait == 0.0 and at + took <= told + grace
+            schedule = PollSchedule(
+                gateways, random.Random(seed), 7, 10.0, pushed=pushed, drain_grace_s=grace_s
+            )
+            schedule.begin(0.0, at_once=True)
+            schedule.due(0.0)
+            schedule.connected(0.0)
+            schedule.load_factor = load_factor
+            schedule.answered(1.0, 7)
+            silent_from = 1.0
+            schedule.load_factor = load_factor
+            connect_at = next_connection(schedule)
+            request = schedule.connected(connect_at)
+            notified_at = max(
+                silent_from + NOTIFICATION_DEADLINE_S,
+                silent_from + schedule.watch_s + WATCH_NOTIFICATION_DEADLINE_S,
+            )
+            # An agent answers at once; a service behind the polls of all other gateways.
+            answer_s = 0.002 if pushed else min(MAX_START_QUEUE_S, gateways * DELTA_COST_S)
+            assert request.watch_s == 0.0
+            assert connect_at + answer_s <= notified_at + grace_s
 
 
 @pytest.mark.parametrize("gateways", SIZES)
-def test_a_call_that_may_not_wait_and_a_service_that_is_gone_keep_the_told_clock(gateways):
-    """A service far away: what happens counts as told 6 s later, whatever the fleet's size and the pace."""
+def test_unanswered_polls_and_an_unreachable_service_keep_the_notification_deadline(gateways):
+    """Changes at a remote service count as notified 6 s later, whatever the fleet and the load."""
     for seed in range(60):
-        for pace in (1.0, PACE_MOST):
-            new = PollSchedule(gateways, random.Random(seed), 7, 10.0, has_clients=lambda: False)
-            new.begin(0.0, at_once=True)
-            new.due(0.0)
-            new.pace = pace
-            new.connected(0.0)
-            while (
-                what := new.due(at := new.next_at())
-            ) != "connect":  # this call is never answered
-                if what == "abort":
-                    new.lost(at)
-            assert at + min(QUEUE, gateways * CHANGES) <= TOLD_AFTER
-            for _ in range(12):  # gone: each try takes its second to fail
-                new.lost(at + 1.0)
-                assert new.next_at() <= at + 1.0 + APART_MOST
-                at = new.next_at()
-                new.due(at)
-    assert 1.0 + APART_MOST + 1.0 <= TOLD_AFTER
-
-
-def refused_until(new: PollSchedule, room: float, late: float = 1.0) -> tuple[list[float], float]:
-    """When it tried in vain from its refusal at 0 on, and when it heard an answer, which takes ``late``."""
-    new.begin(0.0, at_once=True)
-    tries, at = [], 0.0
-    while at < room:
-        assert new.due(at) == "connect"
-        new.connected(at)
-        new.refused(at)
-        new.lost(at)
-        tries.append(at)
-        at = new.next_at()
-    return tries[1:], at + late
+        for load_factor in (1.0, MAX_LOAD_FACTOR):
+            schedule = PollSchedule(
+                gateways, random.Random(seed), 7, 10.0, has_clients=lambda: False
+            )
+            schedule.begin(0.0, at_once=True)
+            schedule.due(0.0)
+            schedule.load_factor = load_factor
+            schedule.connected(0.0)
+            at = next_connection(schedule)
+            assert at + min(MAX_START_QUEUE_S, gateways * DELTA_COST_S) <= NOTIFICATION_DEADLINE_S
+            # Unreachable: each attempt takes its second to fail.
+            for _ in range(12):
+                schedule.lost(at + 1.0)
+                assert schedule.next_at() <= at + 1.0 + MAX_RETRY_SPAN_S
+                at = schedule.next_at()
+                schedule.due(at)
+    assert 1.0 + MAX_RETRY_SPAN_S + 1.0 <= NOTIFICATION_DEADLINE_S
+
+
+def rejected_until(
+    schedule: PollSchedule, capacity_at: float, answer_s: float = 1.0
+) -> tuple[list[float], float]:
+    """Reject polls from 0 on; return the times of later rejected polls, and of the first answer."""
+    schedule.begin(0.0, at_once=True)
+    attempts = []
+    now = 0.0
+    while now < capacity_at:
+        assert schedule.due(now) is PollAction.CONNECT
+        schedule.connected(now)
+        schedule.rejected(now)
+        schedule.lost(now)
+        attempts.append(now)
+        now = schedule.next_at()
+    return attempts[1:], now + answer_s
 
 
 @pytest.mark.parametrize("gateways", SIZES)
-def test_a_service_that_had_no_room_is_heard_before_what_it_did_not_tell_binds(gateways):
-    """Gateways that were turned away as they began their watch sent to draining hosts for up to 20 s: they waited for
-    ``ask_within`` and its doubles, 10 to 80 s, while changes counted as told 6 s later."""
-    least = 3 if gateways <= 200 else 1
+def test_a_service_that_rejected_polls_is_received_before_missed_changes_bind(gateways):
+    """Missed changes bind 6 s later, so backing off by the deadline of the settings is too slow.
+
+    Gateways whose first watch was rejected once waited for that and its doubles, 10 to 80 s, and
+    sent to draining endpoints for up to 20 s.
+    """
+    min_attempts = 3 if gateways <= 200 else 1
     for seed in range(200):
-        for room in (0.5, 1.5, 3.0):
-            new = PollSchedule(gateways, random.Random(seed), 7, 10.0, has_clients=lambda: False)
-            tries, heard = refused_until(new, room)
-            assert heard <= (TOLD_AFTER + 1.0 if gateways <= 200 else room + APART_MOST + 1.0)
-        tries, heard = refused_until(PollSchedule(gateways, random.Random(seed), 7, 10.0), 40.0)
-        assert sum(at <= TOLD_AFTER + 1.0 for at in tries) >= least
-        assert heard <= 40.0 + APART_MOST + 1.0
-        assert all(late - soon <= APART_MOST for soon, late in itertools.pairwise(tries))
-
-
-def test_a_watch_that_breaks_had_told_everything_up_to_then():
-    new = connected(gateways=3)
-    new.answered(0.1, 8)
-    new.lost(30.0)  # reset: noticed at once
-    new.due(new.next_at())
-    new.connected(30.1)
-    assert new.after_refusal(30.1) == pytest.approx((30.0 + TOLD_AFTER + 1.0 - 30.1) / 2)
-    new = connected(gateways=3)
-    new.answered(0.1, 8)
-    while new.due(new.next_at()) != "abort":
+        for capacity_at in (0.5, 1.5, 3.0):
+            schedule = PollSchedule(
+                gateways, random.Random(seed), 7, 10.0, has_clients=lambda: False
+            )
+            _, answered_at = rejected_until(schedule, capacity_at)
+            assert answered_at <= (
+                NOTIFICATION_DEADLINE_S + 1.0
+                if gateways <= 200
+                else capacity_at + MAX_RETRY_SPAN_S + 1.0
+            )
+        schedule = PollSchedule(gateways, random.Random(seed), 7, 10.0)
+        attempts, answered_at = rejected_until(schedule, 40.0)
+        assert sum(at <= NOTIFICATION_DEADLINE_S + 1.0 for at in attempts) >= min_attempts
+        assert answered_at <= 40.0 + MAX_RETRY_SPAN_S + 1.0
+        assert all(
+            later - earlier <= MAX_RETRY_SPAN_S for earlier, later in itertools.pairwise(attempts)
+        )
+
+
+def test_a_broken_watch_leaves_the_list_current_up_to_the_break():
+    schedule = connected(gateways=3)
+    schedule.answered(0.1, 8)
+    # Reset: detected at once.
+    schedule.lost(30.0)
+    schedule.due(schedule.next_at())
+    schedule.connected(30.1)
+    remaining_s = 30.0 + NOTIFICATION_DEADLINE_S + 1.0 - 30.1
+    assert schedule.span_after_rejection(30.1) == pytest.approx(remaining_s / 2)
+    schedule = connected(gateways=3)
+    schedule.answered(0.1, 8)
+    while schedule.due(schedule.next_at()) is not PollAction.ABORT:
         pass
-    new.lost(3.0)  # silent: it may have told nothing since its call
-    assert new.after_refusal(3.0) == pytest.approx((0.1 + TOLD_AFTER + 1.0 - 3.0) / 2)
+    # Silent: it may have delivered nothing since its poll.
+    schedule.lost(3.0)
+    remaining_s = 0.1 + NOTIFICATION_DEADLINE_S + 1.0 - 3.0
+    assert schedule.span_after_rejection(3.0) == pytest.approx(remaining_s / 2)
 
 
-# -- the fleet on the virtual clock ---------------------------------------------------------------------------
+# -- the fleet on the virtual clock --
 
 
-def test_two_hundred_that_start_at_once_are_current_soon_and_hardly_any_is_turned_away():
-    result = play(Start(200, length=30.0))
-    assert result.current == 200 and result.calls <= 1.5 * 200
-    assert result.busiest <= 1.2 and result.refused < 0.05 * 200
-    assert result.last <= 1.5 * result.least
-    before = play(Start(200, length=30.0, kind=Before))  # what it mends is seen by the same eyes
-    assert (
-        before.calls > 3 * result.calls and before.refused > 200 and before.last > 5 * result.last
-    )
+def test_200_gateways_that_start_at_once_are_current_soon_with_few_rejections():
+    result = simulate(FleetStart(200, length_s=30.0))
+    assert result.current_count == 200
+    assert result.polls <= 1.5 * 200
+    assert result.peak_load <= 1.2
+    assert result.rejected < 0.05 * 200
+    assert result.all_current_s <= 1.5 * result.shortest_s
+    # What the schedule mends is seen by the same measurement.
+    before = simulate(FleetStart(200, length_s=30.0, schedule_type=EarlierSchedule))
+    assert before.polls > 3 * result.polls
+    assert before.rejected > 200
+    assert before.all_current_s > 5 * result.all_current_s
 
 
-def test_a_service_that_comes_back_after_a_minute_is_not_met_by_all_at_once():
-    result = play(Start(200, down=(5.0, 65.0), length=60.0))
-    assert result.current == 200 and result.calls <= 1.5 * 200
-    assert result.busiest <= 1.2 and result.refused < 0.05 * 200
-    assert result.last <= 1.5 * 200 * WHOLE
+def test_a_service_that_returns_after_a_minute_gets_polls_spread_out():
+    result = simulate(FleetStart(200, down=(5.0, 65.0), length_s=60.0))
+    assert result.current_count == 200
+    assert result.polls <= 1.5 * 200
+    assert result.peak_load <= 1.2
+    assert result.rejected < 0.05 * 200
+    assert result.all_current_s <= 1.5 * 200 * FULL_FETCH_COST_S
 
 
-def test_all_that_start_a_second_time_within_10_s_are_served_again():
-    result = play(Start(200, twice_after=8.0, length=30.0))
-    assert result.current == 200 and result.last <= 1.5 * result.least and result.refused < 10
+def test_gateways_that_start_twice_within_10_s_are_served_again():
+    result = simulate(FleetStart(200, restart_after_s=8.0, length_s=30.0))
+    assert result.current_count == 200
+    assert result.all_current_s <= 1.5 * result.shortest_s
+    assert result.rejected < 10
 
 
 @pytest.mark.parametrize("gateways", [50, 200])
-def test_all_that_were_turned_away_for_30_s_are_current_soon_after_there_is_room(gateways):
-    result = play(Start(gateways, refusing=(0.0, 30.0), length=120.0))
-    assert result.current == gateways and result.last <= 30.0 + APART_MOST + 1.0
-    assert (
-        result.busiest <= 2.0 and result.refused <= 30 * gateways
-    )  # one try a second of each, at most
-    before = play(Start(gateways, refusing=(0.0, 30.0), length=120.0, kind=Before))
-    assert before.last > 2 * result.last - 30.0
+def test_gateways_rejected_for_30_s_are_current_soon_after_capacity_returns(gateways):
+    result = simulate(FleetStart(gateways, rejecting=(0.0, 30.0), length_s=120.0))
+    assert result.current_count == gateways
+    assert result.all_current_s <= 30.0 + MAX_RETRY_SPAN_S + 1.0
+    assert result.peak_load <= 2.0
+    # One attempt a second of each gateway, at most.
+    assert result.rejected <= 30 * gateways
+    before = simulate(
+        FleetStart(gateways, rejecting=(0.0, 30.0), length_s=120.0, schedule_type=EarlierSchedule)
+    )
+    assert before.all_current_s > 2 * result.all_current_s - 30.0
 
 
-def test_one_that_starts_alone_among_200_is_current_within_a_second():
-    result = play(Start(200, alone=True, length=30.0))
-    assert result.current == 1 and result.last < 1.0
+def test_one_gateway_that_starts_alone_among_200_is_current_within_a_second():
+    result = simulate(FleetStart(200, alone=True, length_s=30.0))
+    assert result.current_count == 1
+    assert result.all_current_s < 1.0
