--- a/benchmarks/ledger_cost.py
+++ b/benchmarks/ledger_cost.py
@@ -1,7 +1,7 @@
-"""What the ledger costs: latency added to unsafe requests, requests a second at full durability, safe ones beside.
+"""What the ledger costs: latency, requests a second at full durability, and idempotent requests beside.
 
-Run by hand: ``python -m benchmarks.ledger_cost``. Real gateways with the ledger off and on, rounds interleaved; same
-arrivals; ratios within one run.
+Run by hand: ``python -m benchmarks.ledger_cost``. Real gateways with the ledger off and on, rounds
+interleaved; same arrivals; ratios within one run.
 """
 
 from __future__ import annotations
@@ -10,12 +10,14 @@
 import statistics
 import tempfile
 import time
+from collections import defaultdict
 from pathlib import Path
 
 import uvloop
 
-from saffrongw.ledger.entries import Event, Kind
-from saffrongw.ledger.store import Store
+from saffrongw.ledger import events
+from saffrongw.ledger.events import EntryKey, RecordedRequest
+from saffrongw.ledger.store import LedgerStore
 from testbed.checker.record import Answered, Sent
 from testbed.model.scenario import Class, Clients, Hosts, Plan, Scenario
 from testbed.runner.world import World
@@ -36,73 +38,105 @@
     hosts=Hosts(count=12, error_share=0.0),
     clients=Clients(leave=0.0),
 )
+QUANTILES = (("p50", 0.5), ("p99", 0.99))
+BATCH_SIZES = (1, 8, 64, 512)
+COMMIT_SPAN_S = 1.0
+US_PER_MS = 1000
 
+# Sorted milliseconds from sent to served, by request class.
+Latencies = dict[str, list[float]]
 
-async def one(folder: Path, on: bool) -> dict[str, list[float]]:
-    """Milliseconds from sent to served, by class."""
+
+async def measure_latencies(folder: Path, with_ledger: bool) -> Latencies:
+    """Run the scenario once."""
     folder.mkdir()
-    world = World(
-        DAY, folder, operator=f'[ledger]\nstate_dir = "{folder / "state"}"\n' if on else ""
-    )
+    operator = f'[ledger]\nstate_dir = "{folder / "state"}"\n' if with_ledger else ""
+    world = World(DAY, folder, operator=operator)
     try:
         log = await world.run()
     finally:
         await world.close()
-    sent = {s.request: s for s in log.of(Sent)}
-    found: dict[str, list[float]] = {c.name: [] for c in DAY.cls}
+    sent = {request.request: request for request in log.of(Sent)}
+    latencies_ms: Latencies = defaultdict(list)
     for answer in log.of(Answered):
         if answer.kind == "served":
-            of = sent[answer.request]
-            found[of.cls].append((answer.at - of.at) / 1000)
-    return {name: sorted(times) for name, times in found.items() if times}
+            request = sent[answer.request]
+            latencies_ms[request.cls].append((answer.at - request.at) / US_PER_MS)
+    return {
+        request_class.name: sorted(latencies_ms[request_class.name])
+        for request_class in DAY.cls
+        if request_class.name in latencies_ms
+    }
+
+
+def quantile(sorted_values: list[float], share: float) -> float:
+    """Return a quantile of sorted values."""
+    return sorted_values[int(len(sorted_values) * share)]
 
 
-def commits(folder: Path, batch: int, seconds: float) -> float:
-    """Intents a second that one thread makes durable, so many a commit."""
-    store = Store(folder)
+def commit_rate(folder: Path, batch_size: int, span_s: float) -> float:
+    """Return the intents a second that one thread makes durable, so many a commit."""
+    store = LedgerStore(folder)
     store.open()
-    data = {"ordinal": 0, "host": "s-1", "born": 0, "customer": 7, "id": "0" * 16, "plan": "basico"}
-    data |= {"class": "report-issue", "bytes": 900, "digest": "0" * 32, "taken": 1}
-    began, number = time.perf_counter(), 0
-    while time.perf_counter() - began < seconds:
-        store.commit([Event(1, number + n, Kind.INTENT, 1, data) for n in range(batch)])
-        number += batch
-    rate = number / (time.perf_counter() - began)
+    request = RecordedRequest(7, "0" * 16, "basico", "report-issue", 900, "0" * 32, None, 1)
+    began_at = time.perf_counter()
+    count = 0
+    while time.perf_counter() - began_at < span_s:
+        store.commit(
+            [
+                events.intent(EntryKey(1, count + offset), 1, 0, "s-1", 0, request)
+                for offset in range(batch_size)
+            ]
+        )
+        count += batch_size
+    rate = count / (time.perf_counter() - began_at)
     store.close()
     return rate
 
 
+def print_latencies(number: int, with_ledger: bool, latencies_ms: Latencies) -> None:
+    """Print the rows of one run."""
+    for name, values_ms in latencies_ms.items():
+        p50_ms, p99_ms = (quantile(values_ms, share) for _, share in QUANTILES)
+        state = "on" if with_ledger else "off"
+        print(
+            f"{number:<7}{state:<8}{name:<14}{len(values_ms):>8}{p50_ms:>9.2f}{p99_ms:>9.2f}",
+            flush=True,
+        )
+
+
+def compare_latencies(folder: Path, rounds: int) -> None:
+    """Print latencies with the ledger off and on, and the medians of their ratios."""
+    ratios: dict[str, list[float]] = defaultdict(list)
+    print(f"{'round':<7}{'ledger':<8}{'class':<14}{'served':>8}{'p50 ms':>9}{'p99 ms':>9}")
+    for number in range(rounds):
+        measured: dict[bool, Latencies] = {}
+        for with_ledger in (False, True):
+            run_folder = folder / f"{number}-{with_ledger}"
+            measured[with_ledger] = uvloop.run(measure_latencies(run_folder, with_ledger))
+            print_latencies(number + 1, with_ledger, measured[with_ledger])
+        for name, values_ms in measured[True].items():
+            for part, share in QUANTILES:
+                ratio = quantile(values_ms, share) / quantile(measured[False][name], share)
+                ratios[f"{name} {part}"].append(ratio)
+    for what, values in ratios.items():
+        print(f"median of on/off, {what}: {statistics.median(values):.2f}")
+
+
 def main() -> None:
-    """The tables."""
+    """Print the tables."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rounds", type=int, default=3)
     parser.add_argument(
         "--folder", type=Path, default=None, help="on the disk to be measured (default: TMPDIR)"
     )
-    given = parser.parse_args()
-    ratios: dict[str, list[float]] = {}
-    with tempfile.TemporaryDirectory(dir=given.folder) as name:
-        base = Path(name)
-        print(f"{'round':<7}{'ledger':<8}{'class':<14}{'served':>8}{'p50 ms':>9}{'p99 ms':>9}")
-        for number in range(given.rounds):
-            seen = {}
-            for on in (False, True):
-                seen[on] = uvloop.run(one(base / f"{number}-{on}", on))
-                for cls, times in seen[on].items():
-                    p50, p99 = times[len(times) // 2], times[int(len(times) * 0.99)]
-                    print(
-                        f"{number + 1:<7}{'on' if on else 'off':<8}{cls:<14}{len(times):>8}{p50:>9.2f}{p99:>9.2f}",
-                        flush=True,
-                    )
-            for cls in seen[True]:
-                for part, at in (("p50", 0.5), ("p99", 0.99)):
-                    a, b = (t[int(len(t) * at)] for t in (seen[True][cls], seen[False][cls]))
-                    ratios.setdefault(f"{cls} {part}", []).append(a / b)
-        for what, found in ratios.items():
-            print(f"median of on/off, {what}: {statistics.median(found):.2f}")
-        for batch in (1, 8, 64, 512):
-            rate = commits(base / f"commits-{batch}", batch, 1.0)
-            print(f"durable intents a second, {batch:>3} a commit: {rate:,.0f}")
+    options = parser.parse_args()
+    with tempfile.TemporaryDirectory(dir=options.folder) as name:
+        folder = Path(name)
+        compare_latencies(folder, options.rounds)
+        for batch_size in BATCH_SIZES:
+            rate = commit_rate(folder / f"commits-{batch_size}", batch_size, COMMIT_SPAN_S)
+            print(f"durable intents a second, {batch_size:>3} a commit: {rate:,.0f}")
 
 
 if __name__ == "__main__":
--- a/saffrongw/admin/ledger.py
+++ b/saffrongw/admin/ledger.py
@@ -1,4 +1,7 @@
-"""``saffrongw ledger``: what a ledger says, for people and as JSON lines. Reads beside a gateway in service."""
+"""``saffrongw ledger``: what a ledger says, for people and as JSON lines.
+
+It reads beside a gateway in service. The keys of the JSON lines are mapped here and nowhere else.
+"""
 
 from __future__ import annotations
 
@@ -8,141 +11,190 @@
 from collections import Counter
 from datetime import UTC, datetime
 from pathlib import Path
+from typing import Any
 
 from saffrongw.admin import columns, unusable
-from saffrongw.ledger.entries import Entry, Meaning, explain
-from saffrongw.ledger.reconcile import ListError, parse, reconcile
-from saffrongw.ledger.store import Reader, Store, StoreError, now_us
-
-HAND_IN_WITHIN = 10.0  # seconds for a gateway in service to take what an import found
+from saffrongw.ledger.entries import Entry, ExecutionStatus, RecordedAttempt
+from saffrongw.ledger.explanation import explain
+from saffrongw.ledger.reader import LedgerReader
+from saffrongw.ledger.reconcile import IssuedListError, parse_issued, reconcile
+from saffrongw.ledger.schema import LedgerStoreError, now_us
+from saffrongw.ledger.store import LedgerStore
+
+# For a gateway in service to take what an import found.
+HAND_IN_TIMEOUT_S = 10.0
+US_PER_S = 1e6
+US_PER_DAY = 86_400e6
+BYTES_PER_MB_SHIFT = 20
+MAX_DAMAGE_LINES = 20
+# A table shows times to the millisecond.
+TABLE_TIME_CHARS = 23
+TABLE_HEADER = (
+    "entry",
+    "taken",
+    "customer",
+    "request",
+    "plan",
+    "class",
+    "attempts",
+    "answer",
+    "meaning",
+)
+
+
+def time_text(at_us: int) -> str:
+    """Return a time as people read it."""
+    if not at_us:
+        return "an unknown time"
+    return datetime.fromtimestamp(at_us / US_PER_S, UTC).strftime("%Y-%m-%d %H:%M:%S.%f UTC")
+
+
+def attempt_json(attempt: RecordedAttempt) -> dict[str, Any]:
+    """Return an attempt in plain types."""
+    return {
+        "host": attempt.endpoint,
+        "born": attempt.endpoint_started_at_us,
+        "intended": attempt.intended_at_us,
+        "whole": attempt.fully_sent_at_us,
+        "outcome": attempt.outcome,
+        "ended": attempt.ended_at_us,
+    }
 
 
-def when(at: int) -> str:
-    """A time as people read it."""
-    if not at:
-        return "an unknown time"
-    return datetime.fromtimestamp(at / 1e6, UTC).strftime("%Y-%m-%d %H:%M:%S.%f UTC")
-
-
-def as_json(entry: Entry) -> dict:
-    """One entry in plain types; a body that was kept is not shown in listings."""
-    tries = [
-        {
-            "host": t.host,
-            "born": t.born,
-            "intended": t.intended,
-            "whole": t.whole,
-            "outcome": t.outcome,
-            "ended": t.ended,
-        }
-        for t in entry.tries.values()
-    ]
-    names = (
-        "life",
-        "number",
-        "plan",
-        "cls",
-        "body_bytes",
-        "digest",
-        "taken",
-        "answer",
-        "answered",
-        "imported",
-    )
-    found = {name: getattr(entry, name) for name in names}
-    return found | {
+def entry_json(entry: Entry) -> dict[str, Any]:
+    """Return an entry in plain types; a recorded body is not shown in listings."""
+    return {
+        "life": entry.incarnation,
+        "number": entry.request_number,
+        "plan": entry.plan,
+        "cls": entry.request_class,
+        "body_bytes": entry.body_bytes,
+        "digest": entry.digest,
+        "taken": entry.received_at_us,
+        "answer": entry.answer,
+        "answered": entry.answered_at_us,
+        "imported": entry.imported_from,
         "id": entry.name,
         "customer": f"{entry.customer:016x}",
-        "request": entry.client_id,
-        "meaning": entry.meaning.value,
-        "settled": entry.settled,
-        "attempts": tries,
+        "request": entry.client_request_id,
+        "meaning": entry.status.value,
+        "settled": entry.is_settled,
+        "attempts": [attempt_json(attempt) for attempt in entry.attempts.values()],
     }
 
 
+def table_row(entry: Entry) -> tuple[str, ...]:
+    """Return an entry as a row of the table."""
+    return (
+        entry.name,
+        time_text(entry.received_at_us)[:TABLE_TIME_CHARS],
+        f"{entry.customer:016x}",
+        entry.client_request_id,
+        entry.plan,
+        entry.request_class,
+        str(len(entry.attempts)),
+        entry.answer or "-",
+        entry.status.value + ("" if entry.is_settled else " (open)"),
+    )
+
+
 def table(entries: list[Entry]) -> str:
-    """Entries as a table."""
-    rows = [
-        ("entry", "taken", "customer", "request", "plan", "class", "attempts", "answer", "meaning")
-    ]
-    for e in entries:
-        row = (
-            e.name,
-            when(e.taken)[:23],
-            f"{e.customer:016x}",
-            e.client_id,
-            e.plan,
-            e.cls,
-            str(len(e.tries)),
-        )
-        rows.append((*row, e.answer or "-", e.meaning.value + ("" if e.settled else " (open)")))
-    return columns(rows)
-
-
-def run(given: argparse.Namespace) -> int:
-    """One command; its exit status."""
+    """Return entries as a table."""
+    return columns([TABLE_HEADER, *(table_row(entry) for entry in entries)])
+
+
+def run(options: argparse.Namespace) -> int:
+    """Carry out one command; return its exit status."""
     try:
-        if given.what == "import":
-            return _import(given.state, given.file)
-        if given.what == "compact":
-            return _compact(given)
-        return _read(given, Reader(given.state))
-    except (StoreError, ListError) as wrong:
-        return unusable(wrong)
-    except OSError as wrong:
-        return unusable(f"{wrong.filename or ''}: {wrong.strerror or wrong}")
-
-
-def _read(given: argparse.Namespace, reader: Reader) -> int:
-    if given.what == "verify":
-        damage = reader.verify()
-        print("\n".join(damage) if damage else f"{reader.path}: good")
-        return 1 if damage else 0
-    if given.what == "backup":
-        reader.backup(given.file)
-        print(f"{given.file}: written")
-        return 0
+        match options.what:
+            case "import":
+                return _import(options.state, options.file)
+            case "compact":
+                return _compact(options)
+        with LedgerReader(options.state) as reader:
+            return _read(options, reader)
+    except (LedgerStoreError, IssuedListError) as error:
+        return unusable(error)
+    except OSError as error:
+        return unusable(f"{error.filename or ''}: {error.strerror or error}")
+
+
+def _read(options: argparse.Namespace, reader: LedgerReader) -> int:
+    match options.what:
+        case "verify":
+            return _verify(reader)
+        case "backup":
+            reader.backup(options.file)
+            print(f"{options.file}: written")
+            return 0
     entries = list(reader.entries().values())
-    for text in reader.damage[:20]:
+    for text in reader.damage[:MAX_DAMAGE_LINES]:
         print(f"saffrongw: {reader.path}: {text}", file=sys.stderr)
-    if given.what == "explain":
-        chosen = [e for e in entries if given.id in (e.name, e.client_id)]
-        if not chosen:
-            return unusable(f"no entry is called {given.id!r}")
-        print("\n".join(explain(entry, when) for entry in chosen))
-        return 0
-    if given.what == "find":
-        text = given.text.lower()
-        entries = [
-            e
-            for e in entries
-            if text in (e.client_id.lower(), f"{e.customer:016x}", f"{e.customer:x}")
-        ]
-    elif given.what == "open":
-        entries = [e for e in entries if e.meaning is Meaning.MAY_HAVE_RUN]
-    elif given.what == "show":
-        entries = entries[-max(0, given.number) :] if given.number else []
-    if given.json or given.what == "export":
-        for entry in entries:
-            print(json.dumps(as_json(entry)))
-        return 0
-    print(table(entries))
-    counts = Counter(e.meaning.value for e in entries)
-    print(
-        f"\n{len(entries)} entries"
-        + "".join(f", {count} {name}" for name, count in sorted(counts.items()))
-    )
+    if options.what == "explain":
+        return _explain(entries, options.id)
+    chosen = _chosen(entries, options)
+    if options.json or options.what == "export":
+        for entry in chosen:
+            print(json.dumps(entry_json(entry)))
+    else:
+        _print_table(chosen)
+    return 0
+
+
+def _verify(reader: LedgerReader) -> int:
+    damage = reader.verify()
+    print("\n".join(damage) if damage else f"{reader.path}: good")
+    return 1 if damage else 0
+
+
+def _explain(entries: list[Entry], name: str) -> int:
+    chosen = [entry for entry in entries if name in (entry.name, entry.client_request_id)]
+    if not chosen:
+        return unusable(f"no entry is called {name!r}")
+    print("\n".join(explain(entry, time_text) for entry in chosen))
     return 0
 
 
-def _compact(given: argparse.Namespace) -> int:
-    Reader(given.state)  # says plainly where there is none
-    store = Store(given.state)
+def _chosen(entries: list[Entry], options: argparse.Namespace) -> list[Entry]:
+    """Return the entries that a command is about."""
+    match options.what:
+        case "find":
+            return [entry for entry in entries if _matches(entry, options.text.lower())]
+        case "open":
+            open_status = ExecutionStatus.MAY_HAVE_RUN
+            return [entry for entry in entries if entry.status is open_status]
+        case "show":
+            return entries[-max(0, options.number) :] if options.number else []
+    return entries
+
+
+def _matches(entry: Entry, text: str) -> bool:
+    """Return whether a text in lower case is an entry's customer or the client's id."""
+    return text in (
+        entry.client_request_id.lower(),
+        f"{entry.customer:016x}",
+        f"{entry.customer:x}",
+    )
+
+
+def _print_table(entries: list[Entry]) -> None:
+    print(table(entries))
+    counts = Counter(entry.status.value for entry in entries)
+    by_status = "".join(f", {count} {status}" for status, count in sorted(counts.items()))
+    print(f"\n{len(entries)} entries{by_status}")
+
+
+def _compact(options: argparse.Namespace) -> int:
+    # It says plainly where there is no ledger.
+    with LedgerReader(options.state):
+        pass
+    store = LedgerStore(options.state)
     store.open()
     try:
-        before = store.size()
-        gone = store.compact(now_us() - int(given.keep_days * 86_400e6), given.most_mb << 20)
-        print(f"{gone} entries forgotten, {before} bytes before, {store.size()} after")
+        bytes_before = store.size()
+        before_us = now_us() - int(options.keep_days * US_PER_DAY)
+        forgotten = store.compact(before_us, options.most_mb << BYTES_PER_MB_SHIFT)
+        print(f"{forgotten} entries forgotten, {bytes_before} bytes before, {store.size()} after")
     finally:
         store.close()
     return 0
@@ -150,21 +202,23 @@
 
 def _import(state: Path, file: Path) -> int:
     with file.open(newline="") as lines:
-        issued = parse(lines, str(file))
-    reader = Reader(state)
-    result = reconcile(reader.entries(), issued, now_us())
-    if result.settled:
-        store = Store(state)
-        try:
-            store.open()
-        except StoreError:  # a gateway holds it, or what ``hand_in`` would meet too
-            if not reader.hand_in(result.settled, HAND_IN_WITHIN):
-                raise
-        else:
-            store.commit(result.settled)
-            store.close()
+        issued = parse_issued(lines, str(file))
+    with LedgerReader(state) as reader:
+        result = reconcile(reader.entries(), issued, now_us())
+        if result.settled:
+            store = LedgerStore(state)
+            try:
+                store.open()
+            except LedgerStoreError:
+                # A gateway holds the ledger, or what ``hand_in`` would meet too.
+                if not reader.hand_in(result.settled, HAND_IN_TIMEOUT_S):
+                    raise
+            else:
+                store.commit(result.settled)
+                store.close()
     print(
-        f"{len(issued)} lines: {len(result.settled)} entries settled as issued, {result.known} were known"
+        f"{len(issued)} lines: {len(result.settled)} entries settled as issued, "
+        f"{result.known_count} were known"
     )
     for text in result.contradictions:
         print(f"contradiction: {text}")
--- a/saffrongw/ledger/__init__.py
+++ b/saffrongw/ledger/__init__.py
@@ -1,5 +1,7 @@
-"""A ledger of unrepeatable requests: what was about to be sent is durable before its first byte can leave.
+"""A ledger of non-idempotent requests: what is to be sent is durable before its first byte leaves.
 
-``entries.py`` and ``reconcile.py`` decide and do no I/O; ``store.py`` is the database, ``writer.py`` its one thread,
-``gate.py`` what holds a send until it is written down. Loaded only where the operator file has ``[ledger]``.
+``events``, ``entries``, ``explanation`` and ``reconcile`` decide and do no I/O; ``schema``,
+``store``, ``reader`` and ``inbox`` are the database and its folder, ``writer`` the one thread that
+writes, ``request_filter`` what holds an attempt back until it is recorded. Loaded only where the
+operator file has ``[ledger]``.
 """
--- a/saffrongw/ledger/entries.py
+++ b/saffrongw/ledger/entries.py
@@ -1,223 +1,164 @@
-"""What is known of a request from its events, and what that means after a crash. Pure.
+"""What the events of a request say of it, and whether it ran. Pure.
 
-Times in microseconds of Unix time. The truth table stands in ``docs/notes/ledger.md``.
+Times are in microseconds of Unix time. The truth table stands in ``docs/notes/ledger.md``.
 """
 
 from __future__ import annotations
 
-import json
-from collections.abc import Iterable, Mapping
+from collections.abc import Iterable
 from dataclasses import dataclass, field
 from enum import Enum
-from hashlib import blake2b
-from typing import Any
 
-NOT_RUN = {
-    "full",
-    "not connected",
-    "never sent",
-}  # outcomes after which an attempt has certainly not run
-SUM_BYTES = 8
+from . import events
+from .events import EntryKey, Event, EventKind
 
+# Outcomes after which an attempt has certainly not run.
+NOT_RUN_OUTCOMES = frozenset({"full", "not connected", "never sent"})
+# The outcome of an attempt, and the answer to a client, after a good reply.
+SERVED = "served"
 
-class Meaning(Enum):
-    """What an entry says of its request."""
+
+class ExecutionStatus(Enum):
+    """Whether a request ran; the values are stored and shown."""
 
     NEVER_SENT = "never sent"
     MAY_HAVE_RUN = "may have run"
-    RAN = "ran"  # a good answer was seen; whether the client got it is not known
-    ANSWERED = "answered"  # a good answer was on its way to the client
-
-
-class Kind(Enum):
-    """Events of an entry."""
-
-    INTENT = "intent"  # an attempt is about to be sent; the first holds the request's terms
-    WHOLE = "whole"  # its last byte has left
-    OUTCOME = "outcome"
-    ANSWER = "answer"  # the final answer
-    IMPORTED = "imported"  # a host's own list says so
-    CLASSED = "classed"  # by recovery after the life that it belongs to
-
-
-class DamageError(Exception):
-    """A row that is not what was written; it names which."""
-
-
-@dataclass(frozen=True, slots=True)
-class Event:
-    """One row: life and number name the request, data hangs on the kind."""
-
-    life: int
-    number: int
-    kind: Kind
-    at: int
-    data: Mapping[str, Any]
-
-    def text(self) -> str:
-        """The data as it is stored."""
-        return json.dumps(self.data, sort_keys=True, separators=(",", ":"))
-
-
-def checksum(life: int, number: int, kind: str, at: int, text: str) -> bytes:
-    """Of one row: a bit that flipped in any of it shows."""
-    return blake2b(f"{life}|{number}|{kind}|{at}|{text}".encode(), digest_size=SUM_BYTES).digest()
-
-
-def read(seq: int, life: int, number: int, kind: str, at: int, text: str, total: bytes) -> Event:
-    """A stored row; ``DamageError`` where it is not what was written."""
-    try:
-        if checksum(life, number, kind, at, text) != total:
-            raise DamageError(f"row {seq}: its checksum does not fit")
-        return Event(life, number, Kind(kind), at, json.loads(text))
-    except (ValueError, TypeError, AttributeError):
-        raise DamageError(f"row {seq}: it can't be read") from None
+    # A good answer was received; whether the client got it is not known.
+    RAN = "ran"
+    # A good answer was on its way to the client.
+    ANSWERED = "answered"
 
 
 @dataclass(slots=True)
-class Try:
-    """One attempt."""
+class RecordedAttempt:
+    """One attempt of a request, as far as it is recorded."""
 
     ordinal: int
-    host: str
-    born: int  # us; 0 for long ago
-    intended: int
-    whole: int = 0  # when its last byte left; 0: not known
+    endpoint: str
+    # 0: long ago.
+    endpoint_started_at_us: int
+    intended_at_us: int
+    # When its last byte was sent; 0: not known.
+    fully_sent_at_us: int = 0
     outcome: str = ""
-    ended: int = 0
+    ended_at_us: int = 0
 
 
 @dataclass(slots=True)
 class Entry:
-    """One request."""
+    """One request, as far as it is recorded."""
 
-    life: int
-    number: int
+    incarnation: int
+    request_number: int
     customer: int = 0
-    client_id: str = ""
+    client_request_id: str = ""
     plan: str = ""
-    cls: str = ""
+    request_class: str = ""
     body_bytes: int = 0
     digest: str = ""
-    body: str = ""  # hex, only where the operators ask for it
-    taken: int = 0
-    tries: dict[int, Try] = field(default_factory=dict)
-    answer: str = ""  # served, refused, failed
-    answered: int = 0
-    classed: str = ""
-    imported: str = ""  # the host that lists it as issued
+    # Only where the operators ask for it.
+    body_hex: str = ""
+    received_at_us: int = 0
+    attempts: dict[int, RecordedAttempt] = field(default_factory=dict)
+    # Served, refused or failed.
+    answer: str = ""
+    answered_at_us: int = 0
+    # What recovery found.
+    classification: str = ""
+    # The endpoint that lists it as issued.
+    imported_from: str = ""
 
     @property
     def name(self) -> str:
-        """How it is called on the command line."""
-        return f"{self.life}-{self.number}"
-
-    def add(self, event: Event) -> None:
-        """One more event, in the order in which they were written."""
-        data = event.data
-        if event.kind is Kind.INTENT:
-            if "customer" in data:
-                self.customer, self.client_id = int(data["customer"]), str(data["id"])
-                self.plan, self.cls = str(data["plan"]), str(data["class"])
-                self.body_bytes, self.digest = int(data["bytes"]), str(data["digest"])
-                self.body, self.taken = str(data.get("body", "")), int(data["taken"])
-            ordinal = int(data["ordinal"])
-            self.tries[ordinal] = Try(ordinal, str(data["host"]), int(data["born"]), event.at)
-        elif event.kind in (Kind.WHOLE, Kind.OUTCOME):
-            one = self.tries.get(int(data["ordinal"]))
-            if one is None:
-                return
-            if event.kind is Kind.WHOLE:
-                one.whole = event.at
-            else:
-                one.outcome, one.ended = str(data["outcome"]), event.at
-        elif event.kind is Kind.ANSWER:
-            self.answer, self.answered = str(data["answer"]), event.at
-        elif event.kind is Kind.CLASSED:
-            self.classed = str(data["meaning"])
-        elif event.kind is Kind.IMPORTED:
-            self.imported = str(data["host"])
+        """Its name on the command line."""
+        return f"{self.incarnation}-{self.request_number}"
 
     @property
-    def ran(self) -> bool:
-        """Whether a good answer was seen."""
-        return self.answer == "served" or any(t.outcome == "served" for t in self.tries.values())
+    def key(self) -> EntryKey:
+        """What identifies it."""
+        return EntryKey(self.incarnation, self.request_number)
+
+    def apply(self, event: Event) -> None:
+        """Add one event; events come in the order in which they were written."""
+        match event.kind:
+            case EventKind.INTENT:
+                self._add_attempt(event)
+            case EventKind.FULLY_SENT:
+                if attempt := self.attempts.get(event.ordinal):
+                    attempt.fully_sent_at_us = event.at_us
+            case EventKind.OUTCOME:
+                if attempt := self.attempts.get(event.ordinal):
+                    attempt.outcome = event.outcome
+                    attempt.ended_at_us = event.at_us
+            case EventKind.ANSWER:
+                self.answer = event.answer
+                self.answered_at_us = event.at_us
+            case EventKind.CLASSIFIED:
+                self.classification = event.classification
+            case EventKind.IMPORTED:
+                self.imported_from = event.endpoint
+
+    def _add_attempt(self, event: Event) -> None:
+        request = event.request
+        if request is not None:
+            self.customer = request.customer
+            self.client_request_id = request.client_request_id
+            self.plan = request.plan
+            self.request_class = request.request_class
+            self.body_bytes = request.body_bytes
+            self.digest = request.digest
+            self.body_hex = request.body_hex or ""
+            self.received_at_us = request.received_at_us
+        self.attempts[event.ordinal] = RecordedAttempt(
+            event.ordinal, event.endpoint, event.endpoint_started_at_us, event.at_us
+        )
 
     @property
-    def meaning(self) -> Meaning:
-        """By the truth table."""
-        if self.answer == "served":
-            return Meaning.ANSWERED
-        if self.ran or self.imported:
-            return Meaning.RAN
-        if all(t.outcome in NOT_RUN for t in self.tries.values()):
-            return Meaning.NEVER_SENT
-        return Meaning.MAY_HAVE_RUN
+    def has_run(self) -> bool:
+        """Whether a good answer was received."""
+        return self.answer == SERVED or any(
+            attempt.outcome == SERVED for attempt in self.attempts.values()
+        )
 
     @property
-    def settled(self) -> bool:
-        """Whether nothing is left to find out: what may have run is open until a host's list says."""
-        return self.meaning is not Meaning.MAY_HAVE_RUN and bool(
-            self.answer or self.classed or self.imported
-        )
+    def status(self) -> ExecutionStatus:
+        """Whether it ran, by the truth table."""
+        if self.answer == SERVED:
+            return ExecutionStatus.ANSWERED
+        if self.has_run or self.imported_from:
+            return ExecutionStatus.RAN
+        if all(attempt.outcome in NOT_RUN_OUTCOMES for attempt in self.attempts.values()):
+            return ExecutionStatus.NEVER_SENT
+        return ExecutionStatus.MAY_HAVE_RUN
 
+    @property
+    def is_settled(self) -> bool:
+        """Whether nothing is left to find out.
 
-def entries_of(events: Iterable[Event]) -> dict[tuple[int, int], Entry]:
-    """Entries by life and number."""
-    found: dict[tuple[int, int], Entry] = {}
-    for event in events:
-        key = event.life, event.number
-        if key not in found:
-            found[key] = Entry(*key)
-        found[key].add(event)
-    return found
+        What may have run is open until an endpoint's list names it.
+        """
+        is_known = self.status is not ExecutionStatus.MAY_HAVE_RUN
+        return is_known and bool(self.answer or self.classification or self.imported_from)
 
 
-def recover(entries: Iterable[Entry], life: int, now: int) -> list[Event]:
-    """What a new life writes of the entries of older ones that were left open. It sends nothing."""
-    return [
-        Event(
-            entry.life,
-            entry.number,
-            Kind.CLASSED,
-            now,
-            {"meaning": entry.meaning.value, "by": life},
-        )
-        for entry in entries
-        if entry.life < life and not entry.classed and not entry.answer
-    ]
+def build_entries(found: Iterable[Event]) -> dict[EntryKey, Entry]:
+    """Return the entries of events, by their keys."""
+    entries: dict[EntryKey, Entry] = {}
+    for event in found:
+        key = event.key
+        if key not in entries:
+            entries[key] = Entry(*key)
+        entries[key].apply(event)
+    return entries
+
 
+def classify_open(entries: Iterable[Entry], incarnation: int, now_us: int) -> list[Event]:
+    """Return what a new incarnation records of entries that older ones left open.
 
-def explain(entry: Entry, when) -> str:
-    """What is known, what is not and why, in sentences; ``when`` turns a time into text."""
-    said = [
-        f"Request {entry.client_id} of customer {entry.customer:016x} ({entry.plan}, {entry.cls}) was taken "
-        f"at {when(entry.taken)} in life {entry.life}."
+    It sends nothing.
+    """
+    return [
+        events.classified(entry.key, now_us, entry.status.value, incarnation)
+        for entry in entries
+        if entry.incarnation < incarnation and not entry.classification and not entry.answer
     ]
-    for one in entry.tries.values():
-        text = f"Attempt {one.ordinal + 1} to {one.host} was written down at {when(one.intended)}"
-        if one.outcome:
-            text += f" and ended {one.outcome} at {when(one.ended)}"
-            if one.outcome in NOT_RUN:
-                text += ", so it did not run"
-            elif one.outcome != "served":
-                text += ", so it may have run"
-        else:
-            text += (
-                "; the gateway ended before it knew more, so it may have been sent and may have run"
-            )
-        said.append(text + ".")
-    answers = {
-        Meaning.ANSWERED: f"Its good answer was given to the client at {when(entry.answered)}: it ran, once.",
-        Meaning.RAN: "A good answer was seen: it ran, once. Whether the client got the answer is not known.",
-        Meaning.NEVER_SENT: "Nothing of it ran: it is safe to ask again.",
-        Meaning.MAY_HAVE_RUN: "Whether it ran is not known here: import the host's list of issued reports to tell.",
-    }
-    if entry.imported:
-        said.append(f"The list of {entry.imported} says that it was issued.")
-    if entry.answer and entry.answer != "served":
-        said.append(
-            f"The client was told that it {'was refused' if entry.answer == 'refused' else 'failed'}."
-        )
-    said.append(answers[entry.meaning])
-    return " ".join(said)
--- a/saffrongw/ledger/reconcile.py
+++ b/saffrongw/ledger/reconcile.py
@@ -1,106 +1,155 @@
-"""A host's own list of issued reports against the ledger's entries. Pure; the form of the CSV is on the page."""
+"""Compare an endpoint's own list of issued reports with the ledger's entries.
+
+Pure. The form of the CSV is described in ``docs/operate/ledger.md``; the texts of contradictions
+are printed as they are.
+"""
 
 from __future__ import annotations
 
 import csv
 from collections import defaultdict
 from collections.abc import Iterable, Mapping
-from dataclasses import dataclass
+from dataclasses import dataclass, field
+from typing import NamedTuple
 
-from .entries import Entry, Event, Kind, Meaning
+from . import events
+from .entries import Entry, ExecutionStatus
+from .events import EntryKey, Event
 
 COLUMNS = ("customer", "request", "host", "issued_ms")
-LINES_MOST = 1_000_000
+MAX_LINES = 1_000_000
+US_PER_MS = 1_000
+
+
+class IssuedListError(Exception):
+    """A list of issued reports can't be used; the message names file, line and cause."""
+
+
+class RequestKey(NamedTuple):
+    """What a list and the ledger both know of a request."""
 
+    customer: int
+    client_request_id: str
 
-class ListError(Exception):
-    """A list that can't be used; it names the line and the cause."""
+    def __str__(self) -> str:
+        """Return its name in messages."""
+        return f"request {self.client_request_id} of customer {self.customer:016x}"
 
 
 @dataclass(frozen=True, slots=True)
-class Issued:
-    """One line of a host's list."""
+class IssuedReport:
+    """One line of an endpoint's list."""
 
     line: int
-    customer: int
-    request: str
-    host: str
-    at: int  # us
+    request: RequestKey
+    endpoint: str
+    issued_at_us: int
 
 
 @dataclass(frozen=True, slots=True)
-class Result:
+class Reconciliation:
     """What a list settles, and what contradicts the ledger."""
 
     settled: tuple[Event, ...]
-    known: int  # lines of entries that were known to have run
+    # Lines of entries that were known to have run.
+    known_count: int
     contradictions: tuple[str, ...]
 
 
-def parse(lines: Iterable[str], name: str) -> list[Issued]:
-    """The lines of a CSV with a header; ``ListError`` names file, line and cause."""
+def parse_issued(lines: Iterable[str], file_name: str) -> list[IssuedReport]:
+    """Parse a CSV with a header; raises ``IssuedListError``."""
     rows = csv.reader(lines)
     header = next(rows, None)
-    if header is None or tuple(h.strip() for h in header) != COLUMNS:
-        raise ListError(f"{name}:1: the header must be {','.join(COLUMNS)}")
-    found = []
-    for number, row in enumerate(rows, 2):
+    if header is None or tuple(cell.strip() for cell in header) != COLUMNS:
+        raise IssuedListError(f"{file_name}:1: the header must be {','.join(COLUMNS)}")
+    reports = []
+    for line, row in enumerate(rows, 2):
         if not row:
             continue
-        if number > LINES_MOST:
-            raise ListError(f"{name}:{number}: more than {LINES_MOST} lines")
+        if line > MAX_LINES:
+            raise IssuedListError(f"{file_name}:{line}: more than {MAX_LINES} lines")
         if len(row) != len(COLUMNS):
-            raise ListError(f"{name}:{number}: {len(COLUMNS)} columns are needed, not {len(row)}")
-        customer, request, host, at = (cell.strip() for cell in row)
-        try:
-            found.append(Issued(number, int(customer, 16), request, host, int(at) * 1000))
-        except ValueError:
-            raise ListError(
-                f"{name}:{number}: customer is no hex number, or issued_ms is no number"
-            ) from None
-    return found
+            raise IssuedListError(
+                f"{file_name}:{line}: {len(COLUMNS)} columns are needed, not {len(row)}"
+            )
+        reports.append(_report(row, line, file_name))
+    return reports
+
+
+def _report(row: list[str], line: int, file_name: str) -> IssuedReport:
+    customer, request_id, endpoint, issued_ms = (cell.strip() for cell in row)
+    try:
+        request = RequestKey(int(customer, 16), request_id)
+        return IssuedReport(line, request, endpoint, int(issued_ms) * US_PER_MS)
+    except ValueError:
+        raise IssuedListError(
+            f"{file_name}:{line}: customer is no hex number, or issued_ms is no number"
+        ) from None
+
+
+@dataclass(slots=True)
+class _Findings:
+    """What is found while a list is gone through."""
+
+    now_us: int
+    settled: list[Event] = field(default_factory=list)
+    known_count: int = 0
+    contradictions: list[str] = field(default_factory=list)
+
+    def check(self, reports: list[IssuedReport], entries: list[Entry]) -> None:
+        """Compare the reports and the entries of one request."""
+        report = reports[0]
+        request = report.request
+        issued = f"{request} was issued by {report.endpoint} (line {report.line})"
+        may_have_run = _with_status(entries, ExecutionStatus.MAY_HAVE_RUN)
+        if len(reports) > 1:
+            where = ", ".join(f"{one.endpoint} (line {one.line})" for one in reports)
+            self._contradict(f"{request} was issued {len(reports)} times: {where}")
+        elif not entries:
+            self._contradict(f"{issued} and stands in no entry")
+        elif _with_status(entries, ExecutionStatus.RAN, ExecutionStatus.ANSWERED):
+            self.known_count += 1
+        elif len(may_have_run) > 1:
+            names = ", ".join(entry.name for entry in may_have_run)
+            self._contradict(
+                f"{request} was issued once and may have run in more than one entry: {names}"
+            )
+        elif not may_have_run:
+            self._contradict(f"{issued} and was never sent by its entry")
+        else:
+            self._settle(may_have_run[0], report, issued)
+
+    def _settle(self, entry: Entry, report: IssuedReport, issued: str) -> None:
+        """Settle an entry that may have run, where it was sent to the endpoint that lists it."""
+        if report.endpoint not in {attempt.endpoint for attempt in entry.attempts.values()}:
+            self._contradict(f"{issued}, to which entry {entry.name} sent nothing")
+            return
+        self.settled.append(
+            events.imported(entry.key, self.now_us, report.endpoint, report.issued_at_us)
+        )
+
+    def _contradict(self, text: str) -> None:
+        self.contradictions.append(text)
+
+
+def _with_status(entries: list[Entry], *statuses: ExecutionStatus) -> list[Entry]:
+    return [entry for entry in entries if entry.status in statuses]
 
 
 def reconcile(
-    entries: Mapping[tuple[int, int], Entry], issued: Iterable[Issued], now: int
-) -> Result:
-    """What the list says of the entries. One that contradicts them settles nothing."""
-    by_request: dict[tuple[int, str], list[Entry]] = defaultdict(list)
+    entries: Mapping[EntryKey, Entry], issued: Iterable[IssuedReport], now_us: int
+) -> Reconciliation:
+    """Return what a list says of the entries; a line that contradicts them settles nothing."""
+    entries_by_request: dict[RequestKey, list[Entry]] = defaultdict(list)
     for entry in entries.values():
-        by_request[entry.customer, entry.client_id].append(entry)
-    by_line: dict[tuple[int, str], list[Issued]] = defaultdict(list)
-    for one in issued:
-        by_line[one.customer, one.request].append(one)
-    settled, known, wrong = [], 0, []
-    for key, lines in by_line.items():
-        what = f"request {key[1]} of customer {key[0]:016x}"
-        found = by_request.get(key, [])
-        if len(lines) > 1:
-            where = ", ".join(f"{one.host} (line {one.line})" for one in lines)
-            wrong.append(f"{what} was issued {len(lines)} times: {where}")
-            continue
-        (line,) = lines
-        if not found:
-            wrong.append(
-                f"{what} was issued by {line.host} (line {line.line}) and stands in no entry"
-            )
-            continue
-        open_ = [e for e in found if e.meaning is Meaning.MAY_HAVE_RUN]
-        ran = [e for e in found if e.meaning in (Meaning.RAN, Meaning.ANSWERED)]
-        if ran:
-            known += 1
-        elif len(open_) > 1:
-            names = ", ".join(e.name for e in open_)
-            wrong.append(f"{what} was issued once and may have run in more than one entry: {names}")
-        elif not open_:
-            wrong.append(
-                f"{what} was issued by {line.host} (line {line.line}) and was never sent by its entry"
-            )
-        elif line.host not in {t.host for t in open_[0].tries.values()}:
-            wrong.append(
-                f"{what} was issued by {line.host} (line {line.line}), to which entry {open_[0].name} sent nothing"
-            )
-        else:
-            data = {"host": line.host, "issued": line.at}
-            settled.append(Event(open_[0].life, open_[0].number, Kind.IMPORTED, now, data))
-    return Result(tuple(settled), known, tuple(wrong))
+        key = RequestKey(entry.customer, entry.client_request_id)
+        entries_by_request[key].append(entry)
+    reports_by_request: dict[RequestKey, list[IssuedReport]] = defaultdict(list)
+    for report in issued:
+        reports_by_request[report.request].append(report)
+    findings = _Findings(now_us)
+    for request, reports in reports_by_request.items():
+        findings.check(reports, entries_by_request.get(request, []))
+    return Reconciliation(
+        tuple(findings.settled), findings.known_count, tuple(findings.contradictions)
+    )
--- a/saffrongw/ledger/request_filter.py
+++ b/saffrongw/ledger/request_filter.py
@@ -1,4 +1,8 @@
-"""Between the driver and its hosts: an attempt of an unsafe class is sent only once its intent is on the disk."""
+"""Hold attempts of non-idempotent requests back until their intents are durable.
+
+The filter rejects such requests while nothing can be written, the cluster in between holds their
+attempts back, and the observer records what follows.
+"""
 
 from __future__ import annotations
 
@@ -20,198 +24,244 @@
 from saffrongw.gateway.filter_chain import FilteringDriver, ObservedCluster
 
 from ..policy.events import AttemptOutcome
-from .entries import Event, Kind
-from .store import now_us
-from .writer import Writer
+from . import events
+from .entries import SERVED
+from .events import EntryKey, RecordedRequest
+from .schema import now_us
+from .writer import LedgerWriter
 
 DIGEST_BYTES = 16
-WHOLE_FIRST, WHOLE_MOST = (
-    0.002,
-    0.2,
-)  # seconds between two looks whether a request's last byte has left
-UP_WITHIN = 0.5  # seconds at the start for the ledger to open before clients are served
-
-
-class _GatedHosts(ObservedCluster):
-    """Sends to hosts, those of unsafe classes once they are written down."""
+# Between two looks whether the last byte of an attempt was sent: the first, and the bound of
+# doubling.
+MIN_SENT_INTERVAL_S = 0.002
+MAX_SENT_INTERVAL_S = 0.2
+# At the start, for the ledger to open before clients are served.
+OPEN_TIMEOUT_S = 0.5
+OPEN_INTERVAL_S = 0.01
+# The part of a request that is its body, where it has one.
+BODY_PART = 5
+CLIENT_REQUEST_ID_PART = 2
+
+# Outcomes and answers as they are recorded.
+NEVER_SENT = "never sent"
+NOT_CONNECTED = "not connected"
+REFUSED = "refused"
+FAILED = "failed"
+
+
+class _GatedCluster(ObservedCluster):
+    """Sends attempts upstream, those of recorded classes once they are durable."""
 
     def __init__(self, inner: Upstream, ledger: LedgerFilter) -> None:
         super().__init__(inner)
         self.ledger = ledger
 
     def send(self, attempt: UpstreamAttempt) -> None:
-        """At once, or when the intent is durable."""
-        if attempt.call.event.kind in self.ledger.kinds:
+        """Send an attempt at once, or when its intent is durable."""
+        if attempt.call.event.kind in self.ledger.request_classes:
             self.ledger.intend(attempt, self.inner)
         else:
             super().send(attempt)
 
 
 @dataclass(slots=True)
-class _Entered:
-    """A request whose first intent is on the disk: the life that it is written under, attempts that are recorded."""
+class _RecordedEntry:
+    """A request whose first intent is durable: its entry, and the attempts that are recorded."""
 
-    life: int
+    key: EntryKey
     ordinals: set[int] = field(default_factory=set)
 
 
 class LedgerFilter(Observer):
-    """Stage, observer and service in one: refuses while nothing can be written, gates sends, records what follows."""
+    """Request filter, observer and service in one, for the request classes that are recorded."""
 
     name = "ledger"
     fallback: Verdict = Reject()
 
+    driver: FilteringDriver
+    writer: LedgerWriter
+
     def __init__(
         self,
         folder: Path,
-        kinds: frozenset[int],
-        classes: Sequence[str],
-        plans: Sequence[str],
-        queue_most: int,
-        keep: float,
-        most: int,
-        bodies: bool,
+        request_classes: frozenset[int],
+        class_names: Sequence[str],
+        plan_names: Sequence[str],
+        max_pending: int,
+        retention_s: float,
+        max_bytes: int,
+        with_bodies: bool,
     ) -> None:
-        self.folder, self.kinds, self.classes, self.plans = folder, kinds, classes, plans
-        self.queue_most, self.keep, self.most, self.bodies = queue_most, keep, most, bodies
-        self.entered: dict[int, _Entered] = {}  # requests with an intent
-        self.writer: Writer | None = None
+        """Begin without a writer; the bounds are those of ``LedgerWriter``."""
+        self.folder = folder
+        self.request_classes = request_classes
+        self.class_names = class_names
+        self.plan_names = plan_names
+        self.max_pending = max_pending
+        self.retention_s = retention_s
+        self.max_bytes = max_bytes
+        self.with_bodies = with_bodies
+        # Requests with a durable intent, by their numbers.
+        self.entries: dict[int, _RecordedEntry] = {}
+
+    # -- the service --
 
     async def start(self, driver: FilteringDriver) -> None:
-        """Open the ledger; a gateway whose ledger can't be opened serves all but unsafe requests."""
+        """Open the ledger; a gateway whose ledger can't be opened serves all other requests."""
         self.driver = driver
-        self.writer = Writer(
-            self.folder, asyncio.get_running_loop(), self.queue_most, self.keep, self.most
+        self.writer = LedgerWriter(
+            self.folder,
+            asyncio.get_running_loop(),
+            self.max_pending,
+            self.retention_s,
+            self.max_bytes,
         )
-        driver.wrap_hosts(lambda inner: _GatedHosts(inner, self))
+        driver.wrap_hosts(lambda inner: _GatedCluster(inner, self))
         self.writer.start()
-        for _ in range(int(UP_WITHIN / 0.01)):
-            if self.writer.tried.is_set():
+        for _ in range(int(OPEN_TIMEOUT_S / OPEN_INTERVAL_S)):
+            if self.writer.first_open_done.is_set():
                 break
-            await asyncio.sleep(0.01)
+            await asyncio.sleep(OPEN_INTERVAL_S)
 
     async def stop(self) -> None:
-        """Write what waits."""
+        """Write what is queued."""
         await asyncio.get_running_loop().run_in_executor(None, self.writer.stop)
 
-    # -- the stage ------------------------------------------------------------------------------------------------
+    # -- the request filter --
 
     def on_request(self, request: FilteredRequest) -> Verdict:
-        """Refused at once and harmlessly where it could not be written down; nothing was counted yet."""
-        if request.terms.kind in self.kinds and not self.writer.ready:
+        """Reject a request that could not be recorded, before anything of it is counted."""
+        if request.terms.kind in self.request_classes and not self.writer.is_ready:
             return Reject()
         return Continue()
 
     def on_end(self, request: FilteredRequest, ending: Ending) -> None:
-        """Its answer is recorded by ``answered``; a client that left is seen by what its attempts came to."""
+        """Do nothing.
+
+        The answer is recorded by ``answered``; a client that left is seen by the outcomes of its
+        attempts.
+        """
 
-    # -- the gate -------------------------------------------------------------------------------------------------
+    # -- attempts --
 
-    def intend(self, attempt: UpstreamAttempt, hosts: Upstream) -> None:
-        """Write down, then send; what could not be written down is not sent."""
+    def intend(self, attempt: UpstreamAttempt, cluster: Upstream) -> None:
+        """Record an attempt, then send it; one that could not be recorded is not sent."""
         call = attempt.call
-        number, ordinal = call.event.request, attempt.number
-        data = {
-            "ordinal": ordinal,
-            "host": attempt.endpoint_id.decode("utf-8", "replace"),
-            "born": self._born(attempt),
-        }
-        entered = self.entered.get(number)
-        if entered is None:
-            data |= self._terms(call)
-        # A store that was opened anew has begun a new life; what belongs to an entry stays with it.
-        life = entered.life if entered else self.writer.life
-        event = Event(life, number, Kind.INTENT, now_us(), data)
-
-        def done(good: bool) -> None:
-            if not good:
+        number = call.event.request
+        entry = self.entries.get(number)
+        # A store that was reopened has begun a new incarnation; an entry stays with its own.
+        key = entry.key if entry else EntryKey(self.writer.incarnation, number)
+        endpoint_started_at_us = self._endpoint_started_at_us(attempt)
+        request = None if entry else self._recorded_request(call)
+        event = events.intent(
+            key,
+            now_us(),
+            attempt.number,
+            attempt.endpoint_id.decode("utf-8", "replace"),
+            endpoint_started_at_us,
+            request,
+        )
+
+        def callback(is_durable: bool) -> None:
+            if is_durable:
+                self._send(attempt, cluster, key)
+            else:
                 self.driver.attempt_ended(attempt, AttemptOutcome.NOT_SENT)
-                return
-            self.entered.setdefault(number, _Entered(life)).ordinals.add(ordinal)
-            # Its time may have been up, or its client gone, before it was written.
-            if attempt.ended or call.finished:
-                self._follow(number, Kind.OUTCOME, ordinal=ordinal, outcome="never sent")
-                if not attempt.ended:
-                    self.driver.attempt_ended(attempt, AttemptOutcome.NOT_SENT)
-                if call.finished:
-                    self._forget(call)
-                return
-            attempt.sent = self.driver.clock()  # the disk's time is not the host's
-            hosts.send(attempt)
-            self._whole(attempt, WHOLE_FIRST)
-
-        if not self.writer.intend(event, done):
+
+        if not self.writer.intend(event, callback):
             asyncio.get_running_loop().call_soon(
                 self.driver.attempt_ended, attempt, AttemptOutcome.NOT_SENT
             )
 
-    def _whole(self, attempt: UpstreamAttempt, wait: float) -> None:
-        """Record when the last byte has left: at once as a rule, else where a connection has to be opened first."""
+    def _send(self, attempt: UpstreamAttempt, cluster: Upstream, key: EntryKey) -> None:
+        """Send an attempt whose intent is durable, unless it has ended meanwhile."""
+        call = attempt.call
+        entry = self.entries.setdefault(key.request_number, _RecordedEntry(key))
+        entry.ordinals.add(attempt.number)
+        # It may have timed out, or its client gone, before it was durable.
+        if attempt.ended or call.finished:
+            self.writer.record(events.outcome(entry.key, now_us(), attempt.number, NEVER_SENT))
+            if not attempt.ended:
+                self.driver.attempt_ended(attempt, AttemptOutcome.NOT_SENT)
+            if call.finished:
+                self._drop_entry(call)
+            return
+        # The disk's time does not count as the endpoint's.
+        attempt.sent = self.driver.clock()
+        cluster.send(attempt)
+        self._record_fully_sent(attempt, MIN_SENT_INTERVAL_S)
+
+    def _record_fully_sent(self, attempt: UpstreamAttempt, interval_s: float) -> None:
+        """Record when the last byte was sent.
+
+        As a rule that is at once, but later where a connection has to be opened first.
+        """
         if attempt.whole:
-            if self._recorded(attempt):
-                self._follow(attempt.call.event.request, Kind.WHOLE, ordinal=attempt.number)
+            entry = self._entry_with(attempt)
+            if entry:
+                self.writer.record(events.fully_sent(entry.key, now_us(), attempt.number))
         elif not attempt.ended:
+            next_interval_s = min(2 * interval_s, MAX_SENT_INTERVAL_S)
             asyncio.get_running_loop().call_later(
-                wait, self._whole, attempt, min(2 * wait, WHOLE_MOST)
+                interval_s, self._record_fully_sent, attempt, next_interval_s
             )
 
-    def _born(self, attempt: UpstreamAttempt) -> int:
-        host = self.driver.gateway.hosts.get(attempt.endpoint_id)
-        return host.entry.started_at_us if host else 0
+    def _endpoint_started_at_us(self, attempt: UpstreamAttempt) -> int:
+        endpoint = self.driver.gateway.hosts.get(attempt.endpoint_id)
+        return endpoint.entry.started_at_us if endpoint else 0
 
-    def _terms(self, call: ClientRequest) -> dict:
+    def _recorded_request(self, call: ClientRequest) -> RecordedRequest:
         event, parts = call.event, call.parts
-        body = parts[5] if len(parts) > 5 else b""
-        terms = {
-            "customer": event.customer,
-            "id": parts[2].decode("ascii", "replace"),
-            "plan": self.plans[event.plan],
-            "class": self.classes[event.kind],
-            "bytes": len(body),
-            "digest": blake2b(body, digest_size=DIGEST_BYTES).hexdigest(),
-            "taken": now_us(),
-        }
-        return terms | {"body": body.hex()} if self.bodies else terms
-
-    def _follow(self, number: int, kind: Kind, **data) -> None:
-        self.writer.follow(Event(self.entered[number].life, number, kind, now_us(), data))
-
-    def _recorded(self, attempt: UpstreamAttempt) -> bool:
-        """Whether this attempt's intent is on the disk."""
-        entered = self.entered.get(attempt.call.event.request)
-        return entered is not None and attempt.number in entered.ordinals
-
-    def _forget(self, call: ClientRequest, ending: UpstreamAttempt | None = None) -> None:
-        """An answered call is kept no longer than the last of its attempts is out."""
-        if all(a.ended or a is ending for a in call.attempts):
-            self.entered.pop(call.event.request, None)
-
-    # -- the observer -----------------------------------------------------------------------------------------------
+        body = parts[BODY_PART] if len(parts) > BODY_PART else b""
+        return RecordedRequest(
+            customer=event.customer,
+            client_request_id=parts[CLIENT_REQUEST_ID_PART].decode("ascii", "replace"),
+            plan=self.plan_names[event.plan],
+            request_class=self.class_names[event.kind],
+            body_bytes=len(body),
+            digest=blake2b(body, digest_size=DIGEST_BYTES).hexdigest(),
+            body_hex=body.hex() if self.with_bodies else None,
+            received_at_us=now_us(),
+        )
+
+    def _entry_with(self, attempt: UpstreamAttempt) -> _RecordedEntry | None:
+        """Return the entry of an attempt whose intent is durable."""
+        entry = self.entries.get(attempt.call.event.request)
+        return entry if entry is not None and attempt.number in entry.ordinals else None
+
+    def _drop_entry(self, call: ClientRequest, ending: UpstreamAttempt | None = None) -> None:
+        """Drop the entry of an answered request once its last attempt has ended."""
+        if all(attempt.ended or attempt is ending for attempt in call.attempts):
+            self.entries.pop(call.event.request, None)
+
+    # -- the observer --
 
     def attempt_ended(self, attempt: UpstreamAttempt, outcome: AttemptOutcome) -> None:
-        """Recorded in a group: it delays nobody."""
-        number = attempt.call.event.request
-        if self._recorded(attempt):
-            never = not attempt.whole and outcome in (
-                AttemptOutcome.TIMED_OUT,
-                AttemptOutcome.CANCELLED,
-            )
-            # What was given up before its last byte had left has not run: hosts begin at the last byte.
-            said = "not connected" if never else outcome.value
-            self._follow(number, Kind.OUTCOME, ordinal=attempt.number, outcome=said)
-            if attempt.call.finished:
-                self._forget(attempt.call, ending=attempt)
+        """Record an outcome; nobody waits for it."""
+        entry = self._entry_with(attempt)
+        if entry is None:
+            return
+        # What was given up before its last byte was sent has not run: endpoints begin at the last
+        # byte.
+        has_not_run = not attempt.whole and outcome in (
+            AttemptOutcome.TIMED_OUT,
+            AttemptOutcome.CANCELLED,
+        )
+        text = NOT_CONNECTED if has_not_run else outcome.value
+        self.writer.record(events.outcome(entry.key, now_us(), attempt.number, text))
+        if attempt.call.finished:
+            self._drop_entry(attempt.call, ending=attempt)
 
     def answered(self, call: ClientRequest, reply: bytes) -> None:
-        """The final answer is about to be written."""
-        number = call.event.request
-        if number in self.entered:
-            kind = (
-                "served"
-                if reply[:1] == b"$"
-                else "refused"
-                if reply.startswith(b"-BUSY")
-                else "failed"
-            )
-            self._follow(number, Kind.ANSWER, answer=kind)
-            self._forget(call)
+        """Record the final answer, which is about to be written to the client."""
+        entry = self.entries.get(call.event.request)
+        if entry is None:
+            return
+        self.writer.record(events.answer(entry.key, now_us(), _answer_text(reply)))
+        self._drop_entry(call)
+
+
+def _answer_text(reply: bytes) -> str:
+    if reply[:1] == b"$":
+        return SERVED
+    return REFUSED if reply.startswith(b"-BUSY") else FAILED
--- a/saffrongw/ledger/writer.py
+++ b/saffrongw/ledger/writer.py
@@ -1,7 +1,9 @@
-"""The ledger's one thread: batches of what waits, one commit for each, callbacks on the loop when it is on the disk.
+"""The ledger's one thread, which commits events in batches.
 
-No timer delays a lone request: the thread commits what there is as soon as it is free. What comes meanwhile makes the
-next batch.
+It calls back on the event loop once they are durable.
+
+No timer delays a lone request: the thread commits what there is as soon as it is free. What arrives
+meanwhile makes the next batch.
 """
 
 from __future__ import annotations
@@ -15,167 +17,229 @@
 from collections import deque
 from collections.abc import Callable
 from pathlib import Path
+from typing import NamedTuple
 
-from .entries import Event
-from .store import Store, StoreError, now_us
+from .events import Event
+from .schema import LedgerStoreError, now_us
+from .store import LedgerStore
 
 log = logging.getLogger(__name__)
 
-BATCH_MOST = 512
-AGAIN = 1.0  # seconds between two tries to open a store that failed
-LATER_MOST = 20_000  # records that may follow and wait for a disk that is away
-LOOK = 1.0  # seconds between two looks into the inbox
-TRIM_EVERY, TRIM_NEXT = (
-    60.0,
-    1.0,
-)  # seconds between two looks for what to forget, while there was some
-Done = Callable[[bool], None]
+MAX_BATCH = 512
+# Between two attempts to open a store that failed.
+REOPEN_INTERVAL_S = 1.0
+# Events without a callback that wait in memory while the disk is away.
+MAX_DEFERRED = 20_000
+# Between two looks into the inbox, and the longest wait for an event.
+INBOX_INTERVAL_S = 1.0
+# Between two trims, and after one that forgot something.
+TRIM_INTERVAL_S = 60.0
+TRIM_MORE_INTERVAL_S = 1.0
+STOP_TIMEOUT_S = 2.0
+US_PER_S = 1e6
+
+# Called on the event loop with whether an event is durable.
+DurableCallback = Callable[[bool], None]
+
+
+class QueuedEvent(NamedTuple):
+    """An event on its way to the thread, with the callback of an intent."""
 
+    event: Event
+    callback: DurableCallback | None
 
-class Writer:
-    """``intend`` and ``follow`` from the loop; the store belongs to the thread."""
+
+class LedgerWriter:
+    """Intents and other events from the event loop; the store belongs to the thread.
+
+    ``intend`` and ``record`` are called on the event loop.
+    """
 
     def __init__(
-        self, folder: Path, loop: asyncio.AbstractEventLoop, queue_most: int, keep: float, most: int
+        self,
+        folder: Path,
+        loop: asyncio.AbstractEventLoop,
+        max_pending: int,
+        retention_s: float,
+        max_bytes: int,
     ) -> None:
-        self.store, self.loop, self.queue_most = Store(folder), loop, queue_most
-        self.keep, self.most = keep, most  # seconds / bytes
-        self.waiting: queue.SimpleQueue[tuple[Event, Done | None] | None] = queue.SimpleQueue()
-        self.later: deque[Event] = deque(maxlen=LATER_MOST)
-        self.pending = 0  # intents whose callbacks have not run yet; on the loop only
-        self.up = False
-        self.why = ""
-        self.tried = threading.Event()  # the store was opened, or could not be
-        self.life = 0
-        self.commits = self.written = 0
-        self.ending = threading.Event()
+        """Begin without a thread.
+
+        ``max_pending`` bounds intents that wait for the disk; settled entries are forgotten after
+        ``retention_s``, and sooner while the file is larger than ``max_bytes``.
+        """
+        self.store = LedgerStore(folder)
+        self.loop = loop
+        self.max_pending = max_pending
+        self.retention_s = retention_s
+        self.max_bytes = max_bytes
+        # None wakes the thread up so that it ends.
+        self.queue: queue.SimpleQueue[QueuedEvent | None] = queue.SimpleQueue()
+        # Events without a callback that could not be written yet; the thread's.
+        self.deferred: deque[Event] = deque(maxlen=MAX_DEFERRED)
+        # Intents whose callbacks have not run yet; the event loop's.
+        self.pending = 0
+        self.is_open = False
+        # Why the store could not be used last.
+        self.cause = ""
+        # Set once the store was opened, or could not be.
+        self.first_open_done = threading.Event()
+        self.incarnation = 0
+        self.commits = 0
+        self.written = 0
+        self.stopping = threading.Event()
         self.thread = threading.Thread(target=self._run, name="ledger", daemon=True)
 
+    # -- on the event loop --
+
     def start(self) -> None:
-        """Begin; ``up`` tells when it can be written to."""
+        """Start the thread; ``is_open`` says when the store can be written to."""
         self.thread.start()
 
     @property
-    def ready(self) -> bool:
-        """Whether an intent may be handed in now."""
-        return self.up and self.pending < self.queue_most
+    def is_ready(self) -> bool:
+        """Whether an intent would be accepted now."""
+        return self.is_open and self.pending < self.max_pending
 
-    def intend(self, event: Event, done: Done) -> bool:
-        """An intent: ``done`` hears on the loop whether it is on the disk. False: it was not taken."""
-        if not self.ready:
+    def intend(self, event: Event, callback: DurableCallback) -> bool:
+        """Write an intent and call back; False where it is not accepted."""
+        if not self.is_ready:
             return False
         self.pending += 1
-        self.waiting.put((event, done))
+        self.queue.put(QueuedEvent(event, callback))
         return True
 
-    def follow(self, event: Event) -> None:
-        """A record that nobody waits for."""
-        self.waiting.put((event, None))
+    def record(self, event: Event) -> None:
+        """Write an event that nobody waits for."""
+        self.queue.put(QueuedEvent(event, None))
 
-    def stop(self, within: float = 2.0) -> None:
-        """Write what waits, then end."""
-        self.ending.set()
-        self.waiting.put(None)
-        self.thread.join(within)
+    def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> None:
+        """Write what is queued and end the thread."""
+        self.stopping.set()
+        self.queue.put(None)
+        self.thread.join(timeout_s)
 
-    # -- the thread -------------------------------------------------------------------------------------------------
+    def _notify(self, callbacks: list[DurableCallback], is_durable: bool) -> None:
+        self.pending -= len(callbacks)
+        for callback in callbacks:
+            try:
+                callback(is_durable)
+            except Exception:
+                log.exception("ledger: callback failed")
+
+    # -- in the thread --
 
     def _run(self) -> None:
-        trimmed = looked = time.monotonic()
-        while not self.ending.is_set() or not self.waiting.empty():
-            if not self.up and not self._open():
-                # While the store is away nothing is held.
-                self._failed(self._at_hand(self.waiting.qsize()))
-                if self.ending.wait(AGAIN):
+        trimmed_at = inbox_at = time.monotonic()
+        while not self.stopping.is_set() or not self.queue.empty():
+            if not self.is_open and not self._open():
+                # While the store is unavailable no intent is held up.
+                self._fail(self._queued(self.queue.qsize()))
+                if self.stopping.wait(REOPEN_INTERVAL_S):
                     break
                 continue
-            batch = self._batch()
+            batch = self._next_batch()
             if batch:
                 self._commit(batch)
-            if self.up and time.monotonic() - looked > LOOK:
-                looked = time.monotonic()
-                try:
-                    self.store.take_inbox()
-                except Exception as wrong:
-                    self._down(wrong)
-            if self.up and time.monotonic() - trimmed > TRIM_EVERY:
-                trimmed = time.monotonic()
-                try:
-                    if self.store.trim(now_us() - int(self.keep * 1e6), self.most):
-                        trimmed -= TRIM_EVERY - TRIM_NEXT  # there is more to forget: sooner again
-                except Exception as wrong:
-                    self._down(wrong)
-        self.up = False
+            if self.is_open and time.monotonic() - inbox_at > INBOX_INTERVAL_S:
+                inbox_at = time.monotonic()
+                self._run_step(self._take_inbox)
+            if self.is_open and time.monotonic() - trimmed_at > TRIM_INTERVAL_S:
+                trimmed_at = time.monotonic()
+                if self._run_step(self._trim):
+                    # There may be more to forget: sooner again.
+                    trimmed_at -= TRIM_INTERVAL_S - TRIM_MORE_INTERVAL_S
+        self.is_open = False
         self.store.close()
 
     def _open(self) -> bool:
         try:
             self.store.open()
-        except StoreError as wrong:
-            if str(wrong) != self.why:  # once for each cause
-                log.error("ledger: unsafe requests are refused: %s", wrong)
-            self.why = str(wrong)
-            self.tried.set()
+        except LedgerStoreError as error:
+            # Logged once for each cause.
+            if str(error) != self.cause:
+                self._log_unavailable(error)
+            self.cause = str(error)
+            self.first_open_done.set()
             return False
-        if self.life:
-            log.warning("ledger: open again, life %d", self.store.life)
-        self.life = self.store.life
-        self.up, self.why = True, ""
-        self.tried.set()
+        if self.incarnation:
+            log.warning("ledger: reopened: incarnation=%d", self.store.incarnation)
+        self.incarnation = self.store.incarnation
+        self.is_open = True
+        self.cause = ""
+        self.first_open_done.set()
         return True
 
-    def _batch(self) -> list[tuple[Event, Done | None]]:
+    def _run_step(self, step: Callable[[], bool]) -> bool:
+        """Take a step with the store; whatever fails closes the store, and the thread goes on."""
+        try:
+            return step()
+        except Exception as error:  # noqa: BLE001  a disk may fail in any way
+            self._close_failed(error)
+            return False
+
+    def _close_failed(self, error: Exception) -> None:
+        self.is_open = False
+        self.cause = str(error)
+        self.store.close()
+        self._log_unavailable(error)
+
+    def _log_unavailable(self, error: Exception) -> None:
+        log.error("ledger: unavailable, non-idempotent requests rejected: cause=%s", error)
+
+    def _take_inbox(self) -> bool:
+        return self.store.take_inbox() > 0
+
+    def _trim(self) -> bool:
+        before_us = now_us() - int(self.retention_s * US_PER_S)
+        return self.store.trim(before_us, self.max_bytes) > 0
+
+    def _next_batch(self) -> list[QueuedEvent]:
+        """Wait for an event; return it with those that are queued behind it."""
         try:
-            first = self.waiting.get(timeout=LOOK)
+            first = self.queue.get(timeout=INBOX_INTERVAL_S)
         except queue.Empty:
             return []
-        return ([] if first is None else [first]) + self._at_hand(BATCH_MOST - 1)
+        return ([] if first is None else [first]) + self._queued(MAX_BATCH - 1)
 
-    def _at_hand(self, most: int) -> list[tuple[Event, Done | None]]:
-        """Up to so many of what waits, without waiting."""
-        found = []
-        while len(found) < most:
+    def _queued(self, max_count: int) -> list[QueuedEvent]:
+        """Return queued events without waiting."""
+        found: list[QueuedEvent] = []
+        while len(found) < max_count:
             try:
-                item = self.waiting.get_nowait()
+                queued = self.queue.get_nowait()
             except queue.Empty:
                 break
-            if item is not None:
-                found.append(item)
+            if queued is not None:
+                found.append(queued)
         return found
 
-    def _commit(self, batch: list[tuple[Event, Done | None]]) -> None:
-        late = [self.later.popleft() for _ in range(min(len(self.later), BATCH_MOST))]
-        try:
-            self.store.commit([*late, *(event for event, _ in batch)])
-        except Exception as wrong:  # a disk that fails in any way: nothing of the batch counts
-            self.later.extendleft(reversed(late))
-            self._down(wrong)
-            self._failed(batch)
-            return
-        self.commits += 1
-        self.written += len(late) + len(batch)
-        self._tell(batch, True)
-
-    def _tell(self, batch: list[tuple[Event, Done | None]], good: bool) -> None:
-        dones = [done for _, done in batch if done]
-        if dones:
-            with contextlib.suppress(RuntimeError):  # the loop has ended
-                self.loop.call_soon_threadsafe(self._told, dones, good)
-
-    def _told(self, dones: list[Done], good: bool) -> None:
-        self.pending -= len(dones)
-        for done in dones:
-            try:
-                done(good)
-            except Exception:
-                log.exception("ledger: a callback failed")
+    def _commit(self, batch: list[QueuedEvent]) -> None:
+        """Write a batch, with deferred events before it; nothing of a batch that failed counts."""
+        deferred_count = min(len(self.deferred), MAX_BATCH)
+        deferred = [self.deferred.popleft() for _ in range(deferred_count)]
+        events = [*deferred, *(queued.event for queued in batch)]
 
-    def _down(self, wrong: Exception) -> None:
-        self.up, self.why = False, str(wrong)
-        self.store.close()
-        log.error("ledger: unsafe requests are refused: %s", wrong)
+        def write() -> bool:
+            self.store.commit(events)
+            return True
 
-    def _failed(self, batch: list[tuple[Event, Done | None]]) -> None:
-        """What was not written: intents hear so, what may follow is kept for later."""
-        self.later.extend(event for event, done in batch if done is None)
-        self._tell(batch, False)
+        if not self._run_step(write):
+            self.deferred.extendleft(reversed(deferred))
+            self._fail(batch)
+            return
+        self.commits += 1
+        self.written += len(events)
+        self._call_back(batch, True)
+
+    def _fail(self, batch: list[QueuedEvent]) -> None:
+        """Call back that intents are not durable, and defer the events that nobody waits for."""
+        self.deferred.extend(queued.event for queued in batch if queued.callback is None)
+        self._call_back(batch, False)
+
+    def _call_back(self, batch: list[QueuedEvent], is_durable: bool) -> None:
+        callbacks = [queued.callback for queued in batch if queued.callback]
+        if callbacks:
+            # The event loop may have ended.
+            with contextlib.suppress(RuntimeError):
+                self.loop.call_soon_threadsafe(self._notify, callbacks, is_durable)
--- a/tests/ledger/kill_points.py
+++ b/tests/ledger/kill_points.py
@@ -1,5 +1,6 @@
-"""A gateway that kills itself (SIGKILL) at one named step of the ledger's way, at the nth time it comes there:
-``python -m tests.ledger.kill_points STEP N``.
+"""A gateway that kills itself (SIGKILL) at one named step of a recorded request.
+
+``python -m tests.ledger.kill_points STEP N`` does so the Nth time that it comes to the step.
 """
 
 from __future__ import annotations
@@ -8,94 +9,94 @@
 import signal
 import sys
 from collections.abc import Callable
+from typing import Any
 
 from saffrongw.__main__ import main
 from saffrongw.gateway.driver import Driver
-from saffrongw.gateway.upstream import cluster as hosting
+from saffrongw.gateway.upstream import cluster
 from saffrongw.ledger import request_filter, store
 
+Step = Callable[[], None]
+
+# The number of the non-idempotent class in the scenario.
+NON_IDEMPOTENT = 2
+
 
-def at(number: int) -> Callable[[], None]:
-    """Dies when it is called so many times."""
-    left = number
+def kill_at(count: int) -> Step:
+    """Return a step that kills the process when it is taken for the given time."""
+    remaining = count
 
     def step() -> None:
-        nonlocal left
-        left -= 1
-        if left == 0:
+        nonlocal remaining
+        remaining -= 1
+        if remaining == 0:
             os.kill(os.getpid(), signal.SIGKILL)
 
     return step
 
 
-def around(
-    owner,
-    name: str,
-    before: Callable[[], None] | None = None,
-    after: Callable[[], None] | None = None,
-) -> None:
-    """Put steps round a method."""
-    plain = getattr(owner, name)
+def wrap(owner: type, name: str, before: Step | None = None, after: Step | None = None) -> None:
+    """Take steps before and after a method."""
+    method = getattr(owner, name)
 
-    def wrapped(*given, **more):
+    def wrapped(*positional: Any, **named: Any) -> Any:
         if before:
             before()
-        found = plain(*given, **more)
+        result = method(*positional, **named)
         if after:
             after()
-        return found
+        return result
 
     setattr(owner, name, wrapped)
 
 
-def unsafe_begin(step: Callable[[], None], after: bool) -> None:
-    """Round the write of an unsafe request to a host's connection."""
-    plain = hosting.UpstreamConnection.begin
+def wrap_send(step: Step, after: bool) -> None:
+    """Take a step before or after a non-idempotent request is written to a connection."""
+    method = cluster.UpstreamConnection.begin
 
-    def begin(self, attempt, now) -> None:
-        unsafe = attempt.call.event.kind == 2
-        if unsafe and not after:
+    def begin(self: Any, attempt: Any, now: int) -> None:
+        is_recorded = attempt.call.event.kind == NON_IDEMPOTENT
+        if is_recorded and not after:
             step()
-        plain(self, attempt, now)
-        if unsafe and after:
+        method(self, attempt, now)
+        if is_recorded and after:
             step()
 
-    hosting.UpstreamConnection.begin = begin
+    cluster.UpstreamConnection.begin = begin
 
 
-def answer(step: Callable[[], None], after: bool) -> None:
-    """Round the final answer of an unsafe request."""
-    plain = Driver._finish
+def wrap_answer(step: Step, after: bool) -> None:
+    """Take a step before or after the final answer of a non-idempotent request."""
+    method = Driver._finish
 
-    def finish(self, call, reply) -> None:
-        unsafe = call.event.kind == 2 and not call.finished
-        if unsafe and not after:
+    def finish(self: Any, call: Any, reply: bytes) -> None:
+        is_recorded = call.event.kind == NON_IDEMPOTENT and not call.finished
+        if is_recorded and not after:
             step()
-        plain(self, call, reply)
-        if unsafe and after:
+        method(self, call, reply)
+        if is_recorded and after:
             step()
 
     Driver._finish = finish
 
 
-STEPS: dict[str, Callable[[Callable[[], None]], None]] = {
-    "before-the-intent": lambda step: around(request_filter.LedgerFilter, "intend", before=step),
-    "before-the-commit": lambda step: around(store.Store, "commit", before=step),
-    "within-the-batch": lambda step: around(store.Store, "_insert", after=step),
-    "after-the-commit": lambda step: around(store.Store, "commit", after=step),
-    "before-the-first-byte": lambda step: unsafe_begin(step, after=False),
-    "after-the-last-byte": lambda step: unsafe_begin(step, after=True),
-    "before-the-outcome": lambda step: around(
-        request_filter.LedgerFilter, "attempt_ended", before=step
-    ),
-    "after-the-outcome": lambda step: around(
-        request_filter.LedgerFilter, "attempt_ended", after=step
-    ),
-    "before-the-answer": lambda step: answer(step, after=False),
-    "after-the-answer": lambda step: answer(step, after=True),
-    "within-recovery": lambda step: around(store.Store, "open_entries", after=step),
+LedgerFilter = request_filter.LedgerFilter
+LedgerStore = store.LedgerStore
+
+STEPS: dict[str, Callable[[Step], None]] = {
+    "before-the-intent": lambda step: wrap(LedgerFilter, "intend", before=step),
+    "before-the-commit": lambda step: wrap(LedgerStore, "commit", before=step),
+    "within-the-batch": lambda step: wrap(LedgerStore, "_insert", after=step),
+    "after-the-commit": lambda step: wrap(LedgerStore, "commit", after=step),
+    "before-the-first-byte": lambda step: wrap_send(step, after=False),
+    "after-the-last-byte": lambda step: wrap_send(step, after=True),
+    "before-the-outcome": lambda step: wrap(LedgerFilter, "attempt_ended", before=step),
+    "after-the-outcome": lambda step: wrap(LedgerFilter, "attempt_ended", after=step),
+    "before-the-answer": lambda step: wrap_answer(step, after=False),
+    "after-the-answer": lambda step: wrap_answer(step, after=True),
+    "within-recovery": lambda step: wrap(LedgerStore, "open_entries", after=step),
 }
 
 if __name__ == "__main__":
-    STEPS[sys.argv[1]](at(int(sys.argv[2])))
+    STEPS[sys.argv[1]](kill_at(int(sys.argv[2])))
     sys.exit(main())
