--- a/benchmarks/ledger_cost.py
+++ b/benchmarks/ledger_cost.py
@@ -1,4 +1,4 @@
-"""What the ledger costs: latency, requests a second at full durability, and idempotent requests beside.
+"""What the ledger costs: latency, durable requests a second, and idempotent requests beside.
 
 Run by hand: ``python -m benchmarks.ledger_cost``. Real gateways with the ledger off and on, rounds
 interleaved; same arrivals; ratios within one run.
