--- a/benchmarks/fleet/earlier_schedule.py
+++ b/benchmarks/fleet/earlier_schedule.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import random
-from typing import Any
+from collections.abc import Callable
 
 from saffrongw.gateway.discovery.poll_schedule import PollRequest, PollSchedule
 
@@ -20,10 +20,10 @@
         draw: random.Random,
         version: int | None = None,
         notification_deadline_s: float = 0.0,
-        **options: Any,  # noqa: ANN401  those of PollSchedule
+        has_clients: Callable[[], bool] = lambda: True,
     ) -> None:
         """Keep the deadline of the settings, which bounded the span after a rejection."""
-        super().__init__(gateways, draw, version, notification_deadline_s, **options)
+        super().__init__(gateways, draw, version, notification_deadline_s, has_clients=has_clients)
         self.configured_deadline_s = notification_deadline_s
 
     def first_poll_span(self) -> float:
--- a/saffrongw/admin/cli.py
+++ b/saffrongw/admin/cli.py
@@ -46,7 +46,9 @@
         elif path.suffix == ".json":
             config = parse_config(path.read_text())
             if config.known.malformed_count:
-                return unusable(f"{path}: known.hosts: {config.known.malformed_count} entries make no sense")
+                return unusable(
+                    f"{path}: known.hosts: {config.known.malformed_count} entries make no sense"
+                )
         else:
             return unusable(f"{path}: neither an operator file (.toml) nor a configuration (.json)")
     except toml_schema.SchemaError as wrong:
--- a/saffrongw/gateway/config.py
+++ b/saffrongw/gateway/config.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 import json
-from collections.abc import Iterator
+from collections.abc import Iterable, Iterator
 from contextlib import contextmanager
 from dataclasses import dataclass
 from typing import Any
@@ -219,7 +219,7 @@
         return int(raw["limits"]["sockets"])
 
 
-def _peers(peers: Any) -> tuple[Address, ...]:  # noqa: ANN401  a value of foreign JSON
+def _peers(peers: Iterable[str]) -> tuple[Address, ...]:
     with _reading("peers"):
         return tuple(parse_address(peer) for peer in peers)
 
--- a/saffrongw/gateway/driver.py
+++ b/saffrongw/gateway/driver.py
@@ -237,7 +237,9 @@
             kind = EndpointListKind.CACHED
         stranded = self.hosts.told(listed)
         self.feed(
-            EndpointListReceived(kind, listed.version, tuple(host.entry for host in listed.endpoints))
+            EndpointListReceived(
+                kind, listed.version, tuple(host.entry for host in listed.endpoints)
+            )
         )
         for attempt in stranded:  # only now: where they go next depends on the list
             self.attempt_ended(attempt, AttemptOutcome.CONNECT_FAILED)
--- a/saffrongw/ledger/inbox.py
+++ b/saffrongw/ledger/inbox.py
@@ -40,9 +40,7 @@
         for path in sorted(self.folder.glob("*.jsonl"))[:MAX_FILES]:
             try:
                 lines = path.read_text().splitlines()[:MAX_LINES]
-                found = [
-                    _valid_event(InboxLine(json.loads(line)), entry_of) for line in lines
-                ]
+                found = [_valid_event(InboxLine(json.loads(line)), entry_of) for line in lines]
             except (OSError, *INBOX_ERRORS):
                 path.rename(path.with_suffix(".bad"))
                 continue
--- a/saffrongw/ledger/schema.py
+++ b/saffrongw/ledger/schema.py
@@ -9,14 +9,16 @@
 LOCK_NAME = "ledger.lock"
 INBOX_NAME = "inbox"
 
+# The text of a statement is stored in the database, so its lines are those of older versions.
 CREATE_TABLES = """
 CREATE TABLE meta (name TEXT PRIMARY KEY, value INTEGER NOT NULL);
 CREATE TABLE events (
-    seq INTEGER PRIMARY KEY, life INTEGER NOT NULL, number INTEGER NOT NULL, kind TEXT NOT NULL, at INTEGER NOT NULL,
+    seq INTEGER PRIMARY KEY, life INTEGER NOT NULL, number INTEGER NOT NULL, kind TEXT NOT NULL, \
+at INTEGER NOT NULL,
     data TEXT NOT NULL, sum BLOB NOT NULL
 );
 CREATE INDEX events_of ON events (life, number);
-"""  # noqa: E501  the text is stored in the database
+"""
 SELECT_EVENTS = "SELECT seq, life, number, kind, at, data, sum FROM events"
 INSERT_EVENT = "INSERT INTO events (life, number, kind, at, data, sum) VALUES (?, ?, ?, ?, ?, ?)"
 COUNT_EVENTS = "SELECT count(*) FROM events"
