--- a/benchmarks/fleet/lease_days.py
+++ b/benchmarks/fleet/lease_days.py
@@ -19,15 +19,15 @@
 from rich.console import Console
 from rich.table import Table
 
-from benchmarks.fleet.leases import Field
+from benchmarks.fleet.leases import SimulatedFleet
 from saffrongw.leases.candidates import shard_name
-from saffrongw.leases.spec import LeaseSpec
-from saffrongw.leases.timing import SECOND, Timing
+from saffrongw.leases.spec import TaskSpec
+from saffrongw.leases.timing import SECOND_US, Timing
 from testbed.simulation.clock import Link
 
-DAY, FROM, UNTIL = 120 * SECOND, 20 * SECOND, 90 * SECOND
+DAY, FROM, UNTIL = 120 * SECOND_US, 20 * SECOND_US, 90 * SECOND_US
 SPECS = tuple(
-    LeaseSpec(f"{once}-{n}", (2 + n) * SECOND, once, SECOND // 2)
+    TaskSpec(f"{once}-{n}", (2 + n) * SECOND_US, once, SECOND_US // 2)
     for once in ("at-least", "at-most")
     for n in range(2)
 )
@@ -36,12 +36,12 @@
 class Faults:
     """Kinds of faults; each draws its own times and places."""
 
-    def __init__(self, field: Field, draw: random.Random) -> None:
+    def __init__(self, field: SimulatedFleet, draw: random.Random) -> None:
         self.field, self.draw, self.fleet = field, draw, field.fleet
 
     def span(self, least: float, most: float) -> tuple[int, int]:
         """From when to when."""
-        length = int(self.draw.uniform(least, most) * SECOND)
+        length = int(self.draw.uniform(least, most) * SECOND_US)
         begin = self.draw.randrange(FROM, max(FROM + 1, UNTIL - length))
         return begin, begin + length
 
@@ -64,11 +64,11 @@
 
     def noise(self) -> None:
         """Doubled and out of order."""
-        self._links(*self.span(5, 40), double=0.3, reorder=0.3, reorder_by=SECOND)
+        self._links(*self.span(5, 40), double=0.3, reorder=0.3, reorder_by=SECOND_US)
 
     def delay(self) -> None:
         """Each message takes up to ten seconds."""
-        most = int(self.draw.uniform(0.2, 10) * SECOND)
+        most = int(self.draw.uniform(0.2, 10) * SECOND_US)
         self._links(*self.span(5, 30), delay=(0, most))
 
     def _sides(self) -> list[list[str]]:
@@ -96,7 +96,7 @@
         for name in self._some():
             self.fleet.at(begin, lambda name=name: self.fleet.stop(name))
             self.fleet.at(
-                end + self.draw.randrange(SECOND), lambda name=name: self.fleet.go_on(name)
+                end + self.draw.randrange(SECOND_US), lambda name=name: self.fleet.go_on(name)
             )
 
     def kill(self) -> None:
@@ -118,9 +118,9 @@
         for name in self._some():
             begin, end = self.span(0.5, 5)
             self.fleet.at(
-                begin, lambda name=name: self.fleet.call(name, lambda node, now: node.leave(now))
+                begin, lambda name=name: self.fleet.call(name, lambda node, now: node.drain(now))
             )
-            self.fleet.at(begin + SECOND // 5, lambda name=name: self.fleet.kill(name))
+            self.fleet.at(begin + SECOND_US // 5, lambda name=name: self.fleet.kill(name))
             self.fleet.at(end, lambda name=name: self.fleet.start(name))
 
     def clock_back(self) -> None:
@@ -128,11 +128,11 @@
         begin, _ = self.span(1, 2)
         for name in self.draw.sample(self.field.names, 8):
             self.fleet.at(
-                begin, lambda name=name: self.field.walls.__setitem__(name, -3_600 * SECOND)
+                begin, lambda name=name: self.field.walls.__setitem__(name, -3_600 * SECOND_US)
             )
             # What runs has its own base: it shows at the next start.
-            self.fleet.at(begin + SECOND, lambda name=name: self.fleet.kill(name))
-            self.fleet.at(begin + 2 * SECOND, lambda name=name: self.fleet.start(name))
+            self.fleet.at(begin + SECOND_US, lambda name=name: self.fleet.kill(name))
+            self.fleet.at(begin + 2 * SECOND_US, lambda name=name: self.fleet.start(name))
 
     def receiver(self) -> None:
         """The receiver is away, and half of its answers are lost."""
@@ -142,7 +142,7 @@
             self.field.receiver.away_until, self.field.answers_lost = end, 0.5
 
         self.fleet.at(begin, away)
-        self.fleet.at(end + 10 * SECOND, lambda: setattr(self.field, "answers_lost", 0.0))
+        self.fleet.at(end + 10 * SECOND_US, lambda: setattr(self.field, "answers_lost", 0.0))
 
 
 KINDS = (
@@ -163,12 +163,14 @@
 
 
 def day(
-    seed: str, kinds: tuple[str, ...] | None = None, plant: Callable[[Field], None] | None = None
+    seed: str,
+    kinds: tuple[str, ...] | None = None,
+    plant: Callable[[SimulatedFleet], None] | None = None,
 ) -> tuple:
     """One day: its kinds of faults, its field, its turns."""
     draw = random.Random(seed)
-    timing = Timing(5 * SECOND, 0.01)
-    field = Field(
+    timing = Timing(5 * SECOND_US, 0.01)
+    field = SimulatedFleet(
         seed, 5, 20, 2, timing, SPECS, Link(delay=(200, draw.choice((2_000, 20_000, 100_000))))
     )
     if plant:
@@ -178,7 +180,7 @@
     for kind in kinds:
         getattr(faults, kind)()
     field.fleet.run(DAY)
-    return kinds, field, field.turns(DAY - 5 * SECOND, 12 * SECOND)
+    return kinds, field, field.turns(DAY - 5 * SECOND_US, 12 * SECOND_US)
 
 
 def judged(seed: str) -> tuple[tuple[str, ...], list[str], Counter[str], int]:
@@ -246,20 +248,20 @@
 def taken_over(seed: str, how: str) -> float:
     """Seconds from a holder's end to the next one's beginning."""
     draw = random.Random(seed)
-    field = Field(seed, 3, 5, 1, Timing(5 * SECOND, 0.01), (), Link(delay=(200, 5_000)))
+    field = SimulatedFleet(seed, 3, 5, 1, Timing(5 * SECOND_US, 0.01), (), Link(delay=(200, 5_000)))
     fleet, lease = field.fleet, shard_name(0, 1)
-    fleet.run(int(draw.uniform(20, 30) * SECOND))
+    fleet.run(int(draw.uniform(20, 30) * SECOND_US))
     holder, at, before = field.holder(lease), fleet.now, len(field.gains)
     if how == "kill":
         fleet.kill(holder)
     elif how == "drain":
-        fleet.call(holder, lambda node, now: node.leave(now))
+        fleet.call(holder, lambda node, now: node.drain(now))
     else:  # cut off with less than a majority
         others = [name for name in field.names if name != holder]
         fleet.split([[holder], others])
-    fleet.run(at + 30 * SECOND)
+    fleet.run(at + 30 * SECOND_US)
     assert not field.breaches, field.breaches
-    return (field.gains[before][0] - at) / SECOND
+    return (field.gains[before][0] - at) / SECOND_US
 
 
 def takeover(count: int) -> int:
@@ -290,14 +292,14 @@
         table.add_column(name, justify="right")
     for gateways in (3, 20, 200):
         for tasks, shards in ((1, 1), (50, 16), (500, 32)):
-            specs = tuple(LeaseSpec(f"t{n}", 60 * SECOND) for n in range(tasks))
+            specs = tuple(TaskSpec(f"t{n}", 60 * SECOND_US) for n in range(tasks))
             link = Link(delay=(200, 2_000))
-            field = Field("traffic", 3, gateways - 3, shards, Timing(), specs, link, True)
+            field = SimulatedFleet("traffic", 3, gateways - 3, shards, Timing(), specs, link, True)
             fleet = field.fleet
-            fleet.run(120 * SECOND)
+            fleet.run(120 * SECOND_US)
             counts, sent, got = fleet.counts.copy(), fleet.sent.copy(), fleet.got.copy()
             began = time.perf_counter()
-            fleet.run(240 * SECOND)
+            fleet.run(240 * SECOND_US)
             took = time.perf_counter() - began
             more = fleet.counts - counts
             voters = sum(fleet.sent[v] - sent[v] for v in field.voters) / 3 / 120
--- a/saffrongw/channel/__init__.py
+++ b/saffrongw/channel/__init__.py
@@ -1,4 +1,5 @@
-"""Datagrams between gateways beside the peers' address of the platform: signed, fresh, bounded. Shared by subsystems.
+"""Signed datagrams between gateways, beside the platform's gossip address; shared by subsystems.
 
-``envelope`` is pure; ``socket`` binds; ``part`` is what ``[channel]`` of the operator file switches on.
+``signed_datagram`` does no I/O; ``socket`` binds; ``component`` is what ``[channel]`` of the
+operator file switches on.
 """
--- a/saffrongw/channel/component.py
+++ b/saffrongw/channel/component.py
@@ -1,8 +1,7 @@
-"""The part that ``[channel]`` switches on: one socket for all that gateways tell each other beside the platform's."""
+"""The component that ``[channel]`` switches on: one socket for the datagrams of all subsystems."""
 
 from __future__ import annotations
 
-import os
 import secrets
 import stat
 from collections.abc import Callable
@@ -11,72 +10,88 @@
 from saffrongw.gateway.config import parse_address
 from saffrongw.gateway.driver import Driver
 
-from .signed_datagram import DatagramCodec, InvalidKeyError, Key
-from .socket import Channel
+from .signed_datagram import DatagramCodec, InvalidKeyError, SharedKey
+from .socket import DatagramChannel
 from .table import ChannelTable
 
+# A key file of at least so many characters may be written in hexadecimal.
+MIN_HEX_CHARACTERS = 32
+INCARNATION_BITS = 62
+# Keys of [channel] that a reload can't change.
+FIXED_KEYS = ("name", "listen")
 
-def read_keys(paths: tuple[str, ...]) -> list[Key]:
-    """The keys in their order; ``ValueError`` names the file that can't be used. Text of 32 and more hex digits, or
-    bytes as they are."""
-    found = []
-    for path in paths:
-        try:
-            mode = os.stat(path).st_mode
-            raw = Path(path).read_bytes().strip()
-        except OSError as wrong:
-            raise ValueError(f"channel.keys: {path}: {wrong.strerror}") from None
-        if mode & (stat.S_IRWXG | stat.S_IRWXO):
-            raise ValueError(f"channel.keys: {path}: others can read it; its mode must be 0600")
-        try:
-            secret = bytes.fromhex(raw.decode()) if len(raw) >= 32 else raw
-        except (ValueError, UnicodeDecodeError):
-            secret = raw
-        try:
-            found.append(Key(secret))
-        except InvalidKeyError as wrong:
-            raise ValueError(f"channel.keys: {path}: {wrong}") from None
-    if len({key.id for key in found}) < len(found):
-        raise ValueError("channel.keys: two files hold the same key")
-    return found
+
+class ChannelTableError(ValueError):
+    """A ``[channel]`` table can't take effect; the message names the key or the file."""
+
+
+def read_keys(paths: tuple[str, ...]) -> list[SharedKey]:
+    """Read the key files in their order.
+
+    Raise ``ChannelTableError`` naming a file that can't be used.
+    """
+    keys = [_read_key(path) for path in paths]
+    if len({key.key_id for key in keys}) < len(keys):
+        raise ChannelTableError("channel.keys: two files hold the same key")
+    return keys
+
+
+def _read_key(path: str) -> SharedKey:
+    """Read a key: hexadecimal text of 32 or more digits, or bytes as they are."""
+    file = Path(path)
+    try:
+        mode = file.stat().st_mode
+        raw = file.read_bytes().strip()
+    except OSError as error:
+        raise ChannelTableError(f"channel.keys: {path}: {error.strerror}") from None
+    if mode & (stat.S_IRWXG | stat.S_IRWXO):
+        raise ChannelTableError(f"channel.keys: {path}: others can read it; its mode must be 0600")
+    try:
+        secret = bytes.fromhex(raw.decode()) if len(raw) >= MIN_HEX_CHARACTERS else raw
+    except ValueError:
+        secret = raw
+    try:
+        return SharedKey(secret)
+    except InvalidKeyError as error:
+        raise ChannelTableError(f"channel.keys: {path}: {error}") from None
 
 
 class ChannelComponent:
-    """Service and figures."""
+    """Starts and stops the datagram channel, and reloads its keys."""
 
     def __init__(self, table: ChannelTable) -> None:
+        """Read the keys; raise ``ChannelTableError`` where one can't be used."""
         self.table = table
-        self.life = secrets.randbits(62) + 1
-        self.channel = Channel(
-            DatagramCodec(table.name, self.life, read_keys(table.keys)), parse_address(table.listen)
-        )
+        self.incarnation = secrets.randbits(INCARNATION_BITS) + 1
+        codec = DatagramCodec(table.name, self.incarnation, read_keys(table.keys))
+        self.channel = DatagramChannel(codec, parse_address(table.listen))
 
     async def start(self, driver: Driver) -> None:
-        """Hear from now on."""
+        """Bind the socket; raise ``OSError`` naming the address where that fails."""
         await self.channel.open(driver.succeeds)
 
     async def stop(self) -> None:
-        """The end."""
-        self.channel.close()
+        """Close the socket."""
+        await self.channel.close()
 
     def change(self, new: ChannelTable) -> Callable[[], None]:
-        """Other keys; a name or an address waits for the next start (``ValueError``)."""
-        for name in ("name", "listen"):
+        """Prepare a reload of the keys; raise ``ChannelTableError`` for what needs a restart."""
+        for name in FIXED_KEYS:
             if getattr(new, name) != getattr(self.table, name):
-                raise ValueError(f"channel.{name} can't change in service")
+                raise ChannelTableError(f"channel.{name} can't change in service")
         keys = read_keys(new.keys)
 
-        def put_in_force() -> None:
+        def commit() -> None:
             self.table = new
-            self.channel.envelope.turn_keys(keys)
+            self.channel.codec.rotate_keys(keys)
 
-        return put_in_force
+        return commit
 
     def figures(self) -> list[tuple[str, int]]:
-        """Counts since the start."""
+        """Return the metrics for /admin/stats: counters since the start, and the known gateways."""
         channel = self.channel
         return [
-            *((f"channel.{name}", count) for name, count in channel.counts.items()),
-            *((f"channel.{name}", count) for name, count in channel.envelope.counts.items()),
-            ("channel.known", len(channel.lives)),
+            *((f"channel.{name}", count) for name, count in channel.counters.items()),
+            *((f"channel.{name}", count) for name, count in channel.codec.counters.items()),
+            ("channel.known", len(channel.incarnations)),
         ]
--- a/saffrongw/channel/signed_datagram.py
+++ b/saffrongw/channel/signed_datagram.py
@@ -1,11 +1,13 @@
-"""One form for all datagrams of the channel: who sent it, in which life, to which life of whom, and proof of it. Pure.
+"""The one form of all datagrams of the channel: who sent it, and proof of that. No I/O.
 
-    2 bytes "sg", 1 byte version, 4 bytes id of the key, a MessagePack array, 16 bytes HMAC-SHA256 of all before
+    2 bytes "sg", 1 byte version, 4 bytes key id, a MessagePack array,
+    16 bytes HMAC-SHA256 of all before
 
-The array: sender, its life, receiver, its life, a number that counts up, kind, payload. A life is drawn at random at
-each start. What names an earlier life of the receiver, or none, is not taken: its sender is told the life that runs,
-and sends again. So nothing recorded before a start counts after it, and within a life each number counts once. A
-datagram that proves nothing changes no state but a counter.
+The array: sender, its incarnation, receiver, its incarnation, a sequence number, kind, payload. An
+incarnation is drawn at random at each start. A datagram that names an earlier incarnation of the
+receiver, or none, is not accepted: its sender is sent the present one, and sends again. So nothing
+recorded before a start is accepted after it, and within an incarnation each sequence number is
+accepted once. A datagram that is not authenticated changes no state but a counter.
 """
 
 from __future__ import annotations
@@ -18,148 +20,200 @@
 
 import msgspec
 
-MAGIC, VERSION = b"sg", 1
-HEAD, TAG = 7, 16  # bytes
-LARGEST = 8_192  # bytes of a datagram
-PAYLOAD_MOST = LARGEST - 512
-NAME_MOST = 64
-LIVES_MOST = 4_096  # senders' lives whose numbers are remembered
-WINDOW = 256  # numbers behind the highest that may still come
-KEY_LEAST = 16  # bytes
-HELLO = 0  # the kind that only tells a life
+MAGIC = b"sg"
+VERSION = 1
+HEADER_BYTES = 7
+SIGNATURE_BYTES = 16
+KEY_ID_BYTES = 4
+MAX_DATAGRAM_BYTES = 8_192
+MAX_PAYLOAD_BYTES = MAX_DATAGRAM_BYTES - 512
+MAX_NAME_CHARACTERS = 64
+MIN_KEY_BYTES = 16
+# Senders' incarnations whose sequence numbers are remembered.
+MAX_INCARNATIONS = 4_096
+# How far below the highest one a sequence number may still arrive.
+REPLAY_WINDOW = 256
+# The kind that only tells the sender's incarnation.
+HELLO_KIND = 0
 
 
 class Datagram(msgspec.Struct, frozen=True, array_like=True):
-    """What is signed."""
+    """What is signed; the order of the fields is the wire format."""
 
     sender: str
-    life: int
-    to: str
-    to_life: int
-    number: int
+    incarnation: int
+    receiver: str
+    receiver_incarnation: int
+    sequence_number: int
     kind: int
     payload: bytes
 
 
 class InvalidKeyError(ValueError):
-    """A key that can't be used."""
+    """A shared key can't be used; the message says why."""
+
+
+class DatagramError(ValueError):
+    """A datagram can't be packed: its name or payload is too long."""
 
 
 @dataclass(frozen=True, slots=True)
-class Key:
-    """A shared secret, and how it is named."""
+class SharedKey:
+    """A secret that all gateways share, and its id on the wire."""
 
     secret: bytes
 
     def __post_init__(self) -> None:
-        if len(self.secret) < KEY_LEAST:
-            raise InvalidKeyError(f"a key has at least {KEY_LEAST} bytes")
+        """Check the bounds; raise ``ValueError`` naming what is wrong."""
+        if len(self.secret) < MIN_KEY_BYTES:
+            raise InvalidKeyError(f"a key has at least {MIN_KEY_BYTES} bytes")
 
     @property
-    def id(self) -> bytes:
-        """Four bytes by which the receiver finds it."""
-        return hashlib.sha256(b"id" + self.secret).digest()[:4]
+    def key_id(self) -> bytes:
+        """Return the bytes by which a receiver finds the key."""
+        return hashlib.sha256(b"id" + self.secret).digest()[:KEY_ID_BYTES]
+
+    def sign(self, data: bytes) -> bytes:
+        """Return the signature of data."""
+        return hmac.digest(self.secret, data, "sha256")[:SIGNATURE_BYTES]
 
 
 @dataclass(slots=True)
-class Window:
-    """Which numbers of one life have come."""
+class ReplayWindow:
+    """The sequence numbers of one incarnation that have arrived."""
 
     highest: int = 0
-    seen: int = 0  # bit n: highest - n has come
+    # Bit n: the number ``highest - n`` has arrived.
+    arrived: int = 0
 
-    def take(self, number: int) -> bool:
-        """Whether this one is new; it is not from then on."""
-        ahead = number - self.highest
+    def accept(self, sequence_number: int) -> bool:
+        """Return whether this number is new; it is not from then on."""
+        ahead = sequence_number - self.highest
         if ahead > 0:
-            self.seen = ((self.seen << ahead) | 1) & ((1 << WINDOW) - 1) if ahead < WINDOW else 1
-            self.highest = number
+            mask = (1 << REPLAY_WINDOW) - 1
+            self.arrived = ((self.arrived << ahead) | 1) & mask if ahead < REPLAY_WINDOW else 1
+            self.highest = sequence_number
             return True
-        if -ahead >= WINDOW or self.seen >> -ahead & 1:
+        if -ahead >= REPLAY_WINDOW or self.arrived >> -ahead & 1:
             return False
-        self.seen |= 1 << -ahead
+        self.arrived |= 1 << -ahead
         return True
 
 
 @dataclass(frozen=True, slots=True)
-class Opened:
-    """A letter that is proved, for this life of ours, and new."""
+class Accepted:
+    """An authenticated datagram for this incarnation that is new."""
 
-    letter: Datagram
+    datagram: Datagram
 
 
 @dataclass(frozen=True, slots=True)
-class Unknown:
-    """A proved letter that does not name this life of ours: its sender is to be told."""
+class OtherIncarnation:
+    """An authenticated datagram for another incarnation.
 
-    letter: Datagram
+    Its sender has to learn the present one.
+    """
 
+    datagram: Datagram
 
-_encode, _decode = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder(Datagram).decode
+
+_encode = msgspec.msgpack.Encoder().encode
+_decode = msgspec.msgpack.Decoder(Datagram).decode
 
 
 class DatagramCodec:
-    """Packs and opens for one life of one gateway."""
-
-    def __init__(self, name: str, life: int, keys: Sequence[Key]) -> None:
-        if not 0 < len(name) <= NAME_MOST:
-            raise ValueError(f"a name has 1 to {NAME_MOST} characters")
-        self.name, self.life = name, life
-        self.number = 0
-        self.windows: OrderedDict[tuple[str, int], Window] = OrderedDict()
-        self.counts = {"foreign": 0, "forged": 0, "repeated": 0, "other_life": 0, "misdirected": 0}
-        self.turn_keys(keys)
-
-    def turn_keys(self, keys: Sequence[Key]) -> None:
-        """The first signs, all are believed."""
+    """Packs and opens the datagrams of one incarnation of one gateway."""
+
+    def __init__(self, name: str, incarnation: int, keys: Sequence[SharedKey]) -> None:
+        """Pack and open for this name and incarnation; see ``rotate_keys``."""
+        if not 0 < len(name) <= MAX_NAME_CHARACTERS:
+            raise DatagramError(f"a name has 1 to {MAX_NAME_CHARACTERS} characters")
+        self.name = name
+        self.incarnation = incarnation
+        self.last_sequence_number = 0
+        self.windows: OrderedDict[tuple[str, int], ReplayWindow] = OrderedDict()
+        # The keys are names in /admin/stats.
+        self.counters = {
+            "foreign": 0,
+            "forged": 0,
+            "repeated": 0,
+            "other_life": 0,
+            "misdirected": 0,
+        }
+        self.rotate_keys(keys)
+
+    def rotate_keys(self, keys: Sequence[SharedKey]) -> None:
+        """Change the keys: the first signs, all are believed."""
         if not keys:
             raise InvalidKeyError("there is no key")
-        self.signing = keys[0]
-        self.by_id = {key.id: key for key in keys}
-
-    def pack(self, to: str, to_life: int, kind: int, payload: bytes) -> bytes:
-        """A datagram; ``ValueError`` where the payload is too long."""
-        if len(payload) > PAYLOAD_MOST:
-            raise ValueError(f"a payload of {len(payload)} bytes; {PAYLOAD_MOST} at most")
-        self.number += 1
-        body = _encode(Datagram(self.name, self.life, to, to_life, self.number, kind, payload))
-        head = MAGIC + bytes((VERSION,)) + self.signing.id + body
-        return head + hmac.digest(self.signing.secret, head, "sha256")[:TAG]
-
-    def open(self, data: bytes) -> Opened | Unknown | None:
-        """What it says; None where nothing of it is to be believed."""
-        if not HEAD + TAG < len(data) <= LARGEST or data[:2] != MAGIC or data[2] != VERSION:
-            self.counts["foreign"] += 1
+        self.signing_key = keys[0]
+        self.keys_by_id = {key.key_id: key for key in keys}
+
+    def pack(self, receiver: str, receiver_incarnation: int, kind: int, payload: bytes) -> bytes:
+        """Return a datagram; raise ``DatagramError`` where the payload is too long."""
+        if len(payload) > MAX_PAYLOAD_BYTES:
+            raise DatagramError(
+                f"a payload of {len(payload)} bytes for {receiver}; {MAX_PAYLOAD_BYTES} at most"
+            )
+        self.last_sequence_number += 1
+        body = _encode(
+            Datagram(
+                self.name,
+                self.incarnation,
+                receiver,
+                receiver_incarnation,
+                self.last_sequence_number,
+                kind,
+                payload,
+            )
+        )
+        signed = MAGIC + bytes((VERSION,)) + self.signing_key.key_id + body
+        return signed + self.signing_key.sign(signed)
+
+    def open(self, data: bytes) -> Accepted | OtherIncarnation | None:
+        """Return what a datagram says; None where it is not to be believed."""
+        datagram = self._authenticated(data)
+        if datagram is None:
             return None
-        key = self.by_id.get(data[3:HEAD])
-        if key is None or not hmac.compare_digest(
-            hmac.digest(key.secret, data[:-TAG], "sha256")[:TAG], data[-TAG:]
-        ):
-            self.counts["forged"] += 1
+        if not self._is_for_us(datagram):
+            self.counters["misdirected"] += 1
             return None
-        try:
-            letter = _decode(data[HEAD:-TAG])
-        except (msgspec.DecodeError, UnicodeDecodeError):
-            self.counts["foreign"] += 1
+        if datagram.receiver_incarnation != self.incarnation:
+            self.counters["other_life"] += 1
+            return OtherIncarnation(datagram)
+        window = self._window(datagram.sender, datagram.incarnation)
+        if not window.accept(datagram.sequence_number):
+            self.counters["repeated"] += 1
             return None
-        if (
-            letter.to != self.name
-            or letter.sender == self.name
-            or not 0 < len(letter.sender) <= NAME_MOST
-        ):
-            self.counts["misdirected"] += 1
+        return Accepted(datagram)
+
+    def _authenticated(self, data: bytes) -> Datagram | None:
+        has_size = HEADER_BYTES + SIGNATURE_BYTES < len(data) <= MAX_DATAGRAM_BYTES
+        if not has_size or data[:2] != MAGIC or data[2] != VERSION:
+            self.counters["foreign"] += 1
+            return None
+        signed, signature = data[:-SIGNATURE_BYTES], data[-SIGNATURE_BYTES:]
+        key = self.keys_by_id.get(data[3:HEADER_BYTES])
+        if key is None or not hmac.compare_digest(key.sign(signed), signature):
+            self.counters["forged"] += 1
             return None
-        if letter.to_life != self.life:
-            self.counts["other_life"] += 1
-            return Unknown(letter)
-        window = self.windows.get((letter.sender, letter.life))
-        if window is None:
-            window = self.windows[letter.sender, letter.life] = Window()
-            if len(self.windows) > LIVES_MOST:
-                self.windows.popitem(last=False)
-        else:
-            self.windows.move_to_end((letter.sender, letter.life))
-        if not window.take(letter.number):
-            self.counts["repeated"] += 1
+        try:
+            return _decode(signed[HEADER_BYTES:])
+        except (msgspec.DecodeError, UnicodeDecodeError):
+            self.counters["foreign"] += 1
             return None
-        return Opened(letter)
+
+    def _is_for_us(self, datagram: Datagram) -> bool:
+        if datagram.receiver != self.name or datagram.sender == self.name:
+            return False
+        return 0 < len(datagram.sender) <= MAX_NAME_CHARACTERS
+
+    def _window(self, sender: str, incarnation: int) -> ReplayWindow:
+        window = self.windows.get((sender, incarnation))
+        if window is not None:
+            self.windows.move_to_end((sender, incarnation))
+            return window
+        window = self.windows[sender, incarnation] = ReplayWindow()
+        if len(self.windows) > MAX_INCARNATIONS:
+            self.windows.popitem(last=False)
+        return window
--- a/saffrongw/channel/socket.py
+++ b/saffrongw/channel/socket.py
@@ -1,145 +1,180 @@
-"""The channel's one socket: kinds with their handlers, addresses of others, what waits until a life is known."""
+"""The channel's UDP socket.
+
+It knows the addresses and incarnations of other gateways, and the handler of each kind of datagram.
+"""
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import errno
 import logging
 import socket
 from collections import OrderedDict
 from collections.abc import Callable, Mapping
+from typing import NamedTuple, TypeVar
 
 from saffrongw.gateway.config import Address
 
-from .signed_datagram import HELLO, Datagram, DatagramCodec, Opened, Unknown
+from .signed_datagram import HELLO_KIND, Accepted, Datagram, DatagramCodec, OtherIncarnation
 
 log = logging.getLogger(__name__)
 
-PLACES_MOST = 4_096  # gateways whose address or life is remembered
-HELLO_EVERY = 0.05  # seconds between two hellos to one address
-BIND_AGAIN = 0.1  # seconds, while the process before us still has the address
-Handler = Callable[[str, int, bytes], None]  # sender, its life, payload
+# Gateways whose address or incarnation is remembered.
+MAX_GATEWAYS = 4_096
+RECEIVE_BUFFER_BYTES = 1 << 20
+# Between two hellos to one sender.
+HELLO_INTERVAL_S = 0.05
+# While the process before us still has the address.
+BIND_RETRY_S = 0.1
+
+# Called with the sender, its incarnation and the payload.
+Handler = Callable[[str, int, bytes], None]
+
+Value = TypeVar("Value")
+
+
+class UnsentPayload(NamedTuple):
+    """A payload to send again once the receiver's incarnation is known."""
+
+    kind: int
+    payload: bytes
+
 
+class DatagramChannel(asyncio.DatagramProtocol):
+    """Sends to gateways by name, and receives.
 
-class Channel(asyncio.DatagramProtocol):
-    """Sends to gateways by name, hands over what is proved and new."""
+    What is authenticated and new goes to the handler of its kind.
+    """
 
-    def __init__(self, envelope: DatagramCodec, listen: Address) -> None:
-        self.envelope, self.listen = envelope, listen
-        self.fixed: dict[str, Address] = {}  # as the operator file has them
-        self.learnt: OrderedDict[str, Address] = OrderedDict()  # where others were heard from
-        self.lives: OrderedDict[str, int] = OrderedDict()
-        self.waiting: OrderedDict[str, tuple[int, bytes]] = (
-            OrderedDict()
-        )  # until the receiver's life is known
-        self.greeted: OrderedDict[str, float] = OrderedDict()
+    def __init__(self, codec: DatagramCodec, listen: Address) -> None:
+        """Prepare a channel on an address; ``open`` binds it."""
+        self.codec = codec
+        self.listen = listen
+        # Addresses from the operator file, and those that datagrams came from.
+        self.configured: dict[str, Address] = {}
+        self.learned: OrderedDict[str, Address] = OrderedDict()
+        self.incarnations: OrderedDict[str, int] = OrderedDict()
+        self.unsent: OrderedDict[str, UnsentPayload] = OrderedDict()
+        # By sender: when it was last sent a hello.
+        self.hello_sent_s: OrderedDict[str, float] = OrderedDict()
         self.handlers: dict[int, Handler] = {}
         self.transport: asyncio.DatagramTransport | None = None
-        self.opening: asyncio.Task | None = None
-        self.counts = {"sent": 0, "received": 0, "bytes_sent": 0, "nowhere": 0, "not_sent": 0}
+        self.bind_task: asyncio.Task[None] | None = None
+        # The keys are names in /admin/stats.
+        self.counters = {"sent": 0, "received": 0, "bytes_sent": 0, "nowhere": 0, "not_sent": 0}
 
-    # -- its life -----------------------------------------------------------------------------------------------------
+    # -- opening and closing -----------------------------------------------------------------------
 
     async def open(self, succeeds: bool) -> None:
-        """Bind; where another process still has the address and we succeed it, as soon as that lets go."""
+        """Bind; as a successor, as soon as the process before us has closed the address."""
         if succeeds:
-            self.opening = asyncio.get_running_loop().create_task(self._open_when_free())
+            self.bind_task = asyncio.get_running_loop().create_task(self._bind_when_free())
         else:
             await self._bind()
 
     async def _bind(self) -> None:
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
             sock.setblocking(False)
             sock.bind(self.listen)
-        except OSError as wrong:
+        except OSError as error:
             sock.close()
-            raise OSError(
-                wrong.errno, f"channel.listen {self.listen[0]}:{self.listen[1]}: {wrong.strerror}"
-            ) from None
+            host, port = self.listen
+            raise OSError(error.errno, f"channel.listen {host}:{port}: {error.strerror}") from None
         await asyncio.get_running_loop().create_datagram_endpoint(lambda: self, sock=sock)
 
-    async def _open_when_free(self) -> None:
+    async def _bind_when_free(self) -> None:
         while True:
             try:
                 return await self._bind()
-            except OSError as wrong:
-                if wrong.errno != errno.EADDRINUSE:
-                    log.warning("channel: %s", wrong)
-            await asyncio.sleep(BIND_AGAIN)
-
-    def close(self) -> None:
-        """Hear and say nothing more."""
-        if self.opening:
-            self.opening.cancel()
+            except OSError as error:
+                if error.errno != errno.EADDRINUSE:
+                    log.warning('channel: bind_failed: error="%s"', error)
+            await asyncio.sleep(BIND_RETRY_S)
+
+    async def close(self) -> None:
+        """Send and receive nothing more."""
+        if self.bind_task:
+            self.bind_task.cancel()
+            with contextlib.suppress(asyncio.CancelledError):
+                await self.bind_task
         if self.transport:
             self.transport.close()
 
-    # -- who is where -------------------------------------------------------------------------------------------------
+    # -- addresses ---------------------------------------------------------------------------------
 
-    def place(self, addresses: Mapping[str, Address]) -> None:
-        """Addresses that the operator file has; they are not learnt from anybody."""
-        self.fixed = dict(addresses)
+    def set_addresses(self, addresses: Mapping[str, Address]) -> None:
+        """Use these addresses of the operator file; none of them is learned from a datagram."""
+        self.configured = dict(addresses)
 
     @staticmethod
-    def _keep(kept: OrderedDict, name: str, value: object) -> None:
-        kept[name] = value
-        kept.move_to_end(name)
-        while len(kept) > PLACES_MOST:
-            kept.popitem(last=False)
+    def _remember(values: OrderedDict[str, Value], name: str, value: Value) -> None:
+        values[name] = value
+        values.move_to_end(name)
+        while len(values) > MAX_GATEWAYS:
+            values.popitem(last=False)
 
-    # -- sending ------------------------------------------------------------------------------------------------------
+    # -- sending -----------------------------------------------------------------------------------
 
-    def send(self, to: str, kind: int, payload: bytes) -> None:
-        """To a gateway by name; lost like any datagram where nobody knows where it is."""
-        address = self.fixed.get(to) or self.learnt.get(to)
+    def send(self, receiver: str, kind: int, payload: bytes) -> None:
+        """Send to a gateway by name; lost, like any datagram, where its address is not known."""
+        address = self.configured.get(receiver) or self.learned.get(receiver)
         if address is None or self.transport is None or self.transport.is_closing():
-            self.counts["nowhere"] += 1
+            self.counters["nowhere"] += 1
             return
-        life = self.lives.get(to, 0)
-        if not life:
-            self._keep(self.waiting, to, (kind, payload))
-        self._write(address, self.envelope.pack(to, life, kind, payload))
+        incarnation = self.incarnations.get(receiver, 0)
+        if not incarnation:
+            self._remember(self.unsent, receiver, UnsentPayload(kind, payload))
+        self._write(address, self.codec.pack(receiver, incarnation, kind, payload))
 
     def _write(self, address: Address, data: bytes) -> None:
-        self.counts["sent"] += 1
-        self.counts["bytes_sent"] += len(data)
+        self.counters["sent"] += 1
+        self.counters["bytes_sent"] += len(data)
         try:
-            self.transport.sendto(data, address)
-        except OSError:  # no route, or a full buffer: lost
-            self.counts["not_sent"] += 1
+            if self.transport is not None:
+                self.transport.sendto(data, address)
+        except OSError:
+            # No route, or a full buffer: the datagram is lost.
+            self.counters["not_sent"] += 1
 
-    # -- receiving ----------------------------------------------------------------------------------------------------
+    # -- receiving ---------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """It is bound."""
+        """Keep the transport, as asyncio has bound the socket."""
         self.transport = transport  # type: ignore[assignment]
 
     def datagram_received(self, data: bytes, source: Address) -> None:
-        """One datagram, from anybody."""
-        found = self.envelope.open(data)
-        if isinstance(found, Unknown):
-            self._greet(found.letter, source)
-        elif isinstance(found, Opened):
-            letter = found.letter
-            self.counts["received"] += 1
-            self._keep(self.learnt, letter.sender, source)
-            self._keep(self.lives, letter.sender, letter.life)
-            if letter.kind == HELLO:
-                if waiting := self.waiting.pop(letter.sender, None):
-                    self.send(letter.sender, *waiting)
-            elif handler := self.handlers.get(letter.kind):
-                self.waiting.pop(letter.sender, None)
-                handler(letter.sender, letter.life, letter.payload)
-
-    def _greet(self, letter: Datagram, source: Address) -> None:
-        """Tell a sender our life, by the life that it named as its own: only that one can take it as new."""
-        now = asyncio.get_running_loop().time()
-        if now - self.greeted.get(letter.sender, -1.0) < HELLO_EVERY:
+        """Handle one datagram, from anybody."""
+        opened = self.codec.open(data)
+        if isinstance(opened, OtherIncarnation):
+            self._send_hello(opened.datagram, source)
+        elif isinstance(opened, Accepted):
+            self._accept(opened.datagram, source)
+
+    def _accept(self, datagram: Datagram, source: Address) -> None:
+        self.counters["received"] += 1
+        self._remember(self.learned, datagram.sender, source)
+        self._remember(self.incarnations, datagram.sender, datagram.incarnation)
+        if datagram.kind == HELLO_KIND:
+            if unsent := self.unsent.pop(datagram.sender, None):
+                self.send(datagram.sender, unsent.kind, unsent.payload)
+        elif handler := self.handlers.get(datagram.kind):
+            self.unsent.pop(datagram.sender, None)
+            handler(datagram.sender, datagram.incarnation, datagram.payload)
+
+    def _send_hello(self, datagram: Datagram, source: Address) -> None:
+        """Tell a sender our incarnation, to the one it named as its own.
+
+        Only that incarnation accepts the hello.
+        """
+        now_s = asyncio.get_running_loop().time()
+        if now_s - self.hello_sent_s.get(datagram.sender, -1.0) < HELLO_INTERVAL_S:
             return
-        self._keep(self.greeted, letter.sender, now)
-        self._write(source, self.envelope.pack(letter.sender, letter.life, HELLO, b""))
+        self._remember(self.hello_sent_s, datagram.sender, now_s)
+        hello = self.codec.pack(datagram.sender, datagram.incarnation, HELLO_KIND, b"")
+        self._write(source, hello)
 
     def error_received(self, error: Exception) -> None:
-        """One that is down shows as an error of an earlier datagram."""
+        """Ignore the error of an earlier datagram: its receiver is down."""
--- a/saffrongw/extension_registry.py
+++ b/saffrongw/extension_registry.py
@@ -61,7 +61,7 @@
         calls |= leases.calls()
         drains.append(leases.drain)
     if file.certs:
-        duty = leases.duty(_duty_of(file.certs)) if leases else None
+        duty = leases.leader_guard(_duty_of(file.certs)) if leases else None
         certs = _certs(file.certs, config, duty)
         services.append(certs)
         fronts.append(certs.front)
--- a/saffrongw/leases/acceptor.py
+++ b/saffrongw/leases/acceptor.py
@@ -1,73 +1,53 @@
-"""One voter: what it has promised, granted and heard. Pure: time and messages in, messages out.
+"""The acceptor of one voter: what it has promised and granted.
 
-It keeps nothing on a disk. What makes that safe is time alone: a grant runs out by the voter's own clock, and a voter
-that starts, and so may have forgotten grants, says nothing until all of them have run out (``timing.py``).
+No I/O: time and messages in, messages out. It stores nothing on a disk. Time alone makes that safe:
+a grant expires on the acceptor's own clock, and an acceptor that starts, and so may have forgotten
+grants, is silent until all of them have expired (``timing.py``).
 
-A voter grants a lease to one holder at a time and to nobody else before that grant has run out or was given back. Any
-two majorities share a voter: that alone is why no two hold it. Promises keep those who ask from halving the votes.
+An acceptor grants a lease to one holder at a time, and to nobody else before that grant has expired
+or was released. Any two majorities share an acceptor: that alone is why no two gateways hold a
+lease. Promises only keep competing proposers from splitting the votes.
 
-Times ``now`` are us of this voter's monotonic clock, ``wall`` is Unix us and is used for two things only: where
-fencing numbers begin after a loss of memory, and since when this memory is whole. Neither is needed for one holder at
-a time.
+``now`` is us of this voter's monotonic clock. ``wall`` is Unix us and is used for two things only:
+where fencing tokens begin after a loss of memory, and since when this memory is complete. Mutual
+exclusion needs neither.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
-from dataclasses import dataclass, field
 
-from .candidates import NAMED_ALL_MOST, Candidates
+from .candidates import MAX_NAMED_LEASES_TOTAL, Candidates
+from .lease_record import GrantRow, LeaseRecord
 from .messages import (
-    LARGEST,
-    NO_BALLOT,
+    NUMBER_LIMIT,
     Accept,
-    Ballot,
-    Free,
+    Announce,
+    AnnounceReply,
     Message,
-    Note,
+    Nack,
+    NackReason,
+    Offer,
+    Outgoing,
     Prepare,
+    ProgressStored,
     Promise,
     Propose,
-    Refuse,
     Release,
-    Roster,
-    Stand,
-    Tell,
-    Told,
-    Why,
+    ReportProgress,
+    Suspension,
 )
-from .spec import NOTES_MOST
+from .rejections import nack, reject_foreign_ballot, reject_held, reject_outdated, reject_suspended
+from .spec import MAX_TASKS_PER_LEASE
 from .suspensions import Suspensions
-from .timing import Timing
+from .timing import MILLISECOND_US, SECOND_US, Timing
 
-MS = 1_000
-OFFERED_AT_ONCE = 2  # gateways to whom a free lease is offered in one go
-STANDS_A_SECOND = 4  # tellings that a voter takes on, of all gateways together
-MOVED_AT_ONCE = 4  # leases that one gateway is asked to give up for another at once
-
-Out = list[tuple[str, Message]]  # to whom, what
-
-
-@dataclass(slots=True)
-class Entry:
-    """One lease, as this voter has it."""
-
-    promised: Ballot = NO_BALLOT
-    ballot: Ballot = NO_BALLOT  # of the grant
-    gone: Ballot = NO_BALLOT  # the last one that was given back
-    round: int = 0
-    number: int = 0
-    until: int = 0  # 0: no grant
-    mark: int = 0
-    notes: dict[bytes, Note] = field(default_factory=dict)
-    touched: int = 0
-    offers: int = 0
-    offer_at: int = 0
-
-    @property
-    def holder(self) -> tuple[str, int] | None:
-        """Name and life of whom it was granted to."""
-        return self.ballot[1:] if self.until else None
+# Candidates to whom a free lease is offered at the same time.
+OFFERS_AT_ONCE = 2
+# Announcements that a voter accepts, of all gateways together.
+MAX_ANNOUNCEMENTS_PER_S = 4
+# Leases that one gateway is asked at once to give up for another.
+MAX_RECALLS_AT_ONCE = 4
 
 
 class Acceptor:
@@ -77,21 +57,31 @@
         self,
         name: str,
         timing: Timing,
-        standing: Candidates,
-        holds: Suspensions,
+        candidates: Candidates,
+        suspensions: Suspensions,
         now: int,
-        floor: int = 0,
-        reserved: int = LARGEST,
+        token_floor: int = 0,
+        reserved_token: int = NUMBER_LIMIT,
     ) -> None:
-        """``floor``: a number below which none may be given, from a disk; ``reserved``: the disk vouches up to here."""
-        self.name, self.timing, self.standing, self.holds = name, timing, standing, holds
-        self.silent_until = now + timing.silence
-        self.known_from = 0
-        self.floor, self.reserved = floor, reserved
-        self.seen = floor  # the highest number met anywhere
-        self.entries: dict[str, Entry] = {}
-        self.swept = now
-        self.counts = {
+        """Start silent, with empty memory.
+
+        No token up to ``token_floor``, or above the ``reserved_token`` of a disk, is granted.
+        """
+        self.name = name
+        self.timing = timing
+        self.candidates = candidates
+        self.suspensions = suspensions
+        self.silent_until_us = now + timing.silence_us
+        # Unix us since when the memory is complete; 0 while silent.
+        self.memory_since_us = 0
+        self.token_floor = token_floor
+        self.reserved_token = reserved_token
+        # The highest fencing token met anywhere.
+        self.highest_token = token_floor
+        self.records: dict[str, LeaseRecord] = {}
+        self.last_sweep_us = now
+        # The keys are names in /admin/stats.
+        self.counters = {
             "granted": 0,
             "refused": 0,
             "expired": 0,
@@ -101,287 +91,322 @@
         }
         self._sweep(now)
 
-    # -- time ------------------------------------------------------------------------------------------------------
+    # -- time ------------------------------------------------------------------------------------
 
     def silent(self, now: int, wall: int) -> bool:
-        """Whether it says nothing yet. When the silence ends numbers begin at the wall clock, in ms."""
-        if not self.known_from:
-            if now < self.silent_until:
+        """Return whether it must not answer yet.
+
+        When the silence ends, tokens begin at wall clock ms.
+        """
+        if not self.memory_since_us:
+            if now < self.silent_until_us:
                 return True
-            self.known_from = wall
-            self.floor = max(self.floor, self.seen, wall // MS)
-            for entry in self.entries.values():
-                entry.offer_at = (
-                    now + self.timing.push_every
-                )  # voters that started together end together
+            self.memory_since_us = wall
+            self.token_floor = max(self.token_floor, self.highest_token, wall // MILLISECOND_US)
+            for record in self.records.values():
+                # Voters that started together end their silence together.
+                record.next_offer_us = now + self.timing.offer_interval_us
         return False
 
-    def be_silent(self, now: int) -> None:
-        """Begin anew, as after a start: what was granted before is somebody else's to know (``sets.py``)."""
-        self.floor = max([self.floor, *(entry.mark for entry in self.entries.values())])
-        self.entries.clear()
-        self.silent_until, self.known_from = now + self.timing.silence, 0
+    def silent_for_us(self, now: int) -> int:
+        """Return for how long it stays silent."""
+        return 0 if self.memory_since_us else max(0, self.silent_until_us - now)
+
+    def restart_silence(self, now: int) -> None:
+        """Forget all grants and be silent as after a start.
+
+        A former voter set may have granted others.
+        """
+        self.token_floor = self.highest_granted_token()
+        self.records.clear()
+        self.silent_until_us, self.memory_since_us = now + self.timing.silence_us, 0
         self._sweep(now)
 
+    def highest_granted_token(self) -> int:
+        """Return the highest token that was granted or that tokens begin above."""
+        tokens = [record.highest_token for record in self.records.values()]
+        return max([self.token_floor, *tokens])
+
     def next_at(self) -> int:
-        """When ``due`` has something to do, at the latest."""
-        if not self.known_from:
-            return self.silent_until
-        least = self.swept + self.timing.span
-        for entry in self.entries.values():
-            if at := entry.until or entry.offer_at:
-                least = min(least, at)
-        return least
-
-    def due(self, now: int, wall: int) -> Out:
-        """Grants that ran out, and offers of what nobody holds."""
+        """Return when ``due`` has something to do, at the latest."""
+        if not self.memory_since_us:
+            return self.silent_until_us
+        earliest = self.last_sweep_us + self.timing.duration_us
+        for record in self.records.values():
+            if at := record.expires_us or record.next_offer_us:
+                earliest = min(earliest, at)
+        return earliest
+
+    def due(self, now: int, wall: int) -> list[Outgoing]:
+        """Expire grants, and return offers of what nobody holds."""
         if self.silent(now, wall):
             return []
-        out: Out = []
-        if now - self.swept >= self.timing.span:
+        outgoing: list[Outgoing] = []
+        if now - self.last_sweep_us >= self.timing.duration_us:
             self._sweep(now)
-        for lease, entry in self.entries.items():
-            if entry.until and entry.until <= now:
-                self._lapse(now, entry)
-            if not entry.until and entry.offer_at and entry.offer_at <= now:
-                out += self._offer(now, wall, lease, entry)
-        return out
-
-    def _lapse(self, now: int, entry: Entry) -> None:
-        """A grant has run out unrenewed: its holder is not offered anything first until it is heard again."""
-        stander = self.standing.all.get(entry.ballot[1])
-        if stander and stander.life == entry.ballot[2]:
-            stander.doubtful = True
-        self.counts["expired"] += 1
-        self._free(now, entry)
-
-    def _free(self, now: int, entry: Entry) -> None:
-        entry.until, entry.offers, entry.offer_at = 0, 0, now
-
-    def _offer(self, now: int, wall: int, lease: str, entry: Entry) -> Out:
-        """To two at a time, and further down the order each time that nobody took it."""
-        entry.offer_at = now + self.timing.push_every
-        if self.holds.on(lease, wall):
+        for lease, record in self.records.items():
+            self._expire_if_over(now, record)
+            if not record.expires_us and record.next_offer_us and record.next_offer_us <= now:
+                outgoing += self._offer(now, wall, lease, record)
+        return outgoing
+
+    def _expire_if_over(self, now: int, record: LeaseRecord) -> None:
+        """Expire a grant that was not renewed.
+
+        Its holder is suspect until it announces itself again.
+        """
+        if not record.expires_us or record.expires_us > now:
+            return
+        candidate = self.candidates.by_name.get(record.granted.proposer)
+        if candidate and candidate.incarnation == record.granted.incarnation:
+            candidate.suspect = True
+        self.counters["expired"] += 1
+        record.free(now)
+
+    def _offer(self, now: int, wall: int, lease: str, record: LeaseRecord) -> list[Outgoing]:
+        """Offer a free lease to the next candidates in its order.
+
+        Each time that none of them took it the offer goes further down the order.
+        """
+        record.next_offer_us = now + self.timing.offer_interval_us
+        if self.suspensions.active(lease, wall):
             return []
-        order = self.standing.order(lease)
+        order = self.candidates.order(lease)
         if not order:
             return []
-        begin = entry.offers * OFFERED_AT_ONCE % len(order)
-        entry.offers += 1
-        chosen = order[begin : begin + OFFERED_AT_ONCE]
-        self.counts["offered"] += len(chosen)
+        first = record.offer_count * OFFERS_AT_ONCE % len(order)
+        record.offer_count += 1
+        chosen = order[first : first + OFFERS_AT_ONCE]
+        self.counters["offered"] += len(chosen)
         return [
-            (name, Free(lease, place * self.timing.stagger, entry.promised[0]))
-            for place, name in enumerate(chosen)
+            Outgoing(name, Offer(lease, index * self.timing.stagger_us, record.promised.number))
+            for index, name in enumerate(chosen)
         ]
 
     def _sweep(self, now: int) -> None:
-        """Know the leases that there are, and forget others: a promise, like at a start, only after the silence."""
-        self.swept = now
-        self.standing.expire(now)
-        for lease in self.standing.leases():
-            if (
-                lease not in self.entries
-                and len(self.entries) < len(self.standing.shard_names) + 2 * NAMED_ALL_MOST
-            ):
-                self._entry(now, lease)
-        for lease, entry in list(self.entries.items()):
-            if (
-                not entry.until
-                and not self.standing.known(lease)
-                and now - entry.touched > self.timing.silence
-            ):
-                self.floor = max(self.floor, entry.mark)
-                del self.entries[lease]
-
-    def _entry(self, now: int, lease: str) -> Entry:
-        entry = self.entries.get(lease)
-        if entry is None:
-            entry = self.entries[lease] = Entry(touched=now, offer_at=now)
-        return entry
-
-    # -- messages --------------------------------------------------------------------------------------------------
-
-    def handle(self, now: int, wall: int, sender: str, life: int, message: Message) -> Out:
-        """What one gateway says; the answers go to it."""
-        if isinstance(message, Stand | Prepare):
-            self._saw(message.seen)
+        """Add records of new leases; drop unknown ones, as at a start only after the silence."""
+        self.last_sweep_us = now
+        self.candidates.expire(now)
+        max_records = len(self.candidates.shard_names) + 2 * MAX_NAMED_LEASES_TOTAL
+        for lease in self.candidates.leases():
+            if lease not in self.records and len(self.records) < max_records:
+                self._record(now, lease)
+        for lease, record in list(self.records.items()):
+            unused = now - record.last_used_us > self.timing.silence_us
+            if not record.expires_us and not self.candidates.known(lease) and unused:
+                self.token_floor = max(self.token_floor, record.highest_token)
+                del self.records[lease]
+
+    def _record(self, now: int, lease: str) -> LeaseRecord:
+        record = self.records.get(lease)
+        if record is None:
+            record = LeaseRecord(last_used_us=now, next_offer_us=now)
+            self.records[lease] = record
+        return record
+
+    # -- messages --------------------------------------------------------------------------------
+
+    def handle(
+        self, now: int, wall: int, sender: str, incarnation: int, message: Message
+    ) -> list[Outgoing]:
+        """Handle a message of a gateway and return the answers."""
+        if isinstance(message, Announce | Prepare):
+            self._observe_token(message.highest_token)
         elif isinstance(message, Propose):
-            self._saw(message.number)
-        if isinstance(message, Stand):
-            return self._stand(now, wall, sender, life, message)
+            self._observe_token(message.fencing_token)
+        if isinstance(message, Announce):
+            return self._on_announce(now, wall, sender, incarnation, message)
         if self.silent(now, wall):
             return []
         match message:
             case Prepare():
-                return [(sender, self._prepare(now, wall, sender, life, message))]
+                return self._answer(
+                    sender, self._on_prepare(now, wall, sender, incarnation, message)
+                )
             case Propose():
-                return [(sender, self._propose(now, wall, sender, life, message))]
+                return self._answer(
+                    sender, self._on_propose(now, wall, sender, incarnation, message)
+                )
             case Release():
-                return self._release(now, wall, sender, life, message)
-            case Tell():
-                return self._tell(now, sender, message)
+                return self._on_release(now, wall, sender, incarnation, message)
+            case ReportProgress():
+                return self._on_report(now, sender, message)
         return []
 
-    def _saw(self, number: int) -> None:
-        """Heard in silence too: whoever remembers keeps numbers growing where clocks were set back."""
-        if number < LARGEST // 2:
-            self.seen = max(self.seen, number)
-
-    def _refuse(
-        self, about: Prepare | Propose, why: Why, n: int = 0, left: int = 0, holder: str = ""
-    ) -> Refuse:
-        self.counts["refused"] += 1
-        number = about.round if isinstance(about, Propose) else 0
-        return Refuse(about.lease, about.ballot, number, why, n, left, holder)
-
-    def _barred(self, wall: int, sender: str, life: int, about: Prepare | Propose) -> Refuse | None:
-        """What stands against any question."""
-        if about.ballot[1:] != (sender, life) or not 0 < about.ballot[0] < LARGEST:
-            return self._refuse(about, Why.UNKNOWN)  # nobody asks for somebody else
-        if not self.standing.known(about.lease):
-            return self._refuse(about, Why.UNKNOWN)
-        if hold := self.holds.on(about.lease, wall):
-            return self._refuse(
-                about, Why.HOLD, left=int((hold.until - wall / 1e6) * 1e6), holder=hold.who
-            )
-        return None
-
-    def _prepare(
-        self, now: int, wall: int, sender: str, life: int, asked: Prepare
-    ) -> Promise | Refuse:
-        if barred := self._barred(wall, sender, life, asked):
-            return barred
-        entry = self._entry(now, asked.lease)
-        if entry.until and entry.until <= now:
-            self._lapse(now, entry)
-        if entry.holder not in (None, (sender, life)):
-            # Not even a promise: it would only stand in the way of the holder's next round.
-            return self._refuse(asked, Why.HELD, left=entry.until - now, holder=entry.ballot[1])
-        if asked.ballot < entry.promised:
-            return self._refuse(asked, Why.OLDER, n=entry.promised[0])
-        entry.promised, entry.touched = asked.ballot, now
-        notes = tuple(entry.notes.values()) if asked.fresh else ()
-        return Promise(
-            asked.lease, asked.ballot, max(entry.mark, self.floor), self.known_from, notes
-        )
-
-    def _propose(
-        self, now: int, wall: int, sender: str, life: int, asked: Propose
-    ) -> Accept | Refuse:
-        if barred := self._barred(wall, sender, life, asked):
-            return barred
-        if asked.span > self.timing.span:
-            return self._refuse(asked, Why.SPAN)
-        if not 0 < asked.number <= self.reserved:
-            return self._refuse(asked, Why.NUMBERS)
-        entry = self._entry(now, asked.lease)
-        if entry.until and entry.until <= now:
-            self._lapse(now, entry)
-        if entry.holder not in (None, (sender, life)):
-            # Each voter has one holder at a time, whatever it promised: two majorities share a voter, so there are
-            # no two holders even where a voter has forgotten a promise.
-            return self._refuse(asked, Why.HELD, left=entry.until - now, holder=entry.ballot[1])
-        if asked.ballot[1:] == entry.ballot[1:] and asked.ballot < entry.ballot:
-            # A late copy from before its holder lost or gave back the lease and had it again. Were it taken, the
-            # release of that time, later still, would give away what is held now.
-            return self._refuse(asked, Why.OLDER, n=entry.ballot[0])
-        if asked.ballot[1:] == entry.gone[1:] and asked.ballot <= entry.gone:
-            return self._refuse(
-                asked, Why.OLDER, n=entry.gone[0]
-            )  # a late copy of what was given back
-        if asked.fresh and asked.ballot < entry.promised:
-            return self._refuse(asked, Why.OLDER, n=entry.promised[0])
-        new = asked.fresh and entry.ballot[1:] != (sender, life)
-        if new and asked.number <= max(entry.mark, self.floor):
-            return self._refuse(asked, Why.NUMBERS)  # they only grow, for the same reason
-        entry.touched = now
-        if entry.until > now and entry.ballot == asked.ballot and asked.round < entry.round:
-            return Accept(
-                asked.lease, asked.ballot, asked.round
-            )  # a late copy: it lengthens nothing
-        entry.promised, entry.ballot = max(entry.promised, asked.ballot), asked.ballot
-        entry.round, entry.number, entry.until = asked.round, asked.number, now + self.timing.span
-        entry.mark = max(entry.mark, asked.number)
-        entry.offer_at = 0
-        self.counts["granted"] += 1
-        return Accept(asked.lease, asked.ballot, asked.round)
-
-    def _release(self, now: int, wall: int, sender: str, life: int, told: Release) -> Out:
-        entry = self.entries.get(told.lease)
-        if entry is None or told.ballot[1:] != (sender, life):
+    def _answer(self, sender: str, answer: Promise | Accept | Nack) -> list[Outgoing]:
+        if isinstance(answer, Nack):
+            self.counters["refused"] += 1
+        return [Outgoing(sender, answer)]
+
+    def _observe_token(self, token: int) -> None:
+        """Remember the highest token that any message names.
+
+        Done in silence too: a gateway that remembers makes tokens grow where clocks were set back.
+        """
+        if token < NUMBER_LIMIT // 2:
+            self.highest_token = max(self.highest_token, token)
+
+    def _reject_any(
+        self, wall: int, request: Prepare | Propose, owner: tuple[str, int]
+    ) -> Nack | None:
+        """Reject a foreign ballot, an unknown lease and a suspended one, in both phases."""
+        if rejected := reject_foreign_ballot(request, owner):
+            return rejected
+        if not self.candidates.known(request.lease):
+            return nack(request, NackReason.UNKNOWN)
+        return reject_suspended(request, self.suspensions.active(request.lease, wall), wall)
+
+    def _on_prepare(
+        self, now: int, wall: int, sender: str, incarnation: int, request: Prepare
+    ) -> Promise | Nack:
+        if rejected := self._reject_any(wall, request, (sender, incarnation)):
+            return rejected
+        record = self._record(now, request.lease)
+        # A held lease gets not even a promise: it would only be in the way of the holder's next
+        # round.
+        self._expire_if_over(now, record)
+        if rejected := reject_held(request, (sender, incarnation), record, now):
+            return rejected
+        if request.ballot < record.promised:
+            return nack(request, NackReason.OUTBID, record.promised.number)
+        record.promised, record.last_used_us = request.ballot, now
+        progress = tuple(record.progress.values()) if request.initial else ()
+        token = max(record.highest_token, self.token_floor)
+        return Promise(request.lease, request.ballot, token, self.memory_since_us, progress)
+
+    def _on_propose(
+        self, now: int, wall: int, sender: str, incarnation: int, request: Propose
+    ) -> Accept | Nack:
+        if rejected := self._reject_any(wall, request, (sender, incarnation)):
+            return rejected
+        if request.duration_us > self.timing.duration_us:
+            return nack(request, NackReason.DURATION)
+        if not 0 < request.fencing_token <= self.reserved_token:
+            return nack(request, NackReason.TOKEN)
+        record = self._record(now, request.lease)
+        # Each acceptor has one holder at a time, whatever it promised: two majorities share an
+        # acceptor, so there are no two holders even where an acceptor has forgotten a promise.
+        self._expire_if_over(now, record)
+        if rejected := reject_held(request, (sender, incarnation), record, now):
+            return rejected
+        if rejected := reject_outdated(request, record, self.token_floor):
+            return rejected
+        record.last_used_us = now
+        if record.is_late_copy(now, request):
+            # It must not extend the grant.
+            return Accept(request.lease, request.ballot, request.round)
+        self.counters["granted"] += 1
+        return record.grant(now, request, self.timing.duration_us)
+
+    def _on_release(
+        self, now: int, wall: int, sender: str, incarnation: int, message: Release
+    ) -> list[Outgoing]:
+        record = self.records.get(message.lease)
+        owner = (sender, incarnation)
+        if record is None or message.ballot.owner != owner:
             return []
-        entry.gone = told.ballot
-        if entry.until and entry.holder == (sender, life) and entry.ballot <= told.ballot:
-            self.counts["released"] += 1
-            self._free(now, entry)
-            entry.touched = now
-            return self._offer(now, wall, told.lease, entry)
+        record.released = message.ballot
+        if record.expires_us and record.holder == owner and record.granted <= message.ballot:
+            self.counters["released"] += 1
+            record.free(now)
+            record.last_used_us = now
+            return self._offer(now, wall, message.lease, record)
         return []
 
-    def _tell(self, now: int, sender: str, told: Tell) -> Out:
-        if not self.standing.known(told.lease) or len(told.notes) > NOTES_MOST:
+    def _on_report(self, now: int, sender: str, message: ReportProgress) -> list[Outgoing]:
+        if not self.candidates.known(message.lease) or len(message.progress) > MAX_TASKS_PER_LEASE:
             return []
-        entry = self._entry(now, told.lease)
-        for note in told.notes:
-            if note.later_than(entry.notes.get(note.task)):
-                entry.notes.pop(note.task, None)
-                entry.notes[note.task] = note  # the latest last
-        while len(entry.notes) > NOTES_MOST:
-            del entry.notes[next(iter(entry.notes))]
-        return [(sender, Told(told.lease, told.tag))]
-
-    def _stand(self, now: int, wall: int, sender: str, life: int, told: Stand) -> Out:
+        self._record(now, message.lease).store_progress(message.progress)
+        return [Outgoing(sender, ProgressStored(message.lease, message.request_id))]
+
+    # -- candidates ------------------------------------------------------------------------------
+
+    def _on_announce(
+        self, now: int, wall: int, sender: str, incarnation: int, message: Announce
+    ) -> list[Outgoing]:
         silent = self.silent(now, wall)
-        left = 0 if self.known_from else max(0, self.silent_until - now)
-        if told.shards != self.standing.shards:
-            # Another number of shards means other leases for the same tasks: it gets none here.
-            return [
-                (
-                    sender,
-                    Roster(self.timing.stand_every, (), (), left, self.standing.shards, 0, told.at),
-                )
-            ]
-        self.holds.merge(told.holds, wall)
-        if told.leaving:
-            self.standing.leave(sender)
+        if message.shard_count != self.candidates.shard_count:
+            # Another number of shards means other leases for the same tasks: it is granted none
+            # here.
+            interval_us = self.timing.announce_interval_us
+            reply = self._announce_reply(now, interval_us, (), (), 0, message)
+            return [Outgoing(sender, reply)]
+        self.suspensions.merge(message.suspensions, wall)
+        if message.draining:
+            self.candidates.remove(sender)
             return []
-        again = max(self.timing.stand_every, len(self.standing.all) * 1_000_000 // STANDS_A_SECOND)
-        before = self.standing.named
-        until, hears = now + int(3.5 * again), 0 < told.heard <= now < told.heard + 4 * again
-        if not self.standing.stand(now, sender, life, told.named, told.pressed, until, hears):
-            self.counts["dropped"] += 1
+        interval_us = self._announce_interval_us()
+        if not self._add_candidate(now, sender, incarnation, message, interval_us):
+            self.counters["dropped"] += 1
             return []
-        if not self.entries or self.standing.named != before:
+        held = self._held_by(now, (sender, incarnation))
+        misplaced: tuple[str, ...] = ()
+        if not silent:
+            settled_us = self.timing.duration_us
+            misplaced = self.candidates.misplaced(now, sender, held, settled_us)
+        suspended = (lease for lease in held if self.suspensions.active(lease, wall))
+        recalled = (*suspended, *misplaced[:MAX_RECALLS_AT_ONCE])
+        suspensions = self.suspensions.all(wall)
+        reply = self._announce_reply(
+            now, interval_us, recalled, suspensions, self.highest_token, message
+        )
+        return [Outgoing(sender, reply)]
+
+    def _announce_interval_us(self) -> int:
+        load_bound_us = len(self.candidates.by_name) * SECOND_US // MAX_ANNOUNCEMENTS_PER_S
+        return max(self.timing.announce_interval_us, load_bound_us)
+
+    def _add_candidate(
+        self, now: int, sender: str, incarnation: int, message: Announce, interval_us: int
+    ) -> bool:
+        named_before = self.candidates.named_leases
+        expires_us = now + int(3.5 * interval_us)
+        receives_answers = (
+            0 < message.voter_clock_us <= now < message.voter_clock_us + 4 * interval_us
+        )
+        if not self.candidates.announce(
+            now,
+            sender,
+            incarnation,
+            message.named_leases,
+            message.overloaded,
+            expires_us,
+            receives_answers,
+        ):
+            return False
+        if not self.records or self.candidates.named_leases != named_before:
             self._sweep(now)
-        held = [
+        return True
+
+    def _held_by(self, now: int, owner: tuple[str, int]) -> list[str]:
+        return [
             lease
-            for lease, e in self.entries.items()
-            if e.until > now and e.holder == (sender, life)
+            for lease, record in self.records.items()
+            if record.expires_us > now and record.holder == owner
         ]
-        settled = self.timing.span
-        move = () if silent else self.standing.moves(now, sender, held, settled)[:MOVED_AT_ONCE]
-        barred = [lease for lease in held if self.holds.on(lease, wall)]
-        roster = Roster(
-            again,
-            (*barred, *move),
-            self.holds.all(wall),
-            left,
-            self.standing.shards,
-            self.seen,
-            told.at,
+
+    def _announce_reply(
+        self,
+        now: int,
+        interval_us: int,
+        recalled: tuple[str, ...],
+        suspensions: tuple[Suspension, ...],
+        highest_token: int,
+        message: Announce,
+    ) -> AnnounceReply:
+        return AnnounceReply(
+            interval_us,
+            recalled,
+            suspensions,
+            self.silent_for_us(now),
+            self.candidates.shard_count,
+            highest_token,
+            message.sent_at_us,
         )
-        return [(sender, roster)]
-
-    # -- what operators see ----------------------------------------------------------------------------------------
-
-    def rows(self, now: int) -> Iterable[tuple[str, str, int, int]]:
-        """Lease, holder (empty: none), number, us that are left of the grant."""
-        for lease, entry in self.entries.items():
-            held = entry.until > now
-            yield (
-                lease,
-                entry.ballot[1] if held else "",
-                entry.mark,
-                entry.until - now if held else 0,
-            )
+
+    # -- state -----------------------------------------------------------------------------------
+
+    def rows(self, now: int) -> Iterable[GrantRow]:
+        """Return all leases for operators."""
+        for lease, record in self.records.items():
+            yield record.row(now, lease)
--- a/saffrongw/leases/candidates.py
+++ b/saffrongw/leases/candidates.py
@@ -1,7 +1,8 @@
-"""Who is there to hold leases, as a voter has heard it, and in which order they are offered one. Pure.
+"""The candidates for leases, as one voter knows them, and in which order they are offered a lease.
 
-Each lease has an order of its own over all that stand, by rendezvous hashing: one that comes or goes moves only the
-leases at whose top it stands, one in N. Those that are pressed, and holders that fell silent, come last.
+Each lease has an order of its own over all candidates, by rendezvous hashing: a candidate that
+joins or leaves moves only the leases for which it is first, one in N. Candidates that are
+overloaded or suspect come last. No I/O; times are us of the voter's clock.
 """
 
 from __future__ import annotations
@@ -11,122 +12,139 @@
 from dataclasses import dataclass
 from functools import lru_cache
 
-STANDING_MOST = 1_024
-NAMED_ALL_MOST = 256  # names of leases beside the shards, of all that stand
+MAX_CANDIDATES = 1_024
+# Leases beside the shards, named by all candidates together.
+MAX_NAMED_LEASES_TOTAL = 256
 
 
 @lru_cache(maxsize=65_536)
-def weight(lease: str, name: str) -> int:
-    """The place of a gateway in the order of a lease: the highest is first."""
+def rendezvous_weight(lease: str, name: str) -> int:
+    """Return the weight of a gateway in the order of a lease: the highest is first."""
     return int.from_bytes(hashlib.blake2b(f"{lease}\0{name}".encode(), digest_size=8).digest())
 
 
-def shard_of(task: str, shards: int) -> str:
-    """The lease under which a task is done. The number of shards is part of its name: see ``sets.py``."""
-    best = max(range(shards), key=lambda shard: weight(task, f"shard {shard}"))
-    return shard_name(best, shards)
+def shard_of(task: str, shard_count: int) -> str:
+    """Return the lease under which a task runs. The number of shards is part of its name."""
+    best = max(range(shard_count), key=lambda shard: rendezvous_weight(task, f"shard {shard}"))
+    return shard_name(best, shard_count)
 
 
-def shard_name(shard: int, shards: int) -> str:
-    """As in lists and messages."""
-    return f"s{shard}/{shards}"
+def shard_name(shard: int, shard_count: int) -> str:
+    """Return the lease name of a shard, as in lists and messages."""
+    return f"s{shard}/{shard_count}"
 
 
 @dataclass(slots=True)
 class Candidate:
-    """One gateway that stands; times in us of the voter's clock."""
+    """One gateway that has announced itself."""
 
-    life: int
-    since: int
-    until: int
-    named: frozenset[str]
-    pressed: bool = False
-    doubtful: bool = False  # a lease of it ran out, or it does not hear this voter
+    incarnation: int
+    since_us: int
+    expires_us: int
+    named_leases: frozenset[str]
+    overloaded: bool = False
+    # A lease of it expired, or it does not receive this voter's answers.
+    suspect: bool = False
 
 
 class Candidates:
-    """All that stand; bounded, and those that are not heard again go."""
+    """All candidates, bounded in number; those that do not announce themselves again expire."""
 
-    def __init__(self, shards: int) -> None:
-        self.shards = shards
-        self.shard_names = tuple(shard_name(shard, shards) for shard in range(shards))
+    def __init__(self, shard_count: int) -> None:
+        """Start without candidates, for this number of shards."""
+        self.shard_count = shard_count
+        self.shard_names = tuple(shard_name(shard, shard_count) for shard in range(shard_count))
         self._shard_set = frozenset(self.shard_names)
-        self.all: dict[str, Candidate] = {}
-        self.turned_away = 0
-        self._named: frozenset[str] | None = None
+        self.by_name: dict[str, Candidate] = {}
+        self.rejected_count = 0
+        self._named_leases: frozenset[str] | None = None
 
-    def stand(
+    def announce(
         self,
         now: int,
         name: str,
-        life: int,
-        named: Iterable[str],
-        pressed: bool,
-        until: int,
-        hears: bool = True,
+        incarnation: int,
+        named_leases: Iterable[str],
+        overloaded: bool,
+        expires_us: int,
+        receives_answers: bool = True,
     ) -> bool:
-        """One tells that it stands; False where there is no room. One that does not hear us would take nothing."""
-        old = self.all.get(name)
-        if old is None and len(self.all) >= STANDING_MOST:
-            self.turned_away += 1
+        """Add or refresh a candidate; return False where there is no capacity for a new one.
+
+        A candidate that does not receive our answers would take no lease, so it is suspect.
+        """
+        previous = self.by_name.get(name)
+        if previous is None and len(self.by_name) >= MAX_CANDIDATES:
+            self.rejected_count += 1
             return False
-        same = old is not None and old.life == life
-        self.all[name] = Candidate(
-            life, old.since if same else now, until, frozenset(named), pressed, not hears
+        since_us = now
+        if previous is not None and previous.incarnation == incarnation:
+            since_us = previous.since_us
+        self.by_name[name] = Candidate(
+            incarnation,
+            since_us,
+            expires_us,
+            frozenset(named_leases),
+            overloaded,
+            not receives_answers,
         )
-        self._named = None
+        self._named_leases = None
         return True
 
-    def leave(self, name: str) -> None:
-        """One stands no more."""
-        if self.all.pop(name, None):
-            self._named = None
+    def remove(self, name: str) -> None:
+        """Remove a candidate."""
+        if self.by_name.pop(name, None):
+            self._named_leases = None
 
     def expire(self, now: int) -> None:
-        """Forget those that were not heard."""
-        for name in [name for name, one in self.all.items() if one.until <= now]:
-            self.leave(name)
+        """Remove the candidates that have not announced themselves again in time."""
+        for name in [name for name, one in self.by_name.items() if one.expires_us <= now]:
+            self.remove(name)
 
     @property
-    def named(self) -> frozenset[str]:
-        """Leases beside the shards that somebody stands for; the first ones by name where there are too many."""
-        if self._named is None:
-            names = sorted({lease for one in self.all.values() for lease in one.named})
-            self._named = frozenset(names[:NAMED_ALL_MOST])
-        return self._named
+    def named_leases(self) -> frozenset[str]:
+        """Return the leases beside the shards that candidates name.
+
+        Where there are too many, the first ones by name are taken.
+        """
+        if self._named_leases is None:
+            names = sorted({lease for one in self.by_name.values() for lease in one.named_leases})
+            self._named_leases = frozenset(names[:MAX_NAMED_LEASES_TOTAL])
+        return self._named_leases
 
     def known(self, lease: str) -> bool:
-        """Whether there is such a lease."""
-        return lease in self._shard_set or lease in self.named
+        """Return whether a lease of this name exists."""
+        return lease in self._shard_set or lease in self.named_leases
 
     def leases(self) -> list[str]:
-        """All that may be held."""
-        return [*self.shard_names, *sorted(self.named)]
+        """Return the names of all leases that can be held."""
+        return [*self.shard_names, *sorted(self.named_leases)]
 
     def order(self, lease: str) -> list[str]:
-        """Whom to offer it, the first one first."""
-        able = (
-            self.all
-            if lease in self._shard_set
-            else [n for n, one in self.all.items() if lease in one.named]
-        )
+        """Return the candidates for a lease, the preferred one first."""
+        eligible: Iterable[str] = self.by_name
+        if lease not in self._shard_set:
+            eligible = [name for name, one in self.by_name.items() if lease in one.named_leases]
         return sorted(
-            able,
+            eligible,
             key=lambda name: (
-                self.all[name].doubtful,
-                self.all[name].pressed,
-                -weight(lease, name),
+                self.by_name[name].suspect,
+                self.by_name[name].overloaded,
+                -rendezvous_weight(lease, name),
             ),
         )
 
-    def moves(self, now: int, name: str, held: Iterable[str], settled: int) -> tuple[str, ...]:
-        """Which of the leases that one holds are rather another's, who has stood for ``settled`` us by now.
+    def misplaced(
+        self, now: int, name: str, held: Iterable[str], settled_us: int
+    ) -> tuple[str, ...]:
+        """Return which of the leases that a gateway holds should migrate to another candidate.
 
-        Whoever was the first gives way to the newcomer only once it has shown that it stays.
+        The other one must have been a candidate for ``settled_us``: a holder gives way only to one
+        that stays.
         """
         return tuple(
             lease
             for lease in held
             if (first := next(iter(self.order(lease)), name)) != name
-            and self.all[first].since + settled <= now
+            and self.by_name[first].since_us + settled_us <= now
         )
--- /dev/null
+++ b/saffrongw/leases/clock.py
@@ -0,0 +1,32 @@
+"""The clocks of a gateway's lease node."""
+
+from __future__ import annotations
+
+import time
+
+from .timing import MILLISECOND_US
+
+
+def boot_time_us() -> int:
+    """Return a clock in us that nobody sets and that goes on while the machine sleeps."""
+    return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000
+
+
+class LeaseClock:
+    """The monotonic clock of leases, and a wall clock that is read once and then never steps."""
+
+    def __init__(self) -> None:
+        """Read the wall clock, this once."""
+        self._wall_base_us = time.time_ns() // 1_000 - boot_time_us()
+
+    def now(self) -> int:
+        """Return us of the monotonic clock."""
+        return boot_time_us()
+
+    def wall(self, now: int) -> int:
+        """Return Unix us at a time of the monotonic clock."""
+        return self._wall_base_us + now
+
+    def wall_ms(self) -> int:
+        """Return Unix ms now, the unit in which fencing tokens begin."""
+        return self.wall(self.now()) // MILLISECOND_US
--- a/saffrongw/leases/clock_drift.py
+++ b/saffrongw/leases/clock_drift.py
@@ -1,8 +1,10 @@
-"""How fast a voter's clock runs by ours: the one thing on which safety rests, and so looked at. Pure; us.
+"""Estimates of how fast each voter's clock runs by ours.
 
-A reading of the other clock that came in an answer was taken between our question and the answer. Two readings with
-enough time in between bound the rate from both sides. Where even the bound lies outside what two right clocks can do,
-one of the two is wrong: with most voters so, it is ours.
+Bounded clock rates are the one assumption that safety rests on, so they are watched. A reading of
+another clock that came in an answer was taken between our question and its arrival. Two readings
+with enough time between them bound the rate from both sides. Where even the bound lies outside what
+two correct clocks can do, one of the two is wrong; if most voters disagree with ours, it is ours.
+No I/O; times are microseconds.
 """
 
 from __future__ import annotations
@@ -11,64 +13,82 @@
 
 from .timing import Timing
 
-KEPT_FOR = 600_000_000  # us after which a first reading is taken anew: rates change with temperature and hosts
+# A first reading older than this is replaced: rates change with temperature and hosts.
+MAX_BASELINE_AGE_US = 600_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """Their clock, read between two moments of ours."""
+    """A voter's clock, read between two moments of ours."""
 
-    theirs: int
+    their_clock: int
     after: int
     before: int
 
 
-def bounds(first: Reading, last: Reading) -> tuple[float, float] | None:
-    """The least and the greatest rate at which their clock may have run by ours; None where nothing can be said."""
-    theirs = last.theirs - first.theirs
-    least, most = last.after - first.before, last.before - first.after
+@dataclass(frozen=True, slots=True)
+class Baseline:
+    """The first reading of one incarnation of a voter."""
+
+    incarnation: int
+    reading: Reading
+
+
+def rate_bounds(first: Reading, last: Reading) -> tuple[float, float] | None:
+    """Return the lowest and highest rate at which their clock may have run by ours.
+
+    None if nothing is known.
+    """
+    theirs = last.their_clock - first.their_clock
+    shortest, longest = last.after - first.before, last.before - first.after
     if theirs < 0:
         return None
-    if least <= 0:
-        return theirs / most if most > 0 else 0.0, float("inf")
-    return theirs / most, theirs / least
+    if shortest <= 0:
+        return theirs / longest if longest > 0 else 0.0, float("inf")
+    return theirs / longest, theirs / shortest
 
 
 class ClockDriftEstimates:
-    """Readings of each voter's clock, by name and life."""
+    """Estimated rates of the voters' clocks, by name, for the incarnation that answered last."""
 
     def __init__(self, timing: Timing) -> None:
+        """Start without readings; ``timing`` bounds the believable rates."""
         self.timing = timing
-        self.first: dict[str, tuple[int, Reading]] = {}
-        self.rate: dict[str, tuple[float, float]] = {}
+        self.baselines: dict[str, Baseline] = {}
+        self.rates: dict[str, tuple[float, float]] = {}
+        # Voters whose clock rate can't be right, if ours is.
         self.wrong: set[str] = set()
 
-    def read(self, name: str, life: int, reading: Reading) -> None:
-        """One more."""
-        life_then, first = self.first.get(name, (0, reading))
-        if life_then != life or reading.before - first.after > KEPT_FOR:
-            self.first[name] = (life, reading)
-            if life_then != life:
-                self.rate.pop(name, None)
+    def add(self, name: str, incarnation: int, reading: Reading) -> None:
+        """Add a reading of a voter's clock."""
+        baseline = self.baselines.get(name)
+        previous, first = (
+            (baseline.incarnation, baseline.reading) if baseline is not None else (0, reading)
+        )
+        if previous != incarnation or reading.before - first.after > MAX_BASELINE_AGE_US:
+            self.baselines[name] = Baseline(incarnation, reading)
+            if previous != incarnation:
+                self.rates.pop(name, None)
                 self.wrong.discard(name)
             return
-        found = bounds(first, reading)
-        if found is None:
+        bounds = rate_bounds(first, reading)
+        if bounds is None:
             return
-        least, most = self.timing.rates
-        self.rate[name] = found
-        if found[0] > most or found[1] < least:
+        lowest, highest = self.timing.believable_rates
+        self.rates[name] = bounds
+        if bounds[0] > highest or bounds[1] < lowest:
             self.wrong.add(name)
-        elif least <= found[0] and found[1] <= most:
+        elif lowest <= bounds[0] and bounds[1] <= highest:
             self.wrong.discard(name)
 
-    def forget_but(self, voters: tuple[str, ...]) -> None:
-        """Another set of voters."""
-        for kept in (self.first, self.rate):
-            for name in [name for name in kept if name not in voters]:
-                del kept[name]
+    def retain(self, voters: tuple[str, ...]) -> None:
+        """Drop the estimates of all but these voters."""
+        for name in [name for name in self.baselines if name not in voters]:
+            del self.baselines[name]
+        for name in [name for name in self.rates if name not in voters]:
+            del self.rates[name]
         self.wrong &= set(voters)
 
-    def ours_is_wrong(self, majority: int) -> bool:
-        """Whether so many voters' clocks differ from ours that ours must be the wrong one."""
+    def own_clock_is_wrong(self, majority: int) -> bool:
+        """Return whether so many voters' clocks disagree with ours that ours must be wrong."""
         return len(self.wrong) >= majority
--- /dev/null
+++ b/saffrongw/leases/lease_record.py
@@ -0,0 +1,82 @@
+"""One lease as an acceptor has it: its promise, its grant, and the progress of its tasks."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from .messages import NO_BALLOT, Accept, Ballot, Propose, TaskProgress
+from .spec import MAX_TASKS_PER_LEASE
+
+
+class GrantRow(NamedTuple):
+    """One lease for operators; an empty holder says that nobody holds it."""
+
+    lease: str
+    holder: str
+    fencing_token: int
+    remaining_us: int
+
+
+@dataclass(slots=True)
+class LeaseRecord:
+    """The state of one lease at one acceptor; times are us of its clock."""
+
+    promised: Ballot = NO_BALLOT
+    # Ballot, round and token of the last grant, and when it expires; 0: there is no grant.
+    granted: Ballot = NO_BALLOT
+    granted_round: int = 0
+    granted_token: int = 0
+    expires_us: int = 0
+    # The last ballot that its proposer gave up.
+    released: Ballot = NO_BALLOT
+    highest_token: int = 0
+    progress: dict[bytes, TaskProgress] = field(default_factory=dict)
+    last_used_us: int = 0
+    # Offers since the lease became free, and when to offer it next; 0: not to be offered.
+    offer_count: int = 0
+    next_offer_us: int = 0
+
+    @property
+    def holder(self) -> tuple[str, int] | None:
+        """Return name and incarnation of the gateway that it is granted to."""
+        return self.granted.owner if self.expires_us else None
+
+    def free(self, now: int) -> None:
+        """End the grant; the lease is offered from now on."""
+        self.expires_us, self.offer_count, self.next_offer_us = 0, 0, now
+
+    def is_late_copy(self, now: int, request: Propose) -> bool:
+        """Return whether the running grant already has a later round of the proposal's ballot."""
+        running = self.expires_us > now and self.granted == request.ballot
+        return running and request.round < self.granted_round
+
+    def grant(self, now: int, request: Propose, duration_us: int) -> Accept:
+        """Grant the lease as proposed, for ``duration_us`` from now."""
+        self.promised = max(self.promised, request.ballot)
+        self.granted = request.ballot
+        self.granted_round = request.round
+        self.granted_token = request.fencing_token
+        self.expires_us = now + duration_us
+        self.highest_token = max(self.highest_token, request.fencing_token)
+        self.next_offer_us = 0
+        return Accept(request.lease, request.ballot, request.round)
+
+    def store_progress(self, reported: tuple[TaskProgress, ...]) -> None:
+        """Store what is later than the known progress of each task.
+
+        The latest goes last; beyond the bound the oldest is dropped.
+        """
+        for progress in reported:
+            if progress.supersedes(self.progress.get(progress.task_id)):
+                self.progress.pop(progress.task_id, None)
+                self.progress[progress.task_id] = progress
+        while len(self.progress) > MAX_TASKS_PER_LEASE:
+            del self.progress[next(iter(self.progress))]
+
+    def row(self, now: int, lease: str) -> GrantRow:
+        """Return the lease for operators."""
+        if self.expires_us <= now:
+            return GrantRow(lease, "", self.highest_token, 0)
+        remaining_us = self.expires_us - now
+        return GrantRow(lease, self.granted.proposer, self.highest_token, remaining_us)
--- a/saffrongw/leases/messages.py
+++ b/saffrongw/leases/messages.py
@@ -1,212 +1,282 @@
-"""What gateways and voters say to each other of leases. Values only; ``saffrongw.channel`` packs and signs them.
+"""Messages between the gateways of a lease set, and their form on the wire.
 
-A packet carries the number of its sender's set of voters and, from a voter, a reading of its clock: the asker learns
-from two of them how fast that clock runs (``rates.py``).
+Proposers and acceptors exchange ``Packet`` values, which ``saffrongw.channel`` signs and sends as
+MessagePack arrays. The tag of a message and the order of its fields are the wire format and must
+not change; names of classes and fields do not travel. All times are microseconds unless the name
+says otherwise.
 """
 
 from __future__ import annotations
 
 from enum import IntEnum
+from typing import NamedTuple
 
 import msgspec
 
-HOLDS_MOST = 64
-NAMED_MOST = 16  # leases that a gateway stands for beside the shards
-LARGEST = 1 << 62  # of every number that only grows
+MAX_SUSPENSIONS = 64
+# Leases that one gateway is a candidate for, beside the shards.
+MAX_NAMED_LEASES = 16
+# Above every ballot number, fencing token and voter set number.
+NUMBER_LIMIT = 1 << 62
 
-Ballot = tuple[
-    int, str, int
-]  # a number, who asks, which life of it: no two askers ever use the same one
-NO_BALLOT: Ballot = (0, "", 0)
 
+class Ballot(NamedTuple):
+    """The ballot of one prepare.
 
-class Why(IntEnum):
-    """Why a voter refuses."""
+    No two proposers, and no two incarnations of one, ever use the same.
+    """
 
-    HELD = 1  # another holds it, for ``left`` us at most
-    OLDER = 2  # another was promised it by a higher ballot, ``n``
-    HOLD = 3  # operators let nobody have it
-    UNKNOWN = 4  # no lease of this name
-    SPAN = 5  # it was asked for longer than this voter grants
-    NUMBERS = 6  # its number is not above those seen here, or beyond what the disk vouches for
+    number: int
+    proposer: str
+    incarnation: int
+
+    @property
+    def owner(self) -> tuple[str, int]:
+        """Return the name and the incarnation of the proposer."""
+        return self.proposer, self.incarnation
+
+
+NO_BALLOT = Ballot(0, "", 0)
+
+
+class NackReason(IntEnum):
+    """Why an acceptor rejects a prepare or a proposal."""
+
+    # Another proposer holds the lease, for ``remaining_us`` at most.
+    HELD = 1
+    # The acceptor has promised or granted a higher ballot, ``ballot_number``.
+    OUTBID = 2
+    # An operator has suspended the lease.
+    SUSPENDED = 3
+    # The acceptor knows no lease of this name.
+    UNKNOWN = 4
+    # The proposal asks for a longer lease than this acceptor grants.
+    DURATION = 5
+    # The fencing token is not above those seen, or is beyond what the acceptor's disk has reserved.
+    TOKEN = 6
 
 
-class State(IntEnum):
+class TurnState(IntEnum):
     """How far a turn of a task has come."""
 
-    BEGUN = 1
+    STARTED = 1
     FAILED = 2
     DONE = 3
 
 
-class Note(msgspec.Struct, frozen=True, array_like=True):
-    """What is known of a task: its last turn, the number that it went under, how far it came."""
+class TaskProgress(msgspec.Struct, frozen=True, array_like=True):
+    """The last known turn of a task, the fencing token it ran under, and how far it came."""
 
-    task: bytes
+    task_id: bytes
     turn: int
-    number: int
+    fencing_token: int
     state: int
 
-    def later_than(self, other: Note | None) -> bool:
-        """Whether this one tells more."""
-        return other is None or (self.turn, self.state, self.number) > (
+    def supersedes(self, other: TaskProgress | None) -> bool:
+        """Return whether this is later knowledge than ``other``."""
+        return other is None or (self.turn, self.state, self.fencing_token) > (
             other.turn,
             other.state,
-            other.number,
+            other.fencing_token,
         )
 
 
-class Hold(msgspec.Struct, frozen=True, array_like=True):
-    """Operators let nobody have a lease; times in Unix seconds, the later ``at`` wins, ``until`` 0 ends it."""
+class Suspension(msgspec.Struct, frozen=True, array_like=True):
+    """An operator's order that nobody gets a lease before ``until_s``.
+
+    Times are Unix seconds. Of two for one lease the later ``set_at_s`` wins; ``until_s`` 0 ends the
+    suspension.
+    """
 
     lease: str
-    until: float
-    who: str
-    why: str
-    at: float
+    until_s: float
+    operator: str
+    reason: str
+    set_at_s: float
 
 
 class Prepare(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """May this asker have the lease? ``fresh``: it wants to be told what is known of the tasks; ``seen``: the highest
-    number that it has met anywhere."""
+    """A proposer asks for a promise (phase 1).
+
+    ``initial`` says that it does not hold the lease yet and wants the progress of its tasks;
+    ``highest_token`` is the highest fencing token that it has met anywhere.
+    """
 
     lease: str
     ballot: Ballot
-    fresh: bool = True
-    seen: int = 0
+    initial: bool = True
+    highest_token: int = 0
 
 
 class Propose(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """It takes the lease, or takes it again in another ``round``, under this fencing number; ``fresh``: it does not
-    hold it yet."""
+    """A proposer takes or renews the lease (phase 2) under a fencing token.
+
+    Each renewal is another ``round``.
+    """
 
     lease: str
     ballot: Ballot
     round: int
-    span: int
-    number: int
-    fresh: bool = True
+    duration_us: int
+    fencing_token: int
+    initial: bool = True
 
 
 class Release(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """It has ended its use of the lease and of this ballot."""
+    """A proposer gives up the lease, and this ballot."""
 
     lease: str
     ballot: Ballot
 
 
-class Tell(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """What became of turns; ``tag`` is sent back."""
+class ReportProgress(msgspec.Struct, frozen=True, array_like=True, tag=4):
+    """The holder reports the progress of tasks; ``request_id`` comes back in the answer."""
 
     lease: str
-    tag: int
-    notes: tuple[Note, ...]
+    request_id: int
+    progress: tuple[TaskProgress, ...]
+
 
+class Announce(msgspec.Struct, frozen=True, array_like=True, tag=5):
+    """A gateway announces itself as a candidate for the shards and for the leases that it names.
 
-class Stand(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """This gateway is there to hold leases: the shards and those that are named; ``at`` by its clock is sent back."""
+    ``sent_at_us`` is read from its own clock and comes back in the answer; ``voter_clock_us`` is
+    the voter's clock as it was last received, 0 where it never was.
+    """
 
-    shards: int
-    named: tuple[str, ...]
-    pressed: bool
-    leaving: bool
-    holds: tuple[Hold, ...]
-    seen: int = 0
-    at: int = 0
-    heard: int = 0  # this voter's clock as it was last heard; 0: never
+    shard_count: int
+    named_leases: tuple[str, ...]
+    overloaded: bool
+    draining: bool
+    suspensions: tuple[Suspension, ...]
+    highest_token: int = 0
+    sent_at_us: int = 0
+    voter_clock_us: int = 0
 
 
 class Promise(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """The asker may propose. ``mark``: the highest number seen; ``known_from``: Unix us since when this voter's memory
-    is whole."""
+    """An acceptor's answer to a prepare: the proposer may propose.
+
+    ``highest_token`` is the highest fencing token seen; ``memory_since_us`` (Unix us) says since
+    when the acceptor's memory is complete.
+    """
 
     lease: str
     ballot: Ballot
-    mark: int
-    known_from: int
-    notes: tuple[Note, ...]
+    highest_token: int
+    memory_since_us: int
+    progress: tuple[TaskProgress, ...]
 
 
 class Accept(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """The lease is the asker's, for the voter's span from this answer on."""
+    """An acceptor's answer to a proposal.
+
+    The lease is granted for the acceptor's duration from this answer on.
+    """
 
     lease: str
     ballot: Ballot
     round: int
 
 
-class Refuse(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """It is not."""
+class Nack(msgspec.Struct, frozen=True, array_like=True, tag=8):
+    """An acceptor's rejection.
+
+    ``round`` is 0 where it answers a prepare, ``reason`` a ``NackReason``.
+    """
 
     lease: str
     ballot: Ballot
-    round: int  # 0: of a Prepare
-    why: int
-    n: int
-    left: int
+    round: int
+    reason: int
+    ballot_number: int
+    remaining_us: int
     holder: str = ""
 
 
-class Told(msgspec.Struct, frozen=True, array_like=True, tag=9):
-    """The notes are kept."""
+class ProgressStored(msgspec.Struct, frozen=True, array_like=True, tag=9):
+    """An acceptor has stored the progress that a holder reported."""
 
     lease: str
-    tag: int
+    request_id: int
 
 
-class Free(msgspec.Struct, frozen=True, array_like=True, tag=10):
-    """Nobody holds this lease: ask for it in ``after`` us, with a ballot above ``n``."""
+class Offer(msgspec.Struct, frozen=True, array_like=True, tag=10):
+    """An acceptor offers a free lease.
+
+    The receiver may prepare in ``delay_us``, with a ballot above ``ballot_number``.
+    """
 
     lease: str
-    after: int
-    n: int
+    delay_us: int
+    ballot_number: int
+
 
+class AnnounceReply(msgspec.Struct, frozen=True, array_like=True, tag=11):
+    """An acceptor's answer to an announcement.
 
-class Roster(msgspec.Struct, frozen=True, array_like=True, tag=11):
-    """The answer to Stand: when to tell again, in us; which leases others are rather to hold; what is on hold; and for
-    how long this voter is silent yet."""
+    It says when to announce again, which leases the candidate should give back, what is suspended,
+    and for how long the acceptor is still silent after its start.
+    """
 
-    again: int
-    move: tuple[str, ...]
-    holds: tuple[Hold, ...]
-    silent: int
-    shards: int
-    seen: int = 0
-    at: int = 0
+    next_announce_us: int
+    recalled_leases: tuple[str, ...]
+    suspensions: tuple[Suspension, ...]
+    silent_for_us: int
+    shard_count: int
+    highest_token: int = 0
+    announced_at_us: int = 0
 
 
-class Seal(msgspec.Struct, frozen=True, array_like=True, tag=12):
-    """Between voters: is your file at this set, or beyond it?"""
+class SealQuery(msgspec.Struct, frozen=True, array_like=True, tag=12):
+    """A voter asks another whether its operator file has reached this voter set."""
 
-    set: int
+    voter_set_number: int
 
 
-class Sealed(msgspec.Struct, frozen=True, array_like=True, tag=13):
-    """It is: no older set gets an answer here any more."""
+class SealReply(msgspec.Struct, frozen=True, array_like=True, tag=13):
+    """The sender's file has reached this voter set: it answers no older set any more."""
 
-    set: int
+    voter_set_number: int
 
 
 Message = (
     Prepare
     | Propose
     | Release
-    | Tell
-    | Stand
+    | ReportProgress
+    | Announce
     | Promise
     | Accept
-    | Refuse
-    | Told
-    | Free
-    | Roster
-    | Seal
-    | Sealed
+    | Nack
+    | ProgressStored
+    | Offer
+    | AnnounceReply
+    | SealQuery
+    | SealReply
 )
 
 
 class Packet(msgspec.Struct, frozen=True, array_like=True):
-    """Messages to one receiver; ``clock`` is 0 but from a voter."""
+    """Messages to one receiver.
+
+    ``sender_clock_us`` is the clock of a voter, and 0 from anybody else.
+    """
 
-    set: int
-    clock: int
+    voter_set_number: int
+    sender_clock_us: int
     messages: tuple[Message, ...]
+
+
+class Outgoing(NamedTuple):
+    """A message and the name of the gateway that it goes to."""
+
+    receiver: str
+    message: Message
+
+
+class OutgoingPacket(NamedTuple):
+    """A packet and the name of the gateway that it goes to."""
+
+    receiver: str
+    packet: Packet
--- a/saffrongw/leases/node.py
+++ b/saffrongw/leases/node.py
@@ -1,407 +1,407 @@
-"""One gateway's whole part in leases: asker, voter if it is one, and what binds both. Pure.
+"""One gateway's part in a lease set: proposer, acceptor if it is a voter, and what binds both.
 
-Packets come in with the name and life of whoever signed them and go out by name; time comes as ``now`` (us of a clock
-that also counts while the machine sleeps) and ``wall`` (Unix us, never stepping). What happened to leases is read from
-``events``.
+No I/O. Packets come in with the name and incarnation of the gateway that signed them, and go out by
+name. Time is passed in as ``now`` (us of a clock that goes on while the machine sleeps) and
+``wall`` (Unix us, which never steps). What happened to leases is read from ``events``.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
 
 from .acceptor import Acceptor
 from .candidates import Candidates
+from .claim import Claim, ClaimStage, FencingToken, LeaseEvent, LeaseRecalled
 from .clock_drift import ClockDriftEstimates, Reading
 from .messages import (
-    LARGEST,
-    NAMED_MOST,
+    MAX_NAMED_LEASES,
+    NUMBER_LIMIT,
     Accept,
-    Free,
+    Announce,
+    AnnounceReply,
     Message,
-    Note,
+    Nack,
+    Offer,
+    Outgoing,
+    OutgoingPacket,
     Packet,
     Prepare,
+    ProgressStored,
     Promise,
     Propose,
-    Refuse,
     Release,
-    Roster,
-    Seal,
-    Sealed,
-    Stand,
-    Tell,
-    Told,
+    ReportProgress,
+    SealQuery,
+    SealReply,
+    TaskProgress,
 )
-from .proposer import Claim, Event, Out, Proposer, Stage, Token, Wanted
-from .spec import NOTES_MOST
+from .packing import MAX_MESSAGES_PER_PACKET, pack_messages
+from .progress_reports import ProgressConfirmed, ProgressReports
+from .proposer import Proposer
 from .suspensions import Suspensions
 from .timing import Timing
-from .voter_set import Succession, VoterSet
+from .voter_contacts import VoterContact, since_majority_us
+from .voter_set import VoterSet, VoterSetTransition
 
-FOR_VOTERS = (Prepare, Propose, Release, Tell, Stand)
-MESSAGES_MOST = 24  # in one packet
-SHUNNED_MOST = 256
+ACCEPTOR_MESSAGES = (Prepare, Propose, Release, ReportProgress, Announce)
+MAX_AVOIDED_LEASES = 256
+MAX_FIRST_ANNOUNCE_DELAY_US = 1_000_000
+MAX_ANNOUNCE_INTERVAL_US = 600_000_000
+# The reason that operators see when this gateway's own clock is not believed.
+CLOCK_STOP_REASON = "our clock runs at another rate than most voters' clocks"
 
-Packets = list[tuple[str, Packet]]
-
-
-@dataclass(frozen=True, slots=True)
-class Confirmed:
-    """A majority has noted what was told."""
-
-    lease: str
-    notes: tuple[Note, ...]
-
-
-@dataclass(slots=True)
-class Telling:
-    """Notes of one lease on their way."""
-
-    tag: int
-    notes: tuple[Note, ...]
-    at: int
-    heard: set[str] = field(default_factory=set)
-    until: int = 0
-    waiting: tuple[Note, ...] = ()  # told meanwhile: they go next
-
-
-@dataclass(slots=True)
-class Place:
-    """How we stand with one voter."""
-
-    at: int  # when to tell it again
-    tries: int = 0
-    heard: int = 0  # by our clock
-    clock: int = 0  # its own, as it was heard then
+NodeEvent = LeaseEvent | ProgressConfirmed
 
 
 class LeaseNode:
-    """A life of one gateway."""
+    """One incarnation of one gateway."""
 
     def __init__(
         self,
         name: str,
-        life: int,
-        own: VoterSet,
+        incarnation: int,
+        voter_set: VoterSet,
         timing: Timing,
-        shards: int,
+        shard_count: int,
         draw: Callable[[], float],
         now: int,
-        former: tuple[VoterSet, ...] = (),
-        named: tuple[str, ...] = (),
-        floor: int = 0,
-        reserved: int = LARGEST,
-        asks: bool = True,
+        former_sets: tuple[VoterSet, ...] = (),
+        named_leases: tuple[str, ...] = (),
+        token_floor: int = 0,
+        reserved_token: int = NUMBER_LIMIT,
+        is_candidate: bool = True,
+    ) -> None:
+        """Join a lease set.
+
+        ``Acceptor`` explains the tokens; ``draw`` returns random numbers from 0 to 1.
+        """
+        self.name = name
+        self.incarnation = incarnation
+        self.timing = timing
+        self.shard_count = shard_count
+        self.draw = draw
+        self.named_leases = named_leases[:MAX_NAMED_LEASES]
+        self.is_candidate = is_candidate
+        self.shard_names = frozenset(Candidates(shard_count).shard_names)
+        self.suspensions = Suspensions()
+        self.clock_drift = ClockDriftEstimates(timing)
+        self.proposer = Proposer(name, incarnation, voter_set.voters, timing, draw)
+        self.acceptor: Acceptor | None = None
+        self.token_floor = token_floor
+        self.reserved_token = reserved_token
+        self.overloaded = False
+        self.draining = False
+        self.events: list[NodeEvent] = []
+        self.reports = ProgressReports(timing)
+        self.contacts: dict[str, VoterContact] = {}
+        # By lease: voters that recall it, so that another may hold it.
+        self.recalled_by: dict[str, set[str]] = {}
+        # Leases that are not proposed for until a time.
+        self.avoided_until_us: dict[str, int] = {}
+        # The highest voter set that another gateway named and that is not ours; 0: none.
+        self.foreign_set_number = 0
+        self.foreign_shard_count = 0
+        # The keys are names in /admin/stats.
+        self.counters = {"from_other_sets": 0, "strange": 0}
+        self.voter_set = VoterSet(-1, ())
+        self.transition = VoterSetTransition(voter_set)
+        self.change_voter_set(now, voter_set, former_sets)
+
+    # -- settings ----------------------------------------------------------------------------------
+
+    def change_voter_set(
+        self, now: int, voter_set: VoterSet, former_sets: tuple[VoterSet, ...]
     ) -> None:
-        self.name, self.life, self.timing, self.shards, self.draw = name, life, timing, shards, draw
-        self.named, self.asks = named[:NAMED_MOST], asks
-        self.shard_names = frozenset(Candidates(shards).shard_names)
-        self.holds = Suspensions()
-        self.rates = ClockDriftEstimates(timing)
-        self.asker = Proposer(name, life, own.voters, timing, draw)
-        self.voter: Acceptor | None = None
-        self.floor, self.reserved = floor, reserved
-        self.pressed = self.leaving = False
-        self.events: list[Event | Confirmed] = []
-        self.tellings: dict[str, Telling] = {}
-        self.tags = 0
-        self.stands: dict[str, Place] = {}
-        self.moves: dict[str, set[str]] = {}  # by lease: voters that would have another hold it
-        self.shunned: dict[str, int] = {}  # leases that we do not ask for until then
-        self.other_set = 0  # the highest set that another one named, and is not ours
-        self.other_shards = 0
-        self.counts = {"from_other_sets": 0, "strange": 0}
-        self.own = VoterSet(-1, ())
-        self.succession = Succession(own)
-        self.change(now, own, former)
-
-    # -- settings --------------------------------------------------------------------------------------------------
-
-    def change(self, now: int, own: VoterSet, former: tuple[VoterSet, ...]) -> None:
-        """Another set of voters, or the first one."""
-        if own == self.own:
-            self.succession.former = former
+        """Change to another voter set, or to the first one."""
+        if voter_set == self.voter_set:
+            self.transition.former = former_sets
             return
-        self.own, self.succession = own, Succession(own, former)
-        self.asker.change_voters(now, own.voters)
-        self.rates.forget_but(own.voters)
-        self.moves.clear()
-        self.stands = {
-            voter: Place(now + int(self.draw() * min(1_000_000, self.timing.span // 2)))
-            for voter in own.voters
+        self.voter_set = voter_set
+        self.transition = VoterSetTransition(voter_set, former_sets)
+        self.proposer.replace_voters(now, voter_set.voters)
+        self.clock_drift.retain(voter_set.voters)
+        self.recalled_by.clear()
+        max_delay_us = min(MAX_FIRST_ANNOUNCE_DELAY_US, self.timing.duration_us // 2)
+        self.contacts = {
+            voter: VoterContact(now + int(self.draw() * max_delay_us)) for voter in voter_set.voters
         }
-        if self.name not in own.voters:
-            self.voter = None
-        elif self.voter is None:
-            standing = Candidates(self.shards)
-            self.voter = Acceptor(
-                self.name, self.timing, standing, self.holds, now, self.floor, self.reserved
+        if self.name not in voter_set.voters:
+            self.acceptor = None
+        elif self.acceptor is None:
+            self.acceptor = Acceptor(
+                self.name,
+                self.timing,
+                Candidates(self.shard_count),
+                self.suspensions,
+                now,
+                self.token_floor,
+                self.reserved_token,
             )
         else:
-            self.voter.be_silent(now)
-        self.succession.told(self.name, own.number)
-
-    def stand_now(self, now: int) -> None:
-        """What we tell the voters of ourselves has changed."""
-        for stand in self.stands.values():
-            stand.at = now
-
-    # -- leases ----------------------------------------------------------------------------------------------------
-
-    def token(self, lease: str, clock: Callable[[], int]) -> Token | None:
-        """See ``Asker.token``."""
-        return self.asker.token(lease, clock)
-
-    def tell(self, now: int, lease: str, notes: tuple[Note, ...]) -> None:
-        """Have the voters note this; ``Confirmed`` comes when a majority has."""
-        telling = self.tellings.get(lease)
-        if telling is not None:
-            telling.waiting = (*telling.waiting, *notes)[-NOTES_MOST:]
-            return
-        self.tags += 1
-        self.tellings[lease] = Telling(self.tags, notes, now, until=now + self.timing.span)
-
-    def give_back(self, now: int, wall: int, lease: str, why: str, shun: int = 0) -> Packets:
-        """Use a lease no more; not asked for again for ``shun`` us."""
-        if shun:
-            self.shunned[lease] = now + shun
-            while len(self.shunned) > SHUNNED_MOST:
-                del self.shunned[next(iter(self.shunned))]
-        self.moves.pop(lease, None)
-        return self._out(now, wall, self.asker.give_back(now, lease, why))
-
-    def leave(self, now: int, wall: int) -> Packets:
-        """Stand no more and give all back: others take over at once."""
-        self.leaving = True
-        out = [*self.asker.give_all_back(now, "we drain")]
-        out = [
-            (v, self._stand(now, wall, 0)) for v in self.own.voters
-        ] + out  # first that we are not offered them again
-        return self._out(now, wall, out)
-
-    # -- time ------------------------------------------------------------------------------------------------------
+            self.acceptor.restart_silence(now)
+        self.transition.record_reply(self.name, voter_set.number)
+
+    def announce_now(self, now: int) -> None:
+        """Announce to all voters at once, as something about us has changed."""
+        for contact in self.contacts.values():
+            contact.next_announce_us = now
+
+    # -- leases ------------------------------------------------------------------------------------
+
+    def token(self, lease: str, clock: Callable[[], int]) -> FencingToken | None:
+        """Return the token for a task under this lease; None: it is not held."""
+        return self.proposer.token(lease, clock)
+
+    def report_progress(self, now: int, lease: str, progress: tuple[TaskProgress, ...]) -> None:
+        """Have the voters store progress; ``ProgressConfirmed`` comes when a majority has."""
+        self.reports.add(now, lease, progress)
+
+    def release(
+        self, now: int, wall: int, lease: str, reason: str, avoid_us: int = 0
+    ) -> list[OutgoingPacket]:
+        """Give a lease back, and propose for it again only after ``avoid_us``."""
+        if avoid_us:
+            self.avoided_until_us[lease] = now + avoid_us
+            while len(self.avoided_until_us) > MAX_AVOIDED_LEASES:
+                del self.avoided_until_us[next(iter(self.avoided_until_us))]
+        self.recalled_by.pop(lease, None)
+        return self._send(now, wall, self.proposer.release(lease, reason))
+
+    def drain(self, now: int, wall: int) -> list[OutgoingPacket]:
+        """Be no candidate any more and release all leases: others take over at once."""
+        self.draining = True
+        releases = self.proposer.release_all("we drain")
+        # The announcements go first, so that we are not offered the leases again.
+        announce = self._announcement(now, wall, 0)
+        announcements = [Outgoing(voter, announce) for voter in self.voter_set.voters]
+        return self._send(now, wall, announcements + releases)
+
+    # -- time --------------------------------------------------------------------------------------
 
     def next_at(self) -> int:
-        """When ``due`` has something to do, at the latest."""
-        times = (
-            [stand.at for stand in self.stands.values()] if self.asks and not self.leaving else []
+        """Return when ``due`` has something to do, at the latest."""
+        times = self.reports.next_times()
+        if self.is_candidate and not self.draining:
+            times += [contact.next_announce_us for contact in self.contacts.values()]
+        if (proposer_at := self.proposer.next_at()) is not None:
+            times.append(proposer_at)
+        if self.acceptor and self.transition.complete():
+            times.append(self.acceptor.next_at())
+        elif self.acceptor:
+            times.append(self.transition.next_query_us)
+        return min(times, default=NUMBER_LIMIT)
+
+    def due(self, now: int, wall: int) -> list[OutgoingPacket]:
+        """Do all whose time has come."""
+        outgoing = self.proposer.due(now)
+        if self.is_candidate and not self.draining:
+            outgoing += self._due_announcements(now, wall)
+        outgoing += self.reports.due(now, self.voter_set.voters)
+        if self.acceptor and self.transition.complete():
+            outgoing += self.acceptor.due(now, wall)
+        elif self.acceptor:
+            query = SealQuery(self.voter_set.number)
+            outgoing += [Outgoing(name, query) for name in self.transition.due(now)]
+        return self._send(now, wall, outgoing)
+
+    def _due_announcements(self, now: int, wall: int) -> list[Outgoing]:
+        outgoing: list[Outgoing] = []
+        for voter, contact in self.contacts.items():
+            if contact.next_announce_us > now:
+                continue
+            announce = self._announcement(now, wall, contact.voter_clock_us)
+            outgoing.append(Outgoing(voter, announce))
+            backoff_us = self.timing.resend_after_us * 2 ** min(contact.attempts, 12)
+            wait_us = min(self.timing.announce_interval_us, backoff_us)
+            contact.next_announce_us = now + int(wait_us * (1 + self.draw()))
+            contact.attempts += 1
+        return outgoing
+
+    def _announcement(self, now: int, wall: int, voter_clock_us: int) -> Announce:
+        return Announce(
+            self.shard_count,
+            self.named_leases,
+            self.overloaded or bool(self.proposer.stop_reason),
+            self.draining,
+            self.suspensions.all(wall),
+            self.proposer.highest_token,
+            now,
+            voter_clock_us,
         )
-        times += [telling.at for telling in self.tellings.values()]
-        if (at := self.asker.next_at()) is not None:
-            times.append(at)
-        if self.voter:
-            times.append(self.voter.next_at() if self.succession.done() else self.succession.ask_at)
-        return min(times, default=1 << 62)
-
-    def due(self, now: int, wall: int) -> Packets:
-        """All whose time has come."""
-        out = self.asker.due(now)
-        if self.asks and not self.leaving:
-            out += self._due_stands(now, wall)
-        for lease, telling in list(self.tellings.items()):
-            if telling.at <= now:
-                out += self._tell_again(now, lease, telling)
-        if self.voter:
-            if self.succession.done():
-                out += self.voter.due(now, wall)
-            else:
-                out += [(name, Seal(self.own.number)) for name in self.succession.due(now)]
-        return self._out(now, wall, out)
-
-    def _due_stands(self, now: int, wall: int) -> Out:
-        out: Out = []
-        for voter, stand in self.stands.items():
-            if stand.at <= now:
-                out.append((voter, self._stand(now, wall, stand.clock)))
-                wait = min(
-                    self.timing.stand_every, self.timing.again_after * 2 ** min(stand.tries, 12)
-                )
-                stand.at = now + int(wait * (1 + self.draw()))
-                stand.tries += 1
-        return out
-
-    def _stand(self, now: int, wall: int, heard: int) -> Stand:
-        holds, seen = self.holds.all(wall), self.asker.seen
-        pressed = self.pressed or bool(self.asker.stopped)
-        return Stand(self.shards, self.named, pressed, self.leaving, holds, seen, now, heard)
-
-    def _tell_again(self, now: int, lease: str, telling: Telling) -> Out:
-        if now >= telling.until:
-            self._told_all(now, lease, telling, False)
-            return []
-        telling.at = now + self.timing.again_after
-        return [
-            (v, Tell(lease, telling.tag, telling.notes))
-            for v in self.own.voters
-            if v not in telling.heard
-        ]
-
-    def _told_all(self, now: int, lease: str, telling: Telling, noted: bool) -> None:
-        del self.tellings[lease]
-        if noted:
-            self.events.append(Confirmed(lease, telling.notes))
-        if telling.waiting:
-            self.tell(now, lease, telling.waiting)
-
-    # -- messages --------------------------------------------------------------------------------------------------
-
-    def receive(self, now: int, wall: int, sender: str, life: int, packet: Packet) -> Packets:
-        """A packet whose sender is proved."""
-        out: Out = []
-        for message in packet.messages[:MESSAGES_MOST]:
-            if isinstance(message, Seal):
-                if self.own.number >= message.set:
-                    out.append((sender, Sealed(self.own.number)))
-            elif isinstance(message, Sealed):
-                self._sealed(now, sender, message)
-            elif packet.set != self.own.number:
-                self.counts["from_other_sets"] += 1
-                self.other_set = max(self.other_set, min(packet.set, LARGEST))
-                if packet.set < self.own.number and isinstance(message, FOR_VOTERS):
-                    out.append(
-                        (sender, Sealed(self.own.number))
-                    )  # so it hears that its file is old
-            elif isinstance(message, FOR_VOTERS):
-                if self.voter and self.succession.done():
-                    out += self.voter.handle(now, wall, sender, life, message)
+
+    # -- messages ----------------------------------------------------------------------------------
+
+    def receive(
+        self, now: int, wall: int, sender: str, incarnation: int, packet: Packet
+    ) -> list[OutgoingPacket]:
+        """Handle a packet whose sender is authenticated."""
+        outgoing: list[Outgoing] = []
+        for message in packet.messages[:MAX_MESSAGES_PER_PACKET]:
+            if isinstance(message, SealQuery):
+                if self.voter_set.number >= message.voter_set_number:
+                    outgoing.append(Outgoing(sender, SealReply(self.voter_set.number)))
+            elif isinstance(message, SealReply):
+                self._on_seal_reply(now, sender, message)
+            elif packet.voter_set_number != self.voter_set.number:
+                outgoing += self._on_other_set(sender, packet.voter_set_number, message)
+            elif isinstance(message, ACCEPTOR_MESSAGES):
+                outgoing += self._to_acceptor(now, wall, sender, incarnation, message)
             else:
-                out += self._answer(now, wall, sender, life, packet.clock, message)
-        return self._out(now, wall, out)
-
-    def _sealed(self, now: int, sender: str, message: Sealed) -> None:
-        if message.set > self.own.number:
-            self.other_set = max(self.other_set, min(message.set, LARGEST))
-        before = self.succession.done()
-        self.succession.told(sender, message.set)
-        if self.voter and not before and self.succession.done():
-            self.voter.be_silent(now)
-
-    def _answer(
-        self, now: int, wall: int, sender: str, life: int, clock: int, message: Message
-    ) -> Out:
-        stand = self.stands.get(sender)
-        if stand is None:
-            self.counts["strange"] += 1
+                clock = packet.sender_clock_us
+                outgoing += self._on_voter_message(now, wall, sender, incarnation, clock, message)
+        return self._send(now, wall, outgoing)
+
+    def _to_acceptor(
+        self, now: int, wall: int, sender: str, incarnation: int, message: Message
+    ) -> list[Outgoing]:
+        if self.acceptor and self.transition.complete():
+            return self.acceptor.handle(now, wall, sender, incarnation, message)
+        return []
+
+    def _on_other_set(self, sender: str, set_number: int, message: Message) -> list[Outgoing]:
+        self.counters["from_other_sets"] += 1
+        self.foreign_set_number = max(self.foreign_set_number, min(set_number, NUMBER_LIMIT))
+        if set_number < self.voter_set.number and isinstance(message, ACCEPTOR_MESSAGES):
+            # Tells the sender that its file is old.
+            return [Outgoing(sender, SealReply(self.voter_set.number))]
+        return []
+
+    def _on_seal_reply(self, now: int, sender: str, message: SealReply) -> None:
+        set_number = message.voter_set_number
+        if set_number > self.voter_set.number:
+            self.foreign_set_number = max(self.foreign_set_number, min(set_number, NUMBER_LIMIT))
+        was_complete = self.transition.complete()
+        self.transition.record_reply(sender, set_number)
+        if self.acceptor and not was_complete and self.transition.complete():
+            self.acceptor.restart_silence(now)
+
+    def _on_voter_message(
+        self, now: int, wall: int, sender: str, incarnation: int, clock: int, message: Message
+    ) -> list[Outgoing]:
+        """Handle a voter's answer or offer.
+
+        ``clock`` is the voter's clock, 0 for our own acceptor.
+        """
+        contact = self.contacts.get(sender)
+        if contact is None:
+            self.counters["strange"] += 1
             return []
-        stand.heard, stand.clock = now, clock or now
+        contact.last_received_us, contact.voter_clock_us = now, clock or now
         match message:
-            case Promise() | Accept() | Refuse():
-                claim = self.asker.claims.get(message.lease)
-                if claim and self._answers(claim, message):
-                    self._read_clock(now, sender, life, clock, claim.began)
-                return self.asker.handle(now, sender, message)
-            case Free():
-                self._free(now, message)
-            case Roster():
-                if 0 < message.at <= now:
-                    self._read_clock(now, sender, life, clock, message.at)
-                self._roster(now, wall, sender, stand, message)
-            case Told():
-                telling = self.tellings.get(message.lease)
-                if telling and telling.tag == message.tag:
-                    telling.heard.add(sender)
-                    if len(telling.heard) >= self.own.majority:
-                        self._told_all(now, message.lease, telling, True)
+            case Promise() | Accept() | Nack():
+                claim = self.proposer.claims.get(message.lease)
+                if claim and self._answers_current_round(claim, message):
+                    started_us = claim.round_started_us
+                    self._read_clock(now, sender, incarnation, clock, started_us)
+                return self.proposer.handle(now, sender, message)
+            case Offer():
+                self._on_offer(now, message)
+            case AnnounceReply():
+                if 0 < message.announced_at_us <= now:
+                    announced_us = message.announced_at_us
+                    self._read_clock(now, sender, incarnation, clock, announced_us)
+                self._on_announce_reply(now, wall, sender, contact, message)
+            case ProgressStored():
+                majority = self.voter_set.majority
+                if confirmed := self.reports.stored(now, sender, message, majority):
+                    self.events.append(confirmed)
         return []
 
     @staticmethod
-    def _answers(claim: Claim, message: Promise | Accept | Refuse) -> bool:
-        """Whether this is an answer to the question that is out: its clock was read after that left."""
+    def _answers_current_round(claim: Claim, message: Promise | Accept | Nack) -> bool:
+        """Return whether this answers the request in flight.
+
+        Only then is it certain that the voter's clock was read after the request left.
+        """
         if claim.ballot != message.ballot:
             return False
-        if claim.stage is Stage.PREPARING:
-            return isinstance(message, Promise) or (
-                isinstance(message, Refuse) and not message.round
-            )
-        return claim.stage is Stage.PROPOSING and getattr(message, "round", 0) == claim.round
+        if claim.stage is ClaimStage.PREPARING:
+            return isinstance(message, Promise) or (isinstance(message, Nack) and not message.round)
+        answered_round = 0 if isinstance(message, Promise) else message.round
+        return claim.stage is ClaimStage.PROPOSING and answered_round == claim.round
+
+    def _read_clock(
+        self, now: int, voter: str, incarnation: int, clock: int, requested_us: int
+    ) -> None:
+        """Estimate a voter's clock rate.
 
-    def _read_clock(self, now: int, voter: str, life: int, clock: int, asked: int) -> None:
-        """Learn of its clock's rate; where most differ from ours, ours is wrong and we hold nothing."""
+        Where most voters' clocks disagree with ours, ours is wrong, and we must hold nothing.
+        """
         if not clock or voter == self.name:
             return
-        self.rates.read(voter, life, Reading(clock, asked, now))
-        wrong = self.rates.ours_is_wrong(self.own.majority)
-        self.asker.distrusted = frozenset() if wrong else frozenset(self.rates.wrong)
-        self.asker.stopped = (
-            "our clock runs at another rate than most voters' clocks" if wrong else ""
-        )
-
-    def _free(self, now: int, told: Free) -> None:
-        lease = told.lease
-        if not self.asks or self.leaving or self.pressed or self.asker.stopped:
+        self.clock_drift.add(voter, incarnation, Reading(clock, requested_us, now))
+        wrong = self.clock_drift.own_clock_is_wrong(self.voter_set.majority)
+        self.proposer.distrusted = frozenset() if wrong else frozenset(self.clock_drift.wrong)
+        self.proposer.stop_reason = CLOCK_STOP_REASON if wrong else ""
+
+    def _on_offer(self, now: int, offer: Offer) -> None:
+        lease = offer.lease
+        if not self.is_candidate or self.draining or self.overloaded or self.proposer.stop_reason:
             return
-        if self.shunned.get(lease, 0) > now:
+        if self.avoided_until_us.get(lease, 0) > now:
             return
-        self.shunned.pop(lease, None)
-        if self._ours(lease):
-            spread = int(self.draw() * self.timing.stagger / 4)
-            self.asker.want(now, lease, min(max(0, told.after), self.timing.span) + spread, told.n)
-
-    def _ours(self, lease: str) -> bool:
-        """Whether it is one that we stand for: not a name that we made no use of."""
-        return lease in self.named or lease in self.shard_names
-
-    def _roster(self, now: int, wall: int, voter: str, stand: Place, told: Roster) -> None:
-        stand.tries = 0
-        self.asker.saw(told.seen)
-        if told.shards != self.shards:
-            self.other_shards = told.shards
-        elif self.other_shards:
-            self.other_shards = 0
-        again = min(max(told.again, self.timing.span // 2), 600_000_000)
-        stand.at = now + int(again * (0.9 + 0.2 * self.draw()))
-        self.holds.merge(told.holds, wall)
-        for lease in told.move:
-            if lease in self.asker.claims:
-                self.moves.setdefault(lease, set()).add(voter)
-        for lease, voters in list(self.moves.items()):
-            if lease not in told.move:
+        self.avoided_until_us.pop(lease, None)
+        # Not a name that we made no use of.
+        if lease in self.named_leases or lease in self.shard_names:
+            spread_us = int(self.draw() * self.timing.stagger_us / 4)
+            delay_us = min(max(0, offer.delay_us), self.timing.duration_us) + spread_us
+            self.proposer.propose(now, lease, delay_us, offer.ballot_number)
+
+    def _on_announce_reply(
+        self, now: int, wall: int, voter: str, contact: VoterContact, reply: AnnounceReply
+    ) -> None:
+        contact.attempts = 0
+        self.proposer.observe_token(reply.highest_token)
+        self.foreign_shard_count = reply.shard_count if reply.shard_count != self.shard_count else 0
+        interval_us = max(reply.next_announce_us, self.timing.duration_us // 2)
+        interval_us = min(interval_us, MAX_ANNOUNCE_INTERVAL_US)
+        contact.next_announce_us = now + int(interval_us * (0.9 + 0.2 * self.draw()))
+        self.suspensions.merge(reply.suspensions, wall)
+        self._count_recalls(voter, reply.recalled_leases)
+
+    def _count_recalls(self, voter: str, recalled: tuple[str, ...]) -> None:
+        """Count the voters that recall a lease; a majority recalls it."""
+        for lease in recalled:
+            if lease in self.proposer.claims:
+                self.recalled_by.setdefault(lease, set()).add(voter)
+        for lease, voters in list(self.recalled_by.items()):
+            if lease not in recalled:
                 voters.discard(voter)
-            if not voters or lease not in self.asker.claims:
-                del self.moves[lease]
-            elif len(voters) >= self.own.majority:
-                del self.moves[lease]
-                self.events.append(Wanted(lease))
-
-    # -- out -------------------------------------------------------------------------------------------------------
-
-    def _out(self, now: int, wall: int, messages: Iterable[tuple[str, Message]]) -> Packets:
-        """Grouped by receiver; what is for ourselves is handled at once."""
-        groups: dict[str, list[Message]] = {}
-        waiting = list(messages)
+            if not voters or lease not in self.proposer.claims:
+                del self.recalled_by[lease]
+            elif len(voters) >= self.voter_set.majority:
+                del self.recalled_by[lease]
+                self.events.append(LeaseRecalled(lease))
+
+    # -- sending -----------------------------------------------------------------------------------
+
+    def _send(self, now: int, wall: int, outgoing: Iterable[Outgoing]) -> list[OutgoingPacket]:
+        """Group messages by receiver; those to ourselves are handled at once."""
+        by_receiver: dict[str, list[Message]] = {}
+        waiting = list(outgoing)
         while waiting:
-            to, message = waiting.pop(0)
-            if to != self.name:
-                groups.setdefault(to, []).append(message)
-            elif isinstance(message, FOR_VOTERS):
-                if self.voter and self.succession.done():
-                    waiting += self.voter.handle(now, wall, self.name, self.life, message)
-            elif isinstance(message, Seal | Sealed):
-                self.succession.told(self.name, self.own.number)
+            receiver, message = waiting.pop(0)
+            if receiver != self.name:
+                by_receiver.setdefault(receiver, []).append(message)
+            elif isinstance(message, ACCEPTOR_MESSAGES):
+                waiting += self._to_acceptor(now, wall, self.name, self.incarnation, message)
+            elif isinstance(message, SealQuery | SealReply):
+                self.transition.record_reply(self.name, self.voter_set.number)
             else:
-                waiting += self._answer(now, wall, self.name, self.life, 0, message)
-        if self.asker.events:
-            self.events += self.asker.events
-            self.asker.events.clear()
-        if self.asker.stopped and self.asker.claims:
-            return self._out(
-                now, wall, self.asker.give_all_back(now, self.asker.stopped)
-            ) + self._packed(groups, now)
-        return self._packed(groups, now)
-
-    def _packed(self, groups: dict[str, list[Message]], now: int) -> Packets:
-        clock = now if self.voter else 0
-        return [
-            (to, Packet(self.own.number, clock, tuple(some[at : at + MESSAGES_MOST])))
-            for to, some in groups.items()
-            for at in range(0, len(some), MESSAGES_MOST)
-        ]
-
-    # -- what operators see ----------------------------------------------------------------------------------------
-
-    def since_majority(self, now: int) -> int | None:
-        """Us since a majority of the voters was heard; None: never."""
-        heard = sorted((s.heard for v, s in self.stands.items()), reverse=True)
-        at = heard[self.own.majority - 1] if len(heard) >= self.own.majority else 0
-        return now - at if at else None
+                waiting += self._on_voter_message(
+                    now, wall, self.name, self.incarnation, 0, message
+                )
+        self.events += self.proposer.events
+        self.proposer.events.clear()
+        clock = now if self.acceptor else 0
+        packets = pack_messages(by_receiver, self.voter_set.number, clock)
+        if self.proposer.stop_reason and self.proposer.claims:
+            releases = self.proposer.release_all(self.proposer.stop_reason)
+            return self._send(now, wall, releases) + packets
+        return packets
+
+    # -- state -------------------------------------------------------------------------------------
+
+    def since_majority_us(self, now: int) -> int | None:
+        """Return for how long no majority of the voters has answered; None: it never has."""
+        return since_majority_us(self.contacts.values(), self.voter_set.majority, now)
--- a/saffrongw/leases/proposer.py
+++ b/saffrongw/leases/proposer.py
@@ -1,134 +1,77 @@
-"""One gateway's side of leases: it asks, it holds, it renews, it gives back. Pure: time and messages in, messages out.
+"""The proposer of one gateway: it prepares, proposes, holds, renews and releases leases.
 
-Everything here is bounded by this gateway's own clock, from before it asked: an answer that comes late is worth less,
-and one that comes after its span is worth nothing.
+No I/O: time and messages in, messages out. All times are us of this gateway's own clock, counted
+from before a request left: an answer that comes late leaves less time, and one that comes after the
+lease's duration is void.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
-from enum import Enum
 
+from .claim import (
+    Claim,
+    ClaimStage,
+    FencingToken,
+    LeaseEvent,
+    LeaseGained,
+    LeaseLost,
+    LeaseRecalled,
+)
 from .messages import (
-    LARGEST,
+    NUMBER_LIMIT,
     Accept,
     Ballot,
     Message,
-    Note,
+    Nack,
+    NackReason,
+    Outgoing,
     Prepare,
     Promise,
     Propose,
-    Refuse,
     Release,
-    Why,
 )
-from .timing import MS, Timing
-
-TRIES = 4  # rounds before a lease that others want too is left until it is offered again
-CLAIMS_MOST = 1_024
-
-Out = list[tuple[str, Message]]
-
-
-class Stage(Enum):
-    """What a claim waits for."""
-
-    WAITING = "waiting"  # to ask
-    PREPARING = "preparing"
-    PROPOSING = "proposing"
-    RESTING = "resting"  # held; nothing is out
-
-
-@dataclass(frozen=True, slots=True)
-class Gained:
-    """A lease is ours: under this number, with what a majority knows of its tasks, and since when (Unix us)."""
-
-    lease: str
-    number: int
-    notes: dict[bytes, Note]
-    known_from: int
-
-
-@dataclass(frozen=True, slots=True)
-class Lost:
-    """A lease is ours no more."""
-
-    lease: str
-    number: int
-    why: str
-
-
-@dataclass(frozen=True, slots=True)
-class Wanted:
-    """Others are rather to hold this lease, or nobody is: give it back when nothing is in the middle under it."""
-
-    lease: str
-
-
-Event = Gained | Lost | Wanted
-
-
-@dataclass(slots=True)
-class Claim:
-    """One lease that this gateway holds or asks for."""
-
-    lease: str
-    stage: Stage = Stage.WAITING
-    at: int = 0  # when to do the next thing
-    ballot: Ballot = (0, "", 0)
-    round: int = 0
-    began: int = 0  # this round's first question left
-    ends: int = 0  # this round is given up
-    answered: set[str] = field(default_factory=set)
-    against: set[str] = field(default_factory=set)
-    n_seen: int = 0
-    outbid: bool = False  # a higher ballot is in the way of ours
-    mark: int = 0
-    known_from: int = 0
-    notes: dict[bytes, Note] = field(default_factory=dict)
-    tries: int = 0
-    number: int = 0  # under which it is held, or is being asked for
-    held_until: int = 0  # by our clock; 0: not held
-
+from .timing import MILLISECOND_US, Timing
 
-@dataclass(frozen=True, slots=True)
-class Token:
-    """What a task acts under: worth something only as long as ``valid`` says so, asked just before each effect."""
-
-    lease: str
-    number: int
-    asker: Proposer
-    clock: Callable[[], int]
-
-    def valid(self, needs: int = 0) -> bool:
-        """Whether the lease is ours now and for ``needs`` us more."""
-        return self.left() > needs
-
-    def left(self) -> int:
-        """For how many us yet; 0: it is over."""
-        claim = self.asker.claims.get(self.lease)
-        if claim is None or claim.number != self.number or not claim.held_until:
-            return 0
-        return max(0, claim.held_until - self.clock())
+# Rounds before a contended lease is left until it is offered again.
+MAX_ATTEMPTS = 4
+MAX_CLAIMS = 1_024
 
 
 class Proposer:
-    """All leases that one life of a gateway holds or asks for; ``draw`` gives numbers from 0 to 1."""
+    """All leases that one incarnation of a gateway holds or proposes for.
+
+    ``draw`` returns random numbers from 0 to 1.
+    """
 
     def __init__(
-        self, name: str, life: int, voters: Iterable[str], timing: Timing, draw: Callable[[], float]
+        self,
+        name: str,
+        incarnation: int,
+        voters: Iterable[str],
+        timing: Timing,
+        draw: Callable[[], float],
     ) -> None:
-        self.name, self.life, self.timing, self.draw = name, life, timing, draw
+        """Start with no claims, for this set of voters."""
+        self.name = name
+        self.incarnation = incarnation
+        self.timing = timing
+        self.draw = draw
         self.voters = tuple(voters)
         self.claims: dict[str, Claim] = {}
-        self.events: list[Event] = []
-        self.n = 0  # of the last ballot: one is never used again, or an answer to the one before would count
-        self.seen = 0  # the highest number met anywhere
-        self.floors: dict[str, int] = {}  # numbers that receivers have seen already
-        self.distrusted: frozenset[str] = frozenset()  # voters whose clocks are not to be believed
-        self.stopped = ""  # why nothing is asked for
-        self.counts = {
+        self.events: list[LeaseEvent] = []
+        # A ballot is never used again, or an answer to an earlier use of it would count.
+        self.last_ballot_number = 0
+        # The highest fencing token met anywhere.
+        self.highest_token = 0
+        # By lease: tokens that receivers have already seen.
+        self.token_floors: dict[str, int] = {}
+        # Voters whose clocks are not believed.
+        self.distrusted: frozenset[str] = frozenset()
+        # Why nothing is proposed; empty: proposals are made.
+        self.stop_reason = ""
+        # The keys, with underscores, are names in /admin/stats.
+        self.counters = {
             "asked": 0,
             "gained": 0,
             "renewed": 0,
@@ -140,263 +83,309 @@
 
     @property
     def majority(self) -> int:
-        """How many voters have to agree."""
+        """Return how many voters have to agree."""
         return len(self.voters) // 2 + 1
 
-    # -- from outside ------------------------------------------------------------------------------------------------
+    # -- commands ----------------------------------------------------------------------------------
+
+    def propose(self, now: int, lease: str, delay_us: int = 0, ballot_number: int = 0) -> None:
+        """Prepare for a lease in ``delay_us``, unless that is under way.
 
-    def want(self, now: int, lease: str, after: int = 0, n: int = 0) -> None:
-        """Ask for a lease in ``after`` us, with a ballot above ``n``, unless that is under way."""
-        if self.stopped or lease in self.claims or len(self.claims) >= CLAIMS_MOST:
+        The ballot will be above ``ballot_number``.
+        """
+        if self.stop_reason or lease in self.claims or len(self.claims) >= MAX_CLAIMS:
             return
-        self.claims[lease] = Claim(lease, at=now + after, n_seen=min(n, LARGEST // 2))
+        above = min(ballot_number, NUMBER_LIMIT // 2)
+        self.claims[lease] = Claim(lease, next_step_us=now + delay_us, highest_ballot_number=above)
 
-    def give_back(self, now: int, lease: str, why: str) -> Out:
-        """Use it no more, and tell the voters, so that another may have it at once."""
+    def release(self, lease: str, reason: str) -> list[Outgoing]:
+        """Stop using a lease and release it at the voters, so that another may hold it at once."""
         claim = self.claims.pop(lease, None)
         if claim is None:
             return []
-        if claim.held_until:
-            self.counts["given back"] += 1
-            self.events.append(Lost(lease, claim.number, why))
-        if not claim.ballot[0]:
+        if claim.held_until_us:
+            self.counters["given back"] += 1
+            self.events.append(LeaseLost(lease, claim.fencing_token, reason))
+        if not claim.ballot.number:
             return []
-        return [(voter, Release(lease, claim.ballot)) for voter in self.voters]
-
-    def give_all_back(self, now: int, why: str) -> Out:
-        """Everything."""
-        return [told for lease in list(self.claims) for told in self.give_back(now, lease, why)]
-
-    def above(self, lease: str, number: int) -> None:
-        """A receiver has seen this number already: the next one that we get is higher."""
-        self.saw(number)
-        if number < LARGEST // 2:
-            self.floors[lease] = max(self.floors.get(lease, 0), number)
-            while len(self.floors) > CLAIMS_MOST:
-                del self.floors[next(iter(self.floors))]
-
-    def saw(self, number: int) -> None:
-        """Somebody tells of this number."""
-        if number < LARGEST // 2:
-            self.seen = max(self.seen, number)
-
-    def change_voters(self, now: int, voters: Iterable[str]) -> None:
-        """Another set. What is held stays ours until its end; nobody of the new set renews it."""
+        return self._to_voters(Release(lease, claim.ballot))
+
+    def release_all(self, reason: str) -> list[Outgoing]:
+        """Release all leases."""
+        return [outgoing for lease in list(self.claims) for outgoing in self.release(lease, reason)]
+
+    def require_token_above(self, lease: str, token: int) -> None:
+        """Make the next token of a lease higher than one that a receiver has already seen."""
+        self.observe_token(token)
+        if token < NUMBER_LIMIT // 2:
+            self.token_floors[lease] = max(self.token_floors.get(lease, 0), token)
+            while len(self.token_floors) > MAX_CLAIMS:
+                del self.token_floors[next(iter(self.token_floors))]
+
+    def observe_token(self, token: int) -> None:
+        """Remember the highest token that anybody has named."""
+        if token < NUMBER_LIMIT // 2:
+            self.highest_token = max(self.highest_token, token)
+
+    def replace_voters(self, now: int, voters: Iterable[str]) -> None:
+        """Change to another voter set.
+
+        What is held stays ours until its end, and is not renewed.
+        """
         self.voters = tuple(voters)
         for claim in list(self.claims.values()):
-            if claim.held_until > now:
-                claim.stage, claim.at = Stage.RESTING, claim.held_until
+            if claim.held_until_us > now:
+                claim.stage, claim.next_step_us = ClaimStage.RESTING, claim.held_until_us
             else:
                 self._drop(now, claim, "the voters changed")
 
     def held(self, now: int) -> list[Claim]:
-        """What is ours now."""
-        return [claim for claim in self.claims.values() if claim.held_until > now]
+        """Return the claims that are held now."""
+        return [claim for claim in self.claims.values() if claim.held_until_us > now]
 
-    def token(self, lease: str, clock: Callable[[], int]) -> Token | None:
-        """For a task under this lease; None: it is not ours."""
+    def token(self, lease: str, clock: Callable[[], int]) -> FencingToken | None:
+        """Return the token for a task under this lease; None: it is not held."""
         claim = self.claims.get(lease)
-        if claim is None or claim.held_until <= clock():
+        if claim is None or claim.held_until_us <= clock():
             return None
-        return Token(lease, claim.number, self, clock)
+        return FencingToken(lease, claim.fencing_token, self, clock)
 
-    # -- time ------------------------------------------------------------------------------------------------------
+    # -- time --------------------------------------------------------------------------------------
 
     def next_at(self) -> int | None:
-        """When ``due`` has something to do."""
-        least = None
+        """Return when ``due`` has something to do."""
+        earliest = None
         for claim in self.claims.values():
-            at = min(claim.at, claim.held_until) if claim.held_until else claim.at
-            if least is None or at < least:
-                least = at
-        return least
-
-    def due(self, now: int) -> Out:
-        """Ends of what is held, questions asked again, rounds given up, renewals."""
-        out: Out = []
+            at = claim.next_step_us
+            if claim.held_until_us:
+                at = min(at, claim.held_until_us)
+            if earliest is None or at < earliest:
+                earliest = at
+        return earliest
+
+    def due(self, now: int) -> list[Outgoing]:
+        """Expire claims, resend requests, abandon rounds and renew leases whose time has come."""
+        outgoing: list[Outgoing] = []
         for claim in list(self.claims.values()):
-            if claim.held_until and claim.held_until <= now:
+            if claim.held_until_us and claim.held_until_us <= now:
                 self._drop(now, claim, "it ran out")
-                out += self._released(claim)
-            elif claim.at <= now:
-                out += self._next(now, claim)
+                outgoing += self._release_round(claim)
+            elif claim.next_step_us <= now:
+                outgoing += self._next_step(now, claim)
         if any(
-            claim.stage is Stage.PROPOSING and claim.began == now for claim in self.claims.values()
+            claim.stage is ClaimStage.PROPOSING and claim.round_started_us == now
+            for claim in self.claims.values()
         ):
-            # Renewals that are nearly due go in the same datagrams, and stay together from then on.
-            soon = now + self.timing.renew_after // 4
-            for claim in list(self.claims.values()):
-                if claim.stage is Stage.RESTING and claim.at <= soon and not self.stopped:
-                    out += self._propose(now, claim)
-        return out
-
-    def _next(self, now: int, claim: Claim) -> Out:
-        if claim.stage is Stage.WAITING:
-            return self._prepare(now, claim)
-        if claim.stage is Stage.RESTING:
-            if self.stopped:
-                claim.at = claim.held_until
+            outgoing += self._renew_early(now)
+        return outgoing
+
+    def _renew_early(self, now: int) -> list[Outgoing]:
+        """Send renewals that are nearly due in the same datagrams.
+
+        They stay together from then on.
+        """
+        outgoing: list[Outgoing] = []
+        soon = now + self.timing.renew_after_us // 4
+        for claim in list(self.claims.values()):
+            resting = claim.stage is ClaimStage.RESTING
+            if resting and claim.next_step_us <= soon and not self.stop_reason:
+                outgoing += self._start_propose(now, claim)
+        return outgoing
+
+    def _next_step(self, now: int, claim: Claim) -> list[Outgoing]:
+        if claim.stage is ClaimStage.WAITING:
+            return self._start_prepare(now, claim)
+        if claim.stage is ClaimStage.RESTING:
+            if self.stop_reason:
+                claim.next_step_us = claim.held_until_us
                 return []
-            return self._prepare(now, claim) if claim.outbid else self._propose(now, claim)
-        if now < claim.ends:
-            claim.at = min(now + self.timing.again_after, claim.ends)
-            unheard = [v for v in self.voters if v not in claim.answered and v not in claim.against]
-            return [(voter, self._question(claim)) for voter in unheard]
-        return self._again(now, claim)
-
-    def _question(self, claim: Claim) -> Prepare | Propose:
-        if claim.stage is Stage.PREPARING:
-            return Prepare(claim.lease, claim.ballot, not claim.held_until, self.seen)
+            if claim.outbid:
+                return self._start_prepare(now, claim)
+            return self._start_propose(now, claim)
+        if now < claim.round_deadline_us:
+            return self._resend(now, claim)
+        return self._round_failed(now, claim)
+
+    def _resend(self, now: int, claim: Claim) -> list[Outgoing]:
+        claim.next_step_us = min(now + self.timing.resend_after_us, claim.round_deadline_us)
+        request = self._request(claim)
+        return [
+            Outgoing(voter, request)
+            for voter in self.voters
+            if voter not in claim.agreeing and voter not in claim.rejecting
+        ]
+
+    def _request(self, claim: Claim) -> Prepare | Propose:
+        initial = not claim.held_until_us
+        if claim.stage is ClaimStage.PREPARING:
+            return Prepare(claim.lease, claim.ballot, initial, self.highest_token)
         return Propose(
             claim.lease,
             claim.ballot,
             claim.round,
-            self.timing.span,
-            claim.number,
-            not claim.held_until,
+            self.timing.duration_us,
+            claim.fencing_token,
+            initial,
         )
 
-    def _begin(self, now: int, claim: Claim, stage: Stage) -> Out:
-        claim.stage, claim.began, claim.ends = stage, now, now + self.timing.round_most
-        claim.at = now + self.timing.again_after
-        claim.answered, claim.against = set(), set()
-        self.counts["asked"] += 1
-        return [(voter, self._question(claim)) for voter in self.voters]
-
-    def _prepare(self, now: int, claim: Claim) -> Out:
-        self.n = max(self.n, claim.n_seen) + 1
-        claim.n_seen, claim.ballot = self.n, (self.n, self.name, self.life)
-        claim.round = claim.mark = 0
+    def _to_voters(self, message: Message) -> list[Outgoing]:
+        return [Outgoing(voter, message) for voter in self.voters]
+
+    def _start_round(self, now: int, claim: Claim, stage: ClaimStage) -> list[Outgoing]:
+        claim.stage = stage
+        claim.round_started_us = now
+        claim.round_deadline_us = now + self.timing.max_round_us
+        claim.next_step_us = now + self.timing.resend_after_us
+        claim.agreeing, claim.rejecting = set(), set()
+        self.counters["asked"] += 1
+        return self._to_voters(self._request(claim))
+
+    def _start_prepare(self, now: int, claim: Claim) -> list[Outgoing]:
+        self.last_ballot_number = max(self.last_ballot_number, claim.highest_ballot_number) + 1
+        claim.highest_ballot_number = self.last_ballot_number
+        claim.ballot = Ballot(self.last_ballot_number, self.name, self.incarnation)
+        claim.round = claim.highest_token = 0
         claim.outbid = False
-        if not claim.held_until:
-            claim.notes, claim.known_from = {}, 0
-        return self._begin(now, claim, Stage.PREPARING)
+        if not claim.held_until_us:
+            claim.progress, claim.memory_since_us = {}, 0
+        return self._start_round(now, claim, ClaimStage.PREPARING)
 
-    def _propose(self, now: int, claim: Claim) -> Out:
+    def _start_propose(self, now: int, claim: Claim) -> list[Outgoing]:
         claim.round += 1
-        return self._begin(now, claim, Stage.PROPOSING)
-
-    def _again(self, now: int, claim: Claim) -> Out:
-        """A round has come to nothing."""
-        claim.tries += 1
-        if (
-            claim.held_until
-        ):  # there is time yet: the next round, not faster than answers can be expected
-            claim.outbid = claim.outbid or claim.stage is Stage.PREPARING
-            claim.stage, claim.at = (
-                Stage.RESTING,
-                max(now, claim.began + self.timing.again_after // 2),
-            )
-            return [] if claim.at > now else self._next(now, claim)
-        if claim.tries >= TRIES or self.stopped:
+        return self._start_round(now, claim, ClaimStage.PROPOSING)
+
+    def _round_failed(self, now: int, claim: Claim) -> list[Outgoing]:
+        """Retry a round without a majority, after a backoff where the lease is not held."""
+        claim.attempts += 1
+        if claim.held_until_us:
+            # There is time left: the next round, but not faster than answers can be expected.
+            claim.outbid = claim.outbid or claim.stage is ClaimStage.PREPARING
+            claim.stage = ClaimStage.RESTING
+            claim.next_step_us = max(now, claim.round_started_us + self.timing.resend_after_us // 2)
+            return [] if claim.next_step_us > now else self._next_step(now, claim)
+        if claim.attempts >= MAX_ATTEMPTS or self.stop_reason:
             self._drop(now, claim, "")
-            return self._released(claim)
-        # Two that ask in step would bar each other for ever: each waits a random part of a span that doubles.
-        # The first time nothing says yet that there are two: its ballot may just have been too low.
-        longest = min(self.timing.again_after * 2**claim.tries, self.timing.span // 2)
-        longest = self.timing.stagger if claim.tries == 1 else longest
-        claim.stage, claim.at = Stage.WAITING, now + int(self.draw() * longest) + MS
-        return self._released(claim)
-
-    def _released(self, claim: Claim) -> Out:
-        """What a few voters may have granted of a round that failed is of use to nobody. Promises bind nothing."""
+            return self._release_round(claim)
+        # Two proposers in step would outbid each other for ever: each waits a random part of a
+        # backoff that doubles. After the first round nothing says yet that there are two: its
+        # ballot may just have been too low.
+        max_wait_us = min(
+            self.timing.resend_after_us * 2**claim.attempts, self.timing.duration_us // 2
+        )
+        if claim.attempts == 1:
+            max_wait_us = self.timing.stagger_us
+        claim.stage = ClaimStage.WAITING
+        claim.next_step_us = now + int(self.draw() * max_wait_us) + MILLISECOND_US
+        return self._release_round(claim)
+
+    def _release_round(self, claim: Claim) -> list[Outgoing]:
+        """Release what a few voters may have granted in a failed round.
+
+        Promises need no release.
+        """
         if not claim.round:
             return []
-        return [(voter, Release(claim.lease, claim.ballot)) for voter in self.voters]
+        return self._to_voters(Release(claim.lease, claim.ballot))
 
-    def _drop(self, now: int, claim: Claim, why: str) -> None:
+    def _drop(self, now: int, claim: Claim, reason: str) -> None:
         self.claims.pop(claim.lease, None)
-        if claim.held_until:
-            self.counts["lost" if claim.held_until <= now else "given back"] += 1
-            claim.held_until = 0
-            self.events.append(Lost(claim.lease, claim.number, why))
+        if claim.held_until_us:
+            self.counters["lost" if claim.held_until_us <= now else "given back"] += 1
+            claim.held_until_us = 0
+            self.events.append(LeaseLost(claim.lease, claim.fencing_token, reason))
 
-    # -- messages --------------------------------------------------------------------------------------------------
+    # -- messages ----------------------------------------------------------------------------------
 
-    def handle(self, now: int, voter: str, message: Message) -> Out:
-        """What a voter answers."""
+    def handle(self, now: int, voter: str, message: Promise | Accept | Nack) -> list[Outgoing]:
+        """Handle an acceptor's answer and return the next messages."""
         if voter not in self.voters or voter in self.distrusted:
             return []
         claim = self.claims.get(message.lease)
         if claim is None or message.ballot != claim.ballot:
             return []
-        if claim.held_until and claim.held_until <= now:
-            self.counts["late"] += 1
+        if claim.held_until_us and claim.held_until_us <= now:
+            self.counters["late"] += 1
             return self.due(now)
         match message:
-            case Promise() if claim.stage is Stage.PREPARING:
-                return self._promised(now, voter, claim, message)
-            case Accept() if claim.stage is Stage.PROPOSING and message.round == claim.round:
-                return self._accepted(now, voter, claim)
-            case Refuse():
-                return self._refused(now, voter, claim, message)
+            case Promise() if claim.stage is ClaimStage.PREPARING:
+                return self._on_promise(now, voter, claim, message)
+            case Accept() if claim.stage is ClaimStage.PROPOSING and message.round == claim.round:
+                return self._on_accept(now, voter, claim)
+            case Nack():
+                return self._on_nack(now, voter, claim, message)
         return []
 
-    def _promised(self, now: int, voter: str, claim: Claim, told: Promise) -> Out:
-        if (
-            now >= claim.ends
-        ):  # a process that stood still: what was promised then may be forgotten by now
-            return self._again(now, claim)
-        claim.answered.add(voter)
-        claim.mark = max(claim.mark, min(told.mark, LARGEST // 2))
-        self.saw(told.mark)
-        claim.known_from = max(claim.known_from, told.known_from)
-        for note in told.notes:
-            if note.later_than(claim.notes.get(note.task)):
-                claim.notes[note.task] = note
-        if len(claim.answered) < self.majority:
+    def _on_promise(self, now: int, voter: str, claim: Claim, promise: Promise) -> list[Outgoing]:
+        if now >= claim.round_deadline_us:
+            # This process stood still: what was promised then may be forgotten by now.
+            return self._round_failed(now, claim)
+        claim.agreeing.add(voter)
+        claim.highest_token = max(
+            claim.highest_token, min(promise.highest_token, NUMBER_LIMIT // 2)
+        )
+        self.observe_token(promise.highest_token)
+        claim.memory_since_us = max(claim.memory_since_us, promise.memory_since_us)
+        claim.merge_progress(promise.progress)
+        if len(claim.agreeing) < self.majority:
             return []
-        if (
-            not claim.held_until
-        ):  # one that is held keeps its number: nobody else can have held a higher one
-            claim.number = max(claim.mark, self.seen, self.floors.get(claim.lease, 0)) + 1
-            self.saw(claim.number)
-        return self._propose(now, claim)
-
-    def _accepted(self, now: int, voter: str, claim: Claim) -> Out:
-        claim.answered.add(voter)
-        if len(claim.answered) < self.majority:
+        if not claim.held_until_us:
+            # A held lease keeps its token: nobody else can have held it under a higher one.
+            floor = self.token_floors.get(claim.lease, 0)
+            claim.fencing_token = max(claim.highest_token, self.highest_token, floor) + 1
+            self.observe_token(claim.fencing_token)
+        return self._start_propose(now, claim)
+
+    def _on_accept(self, now: int, voter: str, claim: Claim) -> list[Outgoing]:
+        claim.agreeing.add(voter)
+        if len(claim.agreeing) < self.majority:
             return []
-        until = claim.began + self.timing.held
-        if until <= now:
-            self.counts["late"] += 1
-            return self._again(now, claim)
-        claim.tries = 0
-        # A voter that refused the first time is won soon: until then it offers the lease to others.
-        soon = (
-            self.timing.again_after
-            if claim.against and not claim.held_until
-            else self.timing.renew_after
-        )
-        claim.stage, claim.at = Stage.RESTING, claim.began + soon
-        if claim.held_until:
-            self.counts["renewed"] += 1
+        held_until_us = claim.round_started_us + self.timing.holder_duration_us
+        if held_until_us <= now:
+            self.counters["late"] += 1
+            return self._round_failed(now, claim)
+        claim.attempts = 0
+        renew_after_us = self.timing.renew_after_us
+        if claim.rejecting and not claim.held_until_us:
+            # A voter that rejected the first round is won soon: until then it offers the lease to
+            # others.
+            renew_after_us = self.timing.resend_after_us
+        claim.stage = ClaimStage.RESTING
+        claim.next_step_us = claim.round_started_us + renew_after_us
+        if claim.held_until_us:
+            self.counters["renewed"] += 1
         else:
-            self.counts["gained"] += 1
-            self.events.append(Gained(claim.lease, claim.number, claim.notes, claim.known_from))
-            claim.notes = {}
-        claim.held_until = max(claim.held_until, until)
+            self.counters["gained"] += 1
+            self.events.append(
+                LeaseGained(claim.lease, claim.fencing_token, claim.progress, claim.memory_since_us)
+            )
+            claim.progress = {}
+        claim.held_until_us = max(claim.held_until_us, held_until_us)
         return []
 
-    def _refused(self, now: int, voter: str, claim: Claim, told: Refuse) -> Out:
-        asked = 0 if claim.stage is Stage.PREPARING else claim.round
-        if claim.stage not in (Stage.PREPARING, Stage.PROPOSING) or told.round != asked:
+    def _on_nack(self, now: int, voter: str, claim: Claim, nack: Nack) -> list[Outgoing]:
+        if claim.stage not in (ClaimStage.PREPARING, ClaimStage.PROPOSING):
             return []
-        self.counts["refused"] += 1
-        claim.against.add(voter)
-        if told.why == Why.OLDER:
-            claim.outbid = True
-            claim.n_seen = max(claim.n_seen, min(told.n, LARGEST // 2))
-        if len(self.voters) - len(claim.against) >= self.majority:
+        if nack.round != (0 if claim.stage is ClaimStage.PREPARING else claim.round):
             return []
-        if told.why != Why.OLDER and not claim.held_until:
-            self._drop(now, claim, "")  # it is offered again when it is free
-            return self._released(claim)
-        if claim.held_until and told.why != Why.OLDER:
-            claim.at = min(
-                now + self.timing.again_after, claim.ends
-            )  # on hold: to its end and no longer
-            if told.why == Why.HOLD:
-                self.events.append(Wanted(claim.lease))
+        self.counters["refused"] += 1
+        claim.rejecting.add(voter)
+        outbid = nack.reason == NackReason.OUTBID
+        if outbid:
+            claim.outbid = True
+            number = min(nack.ballot_number, NUMBER_LIMIT // 2)
+            claim.highest_ballot_number = max(claim.highest_ballot_number, number)
+        if len(self.voters) - len(claim.rejecting) >= self.majority:
             return []
-        return self._again(now, claim)
+        if outbid:
+            return self._round_failed(now, claim)
+        return self._rejected_by_majority(now, claim, nack)
+
+    def _rejected_by_majority(self, now: int, claim: Claim, nack: Nack) -> list[Outgoing]:
+        """Leave a lease that is not held until it is offered; use a held one to its end."""
+        if not claim.held_until_us:
+            self._drop(now, claim, "")
+            return self._release_round(claim)
+        claim.next_step_us = min(now + self.timing.resend_after_us, claim.round_deadline_us)
+        if nack.reason == NackReason.SUSPENDED:
+            self.events.append(LeaseRecalled(claim.lease))
+        return []
--- a/saffrongw/leases/spec.py
+++ b/saffrongw/leases/spec.py
@@ -1,41 +1,52 @@
-"""What a task is. Pure; loaded with every operator file, so it needs no library."""
+"""The specification of a task that runs under a lease, and when its turns are due.
+
+Loaded with every operator file, so it must not import an optional library.
+"""
 
 from __future__ import annotations
 
 import hashlib
 from dataclasses import dataclass
 
-SECOND = 1_000_000
-NOTES_MOST = 64  # tasks of one lease: what is known of them goes into one packet
+from .timing import SECOND_US
+
+# Tasks under one lease: the progress of all of them has to fit into one packet.
+MAX_TASKS_PER_LEASE = 64
 
 
 @dataclass(frozen=True, slots=True)
-class LeaseSpec:
-    """A task; spans in us."""
+class TaskSpec:
+    """A periodic task; its turns are numbered since the Unix epoch, alike on every gateway."""
 
     name: str
-    every: int
-    once: str = "at-least"  # or at-most
-    needs: int = SECOND  # how long a call may take: so much must be left of the lease
-    jitter: float = 0.1  # of ``every``: how far tasks are spread
-    retry: bool = True  # within its turn (at-least only)
-    on_loss: str = "abandon"  # or finish: what becomes of a call when the lease is lost
+    period_us: int
+    # "at-least" or "at-most", once in each turn.
+    delivery: str = "at-least"
+    # How long a call may take: so much must be left of the lease when it begins.
+    max_call_us: int = SECOND_US
+    # Fraction of the period over which tasks are spread.
+    jitter: float = 0.1
+    # Whether a failed call is retried within its turn (at-least only).
+    retry: bool = True
+    # "abandon" or "finish": what happens to a running call when the lease is lost.
+    on_loss: str = "abandon"
 
     @property
-    def id(self) -> bytes:
-        """Under which its notes are kept."""
+    def task_id(self) -> bytes:
+        """Return the id under which the task's progress is stored."""
         return hashlib.blake2b(self.name.encode(), digest_size=8).digest()
 
     @property
-    def offset(self) -> int:
-        """Its place in the spread."""
-        part = int.from_bytes(hashlib.blake2b(self.name.encode(), digest_size=4).digest()) / 2**32
-        return int(part * self.jitter * self.every)
+    def offset_us(self) -> int:
+        """Return the task's own offset into the period."""
+        digest = hashlib.blake2b(self.name.encode(), digest_size=4).digest()
+        fraction = int.from_bytes(digest) / 2**32
+        return int(fraction * self.jitter * self.period_us)
 
     def turn_at(self, wall: int) -> int:
-        """Which turn it is."""
-        return (wall - self.offset) // self.every
+        """Return the number of the turn at a time in Unix us."""
+        return (wall - self.offset_us) // self.period_us
 
     def due_at(self, turn: int) -> int:
-        """When it is due, Unix us."""
-        return turn * self.every + self.offset
+        """Return when a turn is due, in Unix us."""
+        return turn * self.period_us + self.offset_us
--- a/saffrongw/leases/store.py
+++ b/saffrongw/leases/store.py
@@ -1,7 +1,7 @@
-"""Numbers that hold over every loss of memory, where a disk lasts: one row, written well ahead.
+"""The store of reserved fencing tokens, for installs with a disk that lasts.
 
-``reserved`` says that any number up to it may have been given. After a start numbers begin above it. One thread writes;
-a voter grants no number beyond what the disk has confirmed.
+One row is written well ahead: ``reserved`` says that any token up to it may have been given. After
+a start tokens begin above it. An acceptor grants no token beyond what the disk has confirmed.
 """
 
 from __future__ import annotations
@@ -10,52 +10,73 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
-SCHEMA = 1
-BLOCK = 3_600_000  # numbers reserved at once: an hour of them, as they begin at ms of Unix time
+SCHEMA_VERSION = 1
+# Tokens reserved at once: an hour of them, as they begin at the milliseconds of Unix time.
+RESERVED_TOKENS_PER_BLOCK = 3_600_000
+
+
+class LeaseStoreError(OSError):
+    """The store can't be read or written; the message names the file and the cause."""
 
 
 class LeaseStore:
-    """The database in ``state_dir``. Its methods run on one thread of their own (``pool``)."""
+    """The SQLite database in ``state_dir``. Its methods must run on its own thread, ``pool``."""
 
     def __init__(self, folder: Path) -> None:
+        """Name the folder of the database; ``open`` creates both."""
         self.path = folder / "leases.sqlite"
         self.folder = folder
         self.pool = ThreadPoolExecutor(1, "leases")
         self.db: sqlite3.Connection | None = None
 
     def open(self) -> int:
-        """What was reserved before; 0: nothing. ``OSError`` with a plain cause where it can't be used."""
+        """Open or create the database, and return what was reserved before, 0 for nothing.
+
+        Raises ``LeaseStoreError`` for a damaged file or an unknown schema, ``OSError`` for a folder
+        that is not usable.
+        """
         try:
             self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
             self.db = sqlite3.connect(self.path, check_same_thread=False, isolation_level=None)
             self.path.chmod(0o600)
             self.db.execute("PRAGMA journal_mode=WAL")
             self.db.execute("PRAGMA synchronous=FULL")
-            version = self.db.execute("PRAGMA user_version").fetchone()[0]
-            if version == 0:
-                self.db.execute(
-                    "CREATE TABLE IF NOT EXISTS numbers (id INTEGER PRIMARY KEY, reserved INTEGER)"
-                )
-                self.db.execute(f"PRAGMA user_version={SCHEMA}")
-            elif version != SCHEMA:
-                raise OSError(f"{self.path}: schema {version} is not known here ({SCHEMA} is)")
+            self._create_schema(self.db)
             row = self.db.execute("SELECT reserved FROM numbers WHERE id = 1").fetchone()
             return int(row[0]) if row else 0
-        except sqlite3.Error as wrong:
-            raise OSError(f"{self.path}: {wrong}") from None
+        except sqlite3.Error as error:
+            raise LeaseStoreError(f"{self.path}: {error}") from None
+
+    def _create_schema(self, db: sqlite3.Connection) -> None:
+        version = db.execute("PRAGMA user_version").fetchone()[0]
+        if version == 0:
+            db.execute(
+                "CREATE TABLE IF NOT EXISTS numbers (id INTEGER PRIMARY KEY, reserved INTEGER)"
+            )
+            db.execute(f"PRAGMA user_version={SCHEMA_VERSION}")
+        elif version != SCHEMA_VERSION:
+            raise LeaseStoreError(
+                f"{self.path}: schema {version} is not known here ({SCHEMA_VERSION} is)"
+            )
 
     def reserve(self, up_to: int) -> int:
-        """Have the disk confirm numbers up to here; what it vouches for. ``OSError`` where it doesn't."""
+        """Write that tokens up to ``up_to`` may be given, and return it.
+
+        Raise ``LeaseStoreError`` on failure.
+        """
+        if self.db is None:
+            raise LeaseStoreError(f"{self.path}: not open")
         try:
             self.db.execute(
-                "INSERT INTO numbers VALUES (1, ?) ON CONFLICT (id) DO UPDATE SET reserved = max(reserved, ?)",
+                "INSERT INTO numbers VALUES (1, ?) ON CONFLICT (id)"
+                " DO UPDATE SET reserved = max(reserved, ?)",
                 (up_to, up_to),
             )
-            return up_to
-        except sqlite3.Error as wrong:
-            raise OSError(f"{self.path}: {wrong}") from None
+        except sqlite3.Error as error:
+            raise LeaseStoreError(f"{self.path}: {error}") from None
+        return up_to
 
     def close(self) -> None:
-        """The end."""
+        """Close the database."""
         if self.db:
             self.db.close()
--- a/saffrongw/leases/suspensions.py
+++ b/saffrongw/leases/suspensions.py
@@ -1,68 +1,90 @@
-"""Leases that nobody gets until a time, by an operator's word. Pure; times of holds in Unix seconds.
+"""Leases that operators have suspended: nobody gets them until a given time.
 
-Every gateway and voter keeps all of them and tells them with what it sends anyway, so a voter that has started anew
-hears them again. Of two for one lease the later one counts, on every gateway alike.
+Every gateway and voter stores all suspensions and sends them along with its announcements, so a
+voter that restarts learns them again. Of two for one lease the later one wins, on every gateway
+alike. No I/O; times of a suspension are Unix seconds, ``wall`` is Unix us.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-from .messages import HOLDS_MOST, Hold
+from .messages import MAX_SUSPENSIONS, Suspension
+from .timing import SECOND_US
 
-LONGEST = 7 * 86_400.0  # seconds
-TEXT_MOST = 120
+MAX_SUSPENSION_S = 7 * 86_400.0
+DAY_S = 86_400
+MAX_TEXT_CHARACTERS = 120
+# The end of a suspension is stored for at least this long after it was set.
+MIN_STORED_S = 3_600
 
 
 class SuspensionError(ValueError):
-    """What an operator asked for can't be kept."""
+    """A suspension that an operator asked for can't be accepted."""
 
 
 class Suspensions:
-    """All that are known; bounded, and each ends by itself."""
+    """All known suspensions, bounded in number; each ends by itself."""
 
     def __init__(self) -> None:
-        self._all: dict[str, Hold] = {}
+        """Start with none."""
+        self._by_lease: dict[str, Suspension] = {}
 
-    def put(self, lease: str, until: float, who: str, why: str, now: float) -> Hold:
-        """Put one in force, or (``until`` 0) end it; ``HoldError`` where it can't be."""
-        if until and not now < until <= now + LONGEST:
-            raise SuspensionError(f"a hold ends within {LONGEST / 86_400:.0f} days")
-        if not who or max(len(who), len(why)) > TEXT_MOST:
+    def put(
+        self, lease: str, until_s: float, operator: str, reason: str, now_s: float
+    ) -> Suspension:
+        """Suspend a lease, or end its suspension with ``until_s`` 0.
+
+        Raise ``SuspensionError`` out of bounds.
+        """
+        if until_s and not now_s < until_s <= now_s + MAX_SUSPENSION_S:
+            raise SuspensionError(f"a hold ends within {MAX_SUSPENSION_S / DAY_S:.0f} days")
+        if not operator or max(len(operator), len(reason)) > MAX_TEXT_CHARACTERS:
             raise SuspensionError(
-                f"who and why have up to {TEXT_MOST} characters, and who is not empty"
+                f"who and why have up to {MAX_TEXT_CHARACTERS} characters, and who is not empty"
             )
-        if until and lease not in self._all and len(self.all(now * 1e6)) >= HOLDS_MOST:
-            raise SuspensionError(f"{HOLDS_MOST} holds are in force, no more are kept")
-        old = self._all.get(lease)
-        hold = Hold(lease, until, who, why, max(now, old.at + 0.001 if old else 0.0))
-        self.merge((hold,), now * 1e6)
-        return hold
-
-    def merge(self, told: Iterable[Hold], wall: float) -> None:
-        """What another one knows; ``wall`` in Unix us. An end is kept for as long as its beginning may be about."""
-        for hold in told:
-            old = self._all.get(hold.lease)
-            if old is not None and old.at >= hold.at:
+        is_new = bool(until_s) and lease not in self._by_lease
+        if is_new and len(self.all(now_s * 1e6)) >= MAX_SUSPENSIONS:
+            raise SuspensionError(f"{MAX_SUSPENSIONS} holds are in force, no more are kept")
+        previous = self._by_lease.get(lease)
+        set_at_s = max(now_s, previous.set_at_s + 0.001 if previous else 0.0)
+        suspension = Suspension(lease, until_s, operator, reason, set_at_s)
+        self.merge((suspension,), now_s * 1e6)
+        return suspension
+
+    def merge(self, received: Iterable[Suspension], wall: float) -> None:
+        """Merge what another gateway knows.
+
+        An ended suspension stays as long as its start may still be sent.
+        """
+        latest_s = wall / SECOND_US + MAX_SUSPENSION_S
+        for suspension in received:
+            previous = self._by_lease.get(suspension.lease)
+            if previous is not None and previous.set_at_s >= suspension.set_at_s:
+                continue
+            # Such a time comes from a wrong clock.
+            if suspension.until_s > latest_s or suspension.set_at_s > latest_s:
                 continue
-            if hold.until > wall / 1e6 + LONGEST or hold.at > wall / 1e6 + LONGEST:
-                continue  # from a clock that is wrong
-            if old is None and len(self._all) >= 2 * HOLDS_MOST:
+            if previous is None and len(self._by_lease) >= 2 * MAX_SUSPENSIONS:
                 continue
-            self._all[hold.lease] = hold
-        self._forget(wall)
-
-    def _forget(self, wall: float) -> None:
-        for lease, hold in list(self._all.items()):
-            if max(hold.until, hold.at + 3_600) < wall / 1e6:
-                del self._all[lease]
-
-    def on(self, lease: str, wall: float) -> Hold | None:
-        """The hold in force on a lease."""
-        hold = self._all.get(lease)
-        return hold if hold and hold.until > wall / 1e6 else None
-
-    def all(self, wall: float) -> tuple[Hold, ...]:
-        """What others are told: those in force first, then those that were ended by hand."""
-        self._forget(wall)
-        return tuple(sorted(self._all.values(), key=lambda hold: -hold.until)[:HOLDS_MOST])
+            self._by_lease[suspension.lease] = suspension
+        self._expire(wall)
+
+    def _expire(self, wall: float) -> None:
+        for lease, suspension in list(self._by_lease.items()):
+            if max(suspension.until_s, suspension.set_at_s + MIN_STORED_S) < wall / SECOND_US:
+                del self._by_lease[lease]
+
+    def active(self, lease: str, wall: float) -> Suspension | None:
+        """Return the suspension that is in force on a lease."""
+        suspension = self._by_lease.get(lease)
+        return suspension if suspension and suspension.until_s > wall / SECOND_US else None
+
+    def all(self, wall: float) -> tuple[Suspension, ...]:
+        """Return what is sent to others.
+
+        The suspensions in force come first, then those that an operator ended.
+        """
+        self._expire(wall)
+        latest_first = sorted(self._by_lease.values(), key=lambda one: -one.until_s)
+        return tuple(latest_first[:MAX_SUSPENSIONS])
--- a/saffrongw/leases/table.py
+++ b/saffrongw/leases/table.py
@@ -1,56 +1,63 @@
-"""``[leases]`` of the operator file: its keys, units, defaults and bounds."""
+"""The ``[leases]`` table of the operator file: keys, units, defaults and bounds.
+
+Field names are keys of the operator file and must not change.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from functools import lru_cache
 
-from saffrongw.channel.table import GATEWAY
+from saffrongw.channel.table import GATEWAY_NAME_PATTERN
 from toml_schema import ADDRESS, key
 
 from .candidates import shard_of
-from .spec import NOTES_MOST, LeaseSpec
-from .timing import DRIFT_MOST, SECOND, Timing
+from .spec import MAX_TASKS_PER_LEASE, TaskSpec
+from .timing import MAX_CLOCK_DRIFT, SECOND_US, Timing
 from .voter_set import VoterSet
 
-TASK = r"[A-Za-z0-9_.\-]{1,64}"
-URL = r"http://[A-Za-z0-9.\-]{1,253}:[0-9]{1,5}/[!-~]{0,500}"
-VOTERS = (1, 3, 5, 7)
-TASKS_MOST = 4_096
+TASK_NAME_PATTERN = r"[A-Za-z0-9_.\-]{1,64}"
+URL_PATTERN = r"http://[A-Za-z0-9.\-]{1,253}:[0-9]{1,5}/[!-~]{0,500}"
+VOTER_COUNTS = (1, 3, 5, 7)
+MAX_TASKS = 4_096
+MAX_SET_NUMBER = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class VoterTable:
-    """``[[leases.voter]]``: one of those that grant."""
+    """``[[leases.voter]]``: one gateway that votes."""
 
-    name: str = key(form=GATEWAY)
+    name: str = key(form=GATEWAY_NAME_PATTERN)
     address: str = key(form=ADDRESS, about="HOST:PORT of its channel")
 
 
 @dataclass(frozen=True, slots=True)
 class FormerTable:
-    """``[[leases.former]]``: a set of voters that this one follows; it stays here until it is sealed."""
+    """``[[leases.former]]``: a voter set that was in force before; listed until it is sealed."""
 
-    set: int = key(least=1, most=1_000_000)
-    voters: tuple[str, ...] = key(form=rf"{GATEWAY}={ADDRESS}", about="NAME=HOST:PORT, all of them")
+    set: int = key(least=1, most=MAX_SET_NUMBER)
+    voters: tuple[str, ...] = key(
+        form=rf"{GATEWAY_NAME_PATTERN}={ADDRESS}", about="NAME=HOST:PORT, all of them"
+    )
 
     def __post_init__(self) -> None:
+        """Check the bounds; raise ``ValueError`` naming what is wrong."""
         if not self.voters or len(self.addresses) < len(self.voters):
             raise ValueError("voters is empty, or one stands twice")
 
     @property
     def addresses(self) -> dict[str, str]:
-        """By name."""
+        """Return the addresses by voter name."""
         return dict(one.split("=", 1) for one in self.voters)
 
 
 @dataclass(frozen=True, slots=True)
 class TaskTable:
-    """``[[leases.task]]``: an HTTP call that one gateway of the fleet makes."""
+    """``[[leases.task]]``: a periodic HTTP call that one gateway of the fleet makes."""
 
-    name: str = key(form=TASK)
+    name: str = key(form=TASK_NAME_PATTERN)
     every_s: float = key(least=0.1, most=31 * 86_400.0, about="a turn in each so many seconds")
-    call: str = key(form=URL, about="where it is posted to")
+    call: str = key(form=URL_PATTERN, about="where it is posted to")
     once: str = key("at-least", choices=("at-least", "at-most"), about="a turn")
     needs_s: float = key(5.0, least=0.01, most=3_600, about="how long a call may take")
     jitter: float = key(
@@ -64,24 +71,34 @@
     )
 
     @property
-    def spec(self) -> LeaseSpec:
-        """For the decisions."""
-        every, needs = int(self.every_s * SECOND), int(self.needs_s * SECOND)
-        return LeaseSpec(self.name, every, self.once, needs, self.jitter, self.retry, self.on_loss)
+    def spec(self) -> TaskSpec:
+        """Return the task's specification for the schedule."""
+        return TaskSpec(
+            self.name,
+            period_us=int(self.every_s * SECOND_US),
+            delivery=self.once,
+            max_call_us=int(self.needs_s * SECOND_US),
+            jitter=self.jitter,
+            retry=self.retry,
+            on_loss=self.on_loss,
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class LeasesTable:
-    """``[leases]``: tasks that one gateway of the fleet does."""
+    """``[leases]``: the voters, and the tasks that one gateway of the fleet runs."""
 
     voter: tuple[VoterTable, ...] = key(about="the same on every gateway")
     set: int = key(
-        1, least=1, most=1_000_000, about="number of this set of voters; higher with each change"
+        1,
+        least=1,
+        most=MAX_SET_NUMBER,
+        about="number of this set of voters; higher with each change",
     )
     former: tuple[FormerTable, ...] = key(())
     span_s: float = key(10.0, least=0.5, most=300, about="how long a lease lasts unrenewed")
     drift: float = key(
-        0.01, least=0.0, most=DRIFT_MOST, about="part by which clocks' rates may be off"
+        0.01, least=0.0, most=MAX_CLOCK_DRIFT, about="part by which clocks' rates may be off"
     )
     shards: int = key(16, least=1, most=1_024, about="leases that all tasks are spread over")
     stand: bool = key(True, about="this gateway does tasks")
@@ -90,10 +107,16 @@
     task: tuple[TaskTable, ...] = key(())
 
     def __post_init__(self) -> None:
-        names = [one.name for one in self.voter]
-        if len(names) not in VOTERS:
+        """Check the bounds; raise ``ValueError`` naming what is wrong."""
+        self._check_voters()
+        self._check_tasks()
+
+    def _check_voters(self) -> None:
+        names = {one.name for one in self.voter}
+        if len(self.voter) not in VOTER_COUNTS:
             raise ValueError("there are 1, 3, 5 or 7 voters")
-        if len(set(names)) < len(names) or len({one.address for one in self.voter}) < len(names):
+        addresses = {one.address for one in self.voter}
+        if min(len(names), len(addresses)) < len(self.voter):
             raise ValueError("a voter's name or address stands twice")
         if any(one.set >= self.set for one in self.former):
             raise ValueError("a former set has a lower number than this one")
@@ -101,52 +124,55 @@
             raise ValueError(
                 "set is above 1: name the sets before it as [[leases.former]], or number this one 1"
             )
-        if len(self.task) > TASKS_MOST:
-            raise ValueError(f"{TASKS_MOST} tasks at most")
-        tasks = [one.name for one in self.task]
-        if len(set(tasks)) < len(tasks):
+
+    def _check_tasks(self) -> None:
+        if len(self.task) > MAX_TASKS:
+            raise ValueError(f"{MAX_TASKS} tasks at most")
+        if len({one.name for one in self.task}) < len(self.task):
             raise ValueError("a task stands twice")
-        held = self.timing.held / SECOND
+        held_s = self.timing.holder_duration_us / SECOND_US
         for one in self.task:
-            if one.needs_s >= held * 2 / 3:
+            if one.needs_s >= held_s * 2 / 3:
                 raise ValueError(
                     f"task {one.name}: needs_s is {one.needs_s}; of a lease of {self.span_s} s "
-                    f"{held * 2 / 3:.2f} s are left for sure"
+                    f"{held_s * 2 / 3:.2f} s are left for sure"
                 )
         fullest = max((len(some) for some in self.by_lease().values()), default=0)
-        if fullest > NOTES_MOST:
-            raise ValueError(f"one shard has {fullest} tasks, {NOTES_MOST} at most: raise shards")
+        if fullest > MAX_TASKS_PER_LEASE:
+            raise ValueError(
+                f"one shard has {fullest} tasks, {MAX_TASKS_PER_LEASE} at most: raise shards"
+            )
 
     @property
     def timing(self) -> Timing:
-        """For the decisions."""
-        return Timing(int(self.span_s * SECOND), self.drift)
+        """Return the durations of a lease."""
+        return Timing(int(self.span_s * SECOND_US), self.drift)
 
     @property
-    def own(self) -> VoterSet:
-        """The set in force."""
+    def voter_set(self) -> VoterSet:
+        """Return the voter set that is in force."""
         return VoterSet(self.set, tuple(one.name for one in self.voter))
 
     @property
-    def formers(self) -> tuple[VoterSet, ...]:
-        """Those before it."""
+    def former_sets(self) -> tuple[VoterSet, ...]:
+        """Return the voter sets that were in force before."""
         return tuple(VoterSet(one.set, tuple(one.addresses)) for one in self.former)
 
     @property
     def addresses(self) -> dict[str, str]:
-        """Of all voters, those of former sets too."""
-        found = {name: at for one in self.former for name, at in one.addresses.items()}
-        return found | {one.name: one.address for one in self.voter}
+        """Return the addresses of all voters, also of former sets."""
+        former = {name: at for one in self.former for name, at in one.addresses.items()}
+        return former | {one.name: one.address for one in self.voter}
 
-    def by_lease(self) -> dict[str, list[LeaseSpec]]:
-        """Tasks by the lease under which they are done."""
-        return _spread(self.task, self.shards)
+    def by_lease(self) -> dict[str, list[TaskSpec]]:
+        """Return the tasks by the lease under which they run."""
+        return _specs_by_lease(self.task, self.shards)
 
 
 @lru_cache(maxsize=4)
-def _spread(tasks: tuple[TaskTable, ...], shards: int) -> dict[str, list[LeaseSpec]]:
-    """Worked out once for each table: thousands of tasks over hundreds of shards take a while."""
-    found: dict[str, list[LeaseSpec]] = {}
-    for one in tasks:
-        found.setdefault(shard_of(one.name, shards), []).append(one.spec)
-    return found
+def _specs_by_lease(tasks: tuple[TaskTable, ...], shards: int) -> dict[str, list[TaskSpec]]:
+    """Computed once for each table: thousands of tasks over hundreds of shards take a while."""
+    by_lease: dict[str, list[TaskSpec]] = {}
+    for task in tasks:
+        by_lease.setdefault(shard_of(task.name, shards), []).append(task.spec)
+    return by_lease
