--- a/saffrongw/leases/task_client.py
+++ b/saffrongw/leases/task_client.py
@@ -1,97 +1,123 @@
-"""A task's call: one HTTP POST by h11, with the token asked again just before its first byte leaves."""
+"""The HTTP call of a task.
+
+It is one POST by h11; the token is checked just before its first byte leaves.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
 from dataclasses import dataclass
-from urllib.parse import urlsplit
+from urllib.parse import SplitResult, urlsplit
 
 import h11
 
-from .messages import LARGEST
-from .proposer import Token
-from .task_schedule import Call, Outcome
+from .claim import FencingToken
+from .messages import NUMBER_LIMIT
+from .task_schedule import CallOutcome, TaskCall
 
-BODY_MOST = 64 * 1024  # bytes of an answer that are read
-OLDER = (409, 412)  # a receiver's word for a number below one that it has seen
+MAX_RESPONSE_BYTES = 64 * 1024
+READ_BYTES = 4_096
+MAX_TOKEN_DIGITS = 19
+# The statuses by which a receiver rejects a fencing token below one that it has seen.
+FENCED_OFF_STATUSES = (409, 412)
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
-    """How it went; ``seen``: the highest number that the receiver says it has seen, 0 where it doesn't."""
+class CallResult:
+    """How a call ended; ``seen_token`` is the highest token the receiver says it has seen, or 0."""
 
-    outcome: Outcome
-    seen: int = 0
+    outcome: CallOutcome
+    seen_token: int = 0
     detail: str = ""
 
 
-async def post(url: str, call: Call, holder: str, token: Token, within: float) -> Ended:
-    """One try, within so many seconds. Whether it had an effect is UNKNOWN from its first byte to a whole answer."""
+async def post(
+    url: str, call: TaskCall, holder: str, token: FencingToken, timeout_s: float
+) -> CallResult:
+    """Make one call; whether it had an effect is UNKNOWN from its first byte to a complete answer.
+
+    Ake one call; whether it had an effect is UNKNOWN from its first byte to a complete answer.
+    """
     parts = urlsplit(url)
     sent = False
     writer: asyncio.StreamWriter | None = None
     try:
-        async with asyncio.timeout(within):
+        async with asyncio.timeout(timeout_s):
             reader, writer = await asyncio.open_connection(parts.hostname, parts.port)
             http = h11.Connection(h11.CLIENT)
-            target = (parts.path or "/") + (f"?{parts.query}" if parts.query else "")
-            headers = [
-                ("Host", parts.netloc),
-                ("Fencing-Token", str(call.number)),
-                ("Task", call.task),
-                ("Holder", holder),
-                ("Turn", str(call.turn)),
-                ("Content-Length", "0"),
-                ("Connection", "close"),
-            ]
-            data = http.send(h11.Request(method="POST", target=target, headers=headers))
-            data += http.send(h11.EndOfMessage())
-            if (
-                not token.valid()
-            ):  # connecting may have taken long, and so may this process have stood still
-                return Ended(Outcome.LATE, detail="the lease ran out before the call was sent")
+            data = _request_bytes(http, parts, call, holder)
+            if not token.valid():
+                # Connecting may have taken long, and this process may have stood still.
+                detail = "the lease ran out before the call was sent"
+                return CallResult(CallOutcome.LATE, detail=detail)
             sent = True
             writer.write(data)
-            return await _answer(http, reader)
+            return await _read_result(http, reader)
     except TimeoutError:
-        return Ended(
-            Outcome.UNKNOWN if sent else Outcome.FAILED, detail=f"no answer within {within:.2f} s"
-        )
-    except OSError as wrong:
-        return Ended(Outcome.UNKNOWN if sent else Outcome.FAILED, detail=str(wrong))
-    except h11.RemoteProtocolError as wrong:
-        return Ended(Outcome.UNKNOWN, detail=f"not HTTP: {wrong}")
+        outcome = CallOutcome.UNKNOWN if sent else CallOutcome.FAILED
+        return CallResult(outcome, detail=f"no answer within {timeout_s:.2f} s")
+    except OSError as error:
+        return CallResult(CallOutcome.UNKNOWN if sent else CallOutcome.FAILED, detail=str(error))
+    except h11.RemoteProtocolError as error:
+        return CallResult(CallOutcome.UNKNOWN, detail=f"not HTTP: {error}")
     finally:
         if writer is not None:
             with contextlib.suppress(OSError):
                 writer.close()
 
 
-async def _answer(http: h11.Connection, reader: asyncio.StreamReader) -> Ended:
-    status, seen, read = 0, 0, 0
+def _request_bytes(http: h11.Connection, parts: SplitResult, call: TaskCall, holder: str) -> bytes:
+    target = (parts.path or "/") + (f"?{parts.query}" if parts.query else "")
+    headers = [
+        ("Host", parts.netloc),
+        ("Fencing-Token", str(call.fencing_token)),
+        ("Task", call.task),
+        ("Holder", holder),
+        ("Turn", str(call.turn)),
+        ("Content-Length", "0"),
+        ("Connection", "close"),
+    ]
+    head = http.send(h11.Request(method="POST", target=target, headers=headers)) or b""
+    return head + (http.send(h11.EndOfMessage()) or b"")
+
+
+async def _read_result(http: h11.Connection, reader: asyncio.StreamReader) -> CallResult:
+    response: h11.Response | None = None
+    body_bytes = 0
     while True:
         event = http.next_event()
         if event is h11.NEED_DATA:
-            http.receive_data(await reader.read(4_096))
+            http.receive_data(await reader.read(READ_BYTES))
         elif isinstance(event, h11.Response):
-            status = event.status_code
-            told = dict(event.headers).get(b"fencing-token", b"")
-            seen = int(told) if told.isdigit() and len(told) < 20 else 0
-            if seen >= LARGEST:
-                seen = 0
+            response = event
         elif isinstance(event, h11.Data):
-            read += len(event.data)
-            if read > BODY_MOST:
+            body_bytes += len(event.data)
+            if body_bytes > MAX_RESPONSE_BYTES:
                 break
         elif isinstance(event, h11.EndOfMessage):
             break
         elif isinstance(event, h11.ConnectionClosed):
-            return Ended(Outcome.UNKNOWN, detail="the connection ended before an answer")
+            detail = "the connection ended before an answer"
+            return CallResult(CallOutcome.UNKNOWN, detail=detail)
+    return _result_of(response)
+
+
+def _result_of(response: h11.Response | None) -> CallResult:
+    status = response.status_code if response is not None else 0
     if 200 <= status < 300:
-        return Ended(Outcome.DONE)
-    if status in OLDER:
-        return Ended(
-            Outcome.OUTRUN, seen, f"status {status}: the receiver has seen a higher number"
-        )
-    return Ended(Outcome.FAILED, detail=f"status {status}")
+        return CallResult(CallOutcome.DONE)
+    if status in FENCED_OFF_STATUSES:
+        detail = f"status {status}: the receiver has seen a higher number"
+        return CallResult(CallOutcome.FENCED_OFF, _seen_token(response), detail)
+    return CallResult(CallOutcome.FAILED, detail=f"status {status}")
+
+
+def _seen_token(response: h11.Response | None) -> int:
+    """Return the token that the receiver names in its answer.
+
+    It is 0 where that is malformed or too high.
+    """
+    text = dict(response.headers).get(b"fencing-token", b"") if response is not None else b""
+    token = int(text) if text.isdigit() and len(text) <= MAX_TOKEN_DIGITS else 0
+    return token if token < NUMBER_LIMIT else 0
--- a/saffrongw/leases/task_schedule.py
+++ b/saffrongw/leases/task_schedule.py
@@ -1,14 +1,16 @@
-"""When the tasks of held leases are done, and how often. Pure: times passed in, what is to be done handed out.
+"""When the tasks of held leases run, and how often.
 
-A task has turns: turn ``k`` is due at Unix time ``k * every + offset``, the same on every gateway. What became of the
-last turn is told to the voters and comes with the next grant. Two promises:
+No I/O: time is passed in, actions are returned. A task has turns: turn ``k`` is due at Unix time
+``k * period + offset``, alike on every gateway. The progress of the last turn is reported to the
+voters and comes with the next grant. Two guarantees:
 
-``at-least``: a turn that nobody is known to have finished is done, so one whose end was not heard is done again.
-``at-most``: a turn is begun only after a majority of the voters has noted that it is, and never twice. Where a voter
-that was asked has a memory younger than the turn, the turn may have been begun and forgotten: it is left out.
+``at-least``: a turn that nobody is known to have finished is run, so one whose end was not reported
+runs again. ``at-most``: a turn starts only after a majority of the voters has stored that it does,
+and never twice. Where the memory of a voter that was asked is younger than the turn, the turn may
+have started and been forgotten: it is left out.
 
-The wall clock says which turn it is and nothing else. On a gateway whose clock is behind the last turn that is known,
-turns go on from there by its own clock.
+The wall clock says which turn it is and nothing else. On a gateway whose clock is behind the last
+known turn, turns go on from there by its own clock.
 """
 
 from __future__ import annotations
@@ -17,84 +19,97 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from .messages import Note, State
-from .spec import SECOND, LeaseSpec
+from .messages import TaskProgress, TurnState
+from .spec import TaskSpec
+from .timing import SECOND_US
 
-SKEW = 2 * SECOND  # by which wall clocks may differ without harm to ``at-most``
-RETRY_LEAST, RETRY_MOST = SECOND // 2, 60 * SECOND
+# By how much wall clocks may differ without harm to ``at-most``.
+MAX_WALL_CLOCK_SKEW_US = 2 * SECOND_US
+MIN_RETRY_WAIT_US = SECOND_US // 2
+MAX_RETRY_WAIT_US = 60 * SECOND_US
 
 
-class Outcome(Enum):
-    """How a call of a task ended."""
+class CallOutcome(Enum):
+    """How a task's call ended; the values are names in /admin/leases and /admin/stats."""
 
     DONE = "done"
-    FAILED = "failed"  # refused or wrong: it had no effect, or the receiver says so
-    UNKNOWN = "unknown"  # it may have had one
-    OUTRUN = "outrun"  # the receiver has seen a higher number
-    LATE = "late"  # too little was left of the lease when it was to begin
+    # Rejected or malformed: it had no effect, or the receiver says so.
+    FAILED = "failed"
+    # It may have had an effect.
+    UNKNOWN = "unknown"
+    # The receiver has seen a higher fencing token.
+    FENCED_OFF = "outrun"
+    # Too little was left of the lease when it was to begin.
+    LATE = "late"
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
-    """Do it now, under this number."""
+class TaskCall:
+    """Action: call the task's receiver now, under this fencing token."""
 
     task: str
     lease: str
     turn: int
-    number: int
+    fencing_token: int
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
-    """Tell the voters; ``confirmed`` is told when a majority has noted it."""
+class SendReport:
+    """Action: report progress; ``progress_confirmed`` is called when a majority has stored it."""
 
     lease: str
-    notes: tuple[Note, ...]
+    progress: tuple[TaskProgress, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Cancel:
-    """The lease under a call is lost."""
+class CancelCall:
+    """Action: cancel a running call, as its lease is lost."""
 
     task: str
 
 
-Do = Call | Say | Cancel
+ScheduleAction = TaskCall | SendReport | CancelCall
 
 
-class Phase(Enum):
-    """What a task that is ours waits for."""
+class TaskPhase(Enum):
+    """What a task under a held lease waits for; the values are shown by /admin/leases."""
 
-    WAITING = 0
-    NOTING = 1  # that a turn begins
-    RUNNING = 2
-    ENDING = 3  # that its end is noted
+    WAITING = "waiting"
+    # For a majority to store that a turn starts.
+    RECORDING_START = "noting"
+    RUNNING = "running"
+    # For a majority to store how a turn ended.
+    RECORDING_END = "ending"
 
 
 @dataclass(slots=True)
-class Task:
-    """One task under a lease that we hold."""
+class ScheduledTask:
+    """One task under a lease that this gateway holds."""
 
-    spec: LeaseSpec
+    spec: TaskSpec
     lease: str
-    number: int
-    known_from: int
-    last: Note | None
-    phase: Phase = Phase.WAITING
+    fencing_token: int
+    # Unix us since when the voters' memory is complete; 0 once a turn has passed under this grant.
+    memory_since_us: int
+    last_progress: TaskProgress | None
+    phase: TaskPhase = TaskPhase.WAITING
     turn: int = 0
-    at: int = 0  # our clock: when to look again
-    tries: int = 0
-    note: Note | None = None
-    behind: bool = False
+    # When to check it again, by this gateway's clock.
+    next_check_us: int = 0
+    attempts: int = 0
+    unconfirmed: TaskProgress | None = None
+    clock_behind: bool = False
 
 
 class TaskSchedule:
     """All tasks of the leases that this gateway holds."""
 
     def __init__(self) -> None:
-        self.tasks: dict[str, Task] = {}
-        self.strays: dict[str, Task] = {}  # calls that are let finish though their lease is lost
-        self.last: dict[str, tuple[int, str]] = {}  # by task: turn and end that we saw ourselves
+        """Start without tasks."""
+        self.tasks: dict[str, ScheduledTask] = {}
+        # Tasks whose call may finish though their lease is lost.
+        self.finishing: dict[str, ScheduledTask] = {}
+        # Names in /admin/stats.
         names = (
             "begun",
             "done",
@@ -106,172 +121,210 @@
             "left_out",
             "clock_behind",
         )
-        self.counts = dict.fromkeys(names, 0)
+        self.counters = dict.fromkeys(names, 0)
 
-    # -- leases ----------------------------------------------------------------------------------------------------
+    # -- leases ------------------------------------------------------------------------------------
 
-    def gained(
+    def lease_gained(
         self,
         now: int,
-        wall: int,
         lease: str,
-        number: int,
-        specs: Iterable[LeaseSpec],
-        notes: dict[bytes, Note],
-        known_from: int,
+        fencing_token: int,
+        specs: Iterable[TaskSpec],
+        progress: dict[bytes, TaskProgress],
+        memory_since_us: int,
     ) -> None:
-        """A lease is ours, with these tasks."""
+        """Schedule the tasks of a lease that was gained."""
         for spec in specs:
-            self.strays.pop(spec.name, None)
-            self.tasks[spec.name] = Task(
-                spec, lease, number, known_from, notes.get(spec.id), at=now
+            self.finishing.pop(spec.name, None)
+            self.tasks[spec.name] = ScheduledTask(
+                spec,
+                lease,
+                fencing_token,
+                memory_since_us,
+                progress.get(spec.task_id),
+                next_check_us=now,
             )
 
-    def lost(self, lease: str) -> list[Do]:
-        """It is ours no more."""
-        todo: list[Do] = []
+    def lease_lost(self, lease: str) -> list[ScheduleAction]:
+        """Remove the tasks of a lost lease; running calls are cancelled or may finish."""
+        actions: list[ScheduleAction] = []
         for name in [name for name, task in self.tasks.items() if task.lease == lease]:
             task = self.tasks.pop(name)
-            if task.phase is Phase.RUNNING:
-                if task.spec.on_loss == "abandon":
-                    todo.append(Cancel(name))
-                else:
-                    self.strays[name] = task
-        return todo
-
-    def change(self, now: int, specs: dict[str, list[LeaseSpec]]) -> list[Do]:
-        """Other tasks, by lease; what is running ends by the old form."""
-        todo: list[Do] = []
-        wanted = {spec.name: (lease, spec) for lease, some in specs.items() for spec in some}
+            if task.phase is not TaskPhase.RUNNING:
+                continue
+            if task.spec.on_loss == "abandon":
+                actions.append(CancelCall(name))
+            else:
+                self.finishing[name] = task
+        return actions
+
+    def replace_specs(self, now: int, specs: dict[str, list[TaskSpec]]) -> list[ScheduleAction]:
+        """Change to other tasks, by lease; a running call ends under its former specification."""
+        actions: list[ScheduleAction] = []
+        new_specs = {spec.name: (lease, spec) for lease, some in specs.items() for spec in some}
         for name, task in list(self.tasks.items()):
-            found = wanted.pop(name, None)
-            if found is None or found[0] != task.lease:
-                if task.phase is Phase.RUNNING:
-                    todo.append(Cancel(name))
+            lease, spec = new_specs.get(name, (None, task.spec))
+            if lease != task.lease:
+                if task.phase is TaskPhase.RUNNING:
+                    actions.append(CancelCall(name))
                 del self.tasks[name]
-            elif found[1] != task.spec:
-                task.spec = found[1]
-                if task.phase is Phase.WAITING:
-                    task.at = now
-        return todo
+            elif spec != task.spec:
+                task.spec = spec
+                if task.phase is TaskPhase.WAITING:
+                    task.next_check_us = now
+        return actions
 
     def idle(self, lease: str) -> bool:
-        """Whether nothing is in the middle under it: it may be given back."""
-        return all(t.phase is Phase.WAITING for t in self.tasks.values() if t.lease == lease)
+        """Return whether no task is in the middle of a turn: the lease may be given back."""
+        return all(
+            task.phase is TaskPhase.WAITING for task in self.tasks.values() if task.lease == lease
+        )
 
-    # -- time ------------------------------------------------------------------------------------------------------
+    # -- time --------------------------------------------------------------------------------------
 
     def next_at(self) -> int | None:
-        """When ``due`` has something to do."""
-        return min((t.at for t in self.tasks.values() if t.phase is Phase.WAITING), default=None)
+        """Return when ``due`` has something to do."""
+        waiting = (
+            task.next_check_us for task in self.tasks.values() if task.phase is TaskPhase.WAITING
+        )
+        return min(waiting, default=None)
 
-    def due(self, now: int, wall: int, left: Callable[[str], int]) -> list[Do]:
-        """Turns whose time has come; ``left`` tells how many us are left of a lease."""
-        todo: list[Do] = []
+    def due(self, now: int, wall: int, remaining_us: Callable[[str], int]) -> list[ScheduleAction]:
+        """Start the turns that are due; ``remaining_us`` returns how long a lease is still held."""
+        actions: list[ScheduleAction] = []
         for task in self.tasks.values():
-            if task.phase is Phase.WAITING and task.at <= now:
-                todo += self._look(now, wall, task, left(task.lease))
-        return todo
+            if task.phase is TaskPhase.WAITING and task.next_check_us <= now:
+                actions += self._check(now, wall, task, remaining_us(task.lease))
+        return actions
 
-    def _look(self, now: int, wall: int, task: Task, left: int) -> list[Do]:
-        spec, last = task.spec, task.last
-        turn = spec.turn_at(wall)
-        task.behind = False
-        if last is not None and last.turn >= turn:
-            if last.turn > turn:
-                # Our clock is behind whoever did that one: turns go on from there, by our own clock.
-                task.behind = True
-                self.counts["clock_behind"] += 1
-                if task.turn != last.turn + 1:
-                    task.turn, task.at = last.turn + 1, now + spec.every
-                    return []
-                turn = task.turn
-            elif not self._once_more(last, spec):
-                task.at = now + max(1, spec.due_at(turn + 1) - wall)
-                return []
-        # ``known_from`` is 0 once a turn has gone by under this grant.
-        young = task.known_from and spec.due_at(turn) < task.known_from + SKEW
-        if spec.once == "at-most" and young and not task.behind:
-            self.counts["left_out"] += 1
-            task.at = now + max(1, spec.due_at(turn + 1) - wall)
+    def _check(
+        self, now: int, wall: int, task: ScheduledTask, remaining_us: int
+    ) -> list[ScheduleAction]:
+        spec = task.spec
+        turn = self._turn_to_run(now, wall, task)
+        if turn is None:
+            return []
+        if self._may_be_forgotten(task, turn):
+            self.counters["left_out"] += 1
+            task.next_check_us = now + max(1, spec.due_at(turn + 1) - wall)
             return []
-        if left <= spec.needs:
-            self.counts["late"] += 1
-            task.at = now + RETRY_LEAST
+        if remaining_us <= spec.max_call_us:
+            self.counters["late"] += 1
+            task.next_check_us = now + MIN_RETRY_WAIT_US
             return []
+        last = task.last_progress
         if last is not None and turn > last.turn + 1:
-            self.counts["missed"] += turn - last.turn - 1
+            self.counters["missed"] += turn - last.turn - 1
         if task.turn != turn:
-            task.tries = 0
+            task.attempts = 0
         task.turn = turn
-        if spec.once == "at-most":
-            return self._say(task, Phase.NOTING, State.BEGUN)
+        if spec.delivery == "at-most":
+            return [self._report(task, TaskPhase.RECORDING_START, TurnState.STARTED)]
         return [self._run(task)]
 
+    def _turn_to_run(self, now: int, wall: int, task: ScheduledTask) -> int | None:
+        """Return the turn to run now, or None after setting when to check again."""
+        spec, last = task.spec, task.last_progress
+        turn = spec.turn_at(wall)
+        task.clock_behind = False
+        if last is None or last.turn < turn:
+            return turn
+        if last.turn == turn:
+            if spec.delivery == "at-least" and last.state == TurnState.STARTED:
+                # It started, and its end is not known.
+                return turn
+            task.next_check_us = now + max(1, spec.due_at(turn + 1) - wall)
+            return None
+        # Our clock is behind that of the gateway which ran the last turn: go on from there.
+        task.clock_behind = True
+        self.counters["clock_behind"] += 1
+        if task.turn != last.turn + 1:
+            task.turn, task.next_check_us = last.turn + 1, now + spec.period_us
+            return None
+        return task.turn
+
     @staticmethod
-    def _once_more(last: Note, spec: LeaseSpec) -> bool:
-        """A turn that began and whose end is not known."""
-        return spec.once == "at-least" and last.state == State.BEGUN
+    def _may_be_forgotten(task: ScheduledTask, turn: int) -> bool:
+        """Return whether an at-most turn may have started before the voters' memory began."""
+        if task.spec.delivery != "at-most" or not task.memory_since_us or task.clock_behind:
+            return False
+        return task.spec.due_at(turn) < task.memory_since_us + MAX_WALL_CLOCK_SKEW_US
 
-    def _say(self, task: Task, phase: Phase, state: State) -> list[Do]:
+    def _report(self, task: ScheduledTask, phase: TaskPhase, state: TurnState) -> SendReport:
         task.phase = phase
-        task.note = Note(task.spec.id, task.turn, task.number, int(state))
-        return [Say(task.lease, (task.note,))]
-
-    def _run(self, task: Task) -> Call:
-        task.phase = Phase.RUNNING
-        task.tries += 1
-        self.counts["begun"] += 1
-        return Call(task.spec.name, task.lease, task.turn, task.number)
-
-    # -- what came of it -------------------------------------------------------------------------------------------
-
-    def confirmed(
-        self, now: int, lease: str, notes: Iterable[Note], left: Callable[[str], int]
-    ) -> list[Do]:
-        """A majority has noted this."""
-        todo: list[Do] = []
-        told = set(notes)
+        task.unconfirmed = TaskProgress(
+            task.spec.task_id, task.turn, task.fencing_token, int(state)
+        )
+        return SendReport(task.lease, (task.unconfirmed,))
+
+    def _run(self, task: ScheduledTask) -> TaskCall:
+        task.phase = TaskPhase.RUNNING
+        task.attempts += 1
+        self.counters["begun"] += 1
+        return TaskCall(task.spec.name, task.lease, task.turn, task.fencing_token)
+
+    # -- results -----------------------------------------------------------------------------------
+
+    def progress_confirmed(
+        self,
+        now: int,
+        lease: str,
+        confirmed: Iterable[TaskProgress],
+        remaining_us: Callable[[str], int],
+    ) -> list[ScheduleAction]:
+        """Go on with the tasks whose progress a majority has stored."""
+        actions: list[ScheduleAction] = []
+        stored = set(confirmed)
         for task in self.tasks.values():
-            if task.lease != lease or task.note not in told:
+            if task.lease != lease or task.unconfirmed not in stored:
                 continue
-            task.last, task.note = task.note, None
-            if task.phase is Phase.NOTING:
-                if left(lease) > task.spec.needs:
-                    todo.append(self._run(task))
+            task.last_progress, task.unconfirmed = task.unconfirmed, None
+            if task.phase is TaskPhase.RECORDING_START:
+                if remaining_us(lease) > task.spec.max_call_us:
+                    actions.append(self._run(task))
                     continue
-                self.counts["late"] += 1  # noted as begun and not done: at most once
-            task.phase, task.at = Phase.WAITING, now
-        return todo
-
-    def finished(self, now: int, wall: int, name: str, turn: int, outcome: Outcome) -> list[Do]:
-        """A call has ended."""
-        self.counts[outcome.value] += 1
-        self.last[name] = (turn, outcome.value)
-        while len(self.last) > 4_096:
-            del self.last[next(iter(self.last))]
+                # Stored as started and not run: at most once.
+                self.counters["late"] += 1
+            task.phase, task.next_check_us = TaskPhase.WAITING, now
+        return actions
+
+    def call_finished(
+        self, now: int, wall: int, name: str, turn: int, outcome: CallOutcome
+    ) -> list[ScheduleAction]:
+        """Retry a call that has ended, or report how the turn ended."""
+        self.counters[outcome.value] += 1
         task = self.tasks.get(name)
-        if task is None or task.phase is not Phase.RUNNING or task.turn != turn:
-            stray = self.strays.pop(name, None)
-            if (
-                stray and outcome is Outcome.DONE
-            ):  # let finish, and it did: whoever holds the lease now may hear of it
-                return [
-                    Say(stray.lease, (Note(stray.spec.id, turn, stray.number, int(State.DONE)),))
-                ]
+        if task is None or task.phase is not TaskPhase.RUNNING or task.turn != turn:
+            return self._finished_without_lease(name, turn, outcome)
+        if outcome is CallOutcome.DONE:
+            task.memory_since_us = 0
+            return [self._report(task, TaskPhase.RECORDING_END, TurnState.DONE)]
+        if self._may_retry(wall, task, outcome):
+            task.phase, task.next_check_us = TaskPhase.WAITING, now + self._retry_wait_us(task)
             return []
-        spec = task.spec
-        if outcome is Outcome.DONE:
-            task.known_from = 0
-            return self._say(task, Phase.ENDING, State.DONE)
-        over = wall >= spec.due_at(turn + 1) and not task.behind
-        if spec.once == "at-least" and spec.retry and not over and outcome is not Outcome.OUTRUN:
-            wait = min(
-                RETRY_MOST,
-                RETRY_LEAST * 2 ** min(task.tries, 20),
-                max(RETRY_LEAST, spec.every // 4),
-            )
-            task.phase, task.at = Phase.WAITING, now + wait
+        task.memory_since_us = 0
+        return [self._report(task, TaskPhase.RECORDING_END, TurnState.FAILED)]
+
+    def _finished_without_lease(
+        self, name: str, turn: int, outcome: CallOutcome
+    ) -> list[ScheduleAction]:
+        """Report a call that finished after its lease was lost: the new holder may learn of it."""
+        task = self.finishing.pop(name, None)
+        if task is None or outcome is not CallOutcome.DONE:
             return []
-        task.known_from = 0
-        return self._say(task, Phase.ENDING, State.FAILED)
+        progress = TaskProgress(task.spec.task_id, turn, task.fencing_token, int(TurnState.DONE))
+        return [SendReport(task.lease, (progress,))]
+
+    @staticmethod
+    def _may_retry(wall: int, task: ScheduledTask, outcome: CallOutcome) -> bool:
+        spec = task.spec
+        turn_over = wall >= spec.due_at(task.turn + 1) and not task.clock_behind
+        retried = spec.delivery == "at-least" and spec.retry
+        return retried and not turn_over and outcome is not CallOutcome.FENCED_OFF
+
+    @staticmethod
+    def _retry_wait_us(task: ScheduledTask) -> int:
+        backoff_us = MIN_RETRY_WAIT_US * 2 ** min(task.attempts, 20)
+        quarter_us = max(MIN_RETRY_WAIT_US, task.spec.period_us // 4)
+        return min(MAX_RETRY_WAIT_US, backoff_us, quarter_us)
--- a/saffrongw/leases/timing.py
+++ b/saffrongw/leases/timing.py
@@ -1,80 +1,96 @@
-"""How long everything of a lease lasts: one inequality, and every constant derived from it. Pure; spans in us.
+"""Durations of a lease, all derived from one inequality over clock rates.
 
-Clocks are never compared. Each one only has to run at a rate between ``1 - drift`` and ``1 + drift`` of true time.
-A holder counts ``held`` by its own clock from *before* it asked, a voter counts ``span`` from its answer, so the holder
-begins first. It has ended first, whatever both clocks do within the bound, if and only if
+Clocks are never compared with each other. Each only has to run at a rate between ``1 - max_drift``
+and ``1 + max_drift`` of true time. A holder counts ``holder_duration_us`` on its own clock from
+*before* its proposal left; an acceptor counts ``duration_us`` from its answer, so the holder's time
+begins first. Whatever both clocks do within the bound, the holder's time has also ended first if
+and only if
 
-    held / (1 - drift)  <=  span / (1 + drift)                                                    (1)
+    holder_duration / (1 - max_drift)  <=  duration / (1 + max_drift)                        (1)
 
-A voter that starts with empty memory may have answered anything just before. By (1) all that it can have granted is
-over once ``span`` has passed by its own clock: for so long it stays silent. The same holds for a set of voters that
-follows another one (``sets.py``).
+An acceptor that starts with empty memory may have granted anything just before. By (1) every such
+grant is over once ``duration_us`` has passed on its own clock: for so long it stays silent. The
+same holds for a voter set that follows another one (``voter_set.py``). This module does no I/O;
+durations are microseconds.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MS = 1_000
-SECOND = 1_000_000
-GRAIN = 2 * MS  # us by which a look at the clock may be late; taken off what a holder may use
-DRIFT_MOST = 0.2
+MILLISECOND_US = 1_000
+SECOND_US = 1_000_000
+# By how much a reading of the clock may be late; taken off what a holder may use.
+CLOCK_GRANULARITY_US = 2 * MILLISECOND_US
+MAX_CLOCK_DRIFT = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """``span``: what a voter grants, us by its clock. ``drift``: by which part clocks' rates may be off."""
+    """How long an acceptor grants a lease, and by which fraction clock rates may be off.
 
-    span: int = 10 * SECOND
-    drift: float = 0.01
+    ``duration_us`` is counted on the acceptor's own clock.
+    """
+
+    duration_us: int = 10 * SECOND_US
+    max_drift: float = 0.01
 
     def __post_init__(self) -> None:
-        if not 0 <= self.drift <= DRIFT_MOST:
-            raise ValueError(f"drift must lie between 0 and {DRIFT_MOST}")
-        if self.span < 100 * MS:
+        """Check the bounds; raise ``ValueError`` naming what is wrong."""
+        if not 0 <= self.max_drift <= MAX_CLOCK_DRIFT:
+            raise ValueError(f"drift must lie between 0 and {MAX_CLOCK_DRIFT}")
+        if self.duration_us < 100 * MILLISECOND_US:
             raise ValueError("a span of less than 100 ms leaves no time to ask")
 
     @property
-    def held(self) -> int:
-        """By (1), less the grain of the clock: how long a holder may act, by its clock, from before it asked."""
-        return int(self.span * (1 - self.drift) / (1 + self.drift)) - GRAIN
+    def holder_duration_us(self) -> int:
+        """Return how long a holder may act, on its clock, from before its proposal left.
+
+        It follows from (1).
+        """
+        granted = int(self.duration_us * (1 - self.max_drift) / (1 + self.max_drift))
+        return granted - CLOCK_GRANULARITY_US
 
     @property
-    def silence(self) -> int:
-        """By (1): how long a voter without memory answers nothing, by its clock."""
-        return self.span
+    def silence_us(self) -> int:
+        """Return how long an acceptor without memory answers nothing, on its clock; from (1)."""
+        return self.duration_us
 
     @property
-    def rates(self) -> tuple[float, float]:
-        """The rates at which one right clock may be seen to run by another right one."""
-        return (1 - self.drift) / (1 + self.drift), (1 + self.drift) / (1 - self.drift)
+    def believable_rates(self) -> tuple[float, float]:
+        """Return the lowest and highest rate of one correct clock as measured by another."""
+        slow, fast = 1 - self.max_drift, 1 + self.max_drift
+        return slow / fast, fast / slow
 
     @property
-    def renew_after(self) -> int:
-        """A third of what is held: two whole rounds of asking may fail."""
-        return self.held // 3
+    def renew_after_us(self) -> int:
+        """Return the renewal interval, a third of what is held: two whole rounds may fail."""
+        return self.holder_duration_us // 3
 
     @property
-    def again_after(self) -> int:
-        """When a question without an answer is asked once more."""
-        return max(20 * MS, min(SECOND, self.held // 20))
+    def resend_after_us(self) -> int:
+        """Return after how long a message without an answer is sent again."""
+        return max(20 * MILLISECOND_US, min(SECOND_US, self.holder_duration_us // 20))
 
     @property
-    def round_most(self) -> int:
-        """After this a round of asking is given up."""
-        return min(4 * self.again_after, self.held // 3)
+    def max_round_us(self) -> int:
+        """Return after how long a round without a majority is abandoned."""
+        return min(4 * self.resend_after_us, self.holder_duration_us // 3)
 
     @property
-    def push_every(self) -> int:
-        """How often voters offer a lease that nobody holds."""
-        return max(100 * MS, min(500 * MS, self.span // 10))
+    def offer_interval_us(self) -> int:
+        """Return how often acceptors offer a lease that nobody holds."""
+        return max(100 * MILLISECOND_US, min(500 * MILLISECOND_US, self.duration_us // 10))
 
     @property
-    def stagger(self) -> int:
-        """So much later than the first one asks, the second of those to whom a free lease is offered."""
-        return max(30 * MS, min(150 * MS, self.span // 50))
+    def stagger_us(self) -> int:
+        """Return by how much the second candidate that is offered a lease waits for the first."""
+        return max(30 * MILLISECOND_US, min(150 * MILLISECOND_US, self.duration_us // 50))
 
     @property
-    def stand_every(self) -> int:
-        """How often a gateway tells the voters that it stands: a voter that has started hears all in its silence."""
-        return min(30 * SECOND, int(0.9 * self.span))
+    def announce_interval_us(self) -> int:
+        """Return how often a candidate announces itself.
+
+        A voter that starts hears all within its silence.
+        """
+        return min(30 * SECOND_US, int(0.9 * self.duration_us))
--- a/saffrongw/leases/voter_set.py
+++ b/saffrongw/leases/voter_set.py
@@ -1,65 +1,71 @@
-"""Which set of voters is in force, while one takes the place of another. Pure; us.
+"""Which voter set is in force, while one replaces another.
 
-Sets are numbered by the operator file. An answer counts only between two that are at the same set, so a quorum is
-always of one set. A voter of a new set first makes sure that no quorum of any former set can come together again: for
-each former set that its file lists, a majority of that set's voters have said that *their* files are at this set or
-beyond (on their disks, so a restart does not undo it). Then it is silent for a whole span, as after a start: what the
-former sets granted has run out by then. So two sets may have nobody in common, files may be changed in any order, and
-a gateway that never hears of it gets nothing any more. The price is a pause of about a span in which a lease
-that ran out is not given anew.
+Sets are numbered by the operator file. An answer counts only between two gateways that are at the
+same set, so a quorum is always of one set. A voter of a new set first makes sure that no quorum of
+any former set can form again: for each former set that its file lists, a majority of that set's
+voters have replied that *their* files are at this set or a later one (on their disks, so a restart
+does not undo it). Then it is silent for one lease duration, as after a start: what the former sets
+granted has expired by then. So two sets may have no member in common, files may be changed in any
+order, and a gateway that never gets the new file is granted nothing any more. The price is a pause
+of about one duration in which an expired lease is not granted again. No I/O; times are
+microseconds.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-ASK_EVERY = 500_000
+SEAL_QUERY_INTERVAL_US = 500_000
 
 
 @dataclass(frozen=True, slots=True)
 class VoterSet:
-    """One set, by its number; names of its voters."""
+    """A numbered set of voters, by name."""
 
     number: int
     voters: tuple[str, ...]
 
     @property
     def majority(self) -> int:
-        """How many of it can grant."""
+        """Return how many voters make a quorum."""
         return len(self.voters) // 2 + 1
 
 
 @dataclass(slots=True)
-class Succession:
-    """What one voter of the set in force (or to be) knows of the former ones."""
+class VoterSetTransition:
+    """What one voter knows of the change from former voter sets to its own."""
 
     own: VoterSet
     former: tuple[VoterSet, ...] = ()
-    sealed: dict[int, set[str]] = field(default_factory=dict)  # by former set: who has left it
-    ask_at: int = 0
+    # By number of a former set: its voters that have left it.
+    sealed: dict[int, set[str]] = field(default_factory=dict)
+    next_query_us: int = 0
 
-    def done(self) -> bool:
-        """Whether no former set can grant anything any more."""
-        return all(len(self.sealed.get(one.number, ())) >= one.majority for one in self.former)
+    def _is_sealed(self, former: VoterSet) -> bool:
+        return len(self.sealed.get(former.number, ())) >= former.majority
+
+    def complete(self) -> bool:
+        """Return whether no former set can grant anything any more."""
+        return all(self._is_sealed(one) for one in self.former)
 
     def due(self, now: int) -> list[str]:
-        """Whom to ask now whether they have left the former sets."""
-        if self.done() or now < self.ask_at:
+        """Return the voters of former sets to query now."""
+        if self.complete() or now < self.next_query_us:
             return []
-        self.ask_at = now + ASK_EVERY
+        self.next_query_us = now + SEAL_QUERY_INTERVAL_US
         return sorted(
             {
                 name
                 for one in self.former
-                if len(self.sealed.get(one.number, ())) < one.majority
+                if not self._is_sealed(one)
                 for name in one.voters
                 if name not in self.sealed.get(one.number, ())
             }
         )
 
-    def told(self, name: str, number: int) -> None:
-        """One says that its file is at this set or beyond."""
-        if number < self.own.number:
+    def record_reply(self, name: str, set_number: int) -> None:
+        """Record that a gateway's file is at this set or a later one."""
+        if set_number < self.own.number:
             return
         for one in self.former:
             if name in one.voters:
--- a/tests/faults/variants.py
+++ b/tests/faults/variants.py
@@ -317,25 +317,25 @@
 def believes_its_lease_for_ever() -> None:
     from saffrongw.leases.proposer import Proposer
 
-    plain = Proposer._accepted
+    plain = Proposer._on_accept
 
     def accepted(self, now, voter, claim):
         out = plain(self, now, voter, claim)
-        if claim.held_until:
-            claim.held_until = now + 3_600_000_000
+        if claim.held_until_us:
+            claim.held_until_us = now + 3_600_000_000
         return out
 
-    Proposer._accepted = accepted
+    Proposer._on_accept = accepted
 
 
 @lease_variant
 def works_without_asking_its_token() -> None:
     """Goes on with its tasks, whatever became of the lease."""
-    from saffrongw.leases.component import LeasesComponent
-    from saffrongw.leases.proposer import Token
+    from saffrongw.leases.claim import FencingToken
+    from saffrongw.leases.node_driver import NodeDriver
     from saffrongw.leases.task_schedule import TaskSchedule
 
-    plain = LeasesComponent.token
+    plain = NodeDriver.token
     known = {}
 
     def token(self, lease):
@@ -344,28 +344,28 @@
             known[lease] = found
         return known.get(lease)
 
-    Token.left = lambda self: 3_600_000_000
-    LeasesComponent.token = token
-    LeasesComponent._left = lambda self, lease: 3_600_000_000
-    TaskSchedule.lost = lambda self, lease: []
+    FencingToken.remaining_us = lambda self: 3_600_000_000
+    NodeDriver.token = token
+    NodeDriver.remaining_us = lambda self, lease: 3_600_000_000
+    TaskSchedule.lease_lost = lambda self, lease: []
 
 
 @lease_variant
 def counts_a_voter_twice() -> None:
     """Takes an answer as often as it comes."""
     from benchmarks.fleet.lease_explorer import Answers
-    from saffrongw.channel.signed_datagram import Window
+    from saffrongw.channel.signed_datagram import ReplayWindow
     from saffrongw.leases.proposer import Proposer
 
-    plain = Proposer._begin
+    plain = Proposer._start_round
 
     def begin(self, now, claim, stage):
         out = plain(self, now, claim, stage)
-        claim.answered = Answers()
+        claim.agreeing = Answers()
         return out
 
-    Proposer._begin = begin
-    Window.take = lambda self, number: True
+    Proposer._start_round = begin
+    ReplayWindow.accept = lambda self, sequence_number: True
 
 
 @lease_variant
@@ -374,9 +374,9 @@
 
     plain = Acceptor.__init__
 
-    def init(self, name, timing, standing, holds, now, *more) -> None:
-        plain(self, name, timing, standing, holds, now, *more)
-        self.silent_until = now
+    def init(self, name, timing, candidates, suspensions, now, *rest) -> None:
+        plain(self, name, timing, candidates, suspensions, now, *rest)
+        self.silent_until_us = now
 
     Acceptor.__init__ = init
 
@@ -385,8 +385,15 @@
     """Ends without a word at so many steps of a grant (a message sent or read), once the file ``go`` is there."""
     import signal
 
-    from saffrongw.leases.component import LeasesComponent
-    from saffrongw.leases.messages import Accept, Prepare, Promise, Propose, Tell, Told
+    from saffrongw.leases import node_driver
+    from saffrongw.leases.messages import (
+        Accept,
+        Prepare,
+        ProgressStored,
+        Promise,
+        Propose,
+        ReportProgress,
+    )
 
     left, armed = int(step), False
 
@@ -394,29 +401,27 @@
         nonlocal left, armed
         armed = armed or os.path.exists(go)
         for message in packet.messages:
-            kinds = Prepare | Promise | Propose | Accept | Tell | Told
+            kinds = Prepare | Promise | Propose | Accept | ReportProgress | ProgressStored
             if armed and isinstance(message, kinds):
                 left -= 1
                 if left == 0:
                     os.kill(os.getpid(), signal.SIGKILL)
 
-    after = LeasesComponent._after
+    process = node_driver.NodeDriver.process
 
     def send(self, packets):
         for _, packet in packets:
             count(packet)
-        return after(self, packets)
-
-    import saffrongw.leases.component as part
+        return process(self, packets)
 
-    plain = part._decode
+    plain = node_driver._decode
 
     def decode(payload):
         packet = plain(payload)
         count(packet)
         return packet
 
-    LeasesComponent._after, part._decode = send, decode
+    node_driver.NodeDriver.process, node_driver._decode = send, decode
 
 
 if __name__ == "__main__":
--- a/tests/leases/test_interleavings.py
+++ b/tests/leases/test_interleavings.py
@@ -9,27 +9,27 @@
 
 PLANTED = {
     "no silence after a restart": {
-        "voter": case.NotSilent,
+        "acceptor": case.NotSilent,
         "restarts": 1,
         "ticks": 2,
         "first_asks": True,
     },
     "the holder's span as long as the voter's": {"timing": case.LongHolder, "first_asks": True},
-    "majority less one": {"asker": case.Minority, "ticks": 1},
+    "majority less one": {"proposer": case.Minority, "ticks": 1},
     "a number that doesn't grow": {
-        "asker": case.SameNumber,
-        "voter": case.Careless,
+        "proposer": case.SameNumber,
+        "acceptor": case.Careless,
         "first_asks": True,
     },
-    "an answer counted twice": {"asker": case.CountsTwice, "answers_stay": True, "ticks": 1},
+    "an answer counted twice": {"proposer": case.CountsTwice, "answers_stay": True, "ticks": 1},
     "clocks beyond the bound": {"rates": (2.0, 0.5), "ticks": 2, "first_asks": True},
 }
 TRUE = {
     "two ask": {"ticks": 2},
     "one restarts": {"ticks": 3, "restarts": 1, "first_asks": True},
     "one voter doubles": {"ticks": 2, "doubles": 1, "first_asks": True},
-    "renewed": {"ticks": 3, "renews": True, "askers": 1, "restarts": 1},
-    "refused and released": {"ticks": 3, "askers": 1, "refusals": True, "releases": True},
+    "renewed": {"ticks": 3, "renews": True, "proposers": 1, "restarts": 1},
+    "refused and released": {"ticks": 3, "proposers": 1, "refusals": True, "releases": True},
 }
 
 
@@ -50,6 +50,8 @@
     assert found.story[0].endswith("asks")
     # The same case without the fault has no breach within as many states.
     plain = {
-        k: v for k, v in PLANTED[name].items() if k not in ("voter", "asker", "timing", "rates")
+        k: v
+        for k, v in PLANTED[name].items()
+        if k not in ("acceptor", "proposer", "timing", "rates")
     }
     assert not Explorer(case.LeaseCase(**plain), found.states).run().breach
--- a/tests/leases/test_simulated_fleet.py
+++ b/tests/leases/test_simulated_fleet.py
@@ -7,15 +7,15 @@
 import pytest
 
 from benchmarks.fleet import lease_days
-from benchmarks.fleet.leases import Field
+from benchmarks.fleet.leases import SimulatedFleet
 from saffrongw.leases.acceptor import Acceptor
 from saffrongw.leases.candidates import Candidates, shard_name
-from saffrongw.leases.clock_drift import ClockDriftEstimates, Reading, bounds
+from saffrongw.leases.clock_drift import ClockDriftEstimates, Reading, rate_bounds
 from saffrongw.leases.node import LeaseNode
 from saffrongw.leases.proposer import Proposer
-from saffrongw.leases.spec import LeaseSpec
+from saffrongw.leases.spec import TaskSpec
 from saffrongw.leases.suspensions import Suspensions
-from saffrongw.leases.timing import SECOND, Timing
+from saffrongw.leases.timing import SECOND_US, Timing
 from saffrongw.leases.voter_set import VoterSet
 from testbed.simulation.clock import Fleet, Link
 
@@ -40,14 +40,14 @@
 
 
 def test_the_field_finds_voters_that_are_not_silent():
-    def plant(field: Field) -> None:
-        def member(name, life, now, draw) -> LeaseNode:
-            found = field.plain_member(name, life, now, draw)
-            if isinstance(found.voter, Acceptor):
-                found.voter.silent_until = now
+    def plant(field: SimulatedFleet) -> None:
+        def lease_node(name, incarnation, now, draw) -> LeaseNode:
+            found = field.plain_node(name, incarnation, now, draw)
+            if isinstance(found.acceptor, Acceptor):
+                found.acceptor.silent_until_us = now
             return found
 
-        field.member = member
+        field.make_node = lease_node
 
     found = 0
     for n in range(6):
@@ -56,7 +56,7 @@
     assert found
 
 
-def rested(field: Field, until: int = 30 * SECOND) -> Field:
+def rested(field: SimulatedFleet, until: int = 30 * SECOND_US) -> SimulatedFleet:
     field.fleet.run(until)
     return field
 
@@ -67,80 +67,82 @@
 
 
 def test_a_minority_keeps_its_holder_to_its_end_and_no_longer():
-    field = rested(Field("minority", 5, 5, timing=Timing(5 * SECOND)))
+    field = rested(SimulatedFleet("minority", 5, 5, timing=Timing(5 * SECOND_US)))
     holder = field.holder(LEASE)
     few = [holder, *[name for name in field.voters if name != holder][:1]]
     field.fleet.split([few, [name for name in field.names if name not in few]])
     at, before = field.fleet.now, len(field.gains)
-    field.fleet.run(at + 60 * SECOND)
+    field.fleet.run(at + 60 * SECOND_US)
     assert field.breaches == []
     assert {name for _, _, name, _ in field.gains[before:]} and holder not in {
         g[2] for g in field.gains[before:]
     }
 
 
-class Lone:
+class SoloMachine:
     """A voter or an asker by itself; the asker asks until it has the lease."""
 
     def __init__(self, name: str, now: int, draw: random.Random, timing: Timing) -> None:
-        self.asker = (
+        self.proposer = (
             Proposer(name, 1, ("v0", "v1", "v2"), timing, draw.random) if name[0] == "a" else None
         )
-        self.voter = (
+        self.acceptor = (
             None
-            if self.asker
-            else Acceptor(name, timing, Candidates(1), Suspensions(), now - timing.silence)
+            if self.proposer
+            else Acceptor(name, timing, Candidates(1), Suspensions(), now - timing.silence_us)
         )
         self.held_at = 0
 
     def next_at(self) -> int:
-        return 1 << 60 if self.voter else (self.asker.next_at() or 0)
+        return 1 << 60 if self.acceptor else (self.proposer.next_at() or 0)
 
     def due(self, now: int) -> list:
-        if self.voter:
-            return self.voter.due(now, now)
-        if not self.asker.claims:
-            self.asker.want(now, LEASE)
-        return self.asker.due(now)
+        if self.acceptor:
+            return self.acceptor.due(now, now)
+        if not self.proposer.claims:
+            self.proposer.propose(now, LEASE)
+        return self.proposer.due(now)
 
     def receive(self, now: int, sender: str, message) -> list:
-        if self.voter:
-            return self.voter.handle(now, now, sender, 1, message)
-        out = self.asker.handle(now, sender, message)
-        if self.asker.held(now) and not self.held_at:
+        if self.acceptor:
+            return self.acceptor.handle(now, now, sender, 1, message)
+        out = self.proposer.handle(now, sender, message)
+        if self.proposer.held(now) and not self.held_at:
             self.held_at = now
         return out
 
 
 def test_two_that_ask_together_do_not_starve_each_other():
     """Both ask at one moment, and never stop asking: how long until one has it, in round trips of up to 120 ms."""
-    timing, took = Timing(5 * SECOND), []
+    timing, took = Timing(5 * SECOND_US), []
     for seed in range(300):
         fleet = Fleet(f"duel {seed}", Link(delay=(20_000, 60_000)))
         for name in ("v0", "v1", "v2", "a0", "a1"):
             fleet.add(
-                name, lambda name, _, now, draw: Lone(name, now, draw, timing), offset=100 * SECOND
+                name,
+                lambda name, _, now, draw: SoloMachine(name, now, draw, timing),
+                offset=100 * SECOND_US,
             )
-        fleet.run(5 * SECOND)
+        fleet.run(5 * SECOND_US)
         took.append(
-            min(fleet.nodes[a].machine.held_at or 1 << 60 for a in ("a0", "a1")) - 100 * SECOND
+            min(fleet.nodes[a].machine.held_at or 1 << 60 for a in ("a0", "a1")) - 100 * SECOND_US
         )
     took.sort()
-    print([took[n] / SECOND for n in (150, 270, 297, 299)])
-    assert took[297] < 1.2 * SECOND and took[299] < 2.5 * SECOND
+    print([took[n] / SECOND_US for n in (150, 270, 297, 299)])
+    assert took[297] < 1.2 * SECOND_US and took[299] < 2.5 * SECOND_US
 
 
 def test_a_clock_at_the_bound_is_believed_and_one_beyond_it_is_found_out():
     for rate, believed in ((1.0099, True), (0.9901, True), (1.1, False), (0.9, False)):
-        field = Field("rates", 3, 3, timing=Timing(5 * SECOND, 0.01))
+        field = SimulatedFleet("rates", 3, 3, timing=Timing(5 * SECOND_US, 0.01))
         for node in field.fleet.nodes.values():
             node.rate = 1.0
         field.fleet.nodes["v0"].rate = rate
-        rested(field, 120 * SECOND)
-        seen = [field.fleet.nodes[name].machine.member for name in ("a0", "a1", "a2", "v1")]
-        assert all(("v0" in member.rates.wrong) != believed for member in seen)
-        own = field.fleet.nodes["v0"].machine.member.asker
-        assert bool(own.stopped) != believed and (believed or not own.claims)
+        rested(field, 120 * SECOND_US)
+        seen = [field.fleet.nodes[name].machine.node for name in ("a0", "a1", "a2", "v1")]
+        assert all(("v0" in lease_node.clock_drift.wrong) != believed for lease_node in seen)
+        own = field.fleet.nodes["v0"].machine.node.proposer
+        assert bool(own.stop_reason) != believed and (believed or not own.claims)
         assert field.holder(LEASE) and field.breaches == []
 
 
@@ -153,56 +155,58 @@
             at = base + draw.randrange(10**5)
             asked, heard = at - draw.randrange(10**6), at + draw.randrange(10**6)
             readings.append(Reading(int(at * rate) + 77, asked, heard))
-        least, most = bounds(*readings)
+        least, most = rate_bounds(*readings)
         assert least - 1e-4 <= rate <= most + 1e-4
-    rates = ClockDriftEstimates(Timing(SECOND, 0.01))
-    rates.read("v0", 1, Reading(0, 0, 10))
-    rates.read("v0", 2, Reading(9**9, 100, 110))  # another life: another clock
-    assert not rates.wrong and "v0" not in rates.rate
+    rates = ClockDriftEstimates(Timing(SECOND_US, 0.01))
+    rates.add("v0", 1, Reading(0, 0, 10))
+    rates.add("v0", 2, Reading(9**9, 100, 110))  # another life: another clock
+    assert not rates.wrong and "v0" not in rates.rates
 
 
 def test_all_clocks_set_back_in_a_fleet_without_memory_is_what_a_disk_is_for():
     for disk in (False, True):
-        field = Field("back", 3, 3, timing=Timing(5 * SECOND))
+        field = SimulatedFleet("back", 3, 3, timing=Timing(5 * SECOND_US))
         reserved: dict[str, int] = {}
 
-        def member(name, life, now, draw, field=field, reserved=reserved, disk=disk):
-            found = field.plain_member(name, life, now, draw)
-            if found.voter and disk:
-                found.voter.floor = found.voter.seen = reserved.get(name, 0)
-                reserved[name] = (1_700_000_000 + 3_600) * 1_000 + life * 3_600_000
+        def lease_node(name, incarnation, now, draw, field=field, reserved=reserved, disk=disk):
+            found = field.plain_node(name, incarnation, now, draw)
+            if found.acceptor and disk:
+                found.acceptor.token_floor = found.acceptor.highest_token = reserved.get(name, 0)
+                reserved[name] = (1_700_000_000 + 3_600) * 1_000 + incarnation * 3_600_000
             return found
 
-        field.member = member
+        field.make_node = lease_node
         rested(field)
         for name in field.names:
-            field.walls[name] = -3_600 * SECOND
+            field.walls[name] = -3_600 * SECOND_US
             field.fleet.kill(name)
             field.fleet.start(name)
-        field.fleet.run(60 * SECOND)
+        field.fleet.run(60 * SECOND_US)
         assert field.holder(LEASE)
         assert (field.breaches == []) is disk
 
 
 def test_five_hundred_tasks_on_two_hundred_gateways_that_start_within_a_second():
-    specs = tuple(LeaseSpec(f"t{n}", 20 * SECOND) for n in range(500))
-    field = Field("big", 5, 195, 32, Timing(), specs, Link(delay=(200, 5_000)), start_within=SECOND)
-    field.fleet.run(45 * SECOND)
+    specs = tuple(TaskSpec(f"t{n}", 20 * SECOND_US) for n in range(500))
+    field = SimulatedFleet(
+        "big", 5, 195, 32, Timing(), specs, Link(delay=(200, 5_000)), start_within=SECOND_US
+    )
+    field.fleet.run(45 * SECOND_US)
     assert field.breaches == []
-    assert field.turns(40 * SECOND, 20 * SECOND)["missed"] == 0
+    assert field.turns(40 * SECOND_US, 20 * SECOND_US)["missed"] == 0
     holders = [field.holder(shard_name(n, 32)) for n in range(32)]
     assert None not in holders and max(map(holders.count, holders)) <= 4
     assert max(field.fleet.got[name] for name in field.voters) < 100 * 45
 
 
 def test_one_that_joins_takes_its_share_and_no_more():
-    field = Field("join", 3, 5, 32, timing=Timing(5 * SECOND))
+    field = SimulatedFleet("join", 3, 5, 32, timing=Timing(5 * SECOND_US))
     field.names = (*field.names, "late")
     field.fleet.add("late", field._make, start=None)
-    rested(field, 60 * SECOND)
+    rested(field, 60 * SECOND_US)
     before = {n: field.holder(shard_name(n, 32)) for n in range(32)}
     field.fleet.start("late")
-    field.fleet.run(180 * SECOND)
+    field.fleet.run(180 * SECOND_US)
     after = {n: field.holder(shard_name(n, 32)) for n in range(32)}
     moved = {n for n in before if before[n] != after[n]}
     assert {after[n] for n in moved} == {"late"} and 1 <= len(moved) <= 9
@@ -214,18 +218,25 @@
 ONE, TWO, THREE = (VoterSet(n, voters) for n, voters in ((1, "abc"), (2, "cde"), (3, "def")))
 
 
-class Sets(Field):
+class Sets(SimulatedFleet):
     """Every gateway has a file; it takes effect when it is told to, and at each start."""
 
     def __init__(self, seed: str) -> None:
-        super().__init__(seed, 0, 0, timing=Timing(3 * SECOND))
+        super().__init__(seed, 0, 0, timing=Timing(3 * SECOND_US))
         self.files: dict[str, tuple[VoterSet, tuple[VoterSet, ...]]] = {}
         self.names = tuple("abcdefgh")
-        self.member = lambda name, life, now, draw: LeaseNode(
-            name, life, self.file(name)[0], self.timing, 1, draw.random, now, self.file(name)[1]
+        self.make_node = lambda name, incarnation, now, draw: LeaseNode(
+            name,
+            incarnation,
+            self.file(name)[0],
+            self.timing,
+            1,
+            draw.random,
+            now,
+            self.file(name)[1],
         )
         for name in self.names:
-            self.fleet.add(name, self._make, 1.0, 0, self.random.randrange(SECOND))
+            self.fleet.add(name, self._make, 1.0, 0, self.random.randrange(SECOND_US))
 
     def file(self, name: str) -> tuple[VoterSet, tuple[VoterSet, ...]]:
         return self.files.get(name, (ONE, ()))
@@ -234,7 +245,7 @@
         self.files[name] = own, former
 
         def change(node, now):
-            node.member.change(now, own, former)
+            node.node.change_voter_set(now, own, former)
             return node.due(now)
 
         self.fleet.call(name, change)
@@ -248,30 +259,32 @@
     for step, (own, former) in enumerate(((TWO, (ONE,)), (THREE, (ONE, TWO))), 1):
         for name in field.names:
             if name != deaf:
-                at = step * 20 * SECOND + draw.randrange(8 * SECOND)
+                at = step * 20 * SECOND_US + draw.randrange(8 * SECOND_US)
                 field.fleet.at(
                     at, lambda name=name, own=own, former=former: field.hup(name, own, *former)
                 )
         killed = draw.choice(field.names)
-        field.fleet.at(step * 22 * SECOND, lambda killed=killed: field.fleet.kill(killed))
-        field.fleet.at(step * 22 * SECOND + SECOND, lambda killed=killed: field.fleet.start(killed))
-    field.fleet.run(80 * SECOND)
+        field.fleet.at(step * 22 * SECOND_US, lambda killed=killed: field.fleet.kill(killed))
+        field.fleet.at(
+            step * 22 * SECOND_US + SECOND_US, lambda killed=killed: field.fleet.start(killed)
+        )
+    field.fleet.run(80 * SECOND_US)
     assert field.breaches == [], field.fleet.story()
     assert field.holder(LEASE) not in (None, deaf)
-    assert field.fleet.nodes[deaf].machine.member.other_set == 3
+    assert field.fleet.nodes[deaf].machine.node.foreign_set_number == 3
     for name in "def":
-        assert field.fleet.nodes[name].machine.member.succession.done()
+        assert field.fleet.nodes[name].machine.node.transition.complete()
 
 
 def test_a_set_grants_nothing_while_a_majority_of_a_former_one_has_not_left():
     field = Sets("unsealed")
-    rested(field, 20 * SECOND)
+    rested(field, 20 * SECOND_US)
     for name in "defgh":
         field.hup(name, THREE, ONE, TWO)
-    field.fleet.run(60 * SECOND)
+    field.fleet.run(60 * SECOND_US)
     assert field.holder(LEASE) in ("a", "b", "c") and field.breaches == []
     field.hup("a", THREE, ONE, TWO)
-    field.fleet.run(80 * SECOND)
+    field.fleet.run(80 * SECOND_US)
     assert field.holder(LEASE) in (
         "b",
         "c",
@@ -279,16 +292,16 @@
     )  # of set 1 two are left, which still is a majority
     field.hup("b", THREE, ONE, TWO)
     field.hup("c", THREE, ONE, TWO)
-    field.fleet.run(110 * SECOND)
+    field.fleet.run(110 * SECOND_US)
     assert field.holder(LEASE) and field.breaches == []
 
 
 def test_a_set_that_skips_the_former_ones_is_what_the_field_finds():
     field = Sets("planted")
-    rested(field, 20 * SECOND)
+    rested(field, 20 * SECOND_US)
     for name in "defgh":
         field.hup(name, THREE)  # no [[leases.former]]
-    field.fleet.run(60 * SECOND)
+    field.fleet.run(60 * SECOND_US)
     assert field.breaches
 
 
@@ -307,7 +320,7 @@
     def due(self, now: int) -> list:
         if now < self.at:
             return []
-        self.at = now + SECOND
+        self.at = now + SECOND_US
         return [(self.to, now)]
 
     def receive(self, now: int, sender: str, message: int) -> list:
@@ -327,7 +340,7 @@
             fleet.add(name, lambda *_, to=to: Echo(to))
         for name, value in change.items():
             setattr(fleet.link("a", "b"), name, value)
-        fleet.run(100 * SECOND - 1)
+        fleet.run(100 * SECOND_US - 1)
         assert least <= fleet.nodes["b"].machine.got <= most
         assert fleet.nodes["a"].machine.got == 100
 
@@ -336,21 +349,21 @@
     fleet = Fleet("rates")
     fleet.add("fast", lambda *_: Echo("slow"), rate=2.0)
     fleet.add("slow", lambda *_: Echo("fast"), rate=0.5)
-    fleet.run(10 * SECOND - 1)
+    fleet.run(10 * SECOND_US - 1)
     assert fleet.nodes["slow"].machine.got == 20 and fleet.nodes["fast"].machine.got == 5
     fleet.stop("slow")
-    fleet.run(20 * SECOND - 1)
+    fleet.run(20 * SECOND_US - 1)
     assert fleet.nodes["slow"].machine.got == 20
     fleet.go_on("slow")
     assert fleet.nodes["slow"].machine.got >= 39
 
 
 def test_one_that_is_pressed_takes_nothing_that_it_is_offered():
-    field = rested(Field("pressed", 3, 5, timing=Timing(5 * SECOND)))
+    field = rested(SimulatedFleet("pressed", 3, 5, timing=Timing(5 * SECOND_US)))
     first = field.holder(LEASE)
     spared = next(name for name in field.names if name != first)
     for name in field.names:
-        field.fleet.nodes[name].machine.member.pressed = name not in (first, spared)
+        field.fleet.nodes[name].machine.node.overloaded = name not in (first, spared)
     field.fleet.kill(first)
-    field.fleet.run(90 * SECOND)
+    field.fleet.run(90 * SECOND_US)
     assert field.holder(LEASE) == spared and field.breaches == []
--- a/tests/leases/test_task_schedule.py
+++ b/tests/leases/test_task_schedule.py
@@ -4,145 +4,162 @@
 
 import pytest
 
-from saffrongw.leases.messages import Note, State
-from saffrongw.leases.spec import SECOND, LeaseSpec
-from saffrongw.leases.task_schedule import RETRY_LEAST, Call, Cancel, Outcome, Say, TaskSchedule
+from saffrongw.leases.messages import TaskProgress, TurnState
+from saffrongw.leases.spec import SECOND_US, TaskSpec
+from saffrongw.leases.task_schedule import (
+    MIN_RETRY_WAIT_US,
+    CallOutcome,
+    CancelCall,
+    SendReport,
+    TaskCall,
+    TaskSchedule,
+)
 
-WALL = 1_700_000_000 * SECOND
-LEAST = LeaseSpec("t", 10 * SECOND, "at-least", SECOND, 0.0)
-MOST = LeaseSpec("t", 10 * SECOND, "at-most", SECOND, 0.0)
-TURN = WALL // (10 * SECOND)
+WALL = 1_700_000_000 * SECOND_US
+AT_LEAST = TaskSpec("t", 10 * SECOND_US, "at-least", SECOND_US, 0.0)
+AT_MOST = TaskSpec("t", 10 * SECOND_US, "at-most", SECOND_US, 0.0)
+TURN = WALL // (10 * SECOND_US)
 
 
 class Holder:
     """One holder of a lease with one task."""
 
     def __init__(
-        self, spec: LeaseSpec, last: Note | None = None, known_from: int = 1, wall: int = WALL
+        self,
+        spec: TaskSpec,
+        last: TaskProgress | None = None,
+        memory_since_us: int = 1,
+        wall: int = WALL,
     ) -> None:
-        self.turns, self.spec, self.now, self.wall, self.left = (
+        self.schedule, self.spec, self.now, self.wall, self.remaining_us = (
             TaskSchedule(),
             spec,
             0,
             wall,
-            8 * SECOND,
+            8 * SECOND_US,
+        )
+        self.schedule.lease_gained(
+            0, "s0/1", 5, [spec], {spec.task_id: last} if last else {}, memory_since_us
         )
-        self.turns.gained(0, wall, "s0/1", 5, [spec], {spec.id: last} if last else {}, known_from)
 
     def due(self) -> list:
-        return self.turns.due(self.now, self.wall, lambda lease: self.left)
+        return self.schedule.due(self.now, self.wall, lambda lease: self.remaining_us)
 
     def wait(self, span: int) -> list:
         self.now += span
         self.wall += span
         return self.due()
 
-    def confirm(self, said: Say) -> list:
-        return self.turns.confirmed(self.now, said.lease, said.notes, lambda lease: self.left)
+    def confirm(self, report: SendReport) -> list:
+        return self.schedule.progress_confirmed(
+            self.now, report.lease, report.progress, lambda lease: self.remaining_us
+        )
 
-    def end(self, outcome: Outcome, turn: int = TURN) -> list:
-        return self.turns.finished(self.now, self.wall, "t", turn, outcome)
+    def end(self, outcome: CallOutcome, turn: int = TURN) -> list:
+        return self.schedule.call_finished(self.now, self.wall, "t", turn, outcome)
 
 
-def note(turn: int, state: State) -> Note:
-    return Note(LEAST.id, turn, 4, int(state))
+def note(turn: int, state: TurnState) -> TaskProgress:
+    return TaskProgress(AT_LEAST.task_id, turn, 4, int(state))
 
 
 @pytest.mark.parametrize(
     ("spec", "last", "does"),
     [
-        (LEAST, None, Call),
-        (LEAST, note(TURN - 1, State.DONE), Call),
-        (LEAST, note(TURN, State.BEGUN), Call),
-        (LEAST, note(TURN, State.DONE), None),
-        (LEAST, note(TURN, State.FAILED), None),
-        (MOST, note(TURN - 1, State.DONE), Say),
-        (MOST, note(TURN, State.BEGUN), None),
-        (MOST, note(TURN, State.DONE), None),
+        (AT_LEAST, None, TaskCall),
+        (AT_LEAST, note(TURN - 1, TurnState.DONE), TaskCall),
+        (AT_LEAST, note(TURN, TurnState.STARTED), TaskCall),
+        (AT_LEAST, note(TURN, TurnState.DONE), None),
+        (AT_LEAST, note(TURN, TurnState.FAILED), None),
+        (AT_MOST, note(TURN - 1, TurnState.DONE), SendReport),
+        (AT_MOST, note(TURN, TurnState.STARTED), None),
+        (AT_MOST, note(TURN, TurnState.DONE), None),
     ],
 )
 def test_a_new_holder_neither_repeats_what_is_known_done_nor_skips_a_turn(spec, last, does):
     todo = Holder(spec, last).due()
     assert [type(one) for one in todo] == ([does] if does else [])
-    if does is Call:
-        assert todo == [Call("t", "s0/1", TURN, 5)]
+    if does is TaskCall:
+        assert todo == [TaskCall("t", "s0/1", TURN, 5)]
 
 
 def test_at_most_once_waits_for_a_majority_to_note_that_it_begins():
-    holder = Holder(MOST)
-    (said,) = holder.due()
-    assert said.notes[0].state == State.BEGUN and holder.wait(SECOND) == []
-    assert holder.confirm(said) == [Call("t", "s0/1", TURN, 5)]
-    (ended,) = holder.end(Outcome.UNKNOWN)
-    assert ended.notes[0].state == State.FAILED
+    holder = Holder(AT_MOST)
+    (report,) = holder.due()
+    assert report.progress[0].state == TurnState.STARTED and holder.wait(SECOND_US) == []
+    assert holder.confirm(report) == [TaskCall("t", "s0/1", TURN, 5)]
+    (ended,) = holder.end(CallOutcome.UNKNOWN)
+    assert ended.progress[0].state == TurnState.FAILED
     holder.confirm(ended)
-    assert holder.wait(SECOND) == []
-    assert [type(one) for one in holder.wait(10 * SECOND)] == [Say]
+    assert holder.wait(SECOND_US) == []
+    assert [type(one) for one in holder.wait(10 * SECOND_US)] == [SendReport]
 
 
 def test_at_most_once_does_not_begin_when_the_note_took_the_rest_of_the_lease():
-    holder = Holder(MOST)
-    (said,) = holder.due()
-    holder.left = SECOND // 2
-    assert holder.confirm(said) == [] and holder.due() == []
-    assert holder.turns.counts["late"] == 1
+    holder = Holder(AT_MOST)
+    (report,) = holder.due()
+    holder.remaining_us = SECOND_US // 2
+    assert holder.confirm(report) == [] and holder.due() == []
+    assert holder.schedule.counters["late"] == 1
 
 
 def test_a_turn_that_may_have_been_forgotten_is_left_out_where_it_must_not_be_repeated():
-    holder = Holder(MOST, known_from=WALL - SECOND)
-    assert holder.due() == [] and holder.turns.counts["left_out"] == 1
-    assert [type(one) for one in holder.wait(10 * SECOND)] == [Say]
-    assert [type(one) for one in Holder(LEAST, known_from=WALL - SECOND).due()] == [Call]
+    holder = Holder(AT_MOST, memory_since_us=WALL - SECOND_US)
+    assert holder.due() == [] and holder.schedule.counters["left_out"] == 1
+    assert [type(one) for one in holder.wait(10 * SECOND_US)] == [SendReport]
+    assert [type(one) for one in Holder(AT_LEAST, memory_since_us=WALL - SECOND_US).due()] == [
+        TaskCall
+    ]
 
 
 def test_a_failed_call_is_tried_again_within_its_turn_and_then_given_up():
-    holder = Holder(LEAST)
+    holder = Holder(AT_LEAST)
     holder.due()
-    assert holder.end(Outcome.FAILED) == [] and holder.due() == []
-    assert holder.wait(10 * RETRY_LEAST) == [Call("t", "s0/1", TURN, 5)]
-    holder.now += 10 * SECOND
-    holder.wall += 10 * SECOND
-    (said,) = holder.end(Outcome.UNKNOWN)
-    assert said.notes[0].state == State.FAILED
-    assert holder.confirm(said) == [] and holder.due() == [Call("t", "s0/1", TURN + 1, 5)]
+    assert holder.end(CallOutcome.FAILED) == [] and holder.due() == []
+    assert holder.wait(10 * MIN_RETRY_WAIT_US) == [TaskCall("t", "s0/1", TURN, 5)]
+    holder.now += 10 * SECOND_US
+    holder.wall += 10 * SECOND_US
+    (report,) = holder.end(CallOutcome.UNKNOWN)
+    assert report.progress[0].state == TurnState.FAILED
+    assert holder.confirm(report) == [] and holder.due() == [TaskCall("t", "s0/1", TURN + 1, 5)]
 
 
 def test_missed_turns_are_counted_and_only_the_last_one_is_done():
-    holder = Holder(LEAST, note(TURN - 4, State.DONE))
-    assert holder.due() == [Call("t", "s0/1", TURN, 5)]
-    assert holder.turns.counts["missed"] == 3
+    holder = Holder(AT_LEAST, note(TURN - 4, TurnState.DONE))
+    assert holder.due() == [TaskCall("t", "s0/1", TURN, 5)]
+    assert holder.schedule.counters["missed"] == 3
 
 
 def test_a_call_that_needs_more_than_is_left_of_the_lease_does_not_begin():
-    holder = Holder(LEAST)
-    holder.left = SECOND
-    assert holder.due() == [] and holder.turns.counts["late"] == 1
-    holder.left = 5 * SECOND
-    assert holder.wait(RETRY_LEAST) == [Call("t", "s0/1", TURN, 5)]
+    holder = Holder(AT_LEAST)
+    holder.remaining_us = SECOND_US
+    assert holder.due() == [] and holder.schedule.counters["late"] == 1
+    holder.remaining_us = 5 * SECOND_US
+    assert holder.wait(MIN_RETRY_WAIT_US) == [TaskCall("t", "s0/1", TURN, 5)]
 
 
-@pytest.mark.parametrize(("on_loss", "todo"), [("abandon", [Cancel("t")]), ("finish", [])])
+@pytest.mark.parametrize(("on_loss", "todo"), [("abandon", [CancelCall("t")]), ("finish", [])])
 def test_what_becomes_of_a_call_when_its_lease_is_lost(on_loss, todo):
-    spec = LeaseSpec("t", 10 * SECOND, "at-least", SECOND, 0.0, on_loss=on_loss)
+    spec = TaskSpec("t", 10 * SECOND_US, "at-least", SECOND_US, 0.0, on_loss=on_loss)
     holder = Holder(spec)
     holder.due()
-    assert holder.turns.lost("s0/1") == todo
-    said = holder.end(Outcome.DONE)
-    assert [type(one) for one in said] == ([Say] if on_loss == "finish" else [])
-    assert holder.wait(30 * SECOND) == []
+    assert holder.schedule.lease_lost("s0/1") == todo
+    report = holder.end(CallOutcome.DONE)
+    assert [type(one) for one in report] == ([SendReport] if on_loss == "finish" else [])
+    assert holder.wait(30 * SECOND_US) == []
 
 
 def test_a_clock_that_is_an_hour_behind_neither_repeats_turns_nor_stops_them():
-    holder = Holder(LEAST, note(TURN, State.DONE), wall=WALL - 3_600 * SECOND)
-    assert holder.due() == [] and holder.turns.counts["clock_behind"] == 1
+    holder = Holder(AT_LEAST, note(TURN, TurnState.DONE), wall=WALL - 3_600 * SECOND_US)
+    assert holder.due() == [] and holder.schedule.counters["clock_behind"] == 1
     for number in range(1, 4):
-        todo = holder.wait(10 * SECOND)
-        assert todo == [Call("t", "s0/1", TURN + number, 5)]
-        (said,) = holder.end(Outcome.DONE, TURN + number)
-        holder.confirm(said)
+        todo = holder.wait(10 * SECOND_US)
+        assert todo == [TaskCall("t", "s0/1", TURN + number, 5)]
+        (report,) = holder.end(CallOutcome.DONE, TURN + number)
+        holder.confirm(report)
         assert holder.due() == []
 
 
 def test_tasks_of_one_period_are_spread_over_the_jitter():
-    offsets = {LeaseSpec(f"t{n}", 100 * SECOND, jitter=0.5).offset for n in range(200)}
-    assert len(offsets) > 190 and min(offsets) >= 0 and max(offsets) < 50 * SECOND
+    offsets = {TaskSpec(f"t{n}", 100 * SECOND_US, jitter=0.5).offset_us for n in range(200)}
+    assert len(offsets) > 190 and min(offsets) >= 0 and max(offsets) < 50 * SECOND_US
