--- a/benchmarks/fleet/lease_explorer.py
+++ b/benchmarks/fleet/lease_explorer.py
@@ -17,7 +17,16 @@
 from saffrongw.leases.candidates import Candidates
 from saffrongw.leases.claim import Claim, ClaimStage, LeaseGained
 from saffrongw.leases.lease_record import LeaseRecord
-from saffrongw.leases.messages import Accept, Message, Nack, Prepare, Promise, Propose, Release
+from saffrongw.leases.messages import (
+    Accept,
+    GatewayId,
+    Message,
+    Nack,
+    Prepare,
+    Promise,
+    Propose,
+    Release,
+)
 from saffrongw.leases.proposer import Proposer
 from saffrongw.leases.suspensions import Suspensions
 from saffrongw.leases.timing import SECOND_US, Timing
@@ -153,7 +162,8 @@
             one.due(now, self.wall(0))
             acceptors.append(one)
         proposers = [
-            self.make_proposer(name, 1, self.names, self.timing, half) for name in self.asking
+            self.make_proposer(GatewayId(name, 1), self.names, self.timing, half)
+            for name in self.asking
         ]
         wants = (self.wants,) * len(proposers)
         return State(
@@ -186,14 +196,14 @@
                 out = new.due(now)
                 wants = tuple(w - (n == index) for n, w in enumerate(state.wants))
                 after = replace(self._with_proposer(state, index, new, out), wants=wants)
-                yield f"{proposer.name} asks", after
+                yield f"{proposer.gateway.name} asks", after
             if state.gives_back and proposer.held(self.proposer_now(state.tick)):
                 new = copied_proposer(proposer)
                 out = new.release(LEASE, "moved")
                 after = self._with_proposer(
                     replace(state, gives_back=state.gives_back - 1), index, new, out
                 )
-                yield f"{proposer.name} gives it back", after
+                yield f"{proposer.gateway.name} gives it back", after
         answers: dict[str, list[Mail]] = {}
         for mail in state.mail:
             if mail[1] not in self.names:
@@ -306,7 +316,7 @@
             index = self.names.index(to)
             mine = copied_acceptor(state.acceptors[index])
             sent = mine.handle(
-                self.voter_now(state.tick), self.wall(state.tick), sender, 1, message
+                self.voter_now(state.tick), self.wall(state.tick), GatewayId(sender, 1), message
             )
             if sent and isinstance(sent[0][1], Nack) and Nack in self.left_out:
                 return None
@@ -322,9 +332,7 @@
         for event in proposer.events:
             if isinstance(event, LeaseGained):
                 if event.fencing_token <= highest:
-                    wrong = (
-                        f"{proposer.name} holds under number {event.fencing_token}, after {highest}"
-                    )
+                    wrong = f"{proposer.gateway.name} holds under number {event.fencing_token}, after {highest}"
                 highest = max(highest, event.fencing_token)
         proposer.events.clear()
         new = replace(
@@ -333,7 +341,7 @@
             wrong=wrong,
             highest=highest,
         )
-        return self._sent(new, proposer.name, out)
+        return self._sent(new, proposer.gateway.name, out)
 
     def _sent(self, state: State, sender: str, out: list) -> State:
         mail = {
@@ -363,7 +371,7 @@
     def holders(self, state: State) -> list[str]:
         """Who acts right now."""
         now = self.proposer_now(state.tick)
-        return [one.name for one in state.proposers if one.held(now)]
+        return [one.gateway.name for one in state.proposers if one.held(now)]
 
     def breach(self, state: State) -> str:
         """Two holders, a number that has not grown, or a lease that nobody gets again."""
@@ -546,7 +554,7 @@
 class Backwards(Acceptor):
     """Takes a late renewal under a ballot from before its holder had the lease anew."""
 
-    def _on_propose(self, now, wall, sender, incarnation, request):
+    def _on_propose(self, now, wall, sender, request):
         record = self.records.get(request.lease)
         if (
             record
@@ -558,7 +566,7 @@
                 request.ballot,
                 min(record.granted_round, request.round),
             )
-        return super()._on_propose(now, wall, sender, incarnation, request)
+        return super()._on_propose(now, wall, sender, request)
 
 
 class LongHolder(CaseTiming):
@@ -580,10 +588,10 @@
 class Careless(Acceptor):
     """Looks at no numbers."""
 
-    def _on_propose(self, now, wall, sender, incarnation, request):
+    def _on_propose(self, now, wall, sender, request):
         record, floor = self._record(now, request.lease), self.token_floor
         mark, record.highest_token, self.token_floor = record.highest_token, 0, 0
-        answer = super()._on_propose(now, wall, sender, incarnation, request)
+        answer = super()._on_propose(now, wall, sender, request)
         record.highest_token, self.token_floor = max(mark, record.highest_token), floor
         return answer
 
--- a/benchmarks/fleet/leases.py
+++ b/benchmarks/fleet/leases.py
@@ -15,7 +15,8 @@
 
 from saffrongw.leases.candidates import shard_of
 from saffrongw.leases.claim import LeaseGained, LeaseLost, LeaseRecalled
-from saffrongw.leases.node import LeaseNode
+from saffrongw.leases.messages import GatewayId
+from saffrongw.leases.node import LeaseNode, NodeSettings
 from saffrongw.leases.progress_reports import ProgressConfirmed
 from saffrongw.leases.spec import TaskSpec
 from saffrongw.leases.task_schedule import (
@@ -102,7 +103,7 @@
         """A packet, with the incarnation of its sender."""
         self.now = now
         incarnation, packet = message
-        out = self.node.receive(now, self.wall(now), sender, incarnation, packet)
+        out = self.node.receive(now, self.wall(now), GatewayId(sender, incarnation), packet)
         return self._after(now, out)
 
     def due(self, now: int) -> Sent:
@@ -239,7 +240,9 @@
 
     def plain_node(self, name: str, incarnation: int, now: int, draw: random.Random) -> LeaseNode:
         """A node as the program makes it."""
-        return LeaseNode(name, incarnation, self.set, self.timing, self.shards, draw.random, now)
+        settings = NodeSettings(self.timing, self.shards)
+        gateway = GatewayId(name, incarnation)
+        return LeaseNode(gateway, settings, self.set, draw.random, now)
 
     def _look(self, at: int, node: Node) -> None:
         """Who holds what, by true time, after each step of a node."""
--- a/saffrongw/leases/__init__.py
+++ b/saffrongw/leases/__init__.py
@@ -2,8 +2,8 @@
 
 Decisions, without I/O: ``timing``, ``messages``, ``spec``, ``lease_record``, ``rejections``,
 ``acceptor``, ``claim``, ``proposer``, ``candidates``, ``suspensions``, ``clock_drift``,
-``voter_set``, ``voter_contacts``, ``progress_reports``, ``packing``, ``task_schedule``, ``node``.
-I/O: ``component``, ``node_driver``, ``task_runner``, ``task_client``, ``store``,
-``token_reservation``, ``clock``, ``condition_log``, ``leader_guard``, ``admin_commands``,
-``state_report``. The design is described in ``docs/notes/leases.md``.
+``voter_set``, ``voter_contacts``, ``progress_reports``, ``recall_votes``, ``packing``,
+``task_schedule``, ``node``. I/O: ``component``, ``node_driver``, ``task_runner``, ``task_client``,
+``store``, ``token_reservation``, ``clock``, ``condition_log``, ``leader_guard``,
+``admin_commands``, ``state_report``. The design is described in ``docs/notes/leases.md``.
 """
--- a/saffrongw/leases/acceptor.py
+++ b/saffrongw/leases/acceptor.py
@@ -24,6 +24,7 @@
     Accept,
     Announce,
     AnnounceReply,
+    GatewayId,
     Message,
     Nack,
     NackReason,
@@ -35,7 +36,6 @@
     Propose,
     Release,
     ReportProgress,
-    Suspension,
 )
 from .rejections import nack, reject_foreign_ballot, reject_held, reject_outdated, reject_suspended
 from .spec import MAX_TASKS_PER_LEASE
@@ -206,37 +206,31 @@
 
     # -- messages --------------------------------------------------------------------------------
 
-    def handle(
-        self, now: int, wall: int, sender: str, incarnation: int, message: Message
-    ) -> list[Outgoing]:
+    def handle(self, now: int, wall: int, sender: GatewayId, message: Message) -> list[Outgoing]:
         """Handle a message of a gateway and return the answers."""
         if isinstance(message, Announce | Prepare):
             self._observe_token(message.highest_token)
         elif isinstance(message, Propose):
             self._observe_token(message.fencing_token)
         if isinstance(message, Announce):
-            return self._on_announce(now, wall, sender, incarnation, message)
+            return self._on_announce(now, wall, sender, message)
         if self.silent(now, wall):
             return []
         match message:
             case Prepare():
-                return self._answer(
-                    sender, self._on_prepare(now, wall, sender, incarnation, message)
-                )
+                return self._answer(sender, self._on_prepare(now, wall, sender, message))
             case Propose():
-                return self._answer(
-                    sender, self._on_propose(now, wall, sender, incarnation, message)
-                )
+                return self._answer(sender, self._on_propose(now, wall, sender, message))
             case Release():
-                return self._on_release(now, wall, sender, incarnation, message)
+                return self._on_release(now, wall, sender, message)
             case ReportProgress():
                 return self._on_report(now, sender, message)
         return []
 
-    def _answer(self, sender: str, answer: Promise | Accept | Nack) -> list[Outgoing]:
+    def _answer(self, sender: GatewayId, answer: Promise | Accept | Nack) -> list[Outgoing]:
         if isinstance(answer, Nack):
             self.counters["refused"] += 1
-        return [Outgoing(sender, answer)]
+        return [Outgoing(sender.name, answer)]
 
     def _observe_token(self, token: int) -> None:
         """Remember the highest token that any message names.
@@ -246,26 +240,24 @@
         if token < NUMBER_LIMIT // 2:
             self.highest_token = max(self.highest_token, token)
 
-    def _reject_any(
-        self, wall: int, request: Prepare | Propose, owner: tuple[str, int]
-    ) -> Nack | None:
+    def _reject_any(self, wall: int, request: Prepare | Propose, sender: GatewayId) -> Nack | None:
         """Reject a foreign ballot, an unknown lease and a suspended one, in both phases."""
-        if rejected := reject_foreign_ballot(request, owner):
+        if rejected := reject_foreign_ballot(request, sender):
             return rejected
         if not self.candidates.known(request.lease):
             return nack(request, NackReason.UNKNOWN)
         return reject_suspended(request, self.suspensions.active(request.lease, wall), wall)
 
     def _on_prepare(
-        self, now: int, wall: int, sender: str, incarnation: int, request: Prepare
+        self, now: int, wall: int, sender: GatewayId, request: Prepare
     ) -> Promise | Nack:
-        if rejected := self._reject_any(wall, request, (sender, incarnation)):
+        if rejected := self._reject_any(wall, request, sender):
             return rejected
         record = self._record(now, request.lease)
         # A held lease gets not even a promise: it would only be in the way of the holder's next
         # round.
         self._expire_if_over(now, record)
-        if rejected := reject_held(request, (sender, incarnation), record, now):
+        if rejected := reject_held(request, sender, record, now):
             return rejected
         if request.ballot < record.promised:
             return nack(request, NackReason.OUTBID, record.promised.number)
@@ -275,9 +267,9 @@
         return Promise(request.lease, request.ballot, token, self.memory_since_us, progress)
 
     def _on_propose(
-        self, now: int, wall: int, sender: str, incarnation: int, request: Propose
+        self, now: int, wall: int, sender: GatewayId, request: Propose
     ) -> Accept | Nack:
-        if rejected := self._reject_any(wall, request, (sender, incarnation)):
+        if rejected := self._reject_any(wall, request, sender):
             return rejected
         if request.duration_us > self.timing.duration_us:
             return nack(request, NackReason.DURATION)
@@ -287,77 +279,85 @@
         # Each acceptor has one holder at a time, whatever it promised: two majorities share an
         # acceptor, so there are no two holders even where an acceptor has forgotten a promise.
         self._expire_if_over(now, record)
-        if rejected := reject_held(request, (sender, incarnation), record, now):
+        if rejected := reject_held(request, sender, record, now):
             return rejected
         if rejected := reject_outdated(request, record, self.token_floor):
             return rejected
         record.last_used_us = now
-        if record.is_late_copy(now, request):
+        if record.is_duplicate(now, request):
             # It must not extend the grant.
             return Accept(request.lease, request.ballot, request.round)
         self.counters["granted"] += 1
         return record.grant(now, request, self.timing.duration_us)
 
     def _on_release(
-        self, now: int, wall: int, sender: str, incarnation: int, message: Release
+        self, now: int, wall: int, sender: GatewayId, message: Release
     ) -> list[Outgoing]:
         record = self.records.get(message.lease)
-        owner = (sender, incarnation)
-        if record is None or message.ballot.owner != owner:
+        if record is None or message.ballot.owner != sender:
             return []
         record.released = message.ballot
-        if record.expires_us and record.holder == owner and record.granted <= message.ballot:
+        if record.expires_us and record.holder == sender and record.granted <= message.ballot:
             self.counters["released"] += 1
             record.free(now)
             record.last_used_us = now
             return self._offer(now, wall, message.lease, record)
         return []
 
-    def _on_report(self, now: int, sender: str, message: ReportProgress) -> list[Outgoing]:
+    def _on_report(self, now: int, sender: GatewayId, message: ReportProgress) -> list[Outgoing]:
         if not self.candidates.known(message.lease) or len(message.progress) > MAX_TASKS_PER_LEASE:
             return []
         self._record(now, message.lease).store_progress(message.progress)
-        return [Outgoing(sender, ProgressStored(message.lease, message.request_id))]
+        return [Outgoing(sender.name, ProgressStored(message.lease, message.request_id))]
 
     # -- candidates ------------------------------------------------------------------------------
 
     def _on_announce(
-        self, now: int, wall: int, sender: str, incarnation: int, message: Announce
+        self, now: int, wall: int, sender: GatewayId, message: Announce
     ) -> list[Outgoing]:
         silent = self.silent(now, wall)
         if message.shard_count != self.candidates.shard_count:
-            # Another number of shards means other leases for the same tasks: it is granted none
-            # here.
-            interval_us = self.timing.announce_interval_us
-            reply = self._announce_reply(now, interval_us, (), (), 0, message)
-            return [Outgoing(sender, reply)]
+            # Another number of shards means other leases for the same tasks: none is granted here.
+            reply = AnnounceReply(
+                self.timing.announce_interval_us,
+                (),
+                (),
+                self.silent_for_us(now),
+                self.candidates.shard_count,
+                announced_at_us=message.sent_at_us,
+            )
+            return [Outgoing(sender.name, reply)]
         self.suspensions.merge(message.suspensions, wall)
         if message.draining:
-            self.candidates.remove(sender)
+            self.candidates.remove(sender.name)
             return []
         interval_us = self._announce_interval_us()
-        if not self._add_candidate(now, sender, incarnation, message, interval_us):
+        if not self._add_candidate(now, sender, message, interval_us):
             self.counters["dropped"] += 1
             return []
-        held = self._held_by(now, (sender, incarnation))
+        held = self._held_by(now, sender)
         misplaced: tuple[str, ...] = ()
         if not silent:
             settled_us = self.timing.duration_us
-            misplaced = self.candidates.misplaced(now, sender, held, settled_us)
+            misplaced = self.candidates.misplaced(now, sender.name, held, settled_us)
         suspended = (lease for lease in held if self.suspensions.active(lease, wall))
-        recalled = (*suspended, *misplaced[:MAX_RECALLS_AT_ONCE])
-        suspensions = self.suspensions.all(wall)
-        reply = self._announce_reply(
-            now, interval_us, recalled, suspensions, self.highest_token, message
+        reply = AnnounceReply(
+            interval_us,
+            (*suspended, *misplaced[:MAX_RECALLS_AT_ONCE]),
+            self.suspensions.all(wall),
+            self.silent_for_us(now),
+            self.candidates.shard_count,
+            self.highest_token,
+            message.sent_at_us,
         )
-        return [Outgoing(sender, reply)]
+        return [Outgoing(sender.name, reply)]
 
     def _announce_interval_us(self) -> int:
         load_bound_us = len(self.candidates.by_name) * SECOND_US // MAX_ANNOUNCEMENTS_PER_S
         return max(self.timing.announce_interval_us, load_bound_us)
 
     def _add_candidate(
-        self, now: int, sender: str, incarnation: int, message: Announce, interval_us: int
+        self, now: int, sender: GatewayId, message: Announce, interval_us: int
     ) -> bool:
         named_before = self.candidates.named_leases
         expires_us = now + int(3.5 * interval_us)
@@ -367,7 +367,6 @@
         if not self.candidates.announce(
             now,
             sender,
-            incarnation,
             message.named_leases,
             message.overloaded,
             expires_us,
@@ -378,32 +377,13 @@
             self._sweep(now)
         return True
 
-    def _held_by(self, now: int, owner: tuple[str, int]) -> list[str]:
+    def _held_by(self, now: int, sender: GatewayId) -> list[str]:
         return [
             lease
             for lease, record in self.records.items()
-            if record.expires_us > now and record.holder == owner
+            if record.expires_us > now and record.holder == sender
         ]
 
-    def _announce_reply(
-        self,
-        now: int,
-        interval_us: int,
-        recalled: tuple[str, ...],
-        suspensions: tuple[Suspension, ...],
-        highest_token: int,
-        message: Announce,
-    ) -> AnnounceReply:
-        return AnnounceReply(
-            interval_us,
-            recalled,
-            suspensions,
-            self.silent_for_us(now),
-            self.candidates.shard_count,
-            highest_token,
-            message.sent_at_us,
-        )
-
     # -- state -----------------------------------------------------------------------------------
 
     def rows(self, now: int) -> Iterable[GrantRow]:
--- a/saffrongw/leases/admin_commands.py
+++ b/saffrongw/leases/admin_commands.py
@@ -87,7 +87,7 @@
         if lease is None:
             return 404, f"no lease or task is called {name!r}\n".encode()
         driver = self.driver()
-        if not driver.holds(lease):
+        if not driver.is_holding(lease):
             row = next((row for row in self.state()["leases"] if row["lease"] == lease), None)
             other = row["holder"] if row and row["holder"] else "nobody that this gateway knows of"
             return 409, f"{lease}: held by {other}, not by this gateway\n".encode()
@@ -111,7 +111,7 @@
         except SuspensionError as error:
             return 400, f"{error}\n".encode()
         driver.node.announce_now(now)
-        if request.for_s and driver.holds(lease):
+        if request.for_s and driver.is_holding(lease):
             driver.recall(lease)
         driver.wake()
         done = f"on hold for {request.for_s:g} s" if request.for_s else "no longer on hold"
--- a/saffrongw/leases/candidates.py
+++ b/saffrongw/leases/candidates.py
@@ -12,6 +12,8 @@
 from dataclasses import dataclass
 from functools import lru_cache
 
+from .messages import GatewayId
+
 MAX_CANDIDATES = 1_024
 # Leases beside the shards, named by all candidates together.
 MAX_NAMED_LEASES_TOTAL = 256
@@ -62,8 +64,7 @@
     def announce(
         self,
         now: int,
-        name: str,
-        incarnation: int,
+        gateway: GatewayId,
         named_leases: Iterable[str],
         overloaded: bool,
         expires_us: int,
@@ -73,15 +74,15 @@
 
         A candidate that does not receive our answers would take no lease, so it is suspect.
         """
-        previous = self.by_name.get(name)
+        previous = self.by_name.get(gateway.name)
         if previous is None and len(self.by_name) >= MAX_CANDIDATES:
             self.rejected_count += 1
             return False
         since_us = now
-        if previous is not None and previous.incarnation == incarnation:
+        if previous is not None and previous.incarnation == gateway.incarnation:
             since_us = previous.since_us
-        self.by_name[name] = Candidate(
-            incarnation,
+        self.by_name[gateway.name] = Candidate(
+            gateway.incarnation,
             since_us,
             expires_us,
             frozenset(named_leases),
--- a/saffrongw/leases/clock_drift.py
+++ b/saffrongw/leases/clock_drift.py
@@ -11,6 +11,7 @@
 
 from dataclasses import dataclass
 
+from .messages import GatewayId
 from .timing import Timing
 
 # A first reading older than this is replaced: rates change with temperature and hosts.
@@ -59,27 +60,27 @@
         # Voters whose clock rate can't be right, if ours is.
         self.wrong: set[str] = set()
 
-    def add(self, name: str, incarnation: int, reading: Reading) -> None:
+    def add(self, voter: GatewayId, reading: Reading) -> None:
         """Add a reading of a voter's clock."""
-        baseline = self.baselines.get(name)
+        baseline = self.baselines.get(voter.name)
         previous, first = (
             (baseline.incarnation, baseline.reading) if baseline is not None else (0, reading)
         )
-        if previous != incarnation or reading.before - first.after > MAX_BASELINE_AGE_US:
-            self.baselines[name] = Baseline(incarnation, reading)
-            if previous != incarnation:
-                self.rates.pop(name, None)
-                self.wrong.discard(name)
+        if previous != voter.incarnation or reading.before - first.after > MAX_BASELINE_AGE_US:
+            self.baselines[voter.name] = Baseline(voter.incarnation, reading)
+            if previous != voter.incarnation:
+                self.rates.pop(voter.name, None)
+                self.wrong.discard(voter.name)
             return
         bounds = rate_bounds(first, reading)
         if bounds is None:
             return
         lowest, highest = self.timing.believable_rates
-        self.rates[name] = bounds
+        self.rates[voter.name] = bounds
         if bounds[0] > highest or bounds[1] < lowest:
-            self.wrong.add(name)
+            self.wrong.add(voter.name)
         elif lowest <= bounds[0] and bounds[1] <= highest:
-            self.wrong.discard(name)
+            self.wrong.discard(voter.name)
 
     def retain(self, voters: tuple[str, ...]) -> None:
         """Drop the estimates of all but these voters."""
--- a/saffrongw/leases/component.py
+++ b/saffrongw/leases/component.py
@@ -19,8 +19,8 @@
 from .claim import FencingToken
 from .clock import LeaseClock
 from .leader_guard import LeaseLeaderGuard
-from .messages import NUMBER_LIMIT
-from .node import LeaseNode
+from .messages import NUMBER_LIMIT, GatewayId
+from .node import LeaseNode, NodeSettings
 from .node_driver import NodeDriver
 from .state_report import JsonObject, metrics_of, state_of
 from .store import LeaseStore
@@ -71,18 +71,16 @@
             token_floor = reserved_token = await open_store
             reservation = TokenReservation(self.store, self.loop, self.clock)
         table = self.table
+        settings = NodeSettings(
+            table.timing, table.shards, tuple(self.named_leases), token_floor, reserved_token
+        )
         node = LeaseNode(
-            self.channel.table.name,
-            self.channel.incarnation,
+            GatewayId(self.channel.table.name, self.channel.incarnation),
+            settings,
             table.voter_set,
-            table.timing,
-            table.shards,
             random.SystemRandom().random,
             self.clock.now(),
             table.former_sets,
-            tuple(self.named_leases),
-            token_floor,
-            reserved_token,
             table.stand,
         )
         self._set_addresses(table)
--- a/saffrongw/leases/lease_record.py
+++ b/saffrongw/leases/lease_record.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from .messages import NO_BALLOT, Accept, Ballot, Propose, TaskProgress
+from .messages import NO_BALLOT, Accept, Ballot, GatewayId, Propose, TaskProgress
 from .spec import MAX_TASKS_PER_LEASE
 
 
@@ -38,15 +38,15 @@
     next_offer_us: int = 0
 
     @property
-    def holder(self) -> tuple[str, int] | None:
-        """Return name and incarnation of the gateway that it is granted to."""
+    def holder(self) -> GatewayId | None:
+        """Return the gateway that it is granted to."""
         return self.granted.owner if self.expires_us else None
 
     def free(self, now: int) -> None:
         """End the grant; the lease is offered from now on."""
         self.expires_us, self.offer_count, self.next_offer_us = 0, 0, now
 
-    def is_late_copy(self, now: int, request: Propose) -> bool:
+    def is_duplicate(self, now: int, request: Propose) -> bool:
         """Return whether the running grant already has a later round of the proposal's ballot."""
         running = self.expires_us > now and self.granted == request.ballot
         return running and request.round < self.granted_round
--- a/saffrongw/leases/messages.py
+++ b/saffrongw/leases/messages.py
@@ -20,6 +20,13 @@
 NUMBER_LIMIT = 1 << 62
 
 
+class GatewayId(NamedTuple):
+    """One incarnation of one gateway."""
+
+    name: str
+    incarnation: int
+
+
 class Ballot(NamedTuple):
     """The ballot of one prepare.
 
@@ -31,9 +38,9 @@
     incarnation: int
 
     @property
-    def owner(self) -> tuple[str, int]:
-        """Return the name and the incarnation of the proposer."""
-        return self.proposer, self.incarnation
+    def owner(self) -> GatewayId:
+        """Return the proposer and its incarnation."""
+        return GatewayId(self.proposer, self.incarnation)
 
 
 NO_BALLOT = Ballot(0, "", 0)
@@ -257,6 +264,11 @@
 )
 
 
+# What is handled by an acceptor; all else is for the proposer, or about voter sets.
+AcceptorMessage = Prepare | Propose | Release | ReportProgress | Announce
+VoterAnswer = Promise | Accept | Nack
+
+
 class Packet(msgspec.Struct, frozen=True, array_like=True):
     """Messages to one receiver.
 
--- a/saffrongw/leases/node.py
+++ b/saffrongw/leases/node.py
@@ -8,6 +8,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
+from dataclasses import dataclass
 
 from .acceptor import Acceptor
 from .candidates import Candidates
@@ -17,33 +18,32 @@
     MAX_NAMED_LEASES,
     NUMBER_LIMIT,
     Accept,
+    AcceptorMessage,
     Announce,
     AnnounceReply,
+    GatewayId,
     Message,
     Nack,
     Offer,
     Outgoing,
     OutgoingPacket,
     Packet,
-    Prepare,
     ProgressStored,
     Promise,
-    Propose,
-    Release,
-    ReportProgress,
     SealQuery,
     SealReply,
     TaskProgress,
+    VoterAnswer,
 )
 from .packing import MAX_MESSAGES_PER_PACKET, pack_messages
 from .progress_reports import ProgressConfirmed, ProgressReports
 from .proposer import Proposer
+from .recall_votes import RecallVotes
 from .suspensions import Suspensions
 from .timing import Timing
 from .voter_contacts import VoterContact, since_majority_us
 from .voter_set import VoterSet, VoterSetTransition
 
-ACCEPTOR_MESSAGES = (Prepare, Propose, Release, ReportProgress, Announce)
 MAX_AVOIDED_LEASES = 256
 MAX_FIRST_ANNOUNCE_DELAY_US = 1_000_000
 MAX_ANNOUNCE_INTERVAL_US = 600_000_000
@@ -53,54 +53,54 @@
 NodeEvent = LeaseEvent | ProgressConfirmed
 
 
+@dataclass(frozen=True, slots=True)
+class NodeSettings:
+    """What does not change while a node runs; ``Acceptor`` explains the tokens."""
+
+    timing: Timing
+    shard_count: int
+    # Leases beside the shards that this gateway is a candidate for.
+    named_leases: tuple[str, ...] = ()
+    token_floor: int = 0
+    reserved_token: int = NUMBER_LIMIT
+
+
 class LeaseNode:
     """One incarnation of one gateway."""
 
     def __init__(
         self,
-        name: str,
-        incarnation: int,
+        gateway: GatewayId,
+        settings: NodeSettings,
         voter_set: VoterSet,
-        timing: Timing,
-        shard_count: int,
         draw: Callable[[], float],
         now: int,
         former_sets: tuple[VoterSet, ...] = (),
-        named_leases: tuple[str, ...] = (),
-        token_floor: int = 0,
-        reserved_token: int = NUMBER_LIMIT,
         is_candidate: bool = True,
     ) -> None:
-        """Join a lease set.
-
-        ``Acceptor`` explains the tokens; ``draw`` returns random numbers from 0 to 1.
-        """
-        self.name = name
-        self.incarnation = incarnation
-        self.timing = timing
-        self.shard_count = shard_count
+        """Join a lease set; ``draw`` returns random numbers from 0 to 1."""
+        self.gateway = gateway
+        self.name = gateway.name
+        self.settings = settings
+        self.timing = timing = settings.timing
+        self.shard_count = settings.shard_count
+        self.named_leases = settings.named_leases[:MAX_NAMED_LEASES]
+        self.shard_names = frozenset(Candidates(settings.shard_count).shard_names)
         self.draw = draw
-        self.named_leases = named_leases[:MAX_NAMED_LEASES]
         self.is_candidate = is_candidate
-        self.shard_names = frozenset(Candidates(shard_count).shard_names)
         self.suspensions = Suspensions()
         self.clock_drift = ClockDriftEstimates(timing)
-        self.proposer = Proposer(name, incarnation, voter_set.voters, timing, draw)
+        self.proposer = Proposer(gateway, voter_set.voters, timing, draw)
         self.acceptor: Acceptor | None = None
-        self.token_floor = token_floor
-        self.reserved_token = reserved_token
-        self.overloaded = False
-        self.draining = False
+        self.overloaded = self.draining = False
         self.events: list[NodeEvent] = []
         self.reports = ProgressReports(timing)
         self.contacts: dict[str, VoterContact] = {}
-        # By lease: voters that recall it, so that another may hold it.
-        self.recalled_by: dict[str, set[str]] = {}
+        self.recall_votes = RecallVotes()
         # Leases that are not proposed for until a time.
         self.avoided_until_us: dict[str, int] = {}
-        # The highest voter set that another gateway named and that is not ours; 0: none.
-        self.foreign_set_number = 0
-        self.foreign_shard_count = 0
+        # What others named that differs from ours; 0: none.
+        self.foreign_set_number = self.foreign_shard_count = 0
         # The keys are names in /admin/stats.
         self.counters = {"from_other_sets": 0, "strange": 0}
         self.voter_set = VoterSet(-1, ())
@@ -120,7 +120,7 @@
         self.transition = VoterSetTransition(voter_set, former_sets)
         self.proposer.replace_voters(now, voter_set.voters)
         self.clock_drift.retain(voter_set.voters)
-        self.recalled_by.clear()
+        self.recall_votes.clear()
         max_delay_us = min(MAX_FIRST_ANNOUNCE_DELAY_US, self.timing.duration_us // 2)
         self.contacts = {
             voter: VoterContact(now + int(self.draw() * max_delay_us)) for voter in voter_set.voters
@@ -134,8 +134,8 @@
                 Candidates(self.shard_count),
                 self.suspensions,
                 now,
-                self.token_floor,
-                self.reserved_token,
+                self.settings.token_floor,
+                self.settings.reserved_token,
             )
         else:
             self.acceptor.restart_silence(now)
@@ -164,7 +164,7 @@
             self.avoided_until_us[lease] = now + avoid_us
             while len(self.avoided_until_us) > MAX_AVOIDED_LEASES:
                 del self.avoided_until_us[next(iter(self.avoided_until_us))]
-        self.recalled_by.pop(lease, None)
+        self.recall_votes.discard(lease)
         return self._send(now, wall, self.proposer.release(lease, reason))
 
     def drain(self, now: int, wall: int) -> list[OutgoingPacket]:
@@ -232,36 +232,36 @@
     # -- messages ----------------------------------------------------------------------------------
 
     def receive(
-        self, now: int, wall: int, sender: str, incarnation: int, packet: Packet
+        self, now: int, wall: int, sender: GatewayId, packet: Packet
     ) -> list[OutgoingPacket]:
         """Handle a packet whose sender is authenticated."""
         outgoing: list[Outgoing] = []
         for message in packet.messages[:MAX_MESSAGES_PER_PACKET]:
             if isinstance(message, SealQuery):
                 if self.voter_set.number >= message.voter_set_number:
-                    outgoing.append(Outgoing(sender, SealReply(self.voter_set.number)))
+                    outgoing.append(Outgoing(sender.name, SealReply(self.voter_set.number)))
             elif isinstance(message, SealReply):
-                self._on_seal_reply(now, sender, message)
+                self._on_seal_reply(now, sender.name, message)
             elif packet.voter_set_number != self.voter_set.number:
-                outgoing += self._on_other_set(sender, packet.voter_set_number, message)
-            elif isinstance(message, ACCEPTOR_MESSAGES):
-                outgoing += self._to_acceptor(now, wall, sender, incarnation, message)
+                outgoing += self._on_other_set(sender.name, packet.voter_set_number, message)
+            elif isinstance(message, AcceptorMessage):
+                outgoing += self._to_acceptor(now, wall, sender, message)
             else:
                 clock = packet.sender_clock_us
-                outgoing += self._on_voter_message(now, wall, sender, incarnation, clock, message)
+                outgoing += self._on_voter_message(now, wall, sender, clock, message)
         return self._send(now, wall, outgoing)
 
     def _to_acceptor(
-        self, now: int, wall: int, sender: str, incarnation: int, message: Message
+        self, now: int, wall: int, sender: GatewayId, message: AcceptorMessage
     ) -> list[Outgoing]:
         if self.acceptor and self.transition.complete():
-            return self.acceptor.handle(now, wall, sender, incarnation, message)
+            return self.acceptor.handle(now, wall, sender, message)
         return []
 
     def _on_other_set(self, sender: str, set_number: int, message: Message) -> list[Outgoing]:
         self.counters["from_other_sets"] += 1
         self.foreign_set_number = max(self.foreign_set_number, min(set_number, NUMBER_LIMIT))
-        if set_number < self.voter_set.number and isinstance(message, ACCEPTOR_MESSAGES):
+        if set_number < self.voter_set.number and isinstance(message, AcceptorMessage):
             # Tells the sender that its file is old.
             return [Outgoing(sender, SealReply(self.voter_set.number))]
         return []
@@ -276,13 +276,13 @@
             self.acceptor.restart_silence(now)
 
     def _on_voter_message(
-        self, now: int, wall: int, sender: str, incarnation: int, clock: int, message: Message
+        self, now: int, wall: int, sender: GatewayId, clock: int, message: Message
     ) -> list[Outgoing]:
         """Handle a voter's answer or offer.
 
         ``clock`` is the voter's clock, 0 for our own acceptor.
         """
-        contact = self.contacts.get(sender)
+        contact = self.contacts.get(sender.name)
         if contact is None:
             self.counters["strange"] += 1
             return []
@@ -292,23 +292,23 @@
                 claim = self.proposer.claims.get(message.lease)
                 if claim and self._answers_current_round(claim, message):
                     started_us = claim.round_started_us
-                    self._read_clock(now, sender, incarnation, clock, started_us)
-                return self.proposer.handle(now, sender, message)
+                    self._read_clock(now, sender, clock, started_us)
+                return self.proposer.handle(now, sender.name, message)
             case Offer():
                 self._on_offer(now, message)
             case AnnounceReply():
                 if 0 < message.announced_at_us <= now:
                     announced_us = message.announced_at_us
-                    self._read_clock(now, sender, incarnation, clock, announced_us)
-                self._on_announce_reply(now, wall, sender, contact, message)
+                    self._read_clock(now, sender, clock, announced_us)
+                self._on_announce_reply(now, wall, sender.name, contact, message)
             case ProgressStored():
                 majority = self.voter_set.majority
-                if confirmed := self.reports.stored(now, sender, message, majority):
+                if confirmed := self.reports.stored(now, sender.name, message, majority):
                     self.events.append(confirmed)
         return []
 
     @staticmethod
-    def _answers_current_round(claim: Claim, message: Promise | Accept | Nack) -> bool:
+    def _answers_current_round(claim: Claim, message: VoterAnswer) -> bool:
         """Return whether this answers the request in flight.
 
         Only then is it certain that the voter's clock was read after the request left.
@@ -320,16 +320,14 @@
         answered_round = 0 if isinstance(message, Promise) else message.round
         return claim.stage is ClaimStage.PROPOSING and answered_round == claim.round
 
-    def _read_clock(
-        self, now: int, voter: str, incarnation: int, clock: int, requested_us: int
-    ) -> None:
+    def _read_clock(self, now: int, voter: GatewayId, clock: int, requested_us: int) -> None:
         """Estimate a voter's clock rate.
 
         Where most voters' clocks disagree with ours, ours is wrong, and we must hold nothing.
         """
-        if not clock or voter == self.name:
+        if not clock or voter == self.gateway:
             return
-        self.clock_drift.add(voter, incarnation, Reading(clock, requested_us, now))
+        self.clock_drift.add(voter, Reading(clock, requested_us, now))
         wrong = self.clock_drift.own_clock_is_wrong(self.voter_set.majority)
         self.proposer.distrusted = frozenset() if wrong else frozenset(self.clock_drift.wrong)
         self.proposer.stop_reason = CLOCK_STOP_REASON if wrong else ""
@@ -357,21 +355,10 @@
         interval_us = min(interval_us, MAX_ANNOUNCE_INTERVAL_US)
         contact.next_announce_us = now + int(interval_us * (0.9 + 0.2 * self.draw()))
         self.suspensions.merge(reply.suspensions, wall)
-        self._count_recalls(voter, reply.recalled_leases)
-
-    def _count_recalls(self, voter: str, recalled: tuple[str, ...]) -> None:
-        """Count the voters that recall a lease; a majority recalls it."""
-        for lease in recalled:
-            if lease in self.proposer.claims:
-                self.recalled_by.setdefault(lease, set()).add(voter)
-        for lease, voters in list(self.recalled_by.items()):
-            if lease not in recalled:
-                voters.discard(voter)
-            if not voters or lease not in self.proposer.claims:
-                del self.recalled_by[lease]
-            elif len(voters) >= self.voter_set.majority:
-                del self.recalled_by[lease]
-                self.events.append(LeaseRecalled(lease))
+        recalled = self.recall_votes.count(
+            voter, reply.recalled_leases, self.proposer.claims, self.voter_set.majority
+        )
+        self.events += [LeaseRecalled(lease) for lease in recalled]
 
     # -- sending -----------------------------------------------------------------------------------
 
@@ -383,14 +370,12 @@
             receiver, message = waiting.pop(0)
             if receiver != self.name:
                 by_receiver.setdefault(receiver, []).append(message)
-            elif isinstance(message, ACCEPTOR_MESSAGES):
-                waiting += self._to_acceptor(now, wall, self.name, self.incarnation, message)
+            elif isinstance(message, AcceptorMessage):
+                waiting += self._to_acceptor(now, wall, self.gateway, message)
             elif isinstance(message, SealQuery | SealReply):
                 self.transition.record_reply(self.name, self.voter_set.number)
             else:
-                waiting += self._on_voter_message(
-                    now, wall, self.name, self.incarnation, 0, message
-                )
+                waiting += self._on_voter_message(now, wall, self.gateway, 0, message)
         self.events += self.proposer.events
         self.proposer.events.clear()
         clock = now if self.acceptor else 0
--- a/saffrongw/leases/node_driver.py
+++ b/saffrongw/leases/node_driver.py
@@ -12,7 +12,7 @@
 from .claim import FencingToken, LeaseGained, LeaseLost
 from .clock import LeaseClock
 from .condition_log import ConditionLog
-from .messages import OutgoingPacket, Packet
+from .messages import GatewayId, OutgoingPacket, Packet
 from .node import LeaseNode, NodeEvent
 from .progress_reports import ProgressConfirmed
 from .table import LeasesTable
@@ -60,7 +60,7 @@
         self.overloaded = overloaded
         self.reservation = reservation
         self.schedule = TaskSchedule()
-        holder = f"{node.name}/{node.incarnation:x}"
+        holder = f"{node.name}/{node.gateway.incarnation:x}"
         self.runner = TaskRunner(loop, holder, self.token, self._call_ended)
         self.conditions = ConditionLog()
         self.table: LeasesTable | None = None
@@ -137,7 +137,9 @@
         now = self.clock.now()
         # An overloaded gateway takes nothing that it is offered, and says so.
         self.node.overloaded = self.overloaded()
-        self.process(self.node.receive(now, self.clock.wall(now), sender, incarnation, packet))
+        self.process(
+            self.node.receive(now, self.clock.wall(now), GatewayId(sender, incarnation), packet)
+        )
 
     def wake(self) -> None:
         """Do all whose time has come, and set the timer."""
@@ -216,7 +218,7 @@
         token = self.token(lease)
         return token.remaining_us() if token else 0
 
-    def holds(self, lease: str) -> bool:
+    def is_holding(self, lease: str) -> bool:
         """Return whether this gateway holds a lease now."""
         held = self.node.proposer.held(self.clock.now())
         return any(claim.lease == lease for claim in held)
@@ -239,11 +241,11 @@
         self.node.proposer.require_token_above(lease, seen_token)
         now, duration_us = self.clock.now(), self.node.timing.duration_us
         last_us = self._fenced_us.get(lease)
-        again = last_us is not None and now - last_us < 2 * duration_us
+        fenced_before = last_us is not None and now - last_us < 2 * duration_us
         if len(self._fenced_us) < MAX_FENCED_LEASES or lease in self._fenced_us:
             self._fenced_us[lease] = now
         reason = "a receiver has seen a higher number"
-        self.release(lease, reason, duration_us if again else 0)
+        self.release(lease, reason, duration_us if fenced_before else 0)
 
     def _carry_out(self, actions: list[ScheduleAction]) -> None:
         for action in actions:
--- a/saffrongw/leases/proposer.py
+++ b/saffrongw/leases/proposer.py
@@ -22,6 +22,7 @@
     NUMBER_LIMIT,
     Accept,
     Ballot,
+    GatewayId,
     Message,
     Nack,
     NackReason,
@@ -46,15 +47,13 @@
 
     def __init__(
         self,
-        name: str,
-        incarnation: int,
+        gateway: GatewayId,
         voters: Iterable[str],
         timing: Timing,
         draw: Callable[[], float],
     ) -> None:
         """Start with no claims, for this set of voters."""
-        self.name = name
-        self.incarnation = incarnation
+        self.gateway = gateway
         self.timing = timing
         self.draw = draw
         self.voters = tuple(voters)
@@ -243,7 +242,7 @@
     def _start_prepare(self, now: int, claim: Claim) -> list[Outgoing]:
         self.last_ballot_number = max(self.last_ballot_number, claim.highest_ballot_number) + 1
         claim.highest_ballot_number = self.last_ballot_number
-        claim.ballot = Ballot(self.last_ballot_number, self.name, self.incarnation)
+        claim.ballot = Ballot(self.last_ballot_number, *self.gateway)
         claim.round = claim.highest_token = 0
         claim.outbid = False
         if not claim.held_until_us:
--- a/saffrongw/leases/rejections.py
+++ b/saffrongw/leases/rejections.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from .lease_record import LeaseRecord
-from .messages import NUMBER_LIMIT, Nack, NackReason, Prepare, Propose, Suspension
+from .messages import NUMBER_LIMIT, GatewayId, Nack, NackReason, Prepare, Propose, Suspension
 from .timing import SECOND_US
 
 Request = Prepare | Propose
@@ -26,9 +26,9 @@
     )
 
 
-def reject_foreign_ballot(request: Request, owner: tuple[str, int]) -> Nack | None:
+def reject_foreign_ballot(request: Request, sender: GatewayId) -> Nack | None:
     """Reject a ballot that is not the sender's own, or whose number is out of bounds."""
-    if request.ballot.owner != owner or not 0 < request.ballot.number < NUMBER_LIMIT:
+    if request.ballot.owner != sender or not 0 < request.ballot.number < NUMBER_LIMIT:
         return nack(request, NackReason.UNKNOWN)
     return None
 
@@ -43,14 +43,12 @@
     )
 
 
-def reject_held(
-    request: Request, owner: tuple[str, int], record: LeaseRecord, now: int
-) -> Nack | None:
+def reject_held(request: Request, sender: GatewayId, record: LeaseRecord, now: int) -> Nack | None:
     """Reject a request for a lease that is granted to another gateway.
 
     The grant must not be over.
     """
-    if record.holder in (None, owner):
+    if record.holder in (None, sender):
         return None
     remaining_us, holder = record.expires_us - now, record.granted.proposer
     return nack(request, NackReason.HELD, remaining_us=remaining_us, holder=holder)
--- a/saffrongw/leases/state_report.py
+++ b/saffrongw/leases/state_report.py
@@ -91,7 +91,7 @@
     lease_rows = _lease_rows(node, specs_by_lease, now, wall)
     return {
         "gateway": node.name,
-        "life": f"{node.incarnation:x}",
+        "life": f"{node.gateway.incarnation:x}",
         "set": node.voter_set.number,
         "set_seen": max(node.foreign_set_number, node.voter_set.number),
         "sealed": node.transition.complete(),
--- a/tests/leases/test_consensus.py
+++ b/tests/leases/test_consensus.py
@@ -12,6 +12,7 @@
     Announce,
     AnnounceReply,
     Ballot,
+    GatewayId,
     Nack,
     NackReason,
     Offer,
@@ -40,7 +41,9 @@
     def __init__(self, *proposers: str, silent: bool = False) -> None:
         self.now = 100 * SECOND_US
         self.acceptors = {name: self.acceptor(name) for name in NAMES}
-        self.proposers = {name: Proposer(name, 1, NAMES, TIMING, lambda: 0.5) for name in proposers}
+        self.proposers = {
+            name: Proposer(GatewayId(name, 1), NAMES, TIMING, lambda: 0.5) for name in proposers
+        }
         if not silent:
             for acceptor in self.acceptors.values():
                 acceptor.silent_until_us = self.now
@@ -57,7 +60,7 @@
         return [
             m
             for _, m in self.acceptors[voter].handle(
-                self.now, self.wall, sender, incarnation, message
+                self.now, self.wall, GatewayId(sender, incarnation), message
             )
         ]
 
@@ -397,10 +400,10 @@
     shards = 128
     candidates = Candidates(shards)
     for n in range(10):
-        candidates.announce(0, f"g{n}", 1, (), False, 1 << 60)
+        candidates.announce(0, GatewayId(f"g{n}", 1), (), False, 1 << 60)
     before = {lease: candidates.order(lease)[0] for lease in candidates.leases()}
     assert max(list(before.values()).count(f"g{n}") for n in range(10)) <= 3 * shards / 10
-    candidates.announce(0, "g10", 1, (), False, 1 << 60)
+    candidates.announce(0, GatewayId("g10", 1), (), False, 1 << 60)
     moved = {lease for lease, first in before.items() if candidates.order(lease)[0] != first}
     assert {candidates.order(lease)[0] for lease in moved} == {"g10"}
     assert 0 < len(moved) <= 2.5 * shards / 11
--- a/tests/leases/test_simulated_fleet.py
+++ b/tests/leases/test_simulated_fleet.py
@@ -11,7 +11,8 @@
 from saffrongw.leases.acceptor import Acceptor
 from saffrongw.leases.candidates import Candidates, shard_name
 from saffrongw.leases.clock_drift import ClockDriftEstimates, Reading, rate_bounds
-from saffrongw.leases.node import LeaseNode
+from saffrongw.leases.messages import GatewayId
+from saffrongw.leases.node import LeaseNode, NodeSettings
 from saffrongw.leases.proposer import Proposer
 from saffrongw.leases.spec import TaskSpec
 from saffrongw.leases.suspensions import Suspensions
@@ -84,7 +85,9 @@
 
     def __init__(self, name: str, now: int, draw: random.Random, timing: Timing) -> None:
         self.proposer = (
-            Proposer(name, 1, ("v0", "v1", "v2"), timing, draw.random) if name[0] == "a" else None
+            Proposer(GatewayId(name, 1), ("v0", "v1", "v2"), timing, draw.random)
+            if name[0] == "a"
+            else None
         )
         self.acceptor = (
             None
@@ -105,7 +108,7 @@
 
     def receive(self, now: int, sender: str, message) -> list:
         if self.acceptor:
-            return self.acceptor.handle(now, now, sender, 1, message)
+            return self.acceptor.handle(now, now, GatewayId(sender, 1), message)
         out = self.proposer.handle(now, sender, message)
         if self.proposer.held(now) and not self.held_at:
             self.held_at = now
@@ -158,8 +161,8 @@
         least, most = rate_bounds(*readings)
         assert least - 1e-4 <= rate <= most + 1e-4
     rates = ClockDriftEstimates(Timing(SECOND_US, 0.01))
-    rates.add("v0", 1, Reading(0, 0, 10))
-    rates.add("v0", 2, Reading(9**9, 100, 110))  # another life: another clock
+    rates.add(GatewayId("v0", 1), Reading(0, 0, 10))
+    rates.add(GatewayId("v0", 2), Reading(9**9, 100, 110))  # another incarnation: another clock
     assert not rates.wrong and "v0" not in rates.rates
 
 
@@ -226,11 +229,9 @@
         self.files: dict[str, tuple[VoterSet, tuple[VoterSet, ...]]] = {}
         self.names = tuple("abcdefgh")
         self.make_node = lambda name, incarnation, now, draw: LeaseNode(
-            name,
-            incarnation,
+            GatewayId(name, incarnation),
+            NodeSettings(self.timing, 1),
             self.file(name)[0],
-            self.timing,
-            1,
             draw.random,
             now,
             self.file(name)[1],
