--- a/benchmarks/fleet/lease_explorer.py
+++ b/benchmarks/fleet/lease_explorer.py
@@ -569,6 +569,23 @@
         return super()._on_propose(now, wall, sender, request)
 
 
+class GrantsHeld(Acceptor):
+    """Grants a lease to one gateway while another one's grant still runs."""
+
+    def _on_prepare(self, now, wall, sender, request):
+        self._end_other_grant(now, sender, request.lease)
+        return super()._on_prepare(now, wall, sender, request)
+
+    def _on_propose(self, now, wall, sender, request):
+        self._end_other_grant(now, sender, request.lease)
+        return super()._on_propose(now, wall, sender, request)
+
+    def _end_other_grant(self, now, sender, lease):
+        record = self.records.get(lease)
+        if record and record.holder != sender:
+            record.free(now)
+
+
 class LongHolder(CaseTiming):
     """The holder's span is as long as the voter's."""
 
--- a/tests/faults/variants.py
+++ b/tests/faults/variants.py
@@ -381,6 +381,26 @@
     Acceptor.__init__ = init
 
 
+@lease_variant
+def reuses_a_fencing_token() -> None:
+    """Proposes each lease under one token for ever, and accepts tokens that do not grow."""
+    from saffrongw.leases import acceptor
+    from saffrongw.leases.messages import NackReason
+    from saffrongw.leases.proposer import Proposer
+
+    plain_start, plain_reject = Proposer._start_propose, acceptor.reject_outdated
+
+    def start_propose(self, now, claim):
+        claim.fencing_token = 1
+        return plain_start(self, now, claim)
+
+    def reject_outdated(request, record, token_floor):
+        rejected = plain_reject(request, record, token_floor)
+        return None if rejected and rejected.reason == NackReason.TOKEN else rejected
+
+    Proposer._start_propose, acceptor.reject_outdated = start_propose, reject_outdated
+
+
 def killed_at(step: str, go: str) -> None:
     """Ends without a word at so many steps of a grant (a message sent or read), once the file ``go`` is there."""
     import signal
--- a/tests/leases/test_interleavings.py
+++ b/tests/leases/test_interleavings.py
@@ -22,6 +22,7 @@
         "first_asks": True,
     },
     "an answer counted twice": {"proposer": case.CountsTwice, "answers_stay": True, "ticks": 1},
+    "a grant on top of another's": {"acceptor": case.GrantsHeld, "first_asks": True},
     "clocks beyond the bound": {"rates": (2.0, 0.5), "ticks": 2, "first_asks": True},
 }
 TRUE = {
