--- a/saffrongw/leases/condition_log.py
+++ b/saffrongw/leases/condition_log.py
@@ -28,7 +28,7 @@
     def check(self, now: int, node: LeaseNode, reservation_error: str) -> None:
         """Log what is wrong now."""
         if reason := node.proposer.stop_reason:
-            self._warn(now, "clock", f'own_clock_wrong: holding=0 reason="{reason}"')
+            self._warn(now, "clock", f'own_clock_wrong: reason="{reason}"')
         for voter in sorted(node.clock_drift.wrong):
             lowest, highest = node.clock_drift.rates.get(voter, (0.0, 0.0))
             self._warn(
@@ -44,7 +44,7 @@
             text = f"shard_count_differs: own={node.shard_count} voters={node.foreign_shard_count}"
             self._warn(now, "shards", text)
         if reservation_error:
-            text = f'token_reservation_failed: granting=0 error="{reservation_error}"'
+            text = f'token_reservation_failed: error="{reservation_error}"'
             self._warn(now, "store", text)
 
     def _warn(self, now: int, condition: str, text: str) -> None:
