--- /dev/null
+++ b/benchmarks/fleet/lease_case_state.py
@@ -0,0 +1,112 @@
+"""The states of an explored lease case: acceptors, proposers and the messages between them."""
+
+from __future__ import annotations
+
+import copy
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from saffrongw.leases.acceptor import Acceptor
+from saffrongw.leases.candidates import Candidates
+from saffrongw.leases.messages import Accept, Message, Nack, Prepare, Promise, Propose, Release
+from saffrongw.leases.proposer import Proposer
+from saffrongw.leases.timing import SECOND_US, Timing
+
+LEASE = "s0/1"
+WALL_US = 1_700_000_000 * SECOND_US
+TICK_US = SECOND_US
+# Without candidates nothing is offered: proposers begin by themselves.
+NO_CANDIDATES = Candidates(1)
+
+
+class CaseTiming(Timing):
+    """Durations as in service, but nothing is sent again: each message is one choice."""
+
+    @property
+    def resend_after_us(self) -> int:
+        """Return a time that never comes."""
+        return 1_000 * self.duration_us
+
+    @property
+    def max_round_us(self) -> int:
+        """Return a time that never comes."""
+        return 1_000 * self.duration_us
+
+    @property
+    def renew_after_us(self) -> int:
+        """Return that a holder renews at once."""
+        return 0
+
+
+def half() -> float:
+    """Return a fixed number where the program draws one from 0 to 1."""
+    return 0.5
+
+
+class Mail(NamedTuple):
+    """A message on its way."""
+
+    sender: str
+    receiver: str
+    message: Message
+
+    def words(self) -> str:
+        """Return the arrival of the message in words, for a trace."""
+        sender, receiver, message = self
+        match message:
+            case Prepare():
+                what = f"{sender} prepare ballot {message.ballot.number}"
+            case Propose():
+                what = f"{sender} propose ballot {message.ballot.number}, round {message.round}"
+            case Promise():
+                what = f"the promise of {sender} for ballot {message.ballot.number}"
+            case Accept():
+                number = message.ballot.number
+                what = f"that {sender} accepts ballot {number}, round {message.round}"
+            case Nack():
+                what = f"that {sender} refuses ballot {message.ballot.number}"
+            case Release():
+                what = f"{sender} release ballot {message.ballot.number}"
+            case _:
+                what = f"{sender}: {message}"
+        return f"{receiver} hears {what}"
+
+
+@dataclass(frozen=True, slots=True)
+class CaseState:
+    """Everything at one moment; nodes are never changed, only replaced."""
+
+    acceptors: tuple[Acceptor, ...]
+    proposers: tuple[Proposer, ...]
+    mail: frozenset[Mail]
+    tick: int
+    restarts: int
+    # By proposer: how often it may still begin to propose.
+    proposals_left: tuple[int, ...]
+    duplicates: int
+    # The highest fencing token of any holder so far.
+    highest_token: int
+    error: str = ""
+    releases_left: int = 0
+
+
+def copied_acceptor(acceptor: Acceptor) -> Acceptor:
+    """Return a copy to change."""
+    new = copy.copy(acceptor)
+    new.records = {lease: copy.copy(record) for lease, record in acceptor.records.items()}
+    new.counters = acceptor.counters.copy()
+    return new
+
+
+def copied_proposer(proposer: Proposer) -> Proposer:
+    """Return a copy to change, without events and progress."""
+    new = copy.copy(proposer)
+    new.claims = {}
+    for lease, claim in proposer.claims.items():
+        new_claim = copy.copy(claim)
+        new_claim.agreeing = copy.copy(claim.agreeing)
+        new_claim.rejecting = set(claim.rejecting)
+        new_claim.progress = {}
+        new.claims[lease] = new_claim
+    new.events, new.counters = [], proposer.counters.copy()
+    return new
--- a/benchmarks/fleet/lease_days.py
+++ b/benchmarks/fleet/lease_days.py
@@ -4,7 +4,8 @@
     python -m benchmarks.fleet.lease_days takeover --count 200
     python -m benchmarks.fleet.lease_days traffic
 
-A day is 120 s of the virtual clock, with 5 voters and 20 askers, leases of 5 s, and faults from 20 s to 90 s.
+A day is 120 s of the virtual clock, with 5 voters and 20 other gateways, leases of 5 s, and faults
+from 20 s to 90 s.
 """
 
 from __future__ import annotations
@@ -15,15 +16,17 @@
 from collections import Counter, defaultdict
 from collections.abc import Callable
 from concurrent.futures import ProcessPoolExecutor
+from functools import partial
 
 from rich.console import Console
 from rich.table import Table
 
-from benchmarks.fleet.leases import SimulatedFleet
+from benchmarks.fleet.leases import SimulatedFleet, SimulatedNode
 from saffrongw.leases.candidates import shard_name
 from saffrongw.leases.spec import TaskSpec
 from saffrongw.leases.timing import SECOND_US, Timing
 from testbed.simulation.clock import Link
+from testbed.simulation.machine import Machine, Sent
 
 DAY, FROM, UNTIL = 120 * SECOND_US, 20 * SECOND_US, 90 * SECOND_US
 SPECS = tuple(
@@ -33,19 +36,27 @@
 )
 
 
+def drain_node(machine: Machine, now: int) -> Sent:
+    """Begin to drain a simulated node."""
+    if not isinstance(machine, SimulatedNode):
+        raise TypeError(f"no simulated node: {machine!r}")
+    return machine.drain(now)
+
+
 class Faults:
     """Kinds of faults; each draws its own times and places."""
 
     def __init__(self, field: SimulatedFleet, draw: random.Random) -> None:
+        """Plan faults for a fleet."""
         self.field, self.draw, self.fleet = field, draw, field.fleet
 
-    def span(self, least: float, most: float) -> tuple[int, int]:
+    def span(self, min_s: float, max_s: float) -> tuple[int, int]:
         """From when to when."""
-        length = int(self.draw.uniform(least, most) * SECOND_US)
+        length = int(self.draw.uniform(min_s, max_s) * SECOND_US)
         begin = self.draw.randrange(FROM, max(FROM + 1, UNTIL - length))
         return begin, begin + length
 
-    def _links(self, begin: int, end: int, **changes) -> None:
+    def _links(self, begin: int, end: int, **changes: float | bool | tuple[int, int]) -> None:
         fleet, plain = self.fleet, self.fleet.plain
 
         def put(values: dict) -> None:
@@ -68,8 +79,8 @@
 
     def delay(self) -> None:
         """Each message takes up to ten seconds."""
-        most = int(self.draw.uniform(0.2, 10) * SECOND_US)
-        self._links(*self.span(5, 30), delay=(0, most))
+        max_delay_us = int(self.draw.uniform(0.2, 10) * SECOND_US)
+        self._links(*self.span(5, 30), delay=(0, max_delay_us))
 
     def _sides(self) -> list[list[str]]:
         names = list(self.field.names)
@@ -94,71 +105,63 @@
         """Some stand still, for shorter or longer than a lease."""
         begin, end = self.span(0.5, 20)
         for name in self._some():
-            self.fleet.at(begin, lambda name=name: self.fleet.stop(name))
-            self.fleet.at(
-                end + self.draw.randrange(SECOND_US), lambda name=name: self.fleet.go_on(name)
-            )
+            self.fleet.at(begin, partial(self.fleet.stop, name))
+            self.fleet.at(end + self.draw.randrange(SECOND_US), partial(self.fleet.go_on, name))
 
     def kill(self) -> None:
         """Some are killed and start anew, each by itself."""
         for name in self._some():
             begin, end = self.span(0.1, 10)
-            self.fleet.at(begin, lambda name=name: self.fleet.kill(name))
-            self.fleet.at(end, lambda name=name: self.fleet.start(name))
+            self.fleet.at(begin, partial(self.fleet.kill, name))
+            self.fleet.at(end, partial(self.fleet.start, name))
 
     def all_voters(self) -> None:
         """All voters at once."""
         begin, end = self.span(0.1, 3)
         for name in self.field.voters:
-            self.fleet.at(begin, lambda name=name: self.fleet.kill(name))
-            self.fleet.at(end, lambda name=name: self.fleet.start(name))
+            self.fleet.at(begin, partial(self.fleet.kill, name))
+            self.fleet.at(end, partial(self.fleet.start, name))
 
     def drain(self) -> None:
         """Some drain, end and start anew."""
         for name in self._some():
             begin, end = self.span(0.5, 5)
-            self.fleet.at(
-                begin, lambda name=name: self.fleet.call(name, lambda node, now: node.drain(now))
-            )
-            self.fleet.at(begin + SECOND_US // 5, lambda name=name: self.fleet.kill(name))
-            self.fleet.at(end, lambda name=name: self.fleet.start(name))
+            self.fleet.at(begin, partial(self.fleet.call, name, drain_node))
+            self.fleet.at(begin + SECOND_US // 5, partial(self.fleet.kill, name))
+            self.fleet.at(end, partial(self.fleet.start, name))
 
     def clock_back(self) -> None:
-        """Wall clocks of a few machines, voters among them, go back an hour, and what runs there starts anew."""
+        """Wall clocks of a few machines go back an hour, and what runs there restarts."""
         begin, _ = self.span(1, 2)
         for name in self.draw.sample(self.field.names, 8):
-            self.fleet.at(
-                begin, lambda name=name: self.field.walls.__setitem__(name, -3_600 * SECOND_US)
-            )
+            self.fleet.at(begin, partial(self.field.walls.__setitem__, name, -3_600 * SECOND_US))
             # What runs has its own base: it shows at the next start.
-            self.fleet.at(begin + SECOND_US, lambda name=name: self.fleet.kill(name))
-            self.fleet.at(begin + 2 * SECOND_US, lambda name=name: self.fleet.start(name))
+            self.fleet.at(begin + SECOND_US, partial(self.fleet.kill, name))
+            self.fleet.at(begin + 2 * SECOND_US, partial(self.fleet.start, name))
 
     def receiver(self) -> None:
         """The receiver is away, and half of its answers are lost."""
         begin, end = self.span(5, 20)
 
-        def away() -> None:
-            self.field.receiver.away_until, self.field.answers_lost = end, 0.5
+        def make_unavailable() -> None:
+            self.field.receiver.unavailable_until, self.field.answers_lost = end, 0.5
 
-        self.fleet.at(begin, away)
+        self.fleet.at(begin, make_unavailable)
         self.fleet.at(end + 10 * SECOND_US, lambda: setattr(self.field, "answers_lost", 0.0))
 
 
 KINDS = (
-    *(
-        "loss",
-        "noise",
-        "delay",
-        "split",
-        "one_way",
-        "stop",
-        "kill",
-        "all_voters",
-        "drain",
-        "clock_back",
-        "receiver",
-    ),
+    "loss",
+    "noise",
+    "delay",
+    "split",
+    "one_way",
+    "stop",
+    "kill",
+    "all_voters",
+    "drain",
+    "clock_back",
+    "receiver",
 )
 
 
@@ -167,7 +170,7 @@
     kinds: tuple[str, ...] | None = None,
     plant: Callable[[SimulatedFleet], None] | None = None,
 ) -> tuple:
-    """One day: its kinds of faults, its field, its turns."""
+    """Run one day; return its kinds of faults, its fleet, its turns."""
     draw = random.Random(seed)
     timing = Timing(5 * SECOND_US, 0.01)
     field = SimulatedFleet(
@@ -187,15 +190,15 @@
     """For another process: kinds, breaches in words, turns by promise, gains."""
     kinds, field, turns = day(seed)
     tally: Counter[str] = Counter(turns)
-    most = Counter(
+    at_max_once = Counter(
         (c.task, c.turn)
         for c in field.receiver.calls
         if c.accepted and c.task.startswith("at-most")
     )
-    tally["at-most repeated"] = sum(n - 1 for n in most.values())
+    tally["at-most repeated"] = sum(n - 1 for n in at_max_once.values())
     return (
         kinds,
-        [f"{seed}: {b.at / 1e6:.3f} s: {b.what}" for b in field.breaches],
+        [f"{seed}: {breach.at_us / 1e6:.3f} s: {breach.text}" for breach in field.breaches],
         tally,
         len(field.gains),
     )
@@ -203,7 +206,10 @@
 
 def days(count: int, jobs: int, first: int) -> int:
     """Many days; a table by kind of fault. 1 where something overlapped."""
-    began, totals, by_kind, breaches = time.monotonic(), Counter(), defaultdict(Counter), []
+    began = time.monotonic()
+    totals: Counter[str] = Counter()
+    by_kind: defaultdict[str, Counter[str]] = defaultdict(Counter)
+    breaches: list[str] = []
     with ProcessPoolExecutor(jobs) as pool:
         seeds = [f"day {n}" for n in range(first, first + count)]
         for kinds, wrong, tally, gains in pool.map(judged, seeds, chunksize=8):
@@ -217,7 +223,8 @@
                 bucket["gains"] += gains
                 bucket["overlaps"] += len(wrong)
     table = Table(
-        title=f"{count} days, 5 voters, 20 askers, leases of 5 s; {time.monotonic() - began:.0f} s on {jobs} cores"
+        title=f"{count} days, 5 voters, 20 others, leases of 5 s;"
+        f" {time.monotonic() - began:.0f} s on {jobs} cores"
     )
     columns = (
         "days",
@@ -246,16 +253,18 @@
 
 
 def taken_over(seed: str, how: str) -> float:
-    """Seconds from a holder's end to the next one's beginning."""
+    """Return the seconds from a holder's end to the next one's beginning."""
     draw = random.Random(seed)
     field = SimulatedFleet(seed, 3, 5, 1, Timing(5 * SECOND_US, 0.01), (), Link(delay=(200, 5_000)))
     fleet, lease = field.fleet, shard_name(0, 1)
     fleet.run(int(draw.uniform(20, 30) * SECOND_US))
     holder, at, before = field.holder(lease), fleet.now, len(field.gains)
+    if holder is None:
+        raise RuntimeError(f"{seed}: nobody holds the lease")
     if how == "kill":
         fleet.kill(holder)
     elif how == "drain":
-        fleet.call(holder, lambda node, now: node.drain(now))
+        fleet.call(holder, drain_node)
     else:  # cut off with less than a majority
         others = [name for name in field.names if name != holder]
         fleet.split([[holder], others])
@@ -270,8 +279,8 @@
     for name in ("holder", "p50", "p90", "p99", "most"):
         table.add_column(name, justify="right")
     for how in ("kill", "drain", "cut off"):
-        took = [taken_over(f"{how} {n}", how) for n in range(count)]
-        table.add_row(how, *(f"{percentile(took, p):.3f}" for p in (0.5, 0.9, 0.99, 1.0)))
+        waits_s = [taken_over(f"{how} {n}", how) for n in range(count)]
+        table.add_row(how, *(f"{percentile(waits_s, p):.3f}" for p in (0.5, 0.9, 0.99, 1.0)))
     Console(width=100).print(table)
     return 0
 
@@ -300,14 +309,14 @@
             counts, sent, got = fleet.counts.copy(), fleet.sent.copy(), fleet.got.copy()
             began = time.perf_counter()
             fleet.run(240 * SECOND_US)
-            took = time.perf_counter() - began
+            spent_s = time.perf_counter() - began
             more = fleet.counts - counts
             voters = sum(fleet.sent[v] - sent[v] for v in field.voters) / 3 / 120
-            heard = sum(fleet.got[v] - got[v] for v in field.voters) / 3 / 120
+            received = sum(fleet.got[v] - got[v] for v in field.voters) / 3 / 120
             row = (
                 *(gateways, tasks, shards, f"{more['sent'] / 120 / gateways:.2f}"),
-                *(f"{more['bytes'] / 120 / gateways:.0f}", f"{voters:.1f}", f"{heard:.1f}"),
-                f"{took * 1e6 / max(1, more['sent']):.0f}",
+                *(f"{more['bytes'] / 120 / gateways:.0f}", f"{voters:.1f}", f"{received:.1f}"),
+                f"{spent_s * 1e6 / max(1, more['sent']):.0f}",
             )
             table.add_row(*map(str, row))
     Console(width=120).print(table)
--- a/benchmarks/fleet/leases.py
+++ b/benchmarks/fleet/leases.py
@@ -1,7 +1,8 @@
-"""Leases on the virtual clock: members bound to nodes, a receiver of calls, and who held what when.
+"""Leases on the virtual clock: nodes with their tasks, a receiver of calls, and who held what when.
 
-``SimulatedFleet`` is a fleet of voters and askers under faults. It counts by true time, which no gateway knows: overlaps of
-holders, turns missed and repeated, calls with an older number than one before.
+``SimulatedFleet`` is a fleet of voters and other gateways under faults. It counts by true time,
+which no gateway knows: overlaps of holders, turns missed and repeated, calls with an older number
+than one before.
 """
 
 from __future__ import annotations
@@ -10,12 +11,14 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass
+from itertools import pairwise
 
 import msgspec
 
 from saffrongw.leases.candidates import shard_of
-from saffrongw.leases.claim import LeaseGained, LeaseLost, LeaseRecalled
+from saffrongw.leases.claim import Claim, LeaseGained, LeaseLost, LeaseRecalled
 from saffrongw.leases.gateway_id import GatewayId
+from saffrongw.leases.messages import OutgoingPacket, Packet
 from saffrongw.leases.node import LeaseNode, NodeSettings
 from saffrongw.leases.progress_reports import ProgressConfirmed
 from saffrongw.leases.spec import TaskSpec
@@ -32,45 +35,42 @@
 from testbed.simulation.clock import Fleet, Link, Node
 from testbed.simulation.machine import Sent
 
-WALL = 1_700_000_000 * SECOND_US  # of the world, at true time 0
-ENVELOPE = 72  # bytes that the channel puts around a packet, about
+from .lease_holders import Breach, Gain, HolderLog
 
-
-@dataclass(frozen=True, slots=True)
-class Breach:
-    """Something that must not be."""
-
-    at: int
-    what: str
+# Unix us at true time 0.
+WALL_US = 1_700_000_000 * SECOND_US
+# About what the channel adds to a packet.
+ENVELOPE_BYTES = 72
 
 
 @dataclass(slots=True)
-class Seen:
+class ReceivedCall:
     """One call as the receiver saw it."""
 
     at: int
     task: str
     turn: int
-    number: int
+    fencing_token: int
     node: str
     accepted: bool
 
 
 class Receiver:
-    """What tasks call: it refuses numbers that are older than one it has seen, as a receiver has to."""
+    """What tasks call: it rejects tokens below one that it has seen, as a receiver has to."""
 
     def __init__(self) -> None:
+        """Start without calls."""
         self.highest: dict[str, int] = {}
-        self.calls: list[Seen] = []
-        self.away_until = 0
+        self.calls: list[ReceivedCall] = []
+        self.unavailable_until = 0
 
     def call(self, at: int, task: str, turn: int, fencing_token: int, node: str) -> CallOutcome:
         """One call has come."""
-        if at < self.away_until:
+        if at < self.unavailable_until:
             return CallOutcome.FAILED
         accepted = fencing_token >= self.highest.get(task, 0)
         self.highest[task] = max(fencing_token, self.highest.get(task, 0))
-        self.calls.append(Seen(at, task, turn, fencing_token, node, accepted))
+        self.calls.append(ReceivedCall(at, task, turn, fencing_token, node, accepted))
         return CallOutcome.DONE if accepted else CallOutcome.FENCED_OFF
 
 
@@ -80,6 +80,7 @@
     def __init__(
         self, simulated: SimulatedFleet, name: str, incarnation: int, now: int, draw: random.Random
     ) -> None:
+        """Start one incarnation of a node."""
         self.simulated, self.name, self.incarnation, self.draw = simulated, name, incarnation, draw
         self.wall_by = simulated.walls.get(name, 0)
         self.node = simulated.make_node(name, incarnation, now, draw)
@@ -90,7 +91,7 @@
 
     def wall(self, now: int) -> int:
         """Its idea of Unix time: the world's, and what it is off by."""
-        return WALL + now - self.simulated.fleet.nodes[self.name].offset + self.wall_by
+        return WALL_US + now - self.simulated.fleet.nodes[self.name].offset + self.wall_by
 
     def next_at(self) -> int:
         """The next thing of any of its parts."""
@@ -99,7 +100,7 @@
             times.append(at)
         return min(times)
 
-    def receive(self, now: int, sender: str, message: tuple[int, object]) -> Sent:
+    def receive(self, now: int, sender: str, message: tuple[int, Packet]) -> Sent:
         """A packet, with the incarnation of its sender."""
         self.now = now
         incarnation, packet = message
@@ -155,7 +156,7 @@
             elif isinstance(one, CancelCall):
                 self.calls = [item for item in self.calls if item[1].task != one.task]
 
-    def _after(self, now: int, out: Sent) -> Sent:
+    def _after(self, now: int, out: list[OutgoingPacket]) -> Sent:
         while self.node.events:
             event = self.node.events.pop(0)
             if isinstance(event, LeaseGained):
@@ -191,13 +192,13 @@
 
 
 class SimulatedFleet:
-    """Voters, askers, their tasks, and what came of it."""
+    """Voters, other gateways, their tasks, and what happened."""
 
     def __init__(
         self,
         seed: str,
         voters: int = 3,
-        askers: int = 5,
+        others: int = 5,
         shards: int = 1,
         timing: Timing | None = None,
         specs: tuple[TaskSpec, ...] = (),
@@ -205,11 +206,12 @@
         sizes: bool = False,
         start_within: int = SECOND_US,
     ) -> None:
+        """Set up voters and other gateways, with clock rates within the bound."""
         self.fleet = Fleet(seed, link)
         self.random = random.Random(f"{seed}:field")
         self.timing, self.shards = timing or Timing(), shards
         self.voters = tuple(f"v{n}" for n in range(voters))
-        self.names = (*self.voters, *(f"a{n}" for n in range(askers)))
+        self.names = (*self.voters, *(f"a{n}" for n in range(others)))
         self.set = VoterSet(1, self.voters)
         self.specs = {spec.name: spec for spec in specs}
         self.by_lease: dict[str, list[TaskSpec]] = {}
@@ -219,17 +221,15 @@
         self.receiver = Receiver()
         self.answers_lost = 0.0
         self.asks_no_token = False
-        self.held: dict[
-            str, dict[tuple[str, int], tuple[int, int]]
-        ] = {}  # lease -> who -> (number, true end)
-        self.breaches: list[Breach] = []
-        self.gains: list[tuple[int, str, str, int]] = []  # when, lease, node, number
-        self.highest: dict[str, int] = {}
+        self.holders = HolderLog()
         self.make_node: Callable[[str, int, int, random.Random], LeaseNode] = self.plain_node
-        self.fleet.watchers.append(self._look)
+        self.fleet.watchers.append(self._check_holders)
         if sizes:
             encoder = msgspec.msgpack.Encoder()
-            self.fleet.size = lambda message: len(encoder.encode(message[1])) + ENVELOPE
+            self.fleet.size = lambda message: len(encoder.encode(message[1])) + ENVELOPE_BYTES
+        self._add_nodes(start_within)
+
+    def _add_nodes(self, start_within: int) -> None:
         for name in self.names:
             rate = 1 + self.random.uniform(-0.5, 0.5) * self.timing.max_drift
             start = int(self.random.random() * start_within)
@@ -244,69 +244,48 @@
         gateway = GatewayId(name, incarnation)
         return LeaseNode(gateway, settings, self.set, draw.random, now)
 
-    def _look(self, at: int, node: Node) -> None:
-        """Who holds what, by true time, after each step of a node."""
-        who = (node.name, node.life)
-        claims = {}
-        if node.machine is not None:
-            clock = node.clock(at)
-            claims = {c.lease: c for c in node.machine.node.proposer.held(clock)}
-        for lease, holders in self.held.items():
-            if who in holders and lease not in claims:
-                del holders[who]
-        for lease, claim in claims.items():
-            holders = self.held.setdefault(lease, {})
-            old = holders.get(who)
-            if old is None or old[0] != claim.fencing_token:
-                self.gains.append((at, lease, node.name, claim.fencing_token))
-                if claim.fencing_token <= self.highest.get(lease, 0):
-                    self.breaches.append(
-                        Breach(
-                            at,
-                            f"{node.name} got {lease} under {claim.fencing_token} after {self.highest[lease]}",
-                        )
-                    )
-                self.highest[lease] = max(claim.fencing_token, self.highest.get(lease, 0))
-            holders[who] = (claim.fencing_token, node.when(claim.held_until_us) - 1)
-            for other, (number, end) in list(holders.items()):
-                if other[0] == who[0] and other != who:
-                    del holders[other]  # an earlier incarnation
-                elif other != who and end > at:
-                    self.breaches.append(
-                        Breach(
-                            at,
-                            f"{who} holds {lease} under {claim.fencing_token} while {other} does, under {number}",
-                        )
-                    )
-                elif other != who:
-                    del holders[other]
+    def _check_holders(self, at: int, node: Node) -> None:
+        """Record who holds what, by true time, after each step of a node."""
+        claims: dict[str, Claim] = {}
+        if isinstance(node.machine, SimulatedNode):
+            held = node.machine.node.proposer.held(node.clock(at))
+            claims = {claim.lease: claim for claim in held}
+        self.holders.record(at, GatewayId(node.name, node.life), claims, node.when)
+
+    @property
+    def breaches(self) -> list[Breach]:
+        """Return what must not have happened."""
+        return self.holders.breaches
+
+    @property
+    def gains(self) -> list[Gain]:
+        """Return the leases that were gained, in order."""
+        return self.holders.gains
 
     def holder(self, lease: str) -> str | None:
-        """Who holds it now, by true time."""
-        for (name, _), (_, end) in self.held.get(lease, {}).items():
-            if end > self.fleet.now:
-                return name
-        return None
+        """Return who holds a lease now, by true time."""
+        return self.holders.holder(lease, self.fleet.now)
 
     def turn_counts(self, until: int, settle: int = 0) -> Counter[str]:
         """Turns done once, repeated, missed, between ``settle`` and ``until`` (true us)."""
         done: Counter[tuple[str, int]] = Counter(
-            (c.task, c.turn) for c in self.receiver.calls if c.accepted
+            (call.task, call.turn) for call in self.receiver.calls if call.accepted
         )
         total: Counter[str] = Counter()
         for spec in self.specs.values():
-            for turn in range(spec.turn_at(WALL + settle) + 1, spec.turn_at(WALL + until)):
+            for turn in range(spec.turn_at(WALL_US + settle) + 1, spec.turn_at(WALL_US + until)):
                 times = done[spec.name, turn]
                 total["turns"] += 1
                 total["missed"] += times == 0
                 total["repeated"] += max(0, times - 1)
+        accepted = self._accepted()
         total["older accepted"] = sum(
-            1
-            for before, after in zip(*(lambda c: (c, c[1:]))(self._accepted()), strict=False)
-            if before.task == after.task and after.number < before.number
+            before.task == after.task and after.fencing_token < before.fencing_token
+            for before, after in pairwise(accepted)
         )
-        total["older refused"] = sum(1 for c in self.receiver.calls if not c.accepted)
+        total["older refused"] = len(self.receiver.calls) - len(accepted)
         return total
 
-    def _accepted(self) -> list[Seen]:
-        return sorted((c for c in self.receiver.calls if c.accepted), key=lambda c: (c.task, c.at))
+    def _accepted(self) -> list[ReceivedCall]:
+        accepted = (call for call in self.receiver.calls if call.accepted)
+        return sorted(accepted, key=lambda call: (call.task, call.at))
--- a/benchmarks/lease_cost.py
+++ b/benchmarks/lease_cost.py
@@ -1,8 +1,9 @@
-"""What leases cost requests: latency and core time of one gateway, off, with every voter silent, and as a busy holder.
+"""What leases cost requests: latency and core time of one gateway, off, with every voter silent,
+and as a busy holder.
 
-Run by hand: ``python -m benchmarks.lease_cost``. Real gateways, the same arrivals, rounds interleaved; ratios within
-one run. Silent: the voters' addresses take datagrams and answer nothing. Holder: the gateway is the one voter, holds
-all of 16 leases and does 50 tasks, each every 5 s.
+Run by hand: ``python -m benchmarks.lease_cost``. Real gateways, the same arrivals, rounds
+interleaved; ratios within one run. Silent: the voters' addresses take datagrams and answer nothing.
+Holder: the gateway is the one voter, holds all of 16 leases and does 50 tasks, each every 5 s.
 """
 
 from __future__ import annotations
@@ -56,8 +57,10 @@
     world = World(DAY, folder, operator=operator(kind, folder, await receiver.open(), silent))
     try:
         log = await world.run()
-        pid = world.gateways[0].process.pid
-        fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
+        process = world.gateways[0].process
+        if process is None:
+            raise RuntimeError("the gateway has not started")
+        fields = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
         core = (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
     finally:
         await world.close()
@@ -78,7 +81,8 @@
     found: dict[str, list[tuple[float, float, float]]] = {kind: [] for kind in KINDS}
     with tempfile.TemporaryDirectory() as name:
         print(
-            f"{'round':<7}{'leases':<9}{'served':>8}{'p50 ms':>9}{'p99 ms':>9}{'core s / 1,000':>16}"
+            f"{'round':<7}{'leases':<9}{'served':>8}{'p50 ms':>9}{'p99 ms':>9}"
+            f"{'core s / 1,000':>16}"
         )
         for number in range(given.rounds):
             for kind in KINDS:
@@ -90,8 +94,11 @@
                     flush=True,
                 )
     for kind in KINDS[1:]:
-        for place, what in enumerate(("p50", "p99", "core time")):
-            ratios = [a[place] / b[place] for a, b in zip(found[kind], found["off"], strict=True)]
+        for column, what in enumerate(("p50", "p99", "core time")):
+            ratios = [
+                cost[column] / off[column]
+                for cost, off in zip(found[kind], found["off"], strict=True)
+            ]
             print(f"median of {kind}/off, {what}: {statistics.median(ratios):.2f}")
 
 
--- a/benchmarks/lease_takeover.py
+++ b/benchmarks/lease_takeover.py
@@ -1,8 +1,9 @@
-"""How fast a lease is taken over by real gateways: ``python -m benchmarks.lease_takeover --kills 200 --jobs 4``.
+"""How fast a lease is taken over by real gateways: ``python -m benchmarks.lease_takeover --kills
+200 --jobs 4``.
 
-Eight gateways, three of them voters that do no tasks; a lease of 2 s; the holder is killed, drained (SIGTERM) or
-stopped, and comes back a while later. Measured from the signal to the first statement of another holder: the look
-itself takes up to 0.1 s of it.
+Eight gateways, three of them voters that do no tasks; a lease of 2 s; the holder is killed, drained
+(SIGTERM) or stopped, and comes back a while later. Measured from the signal to the first statement
+of another holder: the look itself takes up to 0.1 s of it.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
     folder = Path(tempfile.mkdtemp())
     day = LeaseDay(seed, 8, 3, span_s=2.0, shards=1, tasks=1, voters_stand=False)
     world = LeaseWorld(day, folder)
-    took = []
+    waits_s = []
     try:
         await world.open()
         loop = asyncio.get_running_loop()
@@ -49,7 +50,7 @@
                         if s.asked > begin and s.held and s.gateway != f"n{holder}"
                     ]
                     if now:
-                        took.append((min(s.answered for s in now) - begin) / 1e6)
+                        waits_s.append((min(s.answered for s in now) - begin) / 1e6)
                         break
             await ended
             await asyncio.sleep(1.0)
@@ -59,7 +60,7 @@
     finally:
         await world.close()
         shutil.rmtree(folder, ignore_errors=True)
-    return took
+    return waits_s
 
 
 def run(given: tuple[int, int, str]) -> list[float]:
@@ -80,9 +81,11 @@
     with ProcessPoolExecutor(given.jobs) as pool:
         for how in HOWS:
             jobs = [(seed, each, how) for seed in range(max(1, given.kills // each))]
-            took = sorted(t for some in pool.map(run, jobs) for t in some)
-            at = [took[min(len(took) - 1, int(len(took) * p))] for p in (0.5, 0.9, 0.99, 1.0)]
-            print(f"{how:<8}{len(took):>6}" + "".join(f"{t:>8.3f}" for t in at), flush=True)
+            waits_s = sorted(t for some in pool.map(run, jobs) for t in some)
+            at = [
+                waits_s[min(len(waits_s) - 1, int(len(waits_s) * p))] for p in (0.5, 0.9, 0.99, 1.0)
+            ]
+            print(f"{how:<8}{len(waits_s):>6}" + "".join(f"{t:>8.3f}" for t in at), flush=True)
 
 
 if __name__ == "__main__":
--- a/tests/faults/test_leases.py
+++ b/tests/faults/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases over real processes, with faults between them: one holder at a time, checked from outside."""
+"""Leases over real processes with faults between them: one holder at a time, seen from outside."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
     assert rule in verdict.rules()
     named = [one for one in verdict.findings if one.rule == rule]
     assert all(one.what.count("n") >= 2 for one in named)
-    # Who works without a token is found as soon as a lease moves, before anything is broken.
+    # One that works without a token is found as soon as a lease migrates, before any fault.
     assert variant == "works-without-asking-its-token" or any(
         "split" in one.during for one in named
     )
@@ -81,20 +81,20 @@
     assert verdict.findings == []
 
 
-def test_every_variant_is_played():
+def test_every_variant_is_tested():
     assert set(LEASES) == set(PLANTED)
 
 
-class Armed(LeaseWorld):
-    """Its gateways may end from when all of them answer: one that ended before that never started."""
+class ArmedLeaseWorld(LeaseWorld):
+    """Its gateways may be killed once all of them answer: one killed earlier never started."""
 
     async def open(self) -> None:
         await super().open()
         (self.folder / "go").touch()
 
 
-def test_killed_at_every_step_of_a_grant_another_takes_over(tmp_path):
-    """Twelve gateways that each end at another step, and two that do not."""
+def test_when_a_gateway_is_killed_at_any_step_of_a_grant_another_takes_over(tmp_path):
+    """Twelve gateways that are each killed at another step, and two that are not."""
     steps = range(1, 13)
     day = LeaseDay(
         14, 3 + len(steps) + 2, 3, length_s=14.0, span_s=0.6, voters_stand=False, tasks=2
@@ -106,7 +106,7 @@
     }
 
     async def run():
-        world = Armed(day, tmp_path, lines)
+        world = ArmedLeaseWorld(day, tmp_path, lines)
         try:
             seen = await world.run()
             ended = [g.number for g in world.gateways if g.process.returncode is not None]
@@ -121,28 +121,28 @@
     assert set(ended) <= set(lines)
 
 
-# -- the judge itself ----------------------------------------------------------------------------------------------
+# -- the checker itself ------------------------------------------------------------------------
 
 
-def told(gateway: str, at: int, *held: tuple[str, int, int], given: int = 0) -> Stated:
+def stated(gateway: str, at: int, *held: tuple[str, int, int], given: int = 0) -> Stated:
     return Stated(at, at + 1_000, gateway, "1", held, given)
 
 
 S = 1_000_000
 HELD = [
-    told("n0", 10 * S, ("s0/1", 5, S)),
-    told("n0", 11 * S),
-    told("n1", 12 * S, ("s0/1", 6, S)),
-    told("n1", 13 * S, ("s0/1", 6, S)),
+    stated("n0", 10 * S, ("s0/1", 5, S)),
+    stated("n0", 11 * S),
+    stated("n1", 12 * S, ("s0/1", 6, S)),
+    stated("n1", 13 * S, ("s0/1", 6, S)),
 ]
 
 
-def test_the_judge_passes_what_follows_one_another():
+def test_the_checker_passes_holders_that_follow_each_other():
     assert judge(Seen(stated=HELD)).findings == []
 
 
-def test_the_judge_finds_a_span_that_goes_on_while_its_holder_stands_still():
-    late = [told("n0", 9 * S, ("s0/1", 5, 9 * S)), told("n0", 14 * S), *HELD[2:]]
+def test_the_checker_finds_a_holding_that_lasts_while_its_holder_is_stopped():
+    late = [stated("n0", 9 * S, ("s0/1", 5, 9 * S)), stated("n0", 14 * S), *HELD[2:]]
     found = judge(Seen(stated=late, faults=[(9 * S, 14 * S, "stop of n0")])).findings
     assert [one.rule for one in found] == ["one holder"]
     assert "n0" in found[0].what
@@ -152,8 +152,8 @@
     assert judge(Seen(stated=back)).findings == []
 
 
-def test_the_judge_finds_numbers_that_fall_and_calls_that_come_too_late():
-    fell = [*HELD[2:], told("n2", 15 * S, ("s0/1", 4, S))]
+def test_the_checker_finds_tokens_that_fall_and_late_calls():
+    fell = [*HELD[2:], stated("n2", 15 * S, ("s0/1", 4, S))]
     assert {one.rule for one in judge(Seen(stated=fell)).findings} == {"numbers"}
     seen = Seen(stated=HELD, lease_of={"t": "s0/1"})
     seen.calls = [
@@ -168,6 +168,6 @@
     assert verdict.older_arrived == 1
 
 
-def test_the_judge_finds_a_lease_that_nobody_holds_at_the_end():
+def test_the_checker_finds_a_lease_without_holder_at_the_end():
     seen = Seen(stated=HELD, lease_of={"t": "s0/1"}, finished=20 * S)
     assert [one.rule for one in judge(seen).findings] == ["service"]
--- a/tests/faults/variants.py
+++ b/tests/faults/variants.py
@@ -308,7 +308,7 @@
 
 
 def lease_variant(plant: Callable[[], None]) -> Callable[[], None]:
-    """Keep one under its name, with dashes."""
+    """Register a planted fault under its name, with dashes."""
     LEASES[plant.__name__.replace("_", "-")] = plant
     return plant
 
@@ -330,7 +330,7 @@
 
 @lease_variant
 def works_without_asking_its_token() -> None:
-    """Goes on with its tasks, whatever became of the lease."""
+    """Goes on with its tasks after the lease is lost."""
     from saffrongw.leases.claim import FencingToken
     from saffrongw.leases.node_driver import NodeDriver
     from saffrongw.leases.task_schedule import TaskSchedule
@@ -352,8 +352,8 @@
 
 @lease_variant
 def counts_a_voter_twice() -> None:
-    """Takes an answer as often as it comes."""
-    from benchmarks.fleet.lease_explorer import Answers
+    """Counts an answer as often as it arrives."""
+    from benchmarks.fleet.lease_planted_faults import CountedAnswers
     from saffrongw.channel.signed_datagram import ReplayWindow
     from saffrongw.leases.proposer import Proposer
 
@@ -361,7 +361,7 @@
 
     def begin(self, now, claim, stage):
         out = plain(self, now, claim, stage)
-        claim.agreeing = Answers()
+        claim.agreeing = CountedAnswers()
         return out
 
     Proposer._start_round = begin
@@ -402,7 +402,7 @@
 
 
 def killed_at(step: str, go: str) -> None:
-    """Ends without a word at so many steps of a grant (a message sent or read), once the file ``go`` is there."""
+    """Is killed at a step of a grant (a message sent or received), once the file ``go`` exists."""
     import signal
 
     from saffrongw.leases import node_driver
--- a/tests/leases/test_interleavings.py
+++ b/tests/leases/test_interleavings.py
@@ -4,47 +4,55 @@
 
 import pytest
 
-from benchmarks.fleet import lease_explorer as case
+from benchmarks.fleet import lease_planted_faults as planted
+from benchmarks.fleet.lease_explorer import LeaseCase
 from testbed.simulation.explore import Explorer
 
 PLANTED = {
     "no silence after a restart": {
-        "acceptor": case.NotSilent,
+        "acceptor": planted.NotSilentAcceptor,
         "restarts": 1,
         "ticks": 2,
-        "first_asks": True,
+        "first_leads": True,
     },
-    "the holder's span as long as the voter's": {"timing": case.LongHolder, "first_asks": True},
-    "majority less one": {"proposer": case.Minority, "ticks": 1},
-    "a number that doesn't grow": {
-        "proposer": case.SameNumber,
-        "acceptor": case.Careless,
-        "first_asks": True,
+    "the holder's duration as long as the acceptor's": {
+        "timing": planted.LongHolderTiming,
+        "first_leads": True,
     },
-    "an answer counted twice": {"proposer": case.CountsTwice, "answers_stay": True, "ticks": 1},
-    "a grant on top of another's": {"acceptor": case.GrantsHeld, "first_asks": True},
-    "clocks beyond the bound": {"rates": (2.0, 0.5), "ticks": 2, "first_asks": True},
+    "majority less one": {"proposer": planted.MinorityProposer, "ticks": 1},
+    "a token that does not grow": {
+        "proposer": planted.SameTokenProposer,
+        "acceptor": planted.AnyTokenAcceptor,
+        "first_leads": True,
+    },
+    "an answer counted twice": {
+        "proposer": planted.DoubleCountProposer,
+        "answers_stay": True,
+        "ticks": 1,
+    },
+    "a grant on top of another's": {"acceptor": planted.DoubleGrantAcceptor, "first_leads": True},
+    "clocks beyond the bound": {"rates": (2.0, 0.5), "ticks": 2, "first_leads": True},
 }
 TRUE = {
-    "two ask": {"ticks": 2},
-    "one restarts": {"ticks": 3, "restarts": 1, "first_asks": True},
-    "one voter doubles": {"ticks": 2, "doubles": 1, "first_asks": True},
+    "two propose": {"ticks": 2},
+    "one restarts": {"ticks": 3, "restarts": 1, "first_leads": True},
+    "one message is doubled": {"ticks": 2, "duplicates": 1, "first_leads": True},
     "renewed": {"ticks": 3, "renews": True, "proposers": 1, "restarts": 1},
-    "refused and released": {"ticks": 3, "proposers": 1, "refusals": True, "releases": True},
+    "rejected and released": {"ticks": 3, "proposers": 1, "rejections": True, "releases": True},
 }
 
 
 @pytest.mark.parametrize("name", TRUE)
-def test_no_state_has_two_holders_and_a_free_lease_can_be_had(name):
-    found = Explorer(case.LeaseCase(**TRUE[name], regain=True)).run()
+def test_no_state_has_two_holders_and_a_free_lease_can_be_acquired(name):
+    found = Explorer(LeaseCase(**TRUE[name], regain=True)).run()
     assert found.whole, found.text()
     assert not found.breach, found.text()
     assert found.states > 500
 
 
 @pytest.mark.parametrize("name", PLANTED)
-def test_each_planted_fault_has_a_shortest_story(name):
-    found = Explorer(case.LeaseCase(**PLANTED[name])).run()
+def test_each_planted_fault_is_found_with_its_shortest_story(name):
+    found = Explorer(LeaseCase(**PLANTED[name])).run()
     assert found.breach, found.text()
     assert "hold" in found.breach
     assert 5 <= len(found.story) <= 25
@@ -55,4 +63,4 @@
         for k, v in PLANTED[name].items()
         if k not in ("acceptor", "proposer", "timing", "rates")
     }
-    assert not Explorer(case.LeaseCase(**plain), found.states).run().breach
+    assert not Explorer(LeaseCase(**plain), found.states).run().breach
--- a/tests/leases/test_simulated_fleet.py
+++ b/tests/leases/test_simulated_fleet.py
@@ -75,7 +75,7 @@
 
 
 class SoloMachine:
-    """A voter or an asker by itself; the asker asks until it has the lease."""
+    """An acceptor or a proposer by itself; the proposer proposes until it holds the lease."""
 
     def __init__(self, name: str, now: int, draw: random.Random, timing: Timing) -> None:
         self.proposer = (
