--- a/tests/channel/test_signed_datagram.py
+++ b/tests/channel/test_signed_datagram.py
@@ -125,3 +125,15 @@
         read_keys((str(good), str(good)))
     with pytest.raises(InvalidKeyError):
         DatagramCodec("a", 1, ())
+
+
+def test_a_datagram_has_the_bytes_of_released_versions_both_ways():
+    """The bytes were packed by version 7ab00fb."""
+    packed = bytes.fromhex(
+        "736701dd7654f097a1610ba162160101c40568656c6c6f0e8344aafbbc28d67eaa707b7e50afbb"
+    )
+    sender, receiver = pair()
+    assert sender.pack("b", 22, 1, b"hello") == packed
+    opened = receiver.open(packed)
+    assert isinstance(opened, Accepted)
+    assert opened.datagram.payload == b"hello"
