--- a/saffrongw/leases/component.py
+++ b/saffrongw/leases/component.py
@@ -144,7 +144,7 @@
         return self.node_driver.token(lease) if self.node_driver else None
 
     def fenced_off(self, lease: str, seen_token: int) -> None:
-        """Get a lease anew, above a token that a receiver has seen."""
+        """Release a lease and get it again, above a token that a receiver has seen."""
         self._started().fenced_off(lease, seen_token)
 
     # -- operators ---------------------------------------------------------------------------------
--- a/saffrongw/leases/condition_log.py
+++ b/saffrongw/leases/condition_log.py
@@ -1,4 +1,4 @@
-"""Log lines for conditions that an operator has to mend, bounded in rate and number."""
+"""Log lines for conditions that an operator has to repair, bounded in rate and number."""
 
 from __future__ import annotations
 
--- a/saffrongw/leases/leader_guard.py
+++ b/saffrongw/leases/leader_guard.py
@@ -17,7 +17,7 @@
         """Return the token of a lease; None: it is not held."""
 
     def fenced_off(self, lease: str, seen_token: int) -> None:
-        """Get a lease anew, above a token that a receiver has seen."""
+        """Release a lease and get it again, above a token that a receiver has seen."""
 
 
 class LeaseLeaderGuard:
--- a/saffrongw/leases/node_driver.py
+++ b/saffrongw/leases/node_driver.py
@@ -136,7 +136,7 @@
             self.malformed_count += 1
             return
         now = self.clock.now()
-        # An overloaded gateway takes nothing that it is offered, and says so.
+        # An overloaded gateway accepts no offer, and announces that.
         self.node.overloaded = self.overloaded()
         self.process(
             self.node.receive(now, self.clock.wall(now), GatewayId(sender, incarnation), packet)
@@ -234,7 +234,7 @@
         self._recalled.add(lease)
 
     def fenced_off(self, lease: str, seen_token: int) -> None:
-        """Get a lease anew, above a token that a receiver has seen.
+        """Release a lease and get it again, above a token that a receiver has seen.
 
         If that happens again so soon, the receiver does not tell its token or rejects everything:
         the lease is left to other gateways for its duration.
