--- a/tests/faults/test_leases.py
+++ b/tests/faults/test_leases.py
@@ -17,7 +17,7 @@
 PLANTED = {
     "believes-its-lease-for-ever": (ALONE, "one holder"),
     "works-without-asking-its-token": (ALONE, "call outside"),
-    "reuses-a-fencing-token": (ALONE, "numbers"),
+    "lowers-its-fencing-token": (ALONE, "numbers"),
     "counts-a-voter-twice": (
         LeaseDay(
             12,
--- a/tests/faults/variants.py
+++ b/tests/faults/variants.py
@@ -382,8 +382,8 @@
 
 
 @lease_variant
-def reuses_a_fencing_token() -> None:
-    """Proposes each lease under one token for ever, and accepts tokens that do not grow."""
+def lowers_its_fencing_token() -> None:
+    """Proposes each lease under a lower token than before, and accepts tokens that do not grow."""
     from saffrongw.leases import acceptor
     from saffrongw.leases.messages import NackReason
     from saffrongw.leases.proposer import Proposer
@@ -391,7 +391,8 @@
     plain_start, plain_reject = Proposer._start_propose, acceptor.reject_outdated
 
     def start_propose(self, now, claim):
-        claim.fencing_token = 1
+        if not claim.held_until_us:
+            claim.fencing_token = (1 << 50) - now // 1_000
         return plain_start(self, now, claim)
 
     def reject_outdated(request, record, token_floor):
