--- a/benchmarks/fleet/lease_explorer.py
+++ b/benchmarks/fleet/lease_explorer.py
@@ -1,9 +1,9 @@
-"""Voters and askers as a case for ``testbed.simulation.explore``: their own code, every interleaving of it.
+"""Acceptors and proposers as a case for ``testbed.simulation.explore``: every interleaving of them.
 
-A message may arrive at any time from its sending on, or never, and so many of them twice. Time goes on in ticks, for
-each node at its own rate; the least favourable rates are the bounds. States that differ only in the names of voters,
-in how long ago something was, or in numbers that stand in the same order are one. Refusals and releases only make
-askers and voters move on earlier; cases leave them out where their number would hide the rest, and others have them.
+A message may arrive at any time after it was sent, or never, and some of them twice. Time advances
+in ticks, for each node at its own rate; the least favourable rates are the bounds. Rejections and
+releases only make proposers and acceptors go on earlier; cases leave them out where their number
+would hide the rest, and others have them.
 """
 
 from __future__ import annotations
@@ -13,592 +13,372 @@
 from dataclasses import dataclass, replace
 from itertools import combinations, combinations_with_replacement
 
-from saffrongw.leases.acceptor import Acceptor, Entry
-from saffrongw.leases.candidates import Candidates
-from saffrongw.leases.messages import Accept, Message, Prepare, Promise, Propose, Refuse, Release
-from saffrongw.leases.proposer import Claim, Gained, Proposer, Stage
+from saffrongw.leases.acceptor import Acceptor
+from saffrongw.leases.claim import ClaimStage, LeaseGained
+from saffrongw.leases.gateway_id import GatewayId
+from saffrongw.leases.messages import (
+    Accept,
+    Message,
+    Nack,
+    Outgoing,
+    Prepare,
+    Promise,
+    Propose,
+    Release,
+)
+from saffrongw.leases.proposer import Proposer
 from saffrongw.leases.suspensions import Suspensions
-from saffrongw.leases.timing import SECOND, Timing
-
-LEASE = "s0/1"
-WALL = 1_700_000_000 * SECOND
-TICK = SECOND
-STILL = Candidates(1)  # nobody stands: nothing is offered, askers begin by themselves
-
-
-class CaseTiming(Timing):
-    """Spans as ever; questions are not asked again, so that each message is one choice."""
-
-    @property
-    def again_after(self) -> int:
-        return 1_000 * self.span
-
-    @property
-    def round_most(self) -> int:
-        return 1_000 * self.span
-
-    @property
-    def renew_after(self) -> int:
-        return 0
-
-
-def half() -> float:
-    """In place of chance."""
-    return 0.5
-
-
-Mail = tuple[str, str, Message]  # from, to, what
-
-
-@dataclass(frozen=True, slots=True)
-class State:
-    """Everything at one moment; nodes are never changed, only replaced."""
-
-    voters: tuple[Acceptor, ...]
-    askers: tuple[Proposer, ...]
-    mail: frozenset[Mail]
-    tick: int
-    restarts: int
-    wants: tuple[int, ...]
-    doubles: int
-    highest: int  # number of any holder so far
-    wrong: str = ""
-    gives_back: int = 0
-
-
-def copied_voter(voter: Acceptor) -> Acceptor:
-    """One to change."""
-    new = copy.copy(voter)
-    new.entries = {lease: copy.copy(entry) for lease, entry in voter.entries.items()}
-    new.counts = voter.counts.copy()
-    return new
-
+from saffrongw.leases.timing import SECOND_US, Timing
+
+from .lease_case_state import (
+    LEASE,
+    NO_CANDIDATES,
+    TICK_US,
+    WALL_US,
+    CaseState,
+    CaseTiming,
+    Mail,
+    copied_acceptor,
+    copied_proposer,
+    half,
+)
+from .lease_state_key import state_key
+
+Step = tuple[str, CaseState]
+
+
+@dataclass(kw_only=True)
+class LeaseCase:
+    """A few acceptors and proposers of one lease, and what may happen to them."""
+
+    voters: int = 3
+    proposers: int = 2
+    ticks: int = 4
+    restarts: int = 0
+    # How often each proposer may begin to propose.
+    proposals: int = 1
+    duplicates: int = 0
+    renews: bool = False
+    rejections: bool = False
+    releases: bool = False
+    # An answer may arrive any number of times.
+    answers_stay: bool = False
+    duration_us: int = 2 * TICK_US
+    drift: float = 0.2
+    # Of acceptors' and of proposers' clocks; None: the least favourable within the bound.
+    rates: tuple[float, float] | None = None
+    acceptor: Callable[..., Acceptor] = Acceptor
+    proposer: Callable[..., Proposer] = Proposer
+    timing: type[Timing] = CaseTiming
+    # A free lease must be acquired again.
+    regain: bool = False
+    # The others propose only after the first one has held the lease.
+    first_leads: bool = False
+    # How often a holder may release the lease.
+    voluntary_releases: int = 0
+
+    def __post_init__(self) -> None:
+        """Derive names, clock rates, durations, and the messages that are left out."""
+        self.case_timing = self.timing(self.duration_us, self.drift)
+        self.acceptor_rate, self.proposer_rate = self.rates or (1 + self.drift, 1 - self.drift)
+        self.acceptor_names = tuple(f"v{n}" for n in range(self.voters))
+        self.proposer_names = tuple(f"a{n}" for n in range(self.proposers))
+        self.left_out: tuple[type, ...] = (
+            *(() if self.rejections else (Nack,)),
+            *(() if self.releases else (Release,)),
+        )
 
-def copied_asker(asker: Proposer) -> Proposer:
-    """One to change."""
-    new = copy.copy(asker)
-    new.claims = {}
-    for lease, claim in asker.claims.items():
-        mine = copy.copy(claim)
-        mine.answered, mine.against = copy.copy(claim.answered), set(claim.against)
-        mine.notes = {}
-        new.claims[lease] = mine
-    new.events, new.counts = [], asker.counts.copy()
-    return new
+    # -- clocks ------------------------------------------------------------------------------------
 
+    def acceptor_now(self, tick: int) -> int:
+        """Return what acceptors' clocks show."""
+        return 1_000 * SECOND_US + int(tick * TICK_US * self.acceptor_rate)
 
-class LeaseCase:
-    """A few voters and askers of one lease."""
-
-    def __init__(
-        self,
-        voters: int = 3,
-        askers: int = 2,
-        ticks: int = 4,
-        restarts: int = 0,
-        wants: int = 1,
-        doubles: int = 0,
-        renews: bool = False,
-        refusals: bool = False,
-        releases: bool = False,
-        answers_stay: bool = False,  # what voters answer may come any number of times
-        span: int = 2 * TICK,
-        drift: float = 0.2,
-        rates: tuple[float, float] | None = None,
-        voter: Callable[..., Acceptor] = Acceptor,
-        asker: Callable[..., Proposer] = Proposer,
-        timing: type[Timing] = CaseTiming,
-        regain: bool = False,
-        first_asks: bool = False,  # the others only after the first one has held the lease
-        gives_back: int = 0,  # times that a holder gives the lease back; it may ask again
-    ) -> None:
-        self.timing = timing(span, drift)
-        self.voter_rate, self.asker_rate = rates or (1 + drift, 1 - drift)
-        self.names = tuple(f"v{n}" for n in range(voters))
-        self.asking = tuple(f"a{n}" for n in range(askers))
-        self.ticks, self.restarts, self.wants, self.renews = ticks, restarts, wants, renews
-        self.voter, self.asker, self.regain = voter, asker, regain
-        self.doubles, self.answers_stay, self.first_asks = doubles, answers_stay, first_asks
-        self.gives_back = gives_back
-        left_out = (*(() if refusals else (Refuse,)), *(() if releases else (Release,)))
-        self.left_out = left_out
-
-    # -- clocks -------------------------------------------------------------------------------------------------------
-
-    def voter_now(self, tick: int) -> int:
-        """What voters' clocks show."""
-        return 1_000 * SECOND + int(tick * TICK * self.voter_rate)
-
-    def asker_now(self, tick: int) -> int:
-        """What askers' clocks show."""
-        return 5_000 * SECOND + int(tick * TICK * self.asker_rate)
+    def proposer_now(self, tick: int) -> int:
+        """Return what proposers' clocks show."""
+        return 5_000 * SECOND_US + int(tick * TICK_US * self.proposer_rate)
 
     @staticmethod
     def wall(tick: int) -> int:
-        """Unix us."""
-        return WALL + tick * TICK
-
-    # -- the case -----------------------------------------------------------------------------------------------------
-
-    def first(self) -> State:
-        """All voters past their silence, nobody asks yet."""
-        now = self.voter_now(0)
-        voters = []
-        for name in self.names:
-            one = self.voter(name, self.timing, STILL, Suspensions(), now - self.timing.silence)
-            one.due(now, self.wall(0))
-            voters.append(one)
-        askers = [self.asker(name, 1, self.names, self.timing, half) for name in self.asking]
-        wants = (self.wants,) * len(askers)
-        return State(
-            tuple(voters),
-            tuple(askers),
-            frozenset(),
-            0,
-            self.restarts,
-            wants,
-            self.doubles,
-            0,
-            "",
-            self.gives_back,
+        """Return Unix us."""
+        return WALL_US + tick * TICK_US
+
+    # -- the case ----------------------------------------------------------------------------------
+
+    def first(self) -> CaseState:
+        """Return the first state: all acceptors past their silence, nobody proposes yet."""
+        now = self.acceptor_now(0)
+        acceptors = []
+        for name in self.acceptor_names:
+            acceptor = self._new_acceptor(name, now - self.case_timing.silence_us)
+            acceptor.due(now, self.wall(0))
+            acceptors.append(acceptor)
+        proposers = tuple(
+            self.proposer(GatewayId(name, 1), self.acceptor_names, self.case_timing, half)
+            for name in self.proposer_names
         )
+        return CaseState(
+            tuple(acceptors),
+            proposers,
+            mail=frozenset(),
+            tick=0,
+            restarts=self.restarts,
+            proposals_left=(self.proposals,) * len(proposers),
+            duplicates=self.duplicates,
+            highest_token=0,
+            releases_left=self.voluntary_releases,
+        )
+
+    def _new_acceptor(self, name: str, now: int) -> Acceptor:
+        return self.acceptor(name, self.case_timing, NO_CANDIDATES, Suspensions(), now)
 
-    def next(self, state: State) -> Iterable[tuple[str, State]]:
-        """All that may happen."""
-        for place, asker in enumerate(state.askers):
-            early = self.first_asks and place and not state.highest
-            if state.wants[place] and not asker.claims and not early:
-                new = copied_asker(asker)
-                now = self.asker_now(state.tick)
-                offered = 0  # what is given back is offered, with the number above which to ask
-                if self.gives_back:
-                    offered = max(
-                        (v.entries[LEASE].promised[0] for v in state.voters if v.entries), default=0
-                    )
-                new.want(now, LEASE, n=offered)
-                out = new.due(now)
-                wants = tuple(w - (n == place) for n, w in enumerate(state.wants))
-                after = replace(self._with_asker(state, place, new, out), wants=wants)
-                yield f"{asker.name} asks", after
-            if state.gives_back and asker.held(self.asker_now(state.tick)):
-                new = copied_asker(asker)
-                out = new.give_back(self.asker_now(state.tick), LEASE, "moved")
-                after = self._with_asker(
-                    replace(state, gives_back=state.gives_back - 1), place, new, out
-                )
-                yield f"{asker.name} gives it back", after
+    def next(self, state: CaseState) -> Iterable[Step]:
+        """Return all that may happen next."""
+        for index in range(len(state.proposers)):
+            yield from self._proposer_steps(state, index)
         answers: dict[str, list[Mail]] = {}
         for mail in state.mail:
-            if mail[1] not in self.names:
-                if isinstance(mail[2], Refuse):
-                    if self._worth(state, mail):
-                        yield (
-                            self._words(mail),
-                            self._deliver(replace(state, mail=state.mail - {mail}), mail),
-                        )
-                elif self._worth(state, mail):
-                    answers.setdefault(mail[1], []).append(mail)
-                continue
-            after = self._deliver(replace(state, mail=state.mail - {mail}), mail)
-            if after is None:
-                continue
-            yield self._words(mail), after
-            if state.doubles:
-                again = replace(after, mail=after.mail | {mail}, doubles=state.doubles - 1)
-                yield f"{self._words(mail)}, and it will come again", again
-        yield from self._hear(state, answers)
+            if mail.receiver in self.acceptor_names:
+                yield from self._arrivals(state, mail, may_repeat=bool(state.duplicates))
+            elif self._can_matter(state, mail):
+                if isinstance(mail.message, Nack):
+                    yield from self._arrivals(state, mail, may_repeat=False)
+                else:
+                    answers.setdefault(mail.receiver, []).append(mail)
+        yield from self._deliver_answers(state, answers)
         if state.restarts:
-            for place, voter in enumerate(state.voters):
-                fresh = self.voter(
-                    voter.name, self.timing, STILL, Suspensions(), self.voter_now(state.tick)
-                )
-                voters = self._put(state.voters, place, fresh)
-                after = replace(state, voters=voters, restarts=state.restarts - 1)
-                yield f"{voter.name} starts anew, with empty memory", after
+            yield from self._restarts(state)
         if state.tick < self.ticks:
             yield "a second passes", self._tick(state)
 
-    def _hear(self, state: State, answers: dict[str, list[Mail]]) -> Iterable[tuple[str, State]]:
-        """An asker hears as many answers as make it go on. Fewer change nothing that anybody else can see, so when
-        they came does not matter."""
-        for name, some in answers.items():
-            asker = state.askers[self.asking.index(name)]
-            wanted = asker.majority - len(asker.claims[LEASE].answered)
-            choose = combinations_with_replacement if self.answers_stay else combinations
-            for chosen in choose(sorted(some, key=lambda mail: mail[0]), wanted):
+    def _proposer_steps(self, state: CaseState, index: int) -> Iterable[Step]:
+        """A proposer begins to propose, or releases the lease that it holds."""
+        proposer = state.proposers[index]
+        now, name = self.proposer_now(state.tick), proposer.gateway.name
+        too_early = self.first_leads and index and not state.highest_token
+        if state.proposals_left[index] and not proposer.claims and not too_early:
+            new = copied_proposer(proposer)
+            new.propose(now, LEASE, ballot_number=self._free_ballot(state))
+            left = tuple(n - (at == index) for at, n in enumerate(state.proposals_left))
+            after = self._with_proposer(state, index, new, new.due(now))
+            yield f"{name} asks", replace(after, proposals_left=left)
+        if state.releases_left and proposer.held(now):
+            new = copied_proposer(proposer)
+            outgoing = new.release(LEASE, "moved")
+            before = replace(state, releases_left=state.releases_left - 1)
+            yield f"{name} gives it back", self._with_proposer(before, index, new, outgoing)
+
+    def _free_ballot(self, state: CaseState) -> int:
+        """Return the ballot number that an offer of a released lease would name."""
+        if not self.voluntary_releases:
+            return 0
+        promised = (one.records[LEASE].promised.number for one in state.acceptors if one.records)
+        return max(promised, default=0)
+
+    def _arrivals(self, state: CaseState, mail: Mail, may_repeat: bool) -> Iterable[Step]:
+        """A message arrives, and where it may repeat it stays on its way too."""
+        after = self._deliver(replace(state, mail=state.mail - {mail}), mail)
+        if after is None:
+            return
+        yield mail.words(), after
+        if may_repeat:
+            twice = replace(after, mail=after.mail | {mail}, duplicates=state.duplicates - 1)
+            yield f"{mail.words()}, and it will come again", twice
+
+    def _restarts(self, state: CaseState) -> Iterable[Step]:
+        for index, acceptor in enumerate(state.acceptors):
+            fresh = self._new_acceptor(acceptor.name, self.acceptor_now(state.tick))
+            acceptors = self._put(state.acceptors, index, fresh)
+            after = replace(state, acceptors=acceptors, restarts=state.restarts - 1)
+            yield f"{acceptor.name} starts anew, with empty memory", after
+
+    def _deliver_answers(self, state: CaseState, answers: dict[str, list[Mail]]) -> Iterable[Step]:
+        """Deliver as many answers as make a proposer go on.
+
+        Fewer change nothing that another node can see, so when they came does not matter.
+        """
+        choose = combinations_with_replacement if self.answers_stay else combinations
+        for name, received in answers.items():
+            proposer = state.proposers[self.proposer_names.index(name)]
+            missing = proposer.majority - len(proposer.claims[LEASE].agreeing)
+            for chosen in choose(sorted(received, key=lambda mail: mail.sender), missing):
                 after = replace(state, mail=state.mail - set(chosen))
                 for mail in chosen:
-                    if self._worth(after, mail):
-                        after = self._deliver(after, mail)
-                yield " and ".join(dict.fromkeys(map(self._words, chosen))), after
-
-    def _worth(self, state: State, mail: Mail) -> bool:
-        """Whether it can change anything: what comes to an asker behind its time can't."""
-        sender, to, message = mail
-        if to in self.names:
+                    if self._can_matter(after, mail):
+                        after = self._deliver(after, mail) or after
+                yield " and ".join(dict.fromkeys(mail.words() for mail in chosen)), after
+
+    def _can_matter(self, state: CaseState, mail: Mail) -> bool:
+        """Return whether it can change anything: an answer after its time can't."""
+        message = mail.message
+        if mail.receiver in self.acceptor_names:
             return True
-        claim = state.askers[self.asking.index(to)].claims.get(LEASE)
-        if (
-            claim is None
-            or claim.ballot != message.ballot
-            or (sender in claim.answered and not self.answers_stay)
-        ):
+        claim = state.proposers[self.proposer_names.index(mail.receiver)].claims.get(LEASE)
+        if claim is None or not isinstance(message, Promise | Accept | Nack):
+            return False
+        if claim.ballot != message.ballot:
+            return False
+        if mail.sender in claim.agreeing and not self.answers_stay:
             return False
         if isinstance(message, Promise):
-            return claim.stage is Stage.PREPARING
-        if isinstance(message, Accept):
-            return claim.stage is Stage.PROPOSING and claim.round == message.round
-        return claim.stage in (Stage.PREPARING, Stage.PROPOSING) and sender not in claim.against
-
-    def _words(self, mail: Mail) -> str:
-        sender, to, message = mail
-        if isinstance(message, Prepare):
-            return f"{to} hears {sender} prepare ballot {message.ballot[0]}"
-        if isinstance(message, Propose):
-            return f"{to} hears {sender} propose ballot {message.ballot[0]}, round {message.round}"
-        if isinstance(message, Promise):
-            return f"{to} hears the promise of {sender} for ballot {message.ballot[0]}"
+            return claim.stage is ClaimStage.PREPARING
         if isinstance(message, Accept):
-            return f"{to} hears that {sender} accepts ballot {message.ballot[0]}, round {message.round}"
-        if isinstance(message, Refuse):
-            return f"{to} hears that {sender} refuses ballot {message.ballot[0]}"
-        return f"{to} hears {sender} release ballot {message.ballot[0]}"
+            return claim.stage is ClaimStage.PROPOSING and claim.round == message.round
+        in_flight = claim.stage in (ClaimStage.PREPARING, ClaimStage.PROPOSING)
+        return in_flight and mail.sender not in claim.rejecting
 
-    def _tick(self, state: State) -> State:
+    def _tick(self, state: CaseState) -> CaseState:
         tick = state.tick + 1
         new = replace(state, tick=tick)
-        for place, voter in enumerate(state.voters):
-            mine = copied_voter(voter)
-            mine.due(self.voter_now(tick), self.wall(tick))
-            new = replace(new, voters=self._put(new.voters, place, mine))
-        for place, asker in enumerate(state.askers):
-            mine = copied_asker(asker)
-            now = self.asker_now(tick)
-            for claim in mine.claims.values():
-                if claim.stage is Stage.RESTING and not self.renews:
-                    claim.at = claim.held_until
-            out = mine.due(now)
-            new = self._with_asker(new, place, mine, out)
+        for index, acceptor in enumerate(state.acceptors):
+            new_acceptor = copied_acceptor(acceptor)
+            new_acceptor.due(self.acceptor_now(tick), self.wall(tick))
+            new = replace(new, acceptors=self._put(new.acceptors, index, new_acceptor))
+        for index, proposer in enumerate(state.proposers):
+            new_proposer = copied_proposer(proposer)
+            for claim in new_proposer.claims.values():
+                if claim.stage is ClaimStage.RESTING and not self.renews:
+                    claim.next_step_us = claim.held_until_us
+            outgoing = new_proposer.due(self.proposer_now(tick))
+            new = self._with_proposer(new, index, new_proposer, outgoing)
         return new
 
     @staticmethod
-    def _put(some: tuple, place: int, one: object) -> tuple:
-        return (*some[:place], one, *some[place + 1 :])
-
-    def _deliver(self, state: State, mail: Mail) -> State | None:
-        """None: it would change nothing, now or later."""
-        sender, to, message = mail
-        if to in self.names:
-            place = self.names.index(to)
-            mine = copied_voter(state.voters[place])
-            sent = mine.handle(
-                self.voter_now(state.tick), self.wall(state.tick), sender, 1, message
-            )
-            if sent and isinstance(sent[0][1], Refuse) and Refuse in self.left_out:
-                return None
-            new = replace(state, voters=self._put(state.voters, place, mine))
-            return self._sent(new, to, sent)
-        place = self.asking.index(to)
-        mine = copied_asker(state.askers[place])
-        sent = mine.handle(self.asker_now(state.tick), sender, message)
-        return self._with_asker(state, place, mine, sent)
-
-    def _with_asker(self, state: State, place: int, asker: Proposer, out: list) -> State:
-        wrong, highest = state.wrong, state.highest
-        for event in asker.events:
-            if isinstance(event, Gained):
-                if event.number <= highest:
-                    wrong = f"{asker.name} holds under number {event.number}, after {highest}"
-                highest = max(highest, event.number)
-        asker.events.clear()
-        new = replace(
-            state, askers=self._put(state.askers, place, asker), wrong=wrong, highest=highest
+    def _put(nodes: tuple, index: int, node: object) -> tuple:
+        return (*nodes[:index], node, *nodes[index + 1 :])
+
+    def _deliver(self, state: CaseState, mail: Mail) -> CaseState | None:
+        """Return the state after a message has arrived; None: it changes nothing, now or later."""
+        if mail.receiver in self.acceptor_names:
+            return self._deliver_to_acceptor(state, mail)
+        index = self.proposer_names.index(mail.receiver)
+        proposer = copied_proposer(state.proposers[index])
+        now = self.proposer_now(state.tick)
+        return self._with_proposer(
+            state, index, proposer, self._handle_answer(proposer, now, mail.sender, mail.message)
         )
-        return self._sent(new, asker.name, out)
 
-    def _sent(self, state: State, sender: str, out: list) -> State:
+    @staticmethod
+    def _handle_answer(
+        proposer: Proposer, now: int, sender: str, message: Message
+    ) -> list[Outgoing]:
+        if not isinstance(message, Promise | Accept | Nack):
+            return []
+        return proposer.handle(now, sender, message)
+
+    def _deliver_to_acceptor(self, state: CaseState, mail: Mail) -> CaseState | None:
+        index = self.acceptor_names.index(mail.receiver)
+        acceptor = copied_acceptor(state.acceptors[index])
+        now, wall = self.acceptor_now(state.tick), self.wall(state.tick)
+        answers = acceptor.handle(now, wall, GatewayId(mail.sender, 1), mail.message)
+        if answers and isinstance(answers[0].message, Nack) and Nack in self.left_out:
+            return None
+        new = replace(state, acceptors=self._put(state.acceptors, index, acceptor))
+        return self._with_mail(new, mail.receiver, answers)
+
+    def _with_proposer(
+        self, state: CaseState, index: int, proposer: Proposer, outgoing: list[Outgoing]
+    ) -> CaseState:
+        error, highest = state.error, state.highest_token
+        name = proposer.gateway.name
+        for event in proposer.events:
+            if isinstance(event, LeaseGained):
+                if event.fencing_token <= highest:
+                    error = f"{name} holds under number {event.fencing_token}, after {highest}"
+                highest = max(highest, event.fencing_token)
+        proposer.events.clear()
+        proposers = self._put(state.proposers, index, proposer)
+        new = replace(state, proposers=proposers, error=error, highest_token=highest)
+        return self._with_mail(new, name, outgoing)
+
+    def _with_mail(self, state: CaseState, sender: str, outgoing: list[Outgoing]) -> CaseState:
         mail = {
-            (sender, to, message) for to, message in out if not isinstance(message, self.left_out)
+            Mail(sender, one.receiver, one.message)
+            for one in outgoing
+            if not isinstance(one.message, self.left_out)
         }
         new = replace(state, mail=state.mail | mail) if mail else state
-        if (
-            not new.restarts and Refuse in self.left_out
-        ):  # what will be refused for good need not be kept
-            over = [one for one in new.mail if self._refused_for_good(new, one)]
-            if over:
-                new = replace(new, mail=new.mail - set(over))
-        return new
-
-    def _refused_for_good(self, state: State, mail: Mail) -> bool:
-        _, to, message = mail
-        if to not in self.names:
-            return not self._worth(state, mail)
-        entry = state.voters[self.names.index(to)].entries.get(LEASE)
-        if entry is None or isinstance(message, Release):
+        if new.restarts or Nack not in self.left_out:
+            return new
+        # What will always be rejected need not be stored.
+        void = {one for one in new.mail if self._always_rejected(new, one)}
+        return replace(new, mail=new.mail - void) if void else new
+
+    def _always_rejected(self, state: CaseState, mail: Mail) -> bool:
+        message = mail.message
+        if mail.receiver not in self.acceptor_names:
+            return not self._can_matter(state, mail)
+        index = self.acceptor_names.index(mail.receiver)
+        record = state.acceptors[index].records.get(LEASE)
+        if record is None or not isinstance(message, Prepare | Propose):
             return False
-        # A promise does not stand against a renewal.
-        return (isinstance(message, Prepare) or message.fresh) and message.ballot < entry.promised
+        # A renewal is accepted in spite of a promise.
+        needs_promise = isinstance(message, Prepare) or message.initial
+        return needs_promise and message.ballot < record.promised
+
+    # -- what must hold ----------------------------------------------------------------------------
 
-    def holders(self, state: State) -> list[str]:
-        """Who acts right now."""
-        now = self.asker_now(state.tick)
-        return [one.name for one in state.askers if one.held(now)]
+    def holders(self, state: CaseState) -> list[str]:
+        """Return who holds the lease by its own clock."""
+        now = self.proposer_now(state.tick)
+        return [one.gateway.name for one in state.proposers if one.held(now)]
 
-    def breach(self, state: State) -> str:
-        """Two holders, a number that has not grown, or a lease that nobody gets again."""
+    def breach(self, state: CaseState) -> str:
+        """Return what is wrong: two holders, a token that has not grown, a lease lost for ever."""
         holders = self.holders(state)
         if len(holders) > 1:
             return f"{' and '.join(holders)} both hold the lease"
-        if state.wrong:
-            return state.wrong
+        if state.error:
+            return state.error
         if self.regain and not holders and not self._regained(state):
             return "all faults are over, both ask, and nobody gets the lease"
         return ""
 
-    def _regained(self, state: State) -> bool:
-        """With every message arriving at once from here on, and both askers asking: is the lease had within two spans
-        and a silence?"""
+    def _regained(self, state: CaseState) -> bool:
+        """Return whether the lease is held within two durations and a silence.
+
+        From here on every message arrives at once, and all proposers propose.
+        """
         fair = copy.copy(self)
         fair.left_out = ()
-        return fair._fair(state)
+        return any(fair.holders(state) for state in fair._fair_steps(state))
 
-    def _fair(self, state: State) -> bool:
-        waiting: list[Mail] = []
-        for _ in range(3 * self.timing.span // TICK + 2):
+    def _fair_steps(self, state: CaseState) -> Iterable[CaseState]:
+        for _ in range(3 * self.case_timing.duration_us // TICK_US + 2):
             state = self._tick(replace(state, mail=frozenset()))
             waiting = list(state.mail)
-            for place, asker in enumerate(state.askers):
-                mine = copied_asker(asker)
-                now = self.asker_now(state.tick)
-                if (claim := mine.claims.get(LEASE)) and not claim.held_until:
-                    out = mine.give_back(now, LEASE, "")  # its round timed out
-                    state = self._with_asker(replace(state, mail=frozenset()), place, mine, out)
-                    waiting += state.mail
-                    mine = copied_asker(state.askers[place])
-                mine.want(now, LEASE)
-                state = self._with_asker(
-                    replace(state, mail=frozenset()), place, mine, mine.due(now)
-                )
-                waiting += state.mail
+            for index in range(len(state.proposers)):
+                state = self._propose_anew(state, index, waiting)
                 while waiting:
                     mail = waiting.pop(0)
                     after = self._deliver(replace(state, mail=frozenset()), mail)
                     if after is not None:
                         state = after
                         waiting += state.mail
-                    if self.holders(state):
-                        return True
-        return False
-
-    # -- equal states -------------------------------------------------------------------------------------------------
-
-    def key(self, state: State) -> Hashable:
-        """By voter all that concerns it, in a sorted list: voters have no names."""
-        vnow, anow = self.voter_now(state.tick), self.asker_now(state.tick)
-        claims = [one.claims.get(LEASE) for one in state.askers]
-        numbers = {
-            0,
-            state.highest,
-            *(c.number for c in claims if c),
-            *(c.mark for c in claims if c),
-        }
-        for voter in state.voters:
-            numbers |= {voter.floor, voter.seen}
-            if entry := voter.entries.get(LEASE):
-                numbers |= {entry.mark, entry.number}
-        for _, _, message in state.mail:
-            if isinstance(message, Propose):
-                numbers.add(message.number)
-            elif isinstance(message, Promise):
-                numbers.add(message.mark)
-            elif isinstance(message, Prepare):
-                numbers.add(message.seen)
-        numbers |= {one.seen for one in state.askers}
-        rank = self._ranks(numbers)
-        by_voter: dict[str, list] = {name: [] for name in self.names}
-        for sender, to, message in state.mail:
-            if to in by_voter:
-                by_voter[to].append(self._asked(message, rank))
-            elif self._worth(state, (sender, to, message)):
-                by_voter[sender].append(self._told(message, rank))
-        sides = []
-        for voter in state.voters:
-            seen = tuple(
-                (voter.name in c.answered, voter.name in c.against) if c else () for c in claims
-            )
-            mail = tuple(sorted(by_voter[voter.name]))
-            sides.append((self._voter(voter, vnow, rank), seen, mail))
-        askers = tuple(
-            (rank[one.seen], one.n, self._claim(claim, anow, rank))
-            for one, claim in zip(state.askers, claims, strict=True)
-        )
-        left = self.ticks - state.tick
-        return (
-            tuple(sorted(sides)),
-            askers,
-            state.restarts,
-            state.wants,
-            state.doubles,
-            state.gives_back,
-            rank[state.highest],
-            left,
-            state.wrong,
-        )
-
-    @staticmethod
-    def _ranks(numbers: set[int]) -> dict[int, int]:
-        """Numbers by their order; whether one follows the other at once is kept."""
-        rank, at, last = {}, 0, None
-        for number in sorted(numbers):
-            at += 1 if last is None or number - last == 1 else 2
-            rank[number], last = at, number
-        return rank
-
-    @staticmethod
-    def _asked(message: Message, rank: dict[int, int]) -> tuple:
-        if isinstance(message, Propose):
-            return (2, message.ballot, message.round, rank[message.number], message.fresh)
-        if isinstance(message, Prepare):
-            return (1, message.ballot, 0, rank[message.seen])
-        return (3, message.ballot, 0, 0)
-
-    @staticmethod
-    def _told(message: Message, rank: dict[int, int]) -> tuple:
-        if isinstance(message, Promise):
-            return 4, message.ballot, rank[message.mark], 0
-        if isinstance(message, Accept):
-            return 5, message.ballot, message.round, 0
-        return 6, message.ballot, message.round, message.why
-
-    @staticmethod
-    def _voter(voter: Acceptor, now: int, rank: dict[int, int]) -> tuple:
-        entry = voter.entries.get(LEASE) or Entry()
-        silent = 0 if voter.known_from else max(1, voter.silent_until - now)
-        left = max(0, entry.until - now)
-        granted = (entry.ballot, entry.round, rank.get(entry.number, 0)) if left else ()
-        return (
-            silent,
-            entry.promised,
-            entry.gone,
-            entry.ballot,
-            granted,
-            left,
-            rank.get(entry.mark, 0),
-            rank[voter.floor],
-            rank[voter.seen],
+                    yield state
+
+    def _propose_anew(self, state: CaseState, index: int, waiting: list[Mail]) -> CaseState:
+        """Let a proposer give up its round, as after its deadline, and propose; add to the mail."""
+        now = self.proposer_now(state.tick)
+        proposer = copied_proposer(state.proposers[index])
+        if (claim := proposer.claims.get(LEASE)) and not claim.held_until_us:
+            outgoing = proposer.release(LEASE, "")
+            state = self._with_proposer(replace(state, mail=frozenset()), index, proposer, outgoing)
+            waiting += state.mail
+            proposer = copied_proposer(state.proposers[index])
+        proposer.propose(now, LEASE)
+        state = self._with_proposer(
+            replace(state, mail=frozenset()), index, proposer, proposer.due(now)
         )
-
-    def _claim(self, claim: Claim | None, now: int, rank: dict[int, int]) -> tuple:
-        if claim is None:
-            return ()
-        began = max(claim.began - now, -self.timing.held - TICK)
-        held = max(0, claim.held_until - now) if claim.held_until else -1
-        return (
-            claim.stage.value,
-            claim.ballot,
-            claim.round,
-            began,
-            claim.n_seen,
-            rank[claim.mark],
-            rank[claim.number],
-            held,
-            claim.tries,
+        waiting += state.mail
+        return state
+
+    def key(self, state: CaseState) -> Hashable:
+        """Return a key that equal states share."""
+        return state_key(
+            state,
+            self.case_timing,
+            self.acceptor_now(state.tick),
+            self.proposer_now(state.tick),
+            lambda mail: self._can_matter(state, mail),
         )
-
-
-# -- planted faults ---------------------------------------------------------------------------------------------------
-
-
-class NotSilent(Acceptor):
-    """Answers at once after a start."""
-
-    def __init__(self, name, timing, standing, holds, now, **more) -> None:
-        super().__init__(name, timing, standing, holds, now, **more)
-        self.silent_until = now
-
-
-class Backwards(Acceptor):
-    """Takes a late renewal under a ballot from before its holder had the lease anew."""
-
-    def _propose(self, now, wall, sender, life, asked):
-        entry = self.entries.get(asked.lease)
-        if (
-            entry
-            and not asked.fresh
-            and asked.ballot[1:] == entry.ballot[1:]
-            and asked.ballot < entry.ballot
-        ):
-            entry.ballot, entry.round = asked.ballot, min(entry.round, asked.round)
-        return super()._propose(now, wall, sender, life, asked)
-
-
-class LongHolder(CaseTiming):
-    """The holder's span is as long as the voter's."""
-
-    @property
-    def held(self) -> int:
-        return self.span
-
-
-class Minority(Proposer):
-    """One voter less than a majority is enough."""
-
-    @property
-    def majority(self) -> int:
-        return len(self.voters) // 2
-
-
-class Careless(Acceptor):
-    """Looks at no numbers."""
-
-    def _propose(self, now, wall, sender, life, asked):
-        entry, floor = self._entry(now, asked.lease), self.floor
-        mark, entry.mark, self.floor = entry.mark, 0, 0
-        answer = super()._propose(now, wall, sender, life, asked)
-        entry.mark, self.floor = max(mark, entry.mark), floor
-        return answer
-
-
-class SameNumber(Proposer):
-    """Takes the number that it was told instead of the next one."""
-
-    def _promised(self, now, voter, claim, told):
-        out = super()._promised(now, voter, claim, told)
-        if claim.stage is Stage.PROPOSING and not claim.held_until and claim.number > 1:
-            claim.number -= 1
-            out = [(to, replace_number(message, claim.number)) for to, message in out]
-        return out
-
-
-def replace_number(message: Propose, number: int) -> Propose:
-    """The same proposal under another number."""
-    return Propose(
-        message.lease, message.ballot, message.round, message.span, number, message.fresh
-    )
-
-
-class Answers(set):
-    """Counts an answer as often as it comes."""
-
-    times = 0
-
-    def __copy__(self) -> Answers:
-        new = Answers(self)
-        new.times = self.times
-        return new
-
-    def add(self, one) -> None:
-        super().add(one)
-        self.times += 1
-
-    def __len__(self) -> int:
-        return self.times
-
-
-class CountsTwice(Proposer):
-    """Counts answers, not voters."""
-
-    def _begin(self, now, claim, stage):
-        out = super()._begin(now, claim, stage)
-        claim.answered = Answers()
-        return out
