--- a/benchmarks/tls_cost.py
+++ b/benchmarks/tls_cost.py
@@ -27,7 +27,7 @@
 import uvloop
 
 from saffrongw.certs import chain
-from saffrongw.certs.certificate_store import Store
+from saffrongw.certs.certificate_store import CertificateSite
 from saffrongw.certs.documents import CertNote
 from testbed.acme_server.issuer import Issuer, request_of
 from testbed.runner.processes import die_with_parent, free_port
@@ -88,8 +88,8 @@
     def __init__(self, folder: Path, share: float = 1.0, core: int | None = None) -> None:
         self.share, self.core = share, core
         self.folder, self.plain, self.tls = folder, free_port(), free_port()
-        self.store, self.issuer = Store(folder / "state"), Issuer(time.time())
-        self.store.open()
+        self.site, self.issuer = Store(folder / "state"), Issuer(time.time())
+        self.site.folder.open()
         self.number = 0
 
     def swap(self) -> bytes:
@@ -97,7 +97,7 @@
         key, now = chain.new_key("ecdsa-p256"), time.time()
         csr = request_of(chain.csr(key, (NAME,)))
         pem = self.issuer.chain(self.issuer.sign(csr, [NAME], now - 60, now + 86_400 * 90))
-        self.store.install(NAME, pem, key, CertNote(names=(NAME,), imported=True), None)
+        self.site.certificates.install(NAME, pem, key, CertNote(names=(NAME,), imported=True), None)
         return chain.der_of(pem)
 
     async def start(self) -> None:
--- a/saffrongw/admin/certs.py
+++ b/saffrongw/admin/certs.py
@@ -16,23 +16,24 @@
 from saffrongw import operator
 from saffrongw.admin import columns, unusable
 from saffrongw.certs import chain, renewal
-from saffrongw.certs.certificate_store import Store
+from saffrongw.certs.certificate_status import CertificateRow
+from saffrongw.certs.certificate_store import CertificateSite
 from saffrongw.certs.documents import CertNote, DocumentError
 from saffrongw.certs.jose import AccountKey
 from saffrongw.certs.messages import AcmeError
-from saffrongw.certs.renewal_loop import Agent, Row
+from saffrongw.certs.renewal_loop import RenewalLoop
 from saffrongw.certs.table import REASONS, AuthorityTable, CertsTable
-from saffrongw.certs.tls_listener import Manner
+from saffrongw.certs.tls_listener import TlsSettings
 from toml_schema import SchemaError
 
 ALARM_STATUS = 1  # exit status of ``list`` where something is urgent
 
 
 @dataclass(frozen=True, slots=True)
-class Site:
-    """The folder, and the table where one was named."""
+class NamedSite:
+    """The shared folder that a command names, and the operator's table if there is one."""
 
-    store: Store
+    stores: CertificateSite
     table: CertsTable | None
 
 
@@ -45,16 +46,18 @@
     return datetime.fromtimestamp(at, UTC).strftime("%Y-%m-%d %H:%M UTC")
 
 
-def rows_of(site: Site) -> list[Row]:
+def rows_of(site: NamedSite) -> list[CertificateRow]:
     """What a gateway would show, from the folder alone: who orders right now is not known here."""
-    table = site.table or CertsTable("none:1", site.store.folder)
-    agent = Agent(table, "operator", Manner())
-    agent.keeper.pairs = {id: pair for id in site.store.ids() if (pair := site.store.pair(id))}
-    agent.notes = agent._read_notes()
-    return agent.rows()
+    table = site.table or CertsTable("none:1", site.stores.folder.path)
+    renewal_loop = RenewalLoop(table, "operator", TlsSettings())
+    store = site.stores.certificates
+    found = {name: store.pair(name) for name in store.ids()}
+    renewal_loop.loaded.pairs = {name: pair for name, pair in found.items() if pair}
+    renewal_loop.status.notes = renewal_loop.status.read_notes()
+    return renewal_loop.rows()
 
 
-def as_json(row: Row) -> dict:
+def as_json(row: CertificateRow) -> dict:
     """One row in plain types."""
     return {
         "id": row.id,
@@ -69,7 +72,7 @@
     }
 
 
-def table_text(rows: list[Row]) -> str:
+def table_text(rows: list[CertificateRow]) -> str:
     """Rows as a table."""
     lines = [
         (
@@ -96,25 +99,25 @@
     return columns(lines)
 
 
-def _list(site: Site, given: argparse.Namespace) -> int:
+def _list(site: NamedSite, given: argparse.Namespace) -> int:
     rows = rows_of(site)
     if given.json:
         for row in rows:
             print(json.dumps(as_json(row)))
     else:
         print(table_text(rows) if rows else "no certificates")
-        if (lease := site.store.lease()) is not None:
+        if (lease := site.stores.lease.current()) is not None:
             print(f"orders: {lease.holder}, term {lease.term}, until {when(lease.until)}")
     return ALARM_STATUS if any(row.alarm >= renewal.Alarm.WARNING for row in rows) else 0
 
 
-def _show(site: Site, given: argparse.Namespace) -> int:
+def _show(site: NamedSite, given: argparse.Namespace) -> int:
     row = next((row for row in rows_of(site) if row.id == given.id), None)
     if row is None:
         return unusable(
-            f"no certificate is called {given.id!r}; there are: {', '.join(site.store.ids()) or 'none'}"
+            f"no certificate is called {given.id!r}; there are: {', '.join(site.stores.certificates.ids()) or 'none'}"
         )
-    note, pair = site.store.note(given.id), site.store.pair(given.id)
+    note, pair = site.stores.certificates.note(given.id), site.stores.certificates.pair(given.id)
     print(f"certificate  {row.id}")
     print(f"names        {', '.join(row.names) or '-'}")
     if pair:
@@ -148,20 +151,24 @@
     return datetime.fromtimestamp(at, UTC).strftime("%Y-%m-%d %H:%M:%S UTC")
 
 
-def _renew(site: Site, given: argparse.Namespace) -> int:
-    managed = {one.id for one in site.table.certificate} if site.table else set(site.store.ids())
+def _renew(site: NamedSite, given: argparse.Namespace) -> int:
+    managed = (
+        {one.id for one in site.table.certificate}
+        if site.table
+        else set(site.stores.certificates.ids())
+    )
     if given.id not in managed:
         return unusable(
             f"no certificate is called {given.id!r}; there are: {', '.join(sorted(managed)) or 'none'}"
         )
-    site.store.want(given.id)
+    site.stores.certificates.request_renewal(given.id)
     print(
         f"{given.id}: whoever holds the duty renews it within a second or two; watch `saffrongw certs list`"
     )
     return 0
 
 
-def _import(site: Site, given: argparse.Namespace) -> int:
+def _import(site: NamedSite, given: argparse.Namespace) -> int:
     try:
         cert, key = given.cert.read_bytes(), given.key.read_bytes()
     except OSError as wrong:
@@ -172,7 +179,7 @@
         return unusable(f"{given.cert}: {wrong}")
     id = given.id or facts.names[0].replace("*", "_")
     note = CertNote(names=facts.names, imported=True)
-    site.store.install(id, cert, key, note, None)
+    site.stores.certificates.install(id, cert, key, note, None)
     print(
         f"{id}: in service for {', '.join(facts.names)}, {(facts.end - time.time()) / 86_400:.1f} days left"
     )
@@ -181,7 +188,7 @@
     return 0
 
 
-def _authority(site: Site, directory: str) -> AuthorityTable:
+def _authority(site: NamedSite, directory: str) -> AuthorityTable:
     """The one that was named, or the only one."""
     places = site.table.authority if site.table else ()
     for place in places:
@@ -193,37 +200,38 @@
     raise DocumentError(f"which authority? --authority is one of: {known}")
 
 
-async def _speak(site: Site, place: AuthorityTable, what) -> None:
+async def _speak(site: NamedSite, place: AuthorityTable, what) -> None:
     """One conversation with an authority under our account there."""
-    agent = Agent(site.table, "operator", Manner())
-    agent.store = site.store
+    renewal_loop = RenewalLoop(site.table, "operator", TlsSettings())
+    orders = renewal_loop.orders
+    orders.site = site.stores
     try:
-        session, https = await agent._session(place, None)
-        await agent.perform(what(session), https, "", None)
+        session, https = await orders.connect(place, None)
+        await orders.perform(what(session), https, "", None)
     finally:
-        agent.pool.shutdown(wait=False)
+        renewal_loop.worker.close()
 
 
-def _revoke(site: Site, given: argparse.Namespace) -> int:
-    pair = site.store.pair(given.id)
+def _revoke(site: NamedSite, given: argparse.Namespace) -> int:
+    pair = site.stores.certificates.pair(given.id)
     if pair is None:
         return unusable(f"{given.id}: there is no certificate")
-    der = chain.der_of(site.store.files(pair)[0])
+    der = chain.der_of(site.stores.certificates.files(pair)[0])
     place = _authority(site, given.authority)
     asyncio.run(_speak(site, place, lambda session: session.revoke(der, REASONS[given.reason])))
-    site.store.drop_pending(given.id, None)
-    site.store.want(given.id)
+    site.stores.certificates.drop_pending_key(given.id, None)
+    site.stores.certificates.request_renewal(given.id)
     print(
         f"{given.id}: revoked; it serves until its successor is there, which is ordered now with a new key"
     )
     return 0
 
 
-def _rollover(site: Site, given: argparse.Namespace) -> int:
+def _rollover(site: NamedSite, given: argparse.Namespace) -> int:
     place, new = _authority(site, given.authority), AccountKey.new()
-    site.store.begin_key_change(place.directory, new)
+    site.stores.accounts.begin_key_change(place.directory, new)
     asyncio.run(_speak(site, place, lambda session: session.roll_over(new)))
-    site.store.end_key_change(place.directory)
+    site.stores.accounts.end_key_change(place.directory)
     print(f"the account at {place.directory} has a new key")
     return 0
 
@@ -242,11 +250,11 @@
         table = operator.load(given.operator).certs if given.operator else None
         if given.operator and table is None:
             return unusable(f"{given.operator}: it has no [certs]")
-        store = Store(table.state_dir if table else given.state)
-        if not store.folder.is_dir() and given.what != "import":
-            return unusable(f"{store.folder}: there is no such folder")
-        store.open()
-        return act[given.what](Site(store, table), given)
+        site = CertificateSite(table.state_dir if table else given.state)
+        if not site.folder.path.is_dir() and given.what != "import":
+            return unusable(f"{site.folder.path}: there is no such folder")
+        site.folder.open()
+        return act[given.what](NamedSite(site, table), given)
     except SchemaError as wrong:
         return unusable(wrong)
     except (AcmeError, DocumentError) as wrong:
--- a/saffrongw/certs/certificate_store.py
+++ b/saffrongw/certs/certificate_store.py
@@ -1,65 +1,42 @@
-"""The folder that all gateways of one site share: certificates, keys, accounts, orders, challenges, the lease.
-
-    lock                        held (flock) for each change
-    lease.json                  who orders; see lease.py
-    news                        grows with each change of what serves: gateways look at it once a second
-    authorities/DIGEST/         account.json, account.key (account.next while the key changes)
-    certs/ID/                   note.json, pending.key, current (the name of a version), FINGERPRINT/{cert.pem,key.pem}
-    challenges/                 TOKEN.json, gone by their age
-
-Plain files, and not a database: several machines may mount it, each key has its own mode, and the tools that operators
-know can read them. A file is written whole or not at all: to a name of its own, synced, renamed, the folder synced.
-Nothing here is called on the event loop; one folder may be used by several processes at once.
+"""Certificates of a site in its shared folder: versions in service, pending keys, and what is known of each.
+
+    certs/ID/note.json          order, failures, renewal window (``documents.py``)
+    certs/ID/pending.key        the key that is being certified
+    certs/ID/current            the name of the version in service
+    certs/ID/FINGERPRINT/       cert.pem and key.pem of one version
+    news                        changes whenever another certificate serves
+
+``CertificateSite`` brings together the stores of one folder.
 """
 
 from __future__ import annotations
 
-import contextlib
-import errno
-import fcntl
-import hashlib
-import json
-import os
 import re
 import secrets
 import time
-from collections.abc import Callable, Iterator
-from dataclasses import asdict, dataclass, replace
+from collections.abc import Callable
+from dataclasses import dataclass, replace
 from pathlib import Path
 
 from saffrongw.gateway.extensions import LeaderGuard
 
 from . import chain, documents
-from .documents import Account, CertNote, DocumentError
-from .jose import AccountKey
-from .lease import Keep, Lease, Take, Terms, Wait, capped, decide, held
-from .messages import AcmeError, Kind
-
-SCHEMA = b"saffrongw certs 1\n"
-CHALLENGE_FOR = 2 * 3_600.0  # seconds after which one that nobody took down is gone
-VERSIONS_KEPT = 3  # of each certificate: the current one and those before it
-LOCK_WITHIN, LOCK_LOOK = 10.0, 0.02  # seconds to wait for the lock / between two tries
-BY_DUTY = "fleet:"  # before the holder's name in the file, where a lease of the whole fleet stands behind it
-DUTY_LOOK = 0.5  # seconds between two looks at whether that is ours
-FILE_MOST = 256 * 1024  # bytes of any file here
+from .account_store import AccountStore
+from .challenge_store import ChallengeStore
+from .documents import CertNote, DocumentError
+from .lease import Terms
+from .ordering_lease import OrderingLease, OrderingTerm
+from .shared_folder import SharedFolder, StoreError, store_error
+
+# Versions kept of each certificate: the current one and those before it.
+KEPT_VERSIONS = 3
 _ID = re.compile(r"[a-z0-9*_][a-z0-9.\-*_]{0,120}")
-_TOKEN = re.compile(r"[A-Za-z0-9_\-]{8,256}")
-
-
-class StoreError(AcmeError):
-    """The folder can't be used as it is: what, and why."""
-
-    def __init__(self, detail: str) -> None:
-        super().__init__(Kind.LOCAL, detail)
-
-
-class LostLease(StoreError):
-    """Another gateway orders by now; what this one was about to write is not written."""
+_VERSION = re.compile(r"[0-9a-f]{32}")
 
 
 @dataclass(frozen=True, slots=True)
-class Pair:
-    """A certificate in service: where its files lie, and what it says."""
+class CertificatePair:
+    """A certificate that may serve: the files of certificate and key, and what the certificate says."""
 
     id: str
     cert: Path
@@ -67,504 +44,223 @@
     facts: chain.Facts
 
 
-@dataclass(frozen=True, slots=True)
-class Proof:
-    """A challenge that somebody may come to check."""
-
-    name: str
-    type: str
-    token: str
-    authorisation: str
-    until: float
-
-
-def _told(wrong: OSError, what: object) -> StoreError:
-    """The cause in an operator's words."""
-    words = {
-        errno.ENOSPC: "the disk is full",
-        errno.EDQUOT: "the disk quota is used up",
-        errno.EROFS: "the disk is read-only",
-        errno.EACCES: "permission denied",
-    }
-    return StoreError(f"{what}: {words.get(wrong.errno, wrong.strerror or wrong)}")
-
-
-class Store:
-    """One site's folder.
-
-    ``duty`` says who may order where a lease of the whole fleet does; else the file's own lease does.
-    ``step`` is called with a name before and after each change that others see: tests stop there.
-    """
+class CertificateStore:
+    """Reads and installs the certificates of a shared folder."""
 
     def __init__(
-        self,
-        folder: Path,
-        now: Callable[[], float] = time.time,
-        terms: Terms | None = None,
-        step: Callable[[str], None] | None = None,
-        duty: LeaderGuard | None = None,
+        self, folder: SharedFolder, lease: OrderingLease, now: Callable[[], float]
     ) -> None:
-        self.folder, self.now, self.terms, self.duty = folder, now, terms or Terms(), duty
-        self.step = step or (lambda name: None)
-
-    # -- files ----------------------------------------------------------------------------------------------------
-
-    def open(self) -> None:
-        """Make the folder where there is none; one of another program is refused and left as it is."""
-        try:
-            self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-            for name in ("authorities", "certs", "challenges"):
-                (self.folder / name).mkdir(mode=0o700, exist_ok=True)
-            mark = self.folder / "schema"
-            if not mark.exists():
-                self._write(mark, SCHEMA)
-            elif (found := mark.read_bytes()[:100]) != SCHEMA:
-                raise StoreError(
-                    f"{mark}: {found!r:.60} is not {SCHEMA.decode().strip()!r}; it was left as it is"
-                )
-            if self.folder.stat().st_mode & 0o077:
-                raise StoreError(f"{self.folder}: others may look into it (mode 0700 is needed)")
-        except OSError as wrong:
-            raise _told(wrong, self.folder) from None
-
-    def _write(self, path: Path, data: bytes) -> None:
-        """Whole or not at all, readable by nobody else, durable when this returns."""
-        part = path.with_name(f".{path.name}.{secrets.token_hex(4)}")
-        try:
-            fd = os.open(part, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
-            try:
-                with os.fdopen(fd, "wb") as file:
-                    file.write(data)
-                    file.flush()
-                    os.fsync(file.fileno())
-                self.step(f"write {path.name}")
-                os.rename(part, path)
-                self.step(f"wrote {path.name}")
-            except BaseException:
-                with contextlib.suppress(OSError):
-                    part.unlink()
-                raise
-            self._sync(path.parent)
-        except OSError as wrong:
-            raise _told(wrong, path) from None
-
-    @staticmethod
-    def _sync(folder: Path) -> None:
-        fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
-        try:
-            os.fsync(fd)
-        finally:
-            os.close(fd)
-
-    def _read(self, path: Path) -> bytes | None:
-        """None: there is none."""
-        try:
-            with path.open("rb") as file:
-                found = file.read(FILE_MOST + 1)
-        except (FileNotFoundError, NotADirectoryError):
-            return None
-        except OSError as wrong:
-            raise _told(wrong, path) from None
-        if len(found) > FILE_MOST:
-            raise StoreError(f"{path}: longer than {FILE_MOST} bytes")
-        return found
-
-    def _remove(self, path: Path) -> None:
-        try:
-            path.unlink(missing_ok=True)
-        except OSError as wrong:
-            raise _told(wrong, path) from None
-
-    @contextlib.contextmanager
-    def _locked(self) -> Iterator[None]:
-        """One change at a time, over all processes; a holder that dies lets go."""
-        try:
-            fd = os.open(self.folder / "lock", os.O_RDWR | os.O_CREAT, 0o600)
-        except OSError as wrong:
-            raise _told(wrong, self.folder / "lock") from None
-        try:
-            end = time.monotonic() + LOCK_WITHIN
-            while True:
-                try:
-                    fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
-                    break
-                except BlockingIOError:
-                    if time.monotonic() > end:
-                        raise StoreError(
-                            f"{self.folder}: locked for {LOCK_WITHIN:g} s by another process"
-                        ) from None
-                    time.sleep(LOCK_LOOK)
-                except OSError as wrong:
-                    raise _told(wrong, self.folder / "lock") from None
-            yield
-        finally:
-            os.close(fd)
-
-    # -- the lease ------------------------------------------------------------------------------------------------
-
-    def lease(self) -> Lease | None:
-        """As it was written; one that makes no sense counts as none, so that it can't block the duty."""
-        raw = self._read(self.folder / "lease.json")
-        if raw is None:
-            return None
-        try:
-            found = json.loads(raw)
-            lease = Lease(str(found["holder"]), int(found["term"]), float(found["until"]))
-            return lease if 0 < lease.term < 1 << 53 and lease.until == lease.until else None
-        except (ValueError, KeyError, TypeError, OverflowError):
-            return None
-
-    def take_duty(self, me: str) -> tuple[int, float]:
-        """(term, look again at): the term under which we may order now, 0 where another does.
-
-        With a duty over the whole fleet its number is the term, and what was written before us stands in its way only
-        by a higher term. The file says so to gateways that go by it alone, until all of them have the duty.
-        """
-        if self.duty is not None:
-            return self._take_under_duty(me, self.duty)
-        with self._locked():
-            now, found = self.now(), self.lease()
-            if found is not None and (cut := capped(now, found, self.terms)) != found:
-                found = cut
-                self._write(self.folder / "lease.json", json.dumps(asdict(found)).encode())
-            what = decide(now, me, found, self.terms)
-            if isinstance(what, Take):
-                self._write(self.folder / "lease.json", json.dumps(asdict(what.lease)).encode())
-                return what.lease.term, what.lease.until - self.terms.span / 2
-            if isinstance(what, Keep):
-                return found.term, what.until
-            assert isinstance(what, Wait)
-            return 0, what.until
-
-    def _take_under_duty(self, me: str, duty: LeaderGuard) -> tuple[int, float]:
-        number, again_at = duty.number(), self.terms.span / 2
-        again = self.now() + DUTY_LOOK
-        if not number:
-            return 0, again
-        with self._locked():
-            now, found = self.now(), self.lease()
-            if found is not None and found.term > number:
-                duty.above(found.term)
-                return 0, again
-            if found is not None and not found.holder.startswith(BY_DUTY):
-                ends = capped(now, found, self.terms).until + self.terms.skew
-                if ends > now:
-                    return 0, min(again, ends)  # one that goes by the file alone has it yet
-            mine = Lease(BY_DUTY + me, number, now + self.terms.span)
-            if (
-                found is None
-                or (found.holder, found.term) != (mine.holder, number)
-                or found.until < now + again_at
-            ):
-                self._write(self.folder / "lease.json", json.dumps(asdict(mine)).encode())
-        return number, again
-
-    def _holds(self, duty: tuple[str, int]) -> bool:
-        """Whether a write under this term may be done right now; under the lock."""
-        found = self.lease()
-        if self.duty is None:
-            return held(self.now(), *duty, found, self.terms)
-        ours = found is not None and (found.holder, found.term) == (BY_DUTY + duty[0], duty[1])
-        return ours and self.duty.valid(duty[1])
-
-    def drop_duty(self, me: str) -> None:
-        """Another may take it at once."""
-        with self._locked():
-            found = self.lease()
-            if found and found.holder in (me, BY_DUTY + me):
-                over = Lease(found.holder, found.term, self.now() - self.terms.skew)
-                self._write(self.folder / "lease.json", json.dumps(asdict(over)).encode())
-
-    @contextlib.contextmanager
-    def _under(self, duty: tuple[str, int] | None) -> Iterator[None]:
-        """The lock, and the term checked under it. None: by an operator's hand."""
-        with self._locked():
-            if duty is not None and not self._holds(duty):
-                raise LostLease("another gateway orders by now")
-            yield
-
-    # -- accounts -------------------------------------------------------------------------------------------------
-
-    def _authority(self, directory: str) -> Path:
-        return self.folder / "authorities" / hashlib.sha256(directory.encode()).hexdigest()[:16]
-
-    def account(
-        self, directory: str, duty: tuple[str, int] | None
-    ) -> tuple[AccountKey, Account | None]:
-        """The key, made and written where there is none, and the account if there is one."""
-        place = self._authority(directory)
-        pem = self._read(place / "account.key")
-        if pem is None:
-            with self._under(duty):
-                try:
-                    place.mkdir(mode=0o700, exist_ok=True)
-                except OSError as wrong:
-                    raise _told(wrong, place) from None
-                pem = self._read(place / "account.key")
-                if pem is None:
-                    pem = AccountKey.new().pem
-                    self._write(place / "account.key", pem)
-        try:
-            key = AccountKey.of(pem)
-        except ValueError as wrong:
-            raise StoreError(f"{place / 'account.key'}: {wrong}") from None
-        raw = self._read(place / "account.json")
-        if raw is None:
-            return key, None
-        try:
-            return key, documents.account(raw, str(place / "account.json"))
-        except DocumentError:
-            return key, None  # asked for again with the same key: the same account comes back
-
-    def keep_account(self, account: Account, duty: tuple[str, int] | None) -> None:
-        """Note what the authority said."""
-        with self._under(duty):
-            self._write(
-                self._authority(account.directory) / "account.json", documents.dump(account)
-            )
-
-    def lose_account(self, directory: str, duty: tuple[str, int] | None) -> None:
-        """The authority knows it no more: the key is set aside, never deleted, and a new one begins."""
-        place = self._authority(directory)
-        with self._under(duty):
-            self._remove(place / "account.json")
-            try:
-                (place / "account.key").rename(place / f"account.key.gone-{int(self.now())}")
-                self._sync(place)
-            except FileNotFoundError:
-                pass
-            except OSError as wrong:
-                raise _told(wrong, place) from None
-
-    def next_key(self, directory: str) -> AccountKey | None:
-        """A key that was about to take over, if a change was cut off."""
-        pem = self._read(self._authority(directory) / "account.next")
-        return AccountKey.of(pem) if pem else None
-
-    def begin_key_change(self, directory: str, key: AccountKey) -> None:
-        """Durable before the authority hears of it."""
-        with self._under(None):
-            self._write(self._authority(directory) / "account.next", key.pem)
-
-    def end_key_change(self, directory: str) -> None:
-        """The new key is the account's."""
-        place = self._authority(directory)
-        with self._under(None):
-            try:
-                (place / "account.next").rename(place / "account.key")
-                self._sync(place)
-            except OSError as wrong:
-                raise _told(wrong, place) from None
-
-    # -- certificates ---------------------------------------------------------------------------------------------
-
-    def _cert(self, id: str) -> Path:
-        if not _ID.fullmatch(id):
-            raise StoreError(f"{id!r:.60} can't name a certificate")
-        return self.folder / "certs" / id
+        self.folder, self.lease, self.now = folder, lease, now
+        self.path = folder.path / "certs"
 
     def ids(self) -> list[str]:
-        """All certificates that there is something of."""
+        """Return the identifiers of all certificates that the folder knows."""
         try:
             return sorted(
-                p.name
-                for p in (self.folder / "certs").iterdir()
-                if _ID.fullmatch(p.name) and p.is_dir()
+                path.name
+                for path in self.path.iterdir()
+                if _ID.fullmatch(path.name) and path.is_dir()
             )
-        except OSError as wrong:
-            raise _told(wrong, self.folder / "certs") from None
+        except OSError as error:
+            raise store_error(error, self.path) from None
 
-    def note(self, id: str) -> CertNote:
-        """What is kept of it; ``DocumentError`` where that makes no sense."""
-        path = self._cert(id) / "note.json"
-        raw = self._read(path)
+    def note(self, certificate_id: str) -> CertNote:
+        """Return what is known of a certificate; ``DocumentError`` if it is malformed."""
+        path = self._directory(certificate_id) / "note.json"
+        raw = self.folder.read(path)
         return CertNote() if raw is None else documents.cert(raw, str(path))
 
     def amend(
-        self, id: str, change: Callable[[CertNote], CertNote], duty: tuple[str, int] | None
+        self,
+        certificate_id: str,
+        change: Callable[[CertNote], CertNote],
+        term: OrderingTerm | None,
     ) -> None:
-        """Change what is kept of it, durable before the next step. Read and written under one lock, so that what an
-        operator and an order write at the same time both hold. One that makes no sense begins anew."""
-        with self._under(duty):
+        """Change what is known of a certificate, durably before the next step.
+
+        The note is read and written under one lock, so that what an operator and an order write at the
+        same time both hold. A malformed note begins anew.
+        """
+        with self.lease.guarded(term):
             try:
-                note = self.note(id)
+                note = self.note(certificate_id)
             except DocumentError:
                 note = CertNote()
-            self._folder(id)
-            self._write(self._cert(id) / "note.json", documents.dump(change(note)))
-
-    def _folder(self, id: str) -> None:
-        try:
-            self._cert(id).mkdir(mode=0o700, exist_ok=True)
-        except OSError as wrong:
-            raise _told(wrong, self._cert(id)) from None
-
-    def pending_key(self, id: str, kind: str, duty: tuple[str, int] | None) -> bytes:
-        """The key that is being certified: the one that was begun with, or a new one, written before it is used."""
-        path = self._cert(id) / "pending.key"
-        found = self._read(path)
-        if found is not None:
-            try:
-                chain.load_key(found)
-                return found
-            except chain.ChainError:
-                pass  # of a disk that lost it: a new one
-        made = chain.new_key(kind)
-        with self._under(duty):
-            self._folder(id)
-            self._write(path, made)
-        return made
-
-    def drop_pending(self, id: str, duty: tuple[str, int] | None) -> None:
-        """The authority does not want that key, or it has become the key in service."""
-        with self._under(duty):
-            self._remove(self._cert(id) / "pending.key")
+            self._write_note(certificate_id, change(note))
+
+    def request_renewal(self, certificate_id: str) -> None:
+        """Have a certificate renewed now, as an operator asked for it."""
+
+        def request(note: CertNote) -> CertNote:
+            failures = replace(note.failures, next_at=0.0, forced=False)
+            return replace(note, wanted=True, failures=failures)
+
+        self.amend(certificate_id, request, None)
+
+    def pending_key(self, certificate_id: str, kind: str, term: OrderingTerm | None) -> bytes:
+        """Return the key that is being certified; a new one is kept before it is used."""
+        path = self._directory(certificate_id) / "pending.key"
+        found = self.folder.read(path)
+        if found is not None and _is_key(found):
+            return found
+        created = chain.new_key(kind)
+        with self.lease.guarded(term):
+            self.folder.make_directory(self._directory(certificate_id))
+            self.folder.write(path, created)
+        return created
+
+    def drop_pending_key(self, certificate_id: str, term: OrderingTerm | None) -> None:
+        """Delete the pending key: the authority rejected it, or it is the key in service."""
+        with self.lease.guarded(term):
+            self._remove_pending_key(certificate_id)
 
     def install(
-        self, id: str, cert: bytes, key: bytes, note: CertNote, duty: tuple[str, int] | None
+        self,
+        certificate_id: str,
+        cert: bytes,
+        key: bytes,
+        note: CertNote,
+        term: OrderingTerm | None,
     ) -> None:
-        """In service from now on, with its key. Cut off anywhere, either the old pair serves or the new one; done
-        again with the same certificate nothing changes."""
+        """Put a certificate into service with its key.
+
+        Interrupted anywhere, either the old pair serves or the new one; done again with the same
+        certificate, nothing changes.
+        """
         facts = chain.facts_of(chain.parse(cert))
-        with self._under(duty):
-            self._folder(id)
-            place = self._cert(id) / facts.fingerprint[:32]
-            try:
-                place.mkdir(mode=0o700, exist_ok=True)
-            except OSError as wrong:
-                raise _told(wrong, place) from None
-            self._write(place / "key.pem", key)
-            self._write(place / "cert.pem", cert)
-            self._sync(place.parent)
-            self._write(self._cert(id) / "current", place.name.encode())
-            self._write(self._cert(id) / "note.json", documents.dump(note))
-            self._remove(self._cert(id) / "pending.key")
-            self._prune(id)
-            self._tell()
-
-    def tidy(self, id: str, duty: tuple[str, int] | None) -> None:
-        """A crash right after a certificate came in service leaves the note of its order, and its key a second time:
-        else the next renewal would begin by taking up an order that is done."""
-        pending, pair = self._read(self._cert(id) / "pending.key"), self.pair(id)
-        if pending is None or pair is None or self._read(pair.key) != pending:
+        with self.lease.guarded(term):
+            directory = self._directory(certificate_id)
+            version = directory / facts.fingerprint[:32]
+            self.folder.make_directory(directory)
+            self.folder.make_directory(version)
+            self.folder.write(version / "key.pem", key)
+            self.folder.write(version / "cert.pem", cert)
+            self.folder.sync(directory)
+            self.folder.write(directory / "current", version.name.encode())
+            self._write_note(certificate_id, note)
+            self._remove_pending_key(certificate_id)
+            self._prune(certificate_id)
+            self._mark_changed()
+
+    def finish_interrupted_install(self, certificate_id: str, term: OrderingTerm | None) -> None:
+        """Clear the order of a certificate that is in service already.
+
+        A crash right after the installation leaves the note of the order and a second copy of the key;
+        the next renewal would otherwise resume an order that is done.
+        """
+        pending = self.folder.read(self._directory(certificate_id) / "pending.key")
+        pair = self.pair(certificate_id)
+        if pending is None or pair is None or self.folder.read(pair.key) != pending:
             return
-        with self._under(duty):
-            note = replace(self.note(id), order=None, failures=documents.NONE, wanted=False)
-            self._write(self._cert(id) / "note.json", documents.dump(note))
-            self._remove(self._cert(id) / "pending.key")
-            self._tell()
-
-    def _prune(self, id: str) -> None:
-        """Versions beyond those that are kept; the current one stays in any case."""
-        place, current = self._cert(id), self.current(id)
-        versions = [p for p in place.iterdir() if p.is_dir() and p.name != current]
-        versions.sort(key=lambda p: p.stat().st_mtime, reverse=True)
-        for old in versions[VERSIONS_KEPT - 1 :]:
-            for file in old.iterdir():
-                file.unlink()
-            old.rmdir()
-
-    def current(self, id: str) -> str:
-        """The version in service; empty: none."""
-        found = (self._read(self._cert(id) / "current") or b"").decode("ascii", "replace").strip()
-        return found if re.fullmatch(r"[0-9a-f]{32}", found) else ""
-
-    def pair(self, id: str, names: tuple[str, ...] = ()) -> Pair | None:
-        """What may serve: the current version, or where it can't be used the newest kept one that can. None: there is
-        none. An expired one may, as the last."""
-        place, current = self._cert(id), self.current(id)
-        try:
-            versions = [p for p in place.iterdir() if p.is_dir()] if place.exists() else []
-            versions.sort(key=lambda p: (p.name == current, p.stat().st_mtime), reverse=True)
-        except OSError as wrong:
-            raise _told(wrong, place) from None
-        for any_time in (False, True):
+        with self.lease.guarded(term):
+            note = self.note(certificate_id)
+            note = replace(note, order=None, failures=documents.NO_FAILURES, wanted=False)
+            self._write_note(certificate_id, note)
+            self._remove_pending_key(certificate_id)
+            self._mark_changed()
+
+    def current_version(self, certificate_id: str) -> str:
+        """Return the name of the version in service, or an empty string."""
+        raw = self.folder.read(self._directory(certificate_id) / "current") or b""
+        found = raw.decode("ascii", "replace").strip()
+        return found if _VERSION.fullmatch(found) else ""
+
+    def pair(self, certificate_id: str, names: tuple[str, ...] = ()) -> CertificatePair | None:
+        """Return the pair that may serve, or None.
+
+        This is the current version or, if it cannot be used, the newest kept one that can; an expired
+        one serves as the last resort.
+        """
+        versions = self._versions(certificate_id)
+        for allow_expired in (False, True):
             for version in versions:
-                cert, key = self._read(version / "cert.pem"), self._read(version / "key.pem")
-                if cert is None or key is None:
-                    continue
-                try:
-                    facts = chain.check(cert, key, names, self.now(), any_time)
-                except chain.ChainError:
-                    continue
-                return Pair(id, version / "cert.pem", version / "key.pem", facts)
+                pair = self._usable_pair(certificate_id, version, names, allow_expired)
+                if pair is not None:
+                    return pair
         return None
 
-    def files(self, pair: Pair) -> tuple[bytes, bytes]:
-        """Certificate and key."""
-        return self._read(pair.cert) or b"", self._read(pair.key) or b""
-
-    # -- challenges -----------------------------------------------------------------------------------------------
-
-    def _challenge(self, name: str) -> Path:
-        """By its token, or for checks by TLS by ``name-`` and a digest: they come with the name alone."""
-        return self.folder / "challenges" / f"{name}.json"
-
-    @staticmethod
-    def _by_name(name: str) -> str:
-        return "name-" + hashlib.sha256(name.encode()).hexdigest()[:32]
-
-    def publish(self, proof: Proof, duty: tuple[str, int] | None) -> None:
-        """Any gateway can answer it from now on."""
-        if not _TOKEN.fullmatch(proof.token):
-            raise StoreError(f"{proof.token!r:.60} can't be a token")
-        with self._under(duty):
-            raw = json.dumps(asdict(proof)).encode()
-            self._write(self._challenge(proof.token), raw)
-            if proof.type == "tls-alpn-01":
-                self._write(self._challenge(self._by_name(proof.name)), raw)
-
-    def withdraw(self, tokens: tuple[str, ...]) -> None:
-        """They are over; so are those that are too old."""
-        for token in tokens:
-            found = self.proof(token)
-            if found is None:
-                continue
-            self._remove(self._challenge(token))
-            other = self.proof_for(found.name)
-            if other and other.token == token:
-                self._remove(self._challenge(self._by_name(found.name)))
-        now = self.now()
-        with contextlib.suppress(OSError):
-            for path in (self.folder / "challenges").iterdir():
-                one = self.proof(path.stem)
-                old = (
-                    time.time() - path.stat().st_mtime > CHALLENGE_FOR
-                )  # parts of files that were cut off
-                if (one.until < now) if one else old:
-                    path.unlink()
-
-    def proof(self, token: str) -> Proof | None:
-        """By its token."""
-        if not _TOKEN.fullmatch(token):
+    def _versions(self, certificate_id: str) -> list[Path]:
+        """Return the directories of all versions, the current one first, then the newest."""
+        directory, current = self._directory(certificate_id), self.current_version(certificate_id)
+        if not directory.exists():
+            return []
+        try:
+            found = [path for path in directory.iterdir() if path.is_dir()]
+            found.sort(key=lambda path: (path.name == current, path.stat().st_mtime), reverse=True)
+        except OSError as error:
+            raise store_error(error, directory) from None
+        return found
+
+    def _usable_pair(
+        self, certificate_id: str, version: Path, names: tuple[str, ...], allow_expired: bool
+    ) -> CertificatePair | None:
+        cert = self.folder.read(version / "cert.pem")
+        key = self.folder.read(version / "key.pem")
+        if cert is None or key is None:
             return None
-        raw = self._read(self._challenge(token))
         try:
-            found = json.loads(raw or b"null")
-            texts = (str(found[key]) for key in ("name", "type", "token", "authorisation"))
-            return Proof(*texts, float(found["until"]))
-        except (ValueError, KeyError, TypeError):
+            facts = chain.check(cert, key, names, self.now(), allow_expired)
+        except chain.ChainError:
             return None
+        return CertificatePair(certificate_id, version / "cert.pem", version / "key.pem", facts)
+
+    def files(self, pair: CertificatePair) -> tuple[bytes, bytes]:
+        """Return certificate and key of a pair as PEM."""
+        return self.folder.read(pair.cert) or b"", self.folder.read(pair.key) or b""
+
+    def change_marker(self) -> bytes:
+        """Return bytes that differ from before if other certificates may serve."""
+        return self.folder.read(self.folder.path / "news") or b""
+
+    def _mark_changed(self) -> None:
+        self.folder.write(self.folder.path / "news", secrets.token_hex(8).encode())
+
+    def _directory(self, certificate_id: str) -> Path:
+        if not _ID.fullmatch(certificate_id):
+            raise StoreError(f"{certificate_id!r:.60} can't name a certificate")
+        return self.path / certificate_id
+
+    def _write_note(self, certificate_id: str, note: CertNote) -> None:
+        directory = self._directory(certificate_id)
+        self.folder.make_directory(directory)
+        self.folder.write(directory / "note.json", documents.dump(note))
+
+    def _remove_pending_key(self, certificate_id: str) -> None:
+        self.folder.remove(self._directory(certificate_id) / "pending.key")
+
+    def _prune(self, certificate_id: str) -> None:
+        """Delete versions beyond those that are kept; the current one always stays."""
+        directory, current = self._directory(certificate_id), self.current_version(certificate_id)
+        old = [path for path in directory.iterdir() if path.is_dir() and path.name != current]
+        old.sort(key=lambda path: path.stat().st_mtime, reverse=True)
+        for version in old[KEPT_VERSIONS - 1 :]:
+            for file in version.iterdir():
+                file.unlink()
+            version.rmdir()
 
-    def proof_for(self, name: str) -> Proof | None:
-        """The one that a check of this name by TLS asks for."""
-        return self.proof(self._by_name(name))
 
-    # -- news -----------------------------------------------------------------------------------------------------
+def _is_key(pem: bytes) -> bool:
+    """Tell whether a kept key can be read; a disk may have lost it."""
+    try:
+        chain.load_key(pem)
+    except chain.ChainError:
+        return False
+    return True
 
-    def _tell(self) -> None:
-        self._write(self.folder / "news", secrets.token_hex(8).encode())
 
-    def news(self) -> bytes:
-        """Other bytes than before: what serves may have changed."""
-        return self._read(self.folder / "news") or b""
+class CertificateSite:
+    """The stores of one site's folder: certificates, accounts, challenges and the ordering lease."""
 
-    def want(self, id: str) -> None:
-        """An operator wants it renewed now."""
-        self.amend(
-            id,
-            lambda note: replace(
-                note, wanted=True, failures=replace(note.failures, next_at=0.0, forced=False)
-            ),
-            None,
-        )
+    def __init__(
+        self,
+        path: Path,
+        now: Callable[[], float] = time.time,
+        terms: Terms | None = None,
+        on_step: Callable[[str], None] | None = None,
+        leader_guard: LeaderGuard | None = None,
+    ) -> None:
+        self.folder = SharedFolder(path, on_step)
+        self.lease = OrderingLease(self.folder, now, terms or Terms(), leader_guard)
+        self.certificates = CertificateStore(self.folder, self.lease, now)
+        self.accounts = AccountStore(self.folder, self.lease, now)
+        self.challenges = ChallengeStore(self.folder, self.lease, now)
--- a/saffrongw/certs/client_hello.py
+++ b/saffrongw/certs/client_hello.py
@@ -11,18 +11,20 @@
 
 RECORD_HEAD, HANDSHAKE_HEAD = 5, 4  # bytes
 RECORD_MOST = 16_384  # bytes in a record
-HELLO_MOST = 16_384  # bytes of a whole hello; what clients send has a few hundred to two thousand
+MAX_HELLO_BYTES = (
+    16_384  # bytes of a whole hello; what clients send has a few hundred to two thousand
+)
 HANDSHAKE, CLIENT_HELLO = 22, 1
 SERVER_NAME, ALPN = 0, 16
 ACME_PROTOCOL = b"acme-tls/1"
 
 
-class HelloError(ValueError):
+class ClientHelloError(ValueError):
     """Bytes that are no ClientHello."""
 
 
 @dataclass(frozen=True, slots=True)
-class Hello:
+class ClientHello:
     """The name a client asks for, in lower case (none: it asked for none), and the protocols it offers."""
 
     name: str | None = None
@@ -47,7 +49,7 @@
 
     def take(self, size: int) -> bytes:
         if self.at + size > self.end:
-            raise HelloError("a length points beyond the end")
+            raise ClientHelloError("a length points beyond the end")
         self.at += size
         return self.data[self.at - size : self.at]
 
@@ -55,7 +57,7 @@
         """What follows a length of so many bytes."""
         length = self.number(size)
         if self.at + length > self.end:
-            raise HelloError("a length points beyond the end")
+            raise ClientHelloError("a length points beyond the end")
         self.at += length
         return _Reader(self.data, self.at - length, self.at)
 
@@ -64,7 +66,7 @@
         return self.end - self.at
 
 
-def read(data: bytes) -> Hello | int:
+def parse_client_hello(data: bytes) -> ClientHello | int:
     """The hello that ``data`` begins with; or how many bytes are needed at least before it can be told."""
     body, at, need = b"", 0, HANDSHAKE_HEAD
     while True:
@@ -74,14 +76,14 @@
         _check_head(data[at : at + RECORD_HEAD])
         length = int.from_bytes(data[at + 3 : at + RECORD_HEAD])
         if not 0 < length <= RECORD_MOST:
-            raise HelloError(f"a record of {length} bytes")
+            raise ClientHelloError(f"a record of {length} bytes")
         body += data[at + RECORD_HEAD : at + RECORD_HEAD + length]
         if body and body[0] != CLIENT_HELLO:
-            raise HelloError(f"a handshake that begins with message {body[0]}")
+            raise ClientHelloError(f"a handshake that begins with message {body[0]}")
         if len(body) >= HANDSHAKE_HEAD:
             need = HANDSHAKE_HEAD + int.from_bytes(body[1:HANDSHAKE_HEAD])
-            if need > HELLO_MOST:
-                raise HelloError(f"a hello of {need} bytes")
+            if need > MAX_HELLO_BYTES:
+                raise ClientHelloError(f"a hello of {need} bytes")
             if len(body) >= need:
                 return _parse(_Reader(body, HANDSHAKE_HEAD, need))
         at += RECORD_HEAD + length
@@ -91,37 +93,37 @@
 
 def _check_head(head: bytes) -> None:
     if (head and head[0] != HANDSHAKE) or (len(head) > 1 and head[1] != 3):
-        raise HelloError("no TLS")
+        raise ClientHelloError("no TLS")
 
 
-def _parse(hello: _Reader) -> Hello:
+def _parse(hello: _Reader) -> ClientHello:
     hello.take(2 + 32)  # version, random
     hello.block(1)  # session
     if hello.block(2).left < 2:
-        raise HelloError("no cipher is offered")
+        raise ClientHelloError("no cipher is offered")
     if not hello.block(1).left:
-        raise HelloError("no compression is offered, not even none")
+        raise ClientHelloError("no compression is offered, not even none")
     name, protocols, seen = None, (), set()
     if hello.left:
         extensions = hello.block(2)
         while extensions.left:
             kind, content = extensions.number(2), extensions.block(2)
             if kind in seen:
-                raise HelloError(f"the extension {kind} stands twice")
+                raise ClientHelloError(f"the extension {kind} stands twice")
             seen.add(kind)
             if kind == SERVER_NAME:
                 name = _name(content)
             elif kind == ALPN:
                 protocols = _protocols(content)
     if hello.left:
-        raise HelloError("bytes behind the extensions")
-    return Hello(name, protocols)
+        raise ClientHelloError("bytes behind the extensions")
+    return ClientHello(name, protocols)
 
 
 def _name(content: _Reader) -> str | None:
     names = content.block(2)
     if content.left or not names.left:
-        raise HelloError("a list of names that makes no sense")
+        raise ClientHelloError("a list of names that makes no sense")
     found = None
     while names.left:
         kind, raw = names.number(1), names.block(2)
@@ -129,19 +131,19 @@
             try:
                 found = raw.take(raw.left).decode("ascii").lower()
             except UnicodeDecodeError:
-                raise HelloError("a name that is not ASCII") from None
+                raise ClientHelloError("a name that is not ASCII") from None
             if not found or len(found) > 253 or "\0" in found:
-                raise HelloError("a name that can't be one")
+                raise ClientHelloError("a name that can't be one")
     return found
 
 
 def _protocols(content: _Reader) -> tuple[bytes, ...]:
     names, found = content.block(2), []
     if content.left or not names.left:
-        raise HelloError("a list of protocols that makes no sense")
+        raise ClientHelloError("a list of protocols that makes no sense")
     while names.left:
         one = names.block(1)
         if not one.left:
-            raise HelloError("a protocol without a name")
+            raise ClientHelloError("a protocol without a name")
         found.append(one.take(one.left))
     return tuple(found)
--- a/saffrongw/certs/component.py
+++ b/saffrongw/certs/component.py
@@ -10,25 +10,26 @@
 from saffrongw.gateway.driver import Driver
 from saffrongw.gateway.extensions import LeaderGuard
 
-from .handshakes import SECOND, Bounds
-from .renewal_loop import Agent, Clock, Row
+from .certificate_status import CertificateRow
+from .handshakes import SECOND, HandshakeLimits
+from .renewal_loop import RenewalLoop, SystemClock
 from .responder import Responder
 from .table import CertsTable, ClientsTable
-from .tls_listener import Front, Manner, make_context
+from .tls_listener import TlsListener, TlsSettings, make_context
 
 MS = 1_000  # microseconds
 
 
-def manner_of(table: ClientsTable) -> Manner:
+def tls_settings_of(table: ClientsTable) -> TlsSettings:
     """How TLS is spoken."""
-    return Manner(
+    return TlsSettings(
         table.minimum, table.protocols, table.client_ca, table.clients, table.ticket_hours * 3_600
     )
 
 
-def bounds_of(table: ClientsTable) -> Bounds:
+def handshake_limits_of(table: ClientsTable) -> HandshakeLimits:
     """What handshakes may cost."""
-    return Bounds(
+    return HandshakeLimits(
         table.half_open, table.handshake_ms * MS, table.share, int(table.share * SECOND / 5)
     )
 
@@ -40,35 +41,37 @@
         self,
         table: CertsTable,
         seed: int,
-        clock: Clock | None = None,
-        duty: LeaderGuard | None = None,
+        clock: SystemClock | None = None,
+        leader_guard: LeaderGuard | None = None,
     ) -> None:
         self.table = table
-        manner = manner_of(table.tls)
-        make_context(manner)  # a file of clients' authorities that can't be read ends the start
+        settings = tls_settings_of(table.tls)
+        make_context(settings)  # an unreadable file of client authorities ends the start
         # New with each start: a gateway that comes back is not the one that held the lease.
-        me = f"{socket.gethostname()}-{os.getpid()}-{seed:x}"[:120]
-        self.agent = Agent(table, me, manner, clock, duty=duty)
-        self.front = Front(parse_address(table.listen), manner, bounds_of(table.tls), self.agent)
+        holder = f"{socket.gethostname()}-{os.getpid()}-{seed:x}"[:120]
+        self.renewal = RenewalLoop(table, holder, settings, clock, leader_guard=leader_guard)
+        self.listener = TlsListener(
+            parse_address(table.listen), settings, handshake_limits_of(table.tls), self.renewal
+        )
         self.responder = (
-            Responder(parse_address(table.http_listen), self.agent.key_authorisation)
+            Responder(parse_address(table.http_listen), self.renewal.key_authorisation)
             if table.http_listen
             else None
         )
 
     async def start(self, driver: Driver) -> None:
         """Serve what the folder has, and look after it."""
-        self.front.prepare()
+        self.listener.prepare()
         if self.responder:
             self.responder.start(driver.loop)
-        await self.agent.start()
+        await self.renewal.start()
 
     async def stop(self) -> None:
         """End; another gateway may order at once."""
-        self.front.close()
+        self.listener.close()
         if self.responder:
             self.responder.close()
-        await self.agent.stop()
+        await self.renewal.stop()
 
     def change(self, new: CertsTable) -> Callable[[], None]:
         """Prepare another table: ``OSError`` or ``ValueError`` where it can't be. What is returned puts it in force
@@ -76,37 +79,38 @@
         same = ("listen", "http_listen", "state_dir", "lease_seconds", "clock_skew")
         if moved := [name for name in same if getattr(new, name) != getattr(self.table, name)]:
             raise ValueError(f"certs.{moved[0]} can't change in service")
-        manner = manner_of(new.tls)
-        commit = self.front.change(manner, bounds_of(new.tls))
+        settings = tls_settings_of(new.tls)
+        commit = self.listener.change(settings, handshake_limits_of(new.tls))
 
         def put_in_force() -> None:
             self.table = new
             commit()
-            self.agent.change(new, manner)
+            self.renewal.reconfigure(new, settings)
 
         return put_in_force
 
-    def rows(self) -> list[Row]:
+    def rows(self) -> list[CertificateRow]:
         """Every certificate, the most urgent first."""
-        return self.agent.rows()
+        return self.renewal.rows()
 
     def figures(self) -> list[tuple[str, int]]:
         """Counts since the start, and as of now: certificates, hours that the first one has left, alarms."""
-        rows, agent, shakes = self.rows(), self.agent, self.front.handshakes
+        rows, handshakes = self.rows(), self.listener.handshakes
+        counts = self.renewal.orders.counts
         hours = [int(row.days_left * 24) for row in rows if row.days_left is not None]
         found = [
-            ("certs.count", len(agent.keeper.pairs)),
+            ("certs.count", len(self.renewal.loaded.pairs)),
             ("certs.hours_left_least", min(hours, default=-1)),
             ("certs.alarm_highest", max((int(row.alarm) for row in rows), default=0)),
-            ("certs.swaps", agent.keeper.swaps),
-            ("certs.holds_duty", int(bool(agent.term))),
-            ("certs.orders", agent.counts["orders"]),
-            ("certs.obtained", agent.counts["obtained"]),
+            ("certs.swaps", self.renewal.loaded.swap_count),
+            ("certs.holds_duty", int(bool(self.renewal.term))),
+            ("certs.orders", counts["orders"]),
+            ("certs.obtained", counts["obtained"]),
             (
                 "certs.failed",
-                sum(n for name, n in agent.counts.items() if name.startswith("failed")),
+                sum(n for name, n in counts.items() if name.startswith("failed")),
             ),
-            ("tls.half_open", len(shakes)),
+            ("tls.half_open", len(handshakes)),
         ]
         names = (
             "full",
@@ -118,9 +122,9 @@
             "no hello",
             "left",
         )
-        found += [(f"tls.{name.replace(' ', '_')}", shakes.counts[name]) for name in names]
+        found += [(f"tls.{name.replace(' ', '_')}", handshakes.counts[name]) for name in names]
         found += [
-            (f"tls.{name.replace(' ', '_')}", self.front.counts[name])
+            (f"tls.{name.replace(' ', '_')}", self.listener.counts[name])
             for name in ("unknown name", "checks")
         ]
         return found
--- a/saffrongw/certs/documents.py
+++ b/saffrongw/certs/documents.py
@@ -15,7 +15,7 @@
 from .renewal import Failures
 
 SCHEMA = 1
-NONE = Failures()
+NO_FAILURES = Failures()
 T = TypeVar("T")
 
 
@@ -49,7 +49,7 @@
 
     names: tuple[str, ...] = ()
     order: OrderNote | None = None
-    failures: Failures = NONE
+    failures: Failures = NO_FAILURES
     window: Window | None = None
     wanted: bool = False
     imported: bool = False  # by hand: never renewed by us
--- a/saffrongw/certs/handshakes.py
+++ b/saffrongw/certs/handshakes.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class HandshakeLimits:
     """half_open: connections; within: us for a whole handshake; share: of the core; burst: us of CPU kept for a rush;
     full, resumed: us of CPU that one is expected to cost."""
 
@@ -30,7 +30,7 @@
     resumed: int = 1_400
 
 
-class Place(Enum):
+class HandshakeStage(Enum):
     """Where a connection stands before it is open."""
 
     ASKED = "asked"  # no whole hello yet
@@ -41,7 +41,7 @@
 class Handshakes:
     """All half-open connections by key, the oldest first. Times in us of one clock; each call hands its own in."""
 
-    def __init__(self, bounds: Bounds, now: int) -> None:
+    def __init__(self, bounds: HandshakeLimits, now: int) -> None:
         self.bounds, self.at = bounds, now
         self.tokens = float(bounds.burst)
         self.asked: OrderedDict[object, int] = OrderedDict()  # until when
@@ -52,18 +52,18 @@
     def __len__(self) -> int:
         return len(self.asked) + len(self.waiting) + len(self.begun)
 
-    def place(self, key: object) -> Place | None:
+    def place(self, key: object) -> HandshakeStage | None:
         """Where this one stands; None: it is not half open."""
         for group, place in (
-            (self.asked, Place.ASKED),
-            (self.waiting, Place.WAITING),
-            (self.begun, Place.BEGUN),
+            (self.asked, HandshakeStage.ASKED),
+            (self.waiting, HandshakeStage.WAITING),
+            (self.begun, HandshakeStage.BEGUN),
         ):
             if key in group:
                 return place
         return None
 
-    def change(self, bounds: Bounds) -> None:
+    def change(self, bounds: HandshakeLimits) -> None:
         """Other bounds from now on; what has begun keeps its time."""
         self.bounds = bounds
         self.tokens = min(self.tokens, float(bounds.burst))
--- a/saffrongw/certs/http.py
+++ b/saffrongw/certs/http.py
@@ -11,19 +11,19 @@
 
 from saffrongw import __version__
 
-from .messages import AcmeError, Answer, Kind, clean, odd
+from .messages import AcmeError, Answer, Kind, clean, malformed_answer
 from .order_flow import Request
 
-WITHIN = 30.0  # seconds for one request, from connecting to the last byte
-HEAD_MOST, BODY_MOST = 32 * 1024, 512 * 1024  # bytes
-CHUNK = 64 * 1024
+TIMEOUT_S = 30.0  # seconds for one request, from connecting to the last byte
+MAX_HEAD_BYTES, MAX_BODY_BYTES = 32 * 1024, 512 * 1024  # bytes
+READ_BYTES = 64 * 1024
 _LINK = re.compile(r'<([^<>\s]{1,2048})>\s*;[^,<]*?\brel\s*=\s*"?([A-Za-z0-9\- ]{1,64})"?')
 
 
-class Https:
+class AuthorityClient:
     """A way to one authority. ``ca``: a file of authorities that its own certificate must come from."""
 
-    def __init__(self, ca: str = "", within: float = WITHIN) -> None:
+    def __init__(self, ca: str = "", within: float = TIMEOUT_S) -> None:
         self.context = ssl.create_default_context(cafile=ca or None)
         self.within = within
 
@@ -41,7 +41,7 @@
         except (OSError, EOFError) as wrong:
             raise AcmeError(Kind.AWAY, f"{request.read}: {clean(wrong)}") from None
         except h11.RemoteProtocolError as wrong:
-            raise odd(request.read, f"no HTTP: {clean(wrong)}") from None
+            raise malformed_answer(request.read, f"no HTTP: {clean(wrong)}") from None
 
     async def _send(self, request: Request) -> Answer:
         parts = urlsplit(request.url)
@@ -50,7 +50,7 @@
             host, port, ssl=self.context, server_hostname=host
         )
         try:
-            http = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEAD_MOST)
+            http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
             headers = [
                 ("host", parts.netloc.rpartition("@")[2]),
                 ("user-agent", f"saffrongw/{__version__}"),
@@ -85,15 +85,15 @@
                     raise EOFError("the connection ended within the answer") from None
                 raise
             if event is h11.NEED_DATA:
-                data = await reader.read(CHUNK)
+                data = await reader.read(READ_BYTES)
                 ended = not data
                 http.receive_data(data)
             elif isinstance(event, h11.Response):
                 head = event
             elif isinstance(event, h11.Data):
                 body += event.data
-                if len(body) > BODY_MOST:
-                    raise odd(request.read, f"longer than {BODY_MOST} bytes")
+                if len(body) > MAX_BODY_BYTES:
+                    raise malformed_answer(request.read, f"longer than {MAX_BODY_BYTES} bytes")
             elif isinstance(event, h11.EndOfMessage):
                 break
             elif isinstance(event, h11.ConnectionClosed):
--- a/saffrongw/certs/messages.py
+++ b/saffrongw/certs/messages.py
@@ -15,10 +15,10 @@
 from typing import Any
 from urllib.parse import urlsplit
 
-URL_MOST = 2_048  # characters
-LIST_MOST = 1_000  # names, authorisations or challenges of one object
-TEXT_MOST = 300  # characters of an authority's words that are kept
-PAUSE_MOST = 30 * 86_400.0  # seconds: no authority can ask for more
+MAX_URL_CHARS = 2_048  # characters
+MAX_LIST_ITEMS = 1_000  # names, authorisations or challenges of one object
+MAX_TEXT_CHARS = 300  # characters of an authority's words that are kept
+MAX_RETRY_AFTER_S = 30 * 86_400.0  # seconds: no authority can ask for more
 
 
 class Kind(Enum):
@@ -39,10 +39,10 @@
 
     def __init__(self, kind: Kind, detail: str, retry_after: float = 0.0) -> None:
         super().__init__(f"{kind.value}: {detail}")
-        self.kind, self.detail, self.retry_after = kind, detail[:TEXT_MOST], retry_after
+        self.kind, self.detail, self.retry_after = kind, detail[:MAX_TEXT_CHARS], retry_after
 
 
-class BadNonce(AcmeError):
+class BadNonceError(AcmeError):
     """The nonce was used or too old: the same request again, with the next one."""
 
 
@@ -145,14 +145,14 @@
 _ACME = "urn:ietf:params:acme:error:"
 
 
-def odd(where: str, why: str) -> AcmeError:
+def malformed_answer(where: str, why: str) -> AcmeError:
     """What an authority said can't be used."""
     return AcmeError(Kind.UNUSABLE, f"{where}: {why}")
 
 
 def clean(text: object) -> str:
     """An authority's words as one line of bounded length that a terminal can show."""
-    return "".join(c if c.isprintable() else " " for c in str(text)[:TEXT_MOST])
+    return "".join(c if c.isprintable() else " " for c in str(text)[:MAX_TEXT_CHARS])
 
 
 def document(answer: Answer, where: str) -> dict[str, Any]:
@@ -160,9 +160,9 @@
     try:
         found = json.loads(answer.body)
     except (ValueError, RecursionError):
-        raise odd(where, "not JSON") from None
+        raise malformed_answer(where, "not JSON") from None
     if not isinstance(found, dict):
-        raise odd(where, "no object")
+        raise malformed_answer(where, "no object")
     return found
 
 
@@ -175,29 +175,31 @@
 
 def url(found: object, where: str) -> str:
     """The same, as a value."""
-    if not isinstance(found, str) or not 0 < len(found) <= URL_MOST or not found.isascii():
-        raise odd(where, "no URL")
+    if not isinstance(found, str) or not 0 < len(found) <= MAX_URL_CHARS or not found.isascii():
+        raise malformed_answer(where, "no URL")
     try:
         parts = urlsplit(found)
         good = parts.scheme == "https" and bool(parts.hostname) and (parts.port or 443) > 0
     except ValueError:
         good = False
     if not good or any(c.isspace() or not c.isprintable() for c in found):
-        raise odd(where, f"no URL of https: {clean(found)!r:.80}")
+        raise malformed_answer(where, f"no URL of https: {clean(found)!r:.80}")
     return found
 
 
 def _list(raw: Mapping[str, Any], key: str, where: str) -> list[Any]:
     found = raw.get(key)
-    if not isinstance(found, list) or len(found) > LIST_MOST:
-        raise odd(f"{where}.{key}", f"no list of at most {LIST_MOST}")
+    if not isinstance(found, list) or len(found) > MAX_LIST_ITEMS:
+        raise malformed_answer(f"{where}.{key}", f"no list of at most {MAX_LIST_ITEMS}")
     return found
 
 
 def _state(raw: Mapping[str, Any], allowed: tuple[str, ...], where: str) -> str:
     found = raw.get("status")
     if found not in allowed:
-        raise odd(f"{where}.status", f"{clean(found)!r:.40} is not one of {', '.join(allowed)}")
+        raise malformed_answer(
+            f"{where}.status", f"{clean(found)!r:.40} is not one of {', '.join(allowed)}"
+        )
     return found
 
 
@@ -212,7 +214,7 @@
         at = datetime.fromisoformat(found)
         return (at if at.tzinfo else at.replace(tzinfo=UTC)).timestamp()
     except (ValueError, OverflowError):
-        raise odd(f"{where}.{key}", f"no time: {clean(found)!r:.60}") from None
+        raise malformed_answer(f"{where}.{key}", f"no time: {clean(found)!r:.60}") from None
 
 
 def directory(answer: Answer) -> Directory:
@@ -220,7 +222,7 @@
     raw, where = document(answer, "directory"), "directory"
     meta = raw.get("meta", {})
     if not isinstance(meta, dict):
-        raise odd("directory.meta", "no object")
+        raise malformed_answer("directory.meta", "no object")
     return Directory(
         url_in(raw, "newNonce", where),
         url_in(raw, "newAccount", where),
@@ -238,10 +240,10 @@
         or raw.get("type") != "dns"
         or not isinstance(raw.get("value"), str)
     ):
-        raise odd(where, "no name of DNS")
+        raise malformed_answer(where, "no name of DNS")
     name = raw["value"].lower()
     if not 0 < len(name) <= 253 or not name.isascii():
-        raise odd(where, "no name of DNS")
+        raise malformed_answer(where, "no name of DNS")
     return name
 
 
@@ -251,7 +253,7 @@
     status = _state(raw, ORDER_STATES, where)
     places = _list(raw, "authorizations", where)
     if not places:
-        raise odd("order.authorizations", "none")
+        raise malformed_answer("order.authorizations", "none")
     return Order(
         status,
         frozenset(_name(one, "order.identifiers") for one in _list(raw, "identifiers", where)),
@@ -270,7 +272,7 @@
     for at, one in enumerate(_list(raw, "challenges", where)):
         place = f"authorization.challenges[{at}]"
         if not isinstance(one, dict):
-            raise odd(place, "no object")
+            raise malformed_answer(place, "no object")
         if one.get("type") in (
             "http-01",
             "tls-alpn-01",
@@ -287,9 +289,9 @@
 def _challenge(raw: Mapping[str, Any], where: str) -> Challenge:
     token = raw.get("token")
     if not isinstance(token, str) or not 8 <= len(token) <= 256:
-        raise odd(f"{where}.token", "no token")
+        raise malformed_answer(f"{where}.token", "no token")
     if not all(c.isascii() and (c.isalnum() or c in "-_") for c in token):
-        raise odd(
+        raise malformed_answer(
             f"{where}.token", "not in the alphabet of base64url"
         )  # it becomes the name of a file
     status = _state(raw, CHALLENGE_STATES, where)
@@ -301,7 +303,7 @@
     if found is None:
         return None
     if not isinstance(found, dict):
-        raise odd(f"{where}.error", "no object")
+        raise malformed_answer(f"{where}.error", "no object")
     return _problem(found, 0.0)
 
 
@@ -319,7 +321,7 @@
                 detail += f"; {clean(who)}: {clean(one.get('detail', ''))}"
     words = f"{clean(name) or 'no type'}: {detail}"
     if name == "badNonce":
-        return BadNonce(Kind.AWAY, words, retry_after)
+        return BadNonceError(Kind.AWAY, words, retry_after)
     kind = _KINDS.get(name)
     if kind is None:
         kind = Kind.RATE if status == 429 else Kind.AWAY if status >= 500 else Kind.REJECTED
@@ -347,11 +349,11 @@
     if not raw:
         return 0.0
     if raw.isascii() and raw.isdigit():
-        return min(float(raw[:12]), PAUSE_MOST)
+        return min(float(raw[:12]), MAX_RETRY_AFTER_S)
     try:
         at = parsedate_to_datetime(raw)
         at = at if at.tzinfo else at.replace(tzinfo=UTC)
-        return min(max(0.0, at.timestamp() - now), PAUSE_MOST)
+        return min(max(0.0, at.timestamp() - now), MAX_RETRY_AFTER_S)
     except (ValueError, TypeError, OverflowError, IndexError):
         return 0.0
 
@@ -361,11 +363,11 @@
     raw = document(answer, "renewalInfo")
     found = raw.get("suggestedWindow")
     if not isinstance(found, dict):
-        raise odd("renewalInfo.suggestedWindow", "no object")
+        raise malformed_answer("renewalInfo.suggestedWindow", "no object")
     start = time_in(found, "start", "renewalInfo.suggestedWindow", True)
     end = time_in(found, "end", "renewalInfo.suggestedWindow", True)
     if end <= start:
-        raise odd("renewalInfo.suggestedWindow", "ends before it begins")
+        raise malformed_answer("renewalInfo.suggestedWindow", "ends before it begins")
     # RFC 9773, 4.3: within sensible bounds, a minute to a day.
     after = min(max(retry_after(answer, now) or 6 * 3_600, 60), 86_400)
     return Window(start, end, now + after)
--- a/saffrongw/certs/order_flow.py
+++ b/saffrongw/certs/order_flow.py
@@ -19,7 +19,7 @@
     AcmeError,
     Answer,
     Authorisation,
-    BadNonce,
+    BadNonceError,
     Challenge,
     Directory,
     Kind,
@@ -119,7 +119,7 @@
             if not self.nonces:
                 if answer.status >= 400:
                     raise messages.problem(answer, self.now())
-                raise messages.odd("nonce", "none in the answer")
+                raise messages.malformed_answer("nonce", "none in the answer")
         return self.nonces.pop()
 
     def post(self, url: str, payload: Any, read: str, by_key: bool = False) -> Flow[Answer]:
@@ -132,7 +132,7 @@
             if 200 <= answer.status < 300:
                 return answer
             wrong = messages.problem(answer, self.now())
-            if not isinstance(wrong, BadNonce):
+            if not isinstance(wrong, BadNonceError):
                 raise wrong
             if tried:  # its answer's own nonce was no good either: ask for a fresh one
                 self.nonces.clear()
@@ -170,7 +170,7 @@
         """The account belongs to another key from now on (RFC 8555, 7.3.5)."""
         places = yield from self.open()
         if not places.key_change:
-            raise messages.odd("directory.keyChange", "the authority offers none")
+            raise messages.malformed_answer("directory.keyChange", "the authority offers none")
         inner = new.sign(
             places.key_change, {"account": self.account, "oldKey": self.key.jwk}, None, None
         )
@@ -181,7 +181,7 @@
         """The certificate is not to be trusted any more."""
         places = yield from self.open()
         if not places.revoke:
-            raise messages.odd("directory.revokeCert", "the authority offers none")
+            raise messages.malformed_answer("directory.revokeCert", "the authority offers none")
         yield from self.post(
             places.revoke, {"certificate": b64(der), "reason": reason}, "revocation"
         )
@@ -210,7 +210,7 @@
             answer = yield from self.post(place, None, "orders")
             listed = messages.document(answer, "orders").get("orders")
             if not isinstance(listed, list):
-                raise messages.odd("orders.orders", "no list")
+                raise messages.malformed_answer("orders.orders", "no list")
             found += [messages.url(one, "orders.orders") for one in listed[:ORDERS_MOST]]
             following = answer.linked("next")
             place = messages.url(following[0], "orders: next") if following else ""
@@ -263,7 +263,7 @@
 
 def _same(order: Order, wanted: Wanted) -> Order:
     if order.names != frozenset(wanted.names):
-        raise messages.odd("order.identifiers", "not the names that were ordered")
+        raise messages.malformed_answer("order.identifiers", "not the names that were ordered")
     return order
 
 
@@ -382,7 +382,7 @@
 
 def _check_name(found: Authorisation, wanted: Wanted) -> None:
     if found.name not in wanted.names:
-        raise messages.odd("authorization.identifier", f"{found.name} was not ordered")
+        raise messages.malformed_answer("authorization.identifier", f"{found.name} was not ordered")
     if found.status not in ("valid", "pending"):
         first = next((c.error for c in found.challenges if c.error), None)
         raise first or AcmeError(
--- a/saffrongw/certs/renewal.py
+++ b/saffrongw/certs/renewal.py
@@ -61,7 +61,7 @@
         return self.count > 0
 
 
-NONE = Failures()
+NO_FAILURES = Failures()
 
 
 class Alarm(IntEnum):
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class RenewalRules:
     """``lead``: part of the life that is left when a renewal is due. Alarms: parts of the life left, and no renewal."""
 
     lead: float = 1 / 3
@@ -85,18 +85,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class CertificateState:
     """What is known of one certificate: its validity (None: there is none), its window, what failed, who it is."""
 
     start: float | None = None
     end: float | None = None
     window: Window | None = None
-    failures: Failures = NONE
+    failures: Failures = NO_FAILURES
     draw: float = 0.0  # 0 to 1, its own: where in spreads and windows it lies
     wanted: bool = False  # an operator asked for it now, or its names changed
 
 
-def due_at(standing: Standing, rules: Rules) -> float:
+def due_at(standing: CertificateState, rules: RenewalRules) -> float:
     """When its renewal begins, if nothing failed. Without a certificate: at once.
 
     An authority's window counts where there is one, but never beyond half of what the rule would leave: a window that
@@ -112,7 +112,7 @@
     return min(chosen, standing.end - rules.lead * life / 2)
 
 
-def next_try(now: float, standing: Standing, rules: Rules) -> float:
+def next_try(now: float, standing: CertificateState, rules: RenewalRules) -> float:
     """When to begin, what failed taken into account."""
     due = due_at(standing, rules)
     failures = standing.failures
@@ -128,7 +128,7 @@
 
 def failed(
     now: float,
-    standing: Standing,
+    standing: CertificateState,
     kind: Kind,
     detail: str,
     retry_after: float,
@@ -159,7 +159,7 @@
     )
 
 
-def alarm(now: float, standing: Standing, rules: Rules) -> Alarm:
+def alarm(now: float, standing: CertificateState, rules: RenewalRules) -> Alarm:
     """How urgent its state is: by the part of its life that is left, where its renewal should have happened."""
     if standing.start is None or standing.end is None:
         return Alarm.CRITICAL if standing.failures else Alarm.NOTICE
@@ -174,7 +174,7 @@
     return Alarm.NOTICE if part <= rules.notice else Alarm.NONE
 
 
-def ask_window_at(now: float, standing: Standing) -> float:
+def ask_window_at(now: float, standing: CertificateState) -> float:
     """When the authority's window is asked for (again); at once where none is known or the clock went back."""
     window = standing.window
     if window is None or window.ask_at > now + DAY + HOUR:
@@ -182,7 +182,7 @@
     return window.ask_at
 
 
-def window_failed(now: float, standing: Standing) -> Standing:
+def window_failed(now: float, standing: CertificateState) -> CertificateState:
     """Asking failed: what was known stays, and the next question comes in an hour."""
     window = standing.window
     return replace(standing, window=replace(window, ask_at=now + HOUR) if window else None)
--- a/saffrongw/certs/responder.py
+++ b/saffrongw/certs/responder.py
@@ -12,9 +12,9 @@
 from saffrongw.gateway.config import Address
 
 PATH = b"/.well-known/acme-challenge/"
-OPEN_MOST = 64  # connections at once
-WITHIN = 5.0  # seconds for a connection
-HEAD_MOST = 8 * 1024  # bytes
+MAX_CONNECTIONS = 64  # connections at once
+TIMEOUT_S = 5.0  # seconds for a connection
+MAX_HEAD_BYTES = 8 * 1024  # bytes
 
 
 class _Visitor(asyncio.Protocol):
@@ -22,7 +22,7 @@
 
     def __init__(self, responder: Responder) -> None:
         self.responder = responder
-        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=HEAD_MOST)
+        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.transport: asyncio.Transport | None = None
         self.asked = False
 
@@ -30,7 +30,7 @@
         """Somebody asks."""
         self.transport = transport
         self.responder.opened(self)
-        self.limit = self.responder.loop.call_later(WITHIN, transport.abort)
+        self.limit = self.responder.loop.call_later(TIMEOUT_S, transport.abort)
 
     def data_received(self, data: bytes) -> None:
         """A question, or a part of it; what comes behind it is not read."""
@@ -83,12 +83,12 @@
     def start(self, loop: asyncio.AbstractEventLoop) -> None:
         """Serve from now on; ``OSError`` where the address can't be had."""
         self.loop = loop
-        listener = socket.create_server(self.listen, backlog=OPEN_MOST, reuse_port=True)
+        listener = socket.create_server(self.listen, backlog=MAX_CONNECTIONS, reuse_port=True)
         self.acceptor = Acceptor(loop, listener, self._room, lambda: _Visitor(self))
         self.acceptor.start()
 
     def _room(self) -> bool:
-        return len(self.open) + self.acceptor.opening < OPEN_MOST
+        return len(self.open) + self.acceptor.opening < MAX_CONNECTIONS
 
     def opened(self, visitor: _Visitor) -> None:
         """One more."""
--- a/saffrongw/certs/tls_listener.py
+++ b/saffrongw/certs/tls_listener.py
@@ -23,7 +23,7 @@
 from saffrongw.gateway.downstream.connection import BACKLOG, ClientConnection, ClientConnections
 
 from . import client_hello
-from .handshakes import Bounds, Handshakes
+from .handshakes import HandshakeLimits, Handshakes
 
 log = logging.getLogger(__name__)
 
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Manner:
+class TlsSettings:
     """How TLS is spoken; ``tickets`` in seconds: how long the keys of session tickets live."""
 
     minimum: str = "1.2"
@@ -44,7 +44,7 @@
     tickets: float = 12 * 3_600.0
 
 
-class Certificates(Protocol):
+class CertificateSource(Protocol):
     """Where the front finds what to prove itself with."""
 
     def context(self, name: str | None) -> ssl.SSLContext | None:
@@ -54,7 +54,7 @@
         """For an authority that checks this name (RFC 8737)."""
 
 
-def make_context(manner: Manner) -> ssl.SSLContext:
+def make_context(manner: TlsSettings) -> ssl.SSLContext:
     """A context without a certificate yet; ``OSError`` where the authorities of clients can't be read."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = VERSIONS[manner.minimum]
@@ -67,11 +67,15 @@
     return context
 
 
-class Front:
+class TlsListener:
     """The listener and all connections that are not open yet."""
 
     def __init__(
-        self, listen: Address, manner: Manner, bounds: Bounds, certificates: Certificates
+        self,
+        listen: Address,
+        manner: TlsSettings,
+        bounds: HandshakeLimits,
+        certificates: CertificateSource,
     ) -> None:
         self.listen, self.manner, self.certificates = listen, manner, certificates
         self.handshakes = Handshakes(bounds, 0)
@@ -110,7 +114,7 @@
         """Connections that are accepted and not yet open."""
         return len(self.handshakes)
 
-    def change(self, manner: Manner, bounds: Bounds) -> Callable[[], None]:
+    def change(self, manner: TlsSettings, bounds: HandshakeLimits) -> Callable[[], None]:
         """Prepare another manner: ``OSError`` where it can't be; what is returned puts it in force."""
         base = self._make_base(manner)
 
@@ -121,7 +125,7 @@
 
         return commit
 
-    def _make_base(self, manner: Manner) -> ssl.SSLContext:
+    def _make_base(self, manner: TlsSettings) -> ssl.SSLContext:
         base = make_context(manner)
         base.sni_callback = self._choose
         return base
@@ -173,20 +177,20 @@
     def _peek(self, sock: socket.socket) -> None:
         """Look at what a client has sent; the bytes stay where they are."""
         try:
-            data = sock.recv(client_hello.HELLO_MOST + 1_024, socket.MSG_PEEK)
-            found = client_hello.read(data) if data else None
+            data = sock.recv(client_hello.MAX_HELLO_BYTES + 1_024, socket.MSG_PEEK)
+            found = client_hello.parse_client_hello(data) if data else None
         except (BlockingIOError, InterruptedError):
             return
         except OSError as wrong:
             self._refuse(sock, "reset" if wrong.errno == errno.ECONNRESET else "failed")
             return
-        except client_hello.HelloError:
+        except client_hello.ClientHelloError:
             self._refuse(sock, "no hello")
             return
         if found is None:
             self._refuse(sock, "left")
         elif isinstance(found, int):
-            if found > client_hello.HELLO_MOST + 1_024 or found <= len(data):
+            if found > client_hello.MAX_HELLO_BYTES + 1_024 or found <= len(data):
                 self._refuse(sock, "no hello")
                 return
             # Else the loop would come back for the bytes that are there, again and again.
@@ -214,7 +218,7 @@
         """Say why, before any key is used; what was sent is read, else its end would be a reset and the word lost."""
         self.handshakes.gone(sock, "refused")
         try:
-            sock.recv(client_hello.HELLO_MOST + 1_024)
+            sock.recv(client_hello.MAX_HELLO_BYTES + 1_024)
             sock.send(bytes((ALERT, 3, 3, 0, 2, FATAL, description)))
         except OSError:
             pass
@@ -224,7 +228,7 @@
         self.handshakes.gone(sock, why)
         self._drop(sock)
 
-    def _check(self, sock: socket.socket, found: client_hello.Hello) -> None:
+    def _check(self, sock: socket.socket, found: client_hello.ClientHello) -> None:
         """An authority asks for proof; that is not rationed: few come, and a renewal hangs on it."""
         self.handshakes.unrationed(self._now(), sock)
         self._run(self._prove(sock, found.name))
@@ -286,7 +290,7 @@
         self._turn()
 
 
-class Names:
+class ContextsByName:
     """Contexts by name: exact ones, then wildcards of one label, then the default for clients that ask for none."""
 
     def __init__(
--- a/saffrongw/extension_registry.py
+++ b/saffrongw/extension_registry.py
@@ -64,7 +64,7 @@
         duty = leases.duty(_duty_of(file.certs)) if leases else None
         certs = _certs(file.certs, config, duty)
         services.append(certs)
-        fronts.append(certs.front)
+        fronts.append(certs.listener)
         figures.append(certs.figures)
     if file.authz_server:
         services.append(_authz_server(file.authz_server, config))
@@ -152,7 +152,7 @@
         from saffrongw.certs.component import CertsComponent
     except ImportError as missing:
         raise SchemaError(f"certs needs the extra saffrongw[certs]: {missing}") from None
-    return CertsComponent(table, config.seed, duty=duty)
+    return CertsComponent(table, config.seed, leader_guard=duty)
 
 
 def _library(table: str) -> None:
--- a/tests/certs/acme_rig.py
+++ b/tests/certs/acme_rig.py
@@ -11,7 +11,7 @@
 from conftest import Caller, FakeHost, Rig, until
 
 from saffrongw.certs.component import CertsComponent
-from saffrongw.certs.renewal_loop import Clock
+from saffrongw.certs.renewal_loop import SystemClock
 from saffrongw.certs.table import AuthorityTable, CertsTable, CertTable
 from testbed.acme_server.server import AuthorityServer
 from testbed.runner.processes import free_port
@@ -20,7 +20,7 @@
 DAY = 86_400.0
 
 
-class FastClock(Clock):
+class FastClock(SystemClock):
     """Real time from a start on, so many times as fast; ``ahead`` makes it jump."""
 
     def __init__(self, pace: float = 1.0) -> None:
@@ -49,7 +49,7 @@
 class Member:
     """One gateway of the site."""
 
-    def __init__(self, table: CertsTable, clock: Clock, seed: int = 1) -> None:
+    def __init__(self, table: CertsTable, clock: SystemClock, seed: int = 1) -> None:
         self.table, self.clock, self.seed = table, clock, seed
 
     async def start(self) -> Member:
@@ -60,7 +60,7 @@
         self.part = CertsComponent(self.table, self.seed, self.clock)
         await self.rig.clients.listen()
         await self.part.start(self.rig.driver)
-        await self.rig.clients.open_fronts((self.part.front,))
+        await self.rig.clients.open_fronts((self.part.listener,))
         return self
 
     async def stop(self) -> None:
@@ -68,7 +68,7 @@
 
     @property
     def tls_port(self) -> int:
-        return self.part.front.listener.getsockname()[1]
+        return self.part.listener.listener.getsockname()[1]
 
     async def caller(self, name: str | None = NAME) -> Caller:
         return await secure_caller(self.tls_port, name)
@@ -77,7 +77,7 @@
         return await shown_at(self.tls_port, name)
 
     async def serves(self, within: float = 20.0) -> None:
-        await until(lambda: NAME in self.part.agent.keeper.names.contexts, within)
+        await until(lambda: NAME in self.part.renewal.loaded.contexts_by_name.contexts, within)
 
 
 async def secure_caller(
--- a/tests/certs/kill_points.py
+++ b/tests/certs/kill_points.py
@@ -14,7 +14,7 @@
 
 def kill_at(number: int) -> None:
     """Every store of this process counts its steps together and dies at that one."""
-    plain, left = certificate_store.Store.__init__, number
+    plain, left = certificate_store.CertificateSite.__init__, number
 
     def step(name: str) -> None:
         nonlocal left
@@ -27,9 +27,9 @@
 
     def made(self, *given, **more) -> None:
         plain(self, *given, **more)
-        self.step = step
+        self.folder.on_step = step
 
-    certificate_store.Store.__init__ = made
+    certificate_store.CertificateSite.__init__ = made
 
 
 if __name__ == "__main__":
--- a/tests/certs/test_certs_table.py
+++ b/tests/certs/test_certs_table.py
@@ -17,7 +17,7 @@
 
 from saffrongw.admin import cli
 from saffrongw.certs import chain
-from saffrongw.certs.certificate_store import Store
+from saffrongw.certs.certificate_store import CertificateSite
 from saffrongw.certs.documents import CertNote
 from saffrongw.certs.renewal import Failures
 from testbed.acme_server.issuer import Issuer
@@ -154,15 +154,15 @@
 
 
 def test_what_is_urgent_is_said_first_and_by_the_status(tmp_path, capsys):
-    store, key, now = Store(tmp_path / "state"), chain.new_key("ecdsa-p256"), time.time()
-    store.open()
+    site, key, now = CertificateSite(tmp_path / "state"), chain.new_key("ecdsa-p256"), time.time()
+    site.folder.open()
     issuer = Issuer(now)
     for name, left in (("late.example", 2), ("fine.example", 80), ("over.example", -1)):
         pem = issuer.chain(issuer.sign(csr(key), [name], now - 60 * DAY, now + left * DAY))
         note = CertNote(
             names=(name,), failures=Failures("authority away", 9, now + 60, now, now, "no answer")
         )
-        store.install(name, pem, key, note, None)
+        site.certificates.install(name, pem, key, note, None)
     assert cli.main(["certs", "--state", str(tmp_path / "state"), "list"]) == 1
     lines = capsys.readouterr().out.splitlines()
     assert [line.split()[0] for line in lines[1:4]] == [
@@ -190,8 +190,8 @@
 
 
 def test_unknown_names_are_answered_with_those_that_there_are(tmp_path, capsys):
-    store = Store(tmp_path / "state")
-    store.open()
+    site = CertificateSite(tmp_path / "state")
+    site.folder.open()
     for words in (("show", "x.example"), ("renew", "x.example"), ("revoke", "x.example")):
         assert cli.main(["certs", "--state", str(tmp_path / "state"), *words]) == 2
     assert capsys.readouterr().err.count("\n") == 3
--- a/tests/certs/test_client_hello.py
+++ b/tests/certs/test_client_hello.py
@@ -9,7 +9,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from saffrongw.certs.client_hello import HELLO_MOST, Hello, HelloError, read
+from saffrongw.certs.client_hello import (
+    MAX_HELLO_BYTES,
+    ClientHello,
+    ClientHelloError,
+    parse_client_hello,
+)
 
 
 def real(name: str | None = "gw.example", protocols: tuple[str, ...] = ()) -> bytes:
@@ -33,17 +38,19 @@
 
 
 def test_a_real_hello_tells_its_name_and_protocols():
-    assert read(real()) == Hello("gw.example", ())
-    assert read(real(None)) == Hello(None, ())
-    assert read(real("GW.Example", ("resp", "x"))) == Hello("gw.example", (b"resp", b"x"))
-    assert read(real(protocols=("acme-tls/1",))).is_check
-    assert not read(real(protocols=("acme-tls/1", "resp"))).is_check
+    assert parse_client_hello(real()) == ClientHello("gw.example", ())
+    assert parse_client_hello(real(None)) == ClientHello(None, ())
+    assert parse_client_hello(real("GW.Example", ("resp", "x"))) == ClientHello(
+        "gw.example", (b"resp", b"x")
+    )
+    assert parse_client_hello(real(protocols=("acme-tls/1",))).is_check
+    assert not parse_client_hello(real(protocols=("acme-tls/1", "resp"))).is_check
 
 
 def test_cut_at_every_byte_it_asks_for_more_and_never_for_what_it_has():
     hello = real(protocols=("resp",))
     for cut in range(len(hello)):
-        need = read(hello[:cut])
+        need = parse_client_hello(hello[:cut])
         assert isinstance(need, int)
         assert cut < need <= len(hello)
 
@@ -51,8 +58,8 @@
 @pytest.mark.parametrize("size", [1, 3, 4, 7, 100])
 def test_spread_over_many_records_it_is_the_same(size):
     spread = records(real(), size)
-    assert read(spread) == Hello("gw.example", ())
-    assert all(isinstance(read(spread[:cut]), int) for cut in range(len(spread)))
+    assert parse_client_hello(spread) == ClientHello("gw.example", ())
+    assert all(isinstance(parse_client_hello(spread[:cut]), int) for cut in range(len(spread)))
 
 
 @pytest.mark.parametrize(
@@ -69,8 +76,8 @@
     ],
 )
 def test_what_is_no_hello_is_said_to_be_none(data):
-    with pytest.raises(HelloError):
-        read(data)
+    with pytest.raises(ClientHelloError):
+        parse_client_hello(data)
 
 
 @settings(max_examples=400, deadline=None)
@@ -80,15 +87,20 @@
     for _ in range(data.draw(st.integers(1, 6))):
         hello[data.draw(st.integers(0, len(hello) - 1))] = data.draw(st.integers(0, 255))
     try:
-        found = read(bytes(hello))
-    except HelloError:
+        found = parse_client_hello(bytes(hello))
+    except ClientHelloError:
         return
-    assert isinstance(found, Hello) or len(hello) < found <= HELLO_MOST + len(hello) + 16_384
+    assert (
+        isinstance(found, ClientHello)
+        or len(hello) < found <= MAX_HELLO_BYTES + len(hello) + 16_384
+    )
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.binary(max_size=200))
 def test_any_bytes_behind_a_hellos_head_end_in_time(tail):
     body = b"\x01" + len(tail).to_bytes(3) + tail
-    with contextlib.suppress(HelloError):
-        assert isinstance(read(b"\x16\x03\x01" + len(body).to_bytes(2) + body), Hello)
+    with contextlib.suppress(ClientHelloError):
+        assert isinstance(
+            parse_client_hello(b"\x16\x03\x01" + len(body).to_bytes(2) + body), ClientHello
+        )
--- a/tests/certs/test_handshakes.py
+++ b/tests/certs/test_handshakes.py
@@ -5,9 +5,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from saffrongw.certs.handshakes import Bounds, Handshakes, Place
+from saffrongw.certs.handshakes import HandshakeLimits, Handshakes, HandshakeStage
 
-BOUNDS = Bounds(half_open=4, within=1_000_000, share=0.25, burst=3_000, full=1_000, resumed=300)
+BOUNDS = HandshakeLimits(
+    half_open=4, within=1_000_000, share=0.25, burst=3_000, full=1_000, resumed=300
+)
 
 
 def ready(shakes: Handshakes, now: int, *keys) -> None:
@@ -55,7 +57,7 @@
     shakes.begin(0)
     assert shakes.late(999_999) == []
     assert shakes.late(1_000_000) == ["a"]
-    assert shakes.place("b") is Place.BEGUN
+    assert shakes.place("b") is HandshakeStage.BEGUN
     assert shakes.left(1_000_000, "b") == 0
 
 
@@ -65,12 +67,12 @@
     shakes.begin(0)
     shakes.accept(0, "check")
     shakes.unrationed(0, "check")
-    assert shakes.place("check") is Place.BEGUN
+    assert shakes.place("check") is HandshakeStage.BEGUN
 
 
 def test_a_flood_costs_no_more_than_the_share():
     """10,000 a second for 4 s: begun full handshakes take a quarter of the core and the burst, no more."""
-    bounds = Bounds(
+    bounds = HandshakeLimits(
         half_open=256, within=1_000_000, share=0.25, burst=50_000, full=1_000, resumed=300
     )
     shakes, begun = Handshakes(bounds, 0), 0
@@ -109,7 +111,7 @@
             shakes.ready(now, key)
         elif what == "begin":
             shakes.begin(now)
-        elif what == "done" and shakes.place(key) is Place.BEGUN:
+        elif what == "done" and shakes.place(key) is HandshakeStage.BEGUN:
             shakes.done(now, key, key % 2 == 0)
             alive.discard(key)
         elif what == "gone":
--- a/tests/certs/test_http.py
+++ b/tests/certs/test_http.py
@@ -10,7 +10,7 @@
 import trustme
 from conftest import asyncio_test
 
-from saffrongw.certs.http import BODY_MOST, HEAD_MOST, Https
+from saffrongw.certs.http import MAX_BODY_BYTES, MAX_HEAD_BYTES, AuthorityClient
 from saffrongw.certs.messages import AcmeError, Kind
 from saffrongw.certs.order_flow import Request
 
@@ -35,13 +35,13 @@
     server = await asyncio.start_server(serve, "127.0.0.1", 0, ssl=context)
     port = server.sockets[0].getsockname()[1]
     CA.cert_pem.write_to_path(str(tmp_path / "ca.pem"))
-    https = Https(str(tmp_path / "ca.pem"), within)
+    https = AuthorityClient(str(tmp_path / "ca.pem"), within)
     yield lambda: https.send(Request("GET", f"https://127.0.0.1:{port}/dir", "directory"))
     server.close()
 
 
 async def endless(writer) -> None:
-    for _ in range(BODY_MOST // 65_536 + 8):
+    for _ in range(MAX_BODY_BYTES // 65_536 + 8):
         writer.write(b"x" * 65_536)
         await writer.drain()
 
@@ -61,7 +61,13 @@
     ("data", "then", "within", "kind", "said"),
     [
         (b"garbage\r\n\r\n", None, 20, Kind.UNUSABLE, "no HTTP"),
-        (b"HTTP/1.1 200 OK\r\nx: " + b"y" * (HEAD_MOST + 99), None, 20, Kind.UNUSABLE, "no HTTP"),
+        (
+            b"HTTP/1.1 200 OK\r\nx: " + b"y" * (MAX_HEAD_BYTES + 99),
+            None,
+            20,
+            Kind.UNUSABLE,
+            "no HTTP",
+        ),
         (b"HTTP/1.1 200 OK\r\ncontent-length: -1\r\n\r\n", None, 20, Kind.UNUSABLE, "no HTTP"),
         (b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nab", None, 20, Kind.AWAY, "ended within"),
         (
@@ -128,5 +134,5 @@
 @asyncio_test
 async def test_nobody_there_is_away():
     with pytest.raises(AcmeError) as found:
-        await Https().send(Request("GET", "https://127.0.0.1:1/dir", "directory"))
+        await AuthorityClient().send(Request("GET", "https://127.0.0.1:1/dir", "directory"))
     assert found.value.kind is Kind.AWAY
--- a/tests/certs/test_order_kills.py
+++ b/tests/certs/test_order_kills.py
@@ -16,7 +16,7 @@
 from test_chain import csr
 
 from saffrongw.certs import chain
-from saffrongw.certs.certificate_store import Store
+from saffrongw.certs.certificate_store import CertificateSite
 from saffrongw.certs.documents import CertNote
 from testbed.acme_server.issuer import Issuer
 from testbed.acme_server.server import AuthorityServer
@@ -88,10 +88,10 @@
 
     def check(self) -> None:
         """What lies on the disk after all: keys for their owner alone, nothing half written that counts."""
-        store = Store(self.state)
-        pair = store.pair(NAME)
-        chain.check(*store.files(pair), (NAME,), time.time())
-        assert store.note(NAME).order is None
+        site = CertificateSite(self.state)
+        pair = site.certificates.pair(NAME)
+        chain.check(*site.certificates.files(pair), (NAME,), time.time())
+        assert site.certificates.note(NAME).order is None
         assert not (self.state / "certs" / NAME / "pending.key").exists()
         assert not list(self.state.rglob("account.key.gone-*"))
         for path in self.state.rglob("*"):
@@ -139,11 +139,11 @@
 
 def with_an_old_one(site: Site) -> bytes:
     """A certificate in service that is due; as DER."""
-    store, key, now = Store(site.state), chain.new_key("ecdsa-p256"), time.time()
-    store.open()
+    folder, key, now = CertificateSite(site.state), chain.new_key("ecdsa-p256"), time.time()
+    folder.folder.open()
     issuer = Issuer(now)
     old = issuer.chain(issuer.sign(csr(key), [NAME], now - 80 * DAY, now + 10 * DAY))
-    store.install(NAME, old, key, CertNote(names=(NAME,)), None)
+    folder.certificates.install(NAME, old, key, CertNote(names=(NAME,)), None)
     return chain.der_of(old)
 
 
--- a/tests/certs/test_renewal.py
+++ b/tests/certs/test_renewal.py
@@ -14,9 +14,9 @@
     MINUTE,
     PAUSES,
     Alarm,
+    CertificateState,
     Failures,
-    Rules,
-    Standing,
+    RenewalRules,
     alarm,
     ask_window_at,
     due_at,
@@ -24,10 +24,10 @@
     next_try,
 )
 
-RULES = Rules()
+RULES = RenewalRules()
 START = 1_000 * DAY
 LIFE = 90 * DAY
-FRESH = Standing(START, START + LIFE, draw=0.5)
+FRESH = CertificateState(START, START + LIFE, draw=0.5)
 
 
 def lived(outcome, until: float, standing=FRESH, authorities=1, now=START, jump=lambda now: now):
@@ -52,7 +52,7 @@
 def test_due_with_a_third_of_the_life_left_spread_by_its_draw():
     assert due_at(replace(FRESH, draw=0.0), RULES) == START + 60 * DAY
     assert due_at(replace(FRESH, draw=1.0), RULES) == pytest.approx(START + 51 * DAY)
-    assert due_at(Standing(), RULES) == 0.0
+    assert due_at(CertificateState(), RULES) == 0.0
     assert due_at(replace(FRESH, wanted=True), RULES) == 0.0
 
 
@@ -84,7 +84,7 @@
 
 @pytest.mark.parametrize("kind", list(Kind))
 def test_pauses_grow_to_their_most_and_stay_there(kind):
-    standing, now, spans = Standing(START, START + 10 * 365 * DAY), START, []
+    standing, now, spans = CertificateState(START, START + 10 * 365 * DAY), START, []
     for _ in range(60):
         kept = failed(now, standing, kind, "", 0, 0.0, 1)
         spans.append(kept.next_at - now)
@@ -152,7 +152,7 @@
 
 
 def test_without_a_certificate_it_is_tried_at_least_every_ten_minutes():
-    standing, now = Standing(), START
+    standing, now = CertificateState(), START
     for _ in range(30):
         kept = failed(now, standing, Kind.CHALLENGE, "", 0, 1.0, 1)
         assert kept.next_at - now <= 12.5 * MINUTE
@@ -170,8 +170,8 @@
         Alarm.ENDED,
         Alarm.ENDED,
     ]
-    assert alarm(START, Standing(), RULES) is Alarm.NOTICE
-    assert alarm(START, Standing(failures=Failures("away", 3)), RULES) is Alarm.CRITICAL
+    assert alarm(START, CertificateState(), RULES) is Alarm.NOTICE
+    assert alarm(START, CertificateState(failures=Failures("away", 3)), RULES) is Alarm.CRITICAL
 
 
 def test_the_window_is_asked_for_again_when_its_time_has_come_or_lies_absurdly_far():
--- a/tests/certs/test_renewal_loop.py
+++ b/tests/certs/test_renewal_loop.py
@@ -58,7 +58,7 @@
         return self.authority.authority.faults
 
     def pair(self):
-        return self.first.part.agent.keeper.pairs.get(NAME)
+        return self.first.part.renewal.loaded.pairs.get(NAME)
 
     def row(self):
         return next(row for row in self.first.part.rows() if row.id == NAME)
@@ -97,7 +97,7 @@
     assert sum(answered) == 3 and max(answered) < 3
     shown = {await member.shown("c.example") for member in world.members}
     assert len(shown) == 1
-    assert sum(bool(member.part.agent.term) for member in world.members) == 1
+    assert sum(bool(member.part.renewal.term) for member in world.members) == 1
     await world.close()
 
 
@@ -109,10 +109,10 @@
     world.faults.pending = True
     await world.open(1, lease_seconds=2.0, clock_skew=0.1)
     await until(lambda: world.counts["POST challenge"] == 1)
-    for task in [*world.first.part.agent.tasks, *world.first.part.agent.busy.values()]:
+    for task in [*world.first.part.renewal.tasks, *world.first.part.renewal.running.values()]:
         task.cancel()  # and the lease is not given back
     second = await world.join(1)
-    await until(lambda: second.part.agent.term == 2, 30)
+    await until(lambda: second.part.renewal.term == 2, 30)
     world.faults.pending = False
     for one in world.authority.authority.authorisations.values():
         one.challenges[2].status = one.status = "valid"
@@ -130,14 +130,18 @@
     await world.authority.listen()
     world.authority.delay = 0.05
     await world.open(1, lease_seconds=2.0, clock_skew=0.1)
-    agent = world.first.part.agent
+    renewal = world.first.part.renewal
     await until(lambda: world.counts["POST authz"] >= 1)
-    store = agent.store
-    taken = dataclasses.replace(store.lease(), holder="other", term=7, until=world.clock.now() + 3)
-    store._write(store.folder / "lease.json", json.dumps(dataclasses.asdict(taken)).encode())
-    await until(lambda: agent.counts["obtained"] == 1, 30)
-    assert store.lease().term == 8  # taken again, after the other's end
-    assert store.pair(NAME) is not None
+    site = renewal.site
+    taken = dataclasses.replace(
+        site.lease.current(), holder="other", term=7, until=world.clock.now() + 3
+    )
+    site.folder.write(
+        site.folder.path / "lease.json", json.dumps(dataclasses.asdict(taken)).encode()
+    )
+    await until(lambda: renewal.orders.counts["obtained"] == 1, 30)
+    assert site.lease.current().term == 8  # taken again, after the other's end
+    assert site.certificates.pair(NAME) is not None
     assert world.counts["orders"] <= 2
     await world.close()
 
@@ -200,11 +204,13 @@
         shown = await world.first.shown()
         setattr(world.faults, fault, True)
         world.clock.ahead += 62 * DAY
-        await until(lambda: world.first.part.agent.counts["failed: unusable answer"] >= 2, 30)
+        await until(
+            lambda: world.first.part.renewal.orders.counts["failed: unusable answer"] >= 2, 30
+        )
         assert await world.first.shown() == shown
         assert world.row().failures.kind == "unusable answer"
         setattr(world.faults, fault, False)
-        await until(lambda: world.first.part.agent.counts["obtained"] == 2, 30)
+        await until(lambda: world.first.part.renewal.orders.counts["obtained"] == 2, 30)
         assert await world.first.shown() != shown
         await world.close()
 
@@ -218,9 +224,9 @@
     for account in world.authority.authority.accounts.values():
         account.status = "deactivated"
     world.clock.ahead += 62 * DAY
-    await until(lambda: world.first.part.agent.counts["obtained"] == 2, 30)
+    await until(lambda: world.first.part.renewal.orders.counts["obtained"] == 2, 30)
     assert world.counts["accounts"] == 2
-    assert len(list(world.first.part.agent.store.folder.rglob("account.key.gone-*"))) == 1
+    assert len(list(world.first.part.renewal.site.folder.path.rglob("account.key.gone-*"))) == 1
     await world.close()
 
 
@@ -250,7 +256,7 @@
     world = await World(tmp_path).open()
     await world.first.serves()
     await world.first.stop()
-    for path in world.first.part.agent.store.folder.rglob("cert.pem"):
+    for path in world.first.part.renewal.site.folder.path.rglob("cert.pem"):
         path.unlink()
     world.members.clear()
     world.authority.tls.clear()
@@ -276,10 +282,14 @@
     ):
         with pytest.raises((OSError, ValueError)):
             member.part.change(wrong)
-    assert member.part.agent.table is member.table
+    assert member.part.renewal.table is member.table
     member.part.change(more)()
     await until(
-        lambda: {"new.example", "x.example"} <= set(member.part.agent.keeper.names.contexts), 20
+        lambda: (
+            {"new.example", "x.example"}
+            <= set(member.part.renewal.loaded.contexts_by_name.contexts)
+        ),
+        20,
     )
     assert await member.shown("new.example") == await member.shown(NAME)
     await world.close()
@@ -299,18 +309,24 @@
     for fault in faults:
         for name, value in fault.items():
             setattr(world.faults, name, value)
-        before = sum(n for k, n in world.first.part.agent.counts.items() if k.startswith("failed"))
-        world.first.part.agent.store.want(NAME)
+        before = sum(
+            n for k, n in world.first.part.renewal.orders.counts.items() if k.startswith("failed")
+        )
+        world.first.part.renewal.site.certificates.request_renewal(NAME)
         await until(
             lambda before=before: (
-                sum(n for k, n in world.first.part.agent.counts.items() if k.startswith("failed"))
+                sum(
+                    n
+                    for k, n in world.first.part.renewal.orders.counts.items()
+                    if k.startswith("failed")
+                )
                 > before
             ),
             30,
         ) if "pending" not in fault else await asyncio.sleep(0.3)
         type(world.faults).__init__(world.faults)
-    await until(lambda: world.first.part.agent.counts["obtained"] == 2, 30)
-    files = [p for p in world.first.part.agent.store.folder.rglob("*") if p.is_file()]
+    await until(lambda: world.first.part.renewal.orders.counts["obtained"] == 2, 30)
+    files = [p for p in world.first.part.renewal.site.folder.path.rglob("*") if p.is_file()]
     assert len(files) < 25
     await world.close()
 
@@ -320,27 +336,29 @@
     """Each of them through the whole agent over HTTPS: what is shown stays, and the next try lies ahead."""
     world = await World(tmp_path, 20.0).open(**SLOW)
     await world.first.serves()
-    agent, shown = world.first.part.agent, await world.first.shown()
+    renewal, shown = world.first.part.renewal, await world.first.shown()
     for name, spoil in SPOILT:
-        before = agent.counts["orders"]
+        before = renewal.orders.counts["orders"]
         world.authority.authority.faults.spoil = lambda at, reply, name=name, spoil=spoil: (
             spoil(reply) if at == name and reply.status < 300 else reply
         )
-        agent.sessions.clear()
-        for path in agent.store.folder.rglob("account.json"):
+        renewal.orders.sessions.clear()
+        for path in renewal.site.folder.path.rglob("account.json"):
             path.unlink()  # else the account is not asked for again
-        agent.store.want(NAME)
-        agent.kick.set()
-        await until(lambda before=before: agent.counts["orders"] > before and not agent.busy)
-        failures = agent.store.note(NAME).failures
+        renewal.site.certificates.request_renewal(NAME)
+        renewal.wake.set()
+        await until(
+            lambda before=before: renewal.orders.counts["orders"] > before and not renewal.running
+        )
+        failures = renewal.site.certificates.note(NAME).failures
         assert failures.count >= 1, name
         assert failures.next_at > failures.at
     assert await world.first.shown() == shown
-    assert agent.counts["obtained"] == 1
+    assert renewal.orders.counts["obtained"] == 1
     world.authority.authority.faults.spoil = None
-    agent.store.want(NAME)
-    agent.kick.set()
-    await until(lambda: agent.counts["obtained"] == 2)
+    renewal.site.certificates.request_renewal(NAME)
+    renewal.wake.set()
+    await until(lambda: renewal.orders.counts["obtained"] == 2)
     await world.close()
 
 
@@ -350,9 +368,9 @@
     world = World(tmp_path)
     world.authority.delay = 0.2
     await world.open()
-    agent = world.first.part.agent
-    await until(lambda: agent.counts["obtained"] == 1, 30)
-    await until(lambda: NAME in agent.busy)  # the window
-    agent.store.want(NAME)
-    await until(lambda: agent.counts["obtained"] == 2, 30)
+    renewal = world.first.part.renewal
+    await until(lambda: renewal.orders.counts["obtained"] == 1, 30)
+    await until(lambda: NAME in renewal.running)  # the window
+    renewal.site.certificates.request_renewal(NAME)
+    await until(lambda: renewal.orders.counts["obtained"] == 2, 30)
     await world.close()
--- a/tests/certs/test_tls_listener.py
+++ b/tests/certs/test_tls_listener.py
@@ -18,11 +18,11 @@
 from test_client_hello import real
 
 from saffrongw.certs import chain
-from saffrongw.certs.certificate_store import Store
+from saffrongw.certs.certificate_store import CertificateSite
 from saffrongw.certs.documents import CertNote
-from saffrongw.certs.handshakes import Bounds
-from saffrongw.certs.renewal_loop import Keeper
-from saffrongw.certs.tls_listener import Front, Manner
+from saffrongw.certs.handshakes import HandshakeLimits
+from saffrongw.certs.loaded_certificates import LoadedCertificates
+from saffrongw.certs.tls_listener import TlsListener, TlsSettings
 from testbed.acme_server.issuer import Issuer
 from testbed.runner.processes import free_port
 
@@ -33,17 +33,19 @@
     """A gateway with a TLS listener whose certificates a test writes."""
 
     def __init__(
-        self, tmp_path, manner: Manner | None = None, bounds: Bounds | None = None
+        self, tmp_path, manner: TlsSettings | None = None, bounds: HandshakeLimits | None = None
     ) -> None:
-        self.store = Store(tmp_path / "state")
-        self.store.open()
+        self.site = CertificateSite(tmp_path / "state")
+        self.site.folder.open()
         self.issuer = Issuer(time.time())
-        self.keeper = Keeper(self.store, manner or Manner(), "")
-        self.front = Front(("127.0.0.1", free_port()), self.keeper.manner, bounds or Bounds(), self)
+        self.loaded = LoadedCertificates(self.site.certificates, manner or TlsSettings(), "")
+        self.front = TlsListener(
+            ("127.0.0.1", free_port()), self.loaded.settings, bounds or HandshakeLimits(), self
+        )
         self.checks: dict[str, ssl.SSLContext] = {}
 
     def context(self, name):
-        return self.keeper.names.find(name)
+        return self.loaded.contexts_by_name.find(name)
 
     async def check_context(self, name):
         return self.checks.get(name)
@@ -52,10 +54,10 @@
         """A new certificate; its serial number."""
         key = chain.new_key("ecdsa-p256")
         leaf = self.issuer.sign(csr(key), list(names), time.time() - 60, time.time() + days * DAY)
-        self.store.install(
+        self.site.certificates.install(
             names[0].replace("*.", ""), self.issuer.chain(leaf), key, CertNote(names), None
         )
-        self.keeper.load()
+        self.loaded.load()
         return leaf.serial_number
 
     async def open(self, **changes) -> World:
@@ -112,7 +114,7 @@
     old.call(number=b"id2")
     assert (await old.replied(2))[1] == b"ok"
     assert not old.closed
-    assert world.keeper.swaps == 2
+    assert world.loaded.swap_count == 2
 
 
 @pytest.mark.parametrize("version", [ssl.TLSVersion.TLSv1_2, ssl.TLSVersion.TLSv1_3])
@@ -206,7 +208,7 @@
 @asyncio_test
 async def test_clients_that_never_finish_are_bounded_and_hold_up_nobody(tmp_path):
     """Silent ones, and ones that stop within the handshake, while a swap is on: others are served, all ends."""
-    world = World(tmp_path, bounds=Bounds(half_open=16, within=1_500_000))
+    world = World(tmp_path, bounds=HandshakeLimits(half_open=16, within=1_500_000))
     world.install("a.example")
     await world.open(sockets=400)
     hello = real("a.example")
@@ -234,7 +236,9 @@
 
 @asyncio_test
 async def test_handshakes_beyond_their_share_of_the_core_wait_in_line(tmp_path):
-    world = World(tmp_path, bounds=Bounds(share=0.01, burst=1_000, full=1_000, within=5_000_000))
+    world = World(
+        tmp_path, bounds=HandshakeLimits(share=0.01, burst=1_000, full=1_000, within=5_000_000)
+    )
     world.install("a.example")
     await world.open()
     began = time.monotonic()
@@ -249,7 +253,9 @@
 async def test_clients_prove_themselves_where_that_is_wanted(tmp_path):
     ca = trustme.CA()
     ca.cert_pem.write_to_path(str(tmp_path / "clients.pem"))
-    world = World(tmp_path, Manner(client_ca=str(tmp_path / "clients.pem"), clients="required"))
+    world = World(
+        tmp_path, TlsSettings(client_ca=str(tmp_path / "clients.pem"), clients="required")
+    )
     world.install("a.example")
     await world.open()
     known = trusting()
@@ -267,7 +273,7 @@
 
 @asyncio_test
 async def test_protocols_are_agreed_on_and_old_versions_refused(tmp_path):
-    world = World(tmp_path, Manner("1.3", ("resp", "x")))
+    world = World(tmp_path, TlsSettings("1.3", ("resp", "x")))
     world.install("a.example")
     await world.open()
     context = trusting()
@@ -287,12 +293,12 @@
     await world.open()
     with pytest.raises(OSError):
         world.front.change(
-            Manner(client_ca=str(tmp_path / "none.pem"), clients="required"), Bounds()
+            TlsSettings(client_ca=str(tmp_path / "none.pem"), clients="required"), HandshakeLimits()
         )
     manner = replace(world.front.manner, minimum="1.3")
-    commit = world.front.change(manner, Bounds())
-    world.keeper.manner = manner
-    world.keeper.load()
+    commit = world.front.change(manner, HandshakeLimits())
+    world.loaded.settings = manner
+    world.loaded.load()
     commit()
     old = trusting()
     old.maximum_version = ssl.TLSVersion.TLSv1_2
