--- a/benchmarks/tls_cost.py
+++ b/benchmarks/tls_cost.py
@@ -95,7 +95,7 @@
     def swap(self) -> bytes:
         """Another certificate in service; as DER."""
         key, now = chain.new_key("ecdsa-p256"), time.time()
-        csr = request_of(chain.csr(key, (NAME,)))
+        csr = request_of(chain.signing_request(key, (NAME,)))
         pem = self.issuer.chain(self.issuer.sign(csr, [NAME], now - 60, now + 86_400 * 90))
         self.site.certificates.install(NAME, pem, key, CertNote(names=(NAME,), imported=True), None)
         return chain.der_of(pem)
--- a/saffrongw/admin/certs.py
+++ b/saffrongw/admin/certs.py
@@ -174,7 +174,7 @@
     except OSError as wrong:
         return unusable(f"{wrong.filename}: can't be read: {wrong.strerror}")
     try:
-        facts = chain.check(cert, key, (), time.time())
+        facts = chain.check_pair(cert, key, (), time.time())
     except chain.ChainError as wrong:
         return unusable(f"{given.cert}: {wrong}")
     id = given.id or facts.names[0].replace("*", "_")
--- a/saffrongw/certs/certificate_status.py
+++ b/saffrongw/certs/certificate_status.py
@@ -120,7 +120,7 @@
             days_left=(pair.facts.end - now) / renewal.DAY if pair else None,
             issuer=pair.facts.issuer if pair else "",
             alarm=renewal.alarm(now, state, self.rules),
-            next_at=renewal.next_try(now, state, self.rules) if is_renewed else None,
+            next_at=renewal.next_attempt_at(now, state, self.rules) if is_renewed else None,
             failures=note.failures,
             ordering=is_ordering,
         )
--- a/saffrongw/certs/certificate_store.py
+++ b/saffrongw/certs/certificate_store.py
@@ -24,7 +24,7 @@
 from .account_store import AccountStore
 from .challenge_store import ChallengeStore
 from .documents import CertNote, DocumentError
-from .lease import Terms
+from .lease import LeaseTerms
 from .ordering_lease import OrderingLease, OrderingTerm
 from .shared_folder import SharedFolder, StoreError, store_error
 
@@ -41,7 +41,7 @@
     id: str
     cert: Path
     key: Path
-    facts: chain.Facts
+    facts: chain.CertificateFacts
 
 
 class CertificateStore:
@@ -199,7 +199,7 @@
         if cert is None or key is None:
             return None
         try:
-            facts = chain.check(cert, key, names, self.now(), allow_expired)
+            facts = chain.check_pair(cert, key, names, self.now(), allow_expired)
         except chain.ChainError:
             return None
         return CertificatePair(certificate_id, version / "cert.pem", version / "key.pem", facts)
@@ -255,12 +255,12 @@
         self,
         path: Path,
         now: Callable[[], float] = time.time,
-        terms: Terms | None = None,
+        terms: LeaseTerms | None = None,
         on_step: Callable[[str], None] | None = None,
         leader_guard: LeaderGuard | None = None,
     ) -> None:
         self.folder = SharedFolder(path, on_step)
-        self.lease = OrderingLease(self.folder, now, terms or Terms(), leader_guard)
+        self.lease = OrderingLease(self.folder, now, terms or LeaseTerms(), leader_guard)
         self.certificates = CertificateStore(self.folder, self.lease, now)
         self.accounts = AccountStore(self.folder, self.lease, now)
         self.challenges = ChallengeStore(self.folder, self.lease, now)
--- a/saffrongw/certs/chain.py
+++ b/saffrongw/certs/chain.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Facts:
+class CertificateFacts:
     """Of a certificate that may serve: its names in lower case, validity in Unix seconds, and what identifies it."""
 
     names: tuple[str, ...]
@@ -79,7 +79,7 @@
     return key
 
 
-def csr(pem: bytes, names: tuple[str, ...]) -> str:
+def signing_request(pem: bytes, names: tuple[str, ...]) -> str:
     """The signing request for these names, as ACME wants it (base64url of DER)."""
     subject = [x509.NameAttribute(NameOID.COMMON_NAME, names[0])] if len(names[0]) <= 64 else []
     request = (
@@ -147,11 +147,11 @@
     return found
 
 
-def facts_of(chain: list[x509.Certificate]) -> Facts:
+def facts_of(chain: list[x509.Certificate]) -> CertificateFacts:
     """What a parsed chain says of its first certificate; checks nothing."""
     leaf = chain[0]
     issuer = leaf.issuer.get_attributes_for_oid(NameOID.COMMON_NAME)
-    return Facts(
+    return CertificateFacts(
         names_of(leaf),
         _seconds(leaf.not_valid_before_utc),
         _seconds(leaf.not_valid_after_utc),
@@ -169,9 +169,9 @@
     )
 
 
-def check(
+def check_pair(
     pem: bytes, key: bytes, names: tuple[str, ...], now: float, any_time: bool = False
-) -> Facts:
+) -> CertificateFacts:
     """What may serve; ``ChainError`` says why it may not. ``now`` in Unix seconds.
 
     ``any_time``: one that is in service stays there when it ends, or when our clock goes back before its start: a
@@ -189,7 +189,7 @@
 
 def _check(
     chain: list[x509.Certificate], key: bytes, names: tuple[str, ...], now: float, any_time: bool
-) -> Facts:
+) -> CertificateFacts:
     found = facts_of(chain)
     if _public(load_key(key).public_key()) != _public(chain[0].public_key()):
         raise ChainError("it was issued for another key")
@@ -237,7 +237,9 @@
         return False
 
 
-def proof(name: str, digest: bytes, now: datetime, until: datetime) -> tuple[bytes, bytes]:
+def validation_certificate(
+    name: str, digest: bytes, now: datetime, until: datetime
+) -> tuple[bytes, bytes]:
     """The self-signed certificate of RFC 8737 for a challenge, and its key, both PEM."""
     key = ec.generate_private_key(ec.SECP256R1())
     who = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, "ACME challenge")])
--- a/saffrongw/certs/challenge_answers.py
+++ b/saffrongw/certs/challenge_answers.py
@@ -63,7 +63,7 @@
 def _proof_context(proof: ChallengeProof) -> ssl.SSLContext:
     digest = hashlib.sha256(proof.authorisation.encode()).digest()
     now = datetime.now(UTC)
-    cert, key = chain.proof(
+    cert, key = chain.validation_certificate(
         proof.name, digest, now - CERTIFICATE_VALID_BEFORE, now + CERTIFICATE_VALID_AFTER
     )
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
--- a/saffrongw/certs/component.py
+++ b/saffrongw/certs/component.py
@@ -80,7 +80,7 @@
         if moved := [name for name in same if getattr(new, name) != getattr(self.table, name)]:
             raise ValueError(f"certs.{moved[0]} can't change in service")
         settings = tls_settings_of(new.tls)
-        commit = self.listener.change(settings, handshake_limits_of(new.tls))
+        commit = self.listener.prepare_change(settings, handshake_limits_of(new.tls))
 
         def put_in_force() -> None:
             self.table = new
--- a/saffrongw/certs/documents.py
+++ b/saffrongw/certs/documents.py
@@ -11,7 +11,7 @@
 from dataclasses import asdict, dataclass, fields, replace
 from typing import Any, TypeVar
 
-from .messages import Kind, Window
+from .messages import FailureKind, RenewalWindow
 from .renewal import Failures
 
 SCHEMA = 1
@@ -50,7 +50,7 @@
     names: tuple[str, ...] = ()
     order: OrderNote | None = None
     failures: Failures = NO_FAILURES
-    window: Window | None = None
+    window: RenewalWindow | None = None
     wanted: bool = False
     imported: bool = False  # by hand: never renewed by us
 
@@ -119,11 +119,11 @@
     plain = {k: v for k, v in found.items() if k in ("names", "wanted", "imported")}
     note = _make(CertNote, plain, where)
     kept = _make(Failures, failures, f"{where}.failures") if failures is not None else Failures()
-    if kept.kind and kept.kind not in {kind.value for kind in Kind}:
+    if kept.kind and kept.kind not in {kind.value for kind in FailureKind}:
         raise DocumentError(f"{where}.failures.kind: {kept.kind!r:.40} is unknown")
     return replace(
         note,
         order=_make(OrderNote, order, f"{where}.order") if order is not None else None,
         failures=kept,
-        window=_make(Window, window, f"{where}.window") if window is not None else None,
+        window=_make(RenewalWindow, window, f"{where}.window") if window is not None else None,
     )
--- a/saffrongw/certs/handshakes.py
+++ b/saffrongw/certs/handshakes.py
@@ -1,152 +1,171 @@
-"""Which handshakes may begin, which wait, and which are given up: so that they can't starve requests. No I/O.
+"""Admission of TLS handshakes, so that they cannot starve requests. No I/O.
 
-A handshake costs as much CPU as several requests, and anybody may ask for one. Two bounds hold:
+A handshake costs as much CPU as several requests, and anybody may ask for one. Two limits hold:
 
-- **places**: so many connections may be half open (accepted, no handshake finished). Beyond that the one that has
-  stayed longest without a whole hello makes room; where all have sent theirs the new one is turned away.
-- **budget**: handshakes together get a share of the core, as tokens in microseconds of CPU that refill with time. One
-  that finds too few waits in line, and what it really cost is known once it ends: a resumed one gives most of it back.
+- half-open connections: so many connections may be accepted without a finished handshake. Beyond that
+  the one that has waited longest for a complete ClientHello is evicted; if all have sent theirs, the
+  new connection is rejected.
+- CPU: handshakes together get a share of the core, as a token bucket in microseconds. A handshake that
+  finds too few tokens waits in line. Its real cost is known when it ends: a resumed one returns most
+  of what it took.
+
+All times are microseconds of one clock and are passed in.
 """
 
 from __future__ import annotations
 
 from collections import Counter, OrderedDict
+from collections.abc import Hashable
 from dataclasses import dataclass
 from enum import Enum
+from typing import Generic, NamedTuple, TypeVar
 
 SECOND = 1_000_000  # microseconds
 
+Connection = TypeVar("Connection", bound=Hashable)
+
 
 @dataclass(frozen=True, slots=True)
 class HandshakeLimits:
-    """half_open: connections; within: us for a whole handshake; share: of the core; burst: us of CPU kept for a rush;
-    full, resumed: us of CPU that one is expected to cost."""
+    """Limits on connections whose handshake has not finished.
 
-    half_open: int = 256
-    within: int = 5 * SECOND
-    share: float = 0.25
-    burst: int = 50_000
-    full: int = 1_800  # measured: docs/notes/certs.md
-    resumed: int = 1_400
+    ``cpu_share`` is a share of the core, ``burst_us`` the size of the token bucket. The expected costs
+    of full and resumed handshakes were measured (docs/notes/certs.md).
+    """
+
+    max_half_open: int = 256
+    timeout_us: int = 5 * SECOND
+    cpu_share: float = 0.25
+    burst_us: int = 50_000
+    full_cost_us: int = 1_800
+    resumed_cost_us: int = 1_400
 
 
 class HandshakeStage(Enum):
-    """Where a connection stands before it is open."""
+    """The state of a connection before its handshake has finished."""
+
+    AWAITING_HELLO = "asked"
+    QUEUED = "waiting"
+    RUNNING = "begun"
 
-    ASKED = "asked"  # no whole hello yet
-    WAITING = "waiting"  # hello read, no tokens yet
-    BEGUN = "begun"
 
+class AcceptResult(NamedTuple):
+    """Whether a new connection may stay, and the connection that was evicted for it."""
 
-class Handshakes:
-    """All half-open connections by key, the oldest first. Times in us of one clock; each call hands its own in."""
+    accepted: bool
+    evicted: Hashable | None
 
-    def __init__(self, bounds: HandshakeLimits, now: int) -> None:
-        self.bounds, self.at = bounds, now
-        self.tokens = float(bounds.burst)
-        self.asked: OrderedDict[object, int] = OrderedDict()  # until when
-        self.waiting: OrderedDict[object, int] = OrderedDict()
-        self.begun: OrderedDict[object, int] = OrderedDict()
+
+class Handshakes(Generic[Connection]):
+    """All half-open connections, the oldest first, each with its deadline."""
+
+    def __init__(self, limits: HandshakeLimits, now: int) -> None:
+        self.limits, self.refilled_at = limits, now
+        self.tokens = float(limits.burst_us)
+        self.awaiting_hello: OrderedDict[Connection, int] = OrderedDict()
+        self.queued: OrderedDict[Connection, int] = OrderedDict()
+        self.running: OrderedDict[Connection, int] = OrderedDict()
         self.counts: Counter[str] = Counter()
 
     def __len__(self) -> int:
-        return len(self.asked) + len(self.waiting) + len(self.begun)
-
-    def place(self, key: object) -> HandshakeStage | None:
-        """Where this one stands; None: it is not half open."""
-        for group, place in (
-            (self.asked, HandshakeStage.ASKED),
-            (self.waiting, HandshakeStage.WAITING),
-            (self.begun, HandshakeStage.BEGUN),
-        ):
-            if key in group:
-                return place
-        return None
-
-    def change(self, bounds: HandshakeLimits) -> None:
-        """Other bounds from now on; what has begun keeps its time."""
-        self.bounds = bounds
-        self.tokens = min(self.tokens, float(bounds.burst))
+        return len(self.awaiting_hello) + len(self.queued) + len(self.running)
+
+    def stage(self, connection: Connection) -> HandshakeStage | None:
+        """Return the stage of a connection, or None if it is not half-open."""
+        if connection in self.awaiting_hello:
+            return HandshakeStage.AWAITING_HELLO
+        if connection in self.queued:
+            return HandshakeStage.QUEUED
+        return HandshakeStage.RUNNING if connection in self.running else None
+
+    def reconfigure(self, limits: HandshakeLimits) -> None:
+        """Apply other limits; running handshakes keep their deadlines."""
+        self.limits = limits
+        self.tokens = min(self.tokens, float(limits.burst_us))
 
     def _refill(self, now: int) -> None:
-        if now > self.at:
-            self.tokens = min(
-                float(self.bounds.burst), self.tokens + (now - self.at) * self.bounds.share
-            )
-        self.at = max(self.at, now)
-
-    def accept(self, now: int, key: object) -> tuple[bool, object | None]:
-        """A new connection: whether it may stay, and which one has to go for it."""
-        victim = None
-        if len(self) >= self.bounds.half_open:
-            if not self.asked:
+        if now > self.refilled_at:
+            gained = (now - self.refilled_at) * self.limits.cpu_share
+            self.tokens = min(float(self.limits.burst_us), self.tokens + gained)
+        self.refilled_at = max(self.refilled_at, now)
+
+    def accept(self, now: int, connection: Connection) -> AcceptResult:
+        """Take a new connection, evict another one for it, or reject it."""
+        evicted = None
+        if len(self) >= self.limits.max_half_open:
+            if not self.awaiting_hello:
                 self.counts["turned away"] += 1
-                return False, None
-            victim, _ = self.asked.popitem(last=False)
+                return AcceptResult(False, None)
+            evicted, _ = self.awaiting_hello.popitem(last=False)
             self.counts["made room"] += 1
-        self.asked[key] = now + self.bounds.within
-        return True, victim
-
-    def ready(self, now: int, key: object) -> None:
-        """Its hello is whole; ``begin`` tells when it may go on."""
-        until = self.asked.pop(key, None)
-        if until is not None:
-            self.waiting[key] = until
-
-    def unrationed(self, now: int, key: object) -> None:
-        """Its hello is whole and it begins at once, for free: the checks of an authority, which are few."""
-        if self.asked.pop(key, None) is not None:
-            self.begun[key] = now + self.bounds.within
-
-    def begin(self, now: int) -> list[object]:
-        """Those that begin now, in the order in which their hellos came."""
+        self.awaiting_hello[connection] = now + self.limits.timeout_us
+        return AcceptResult(True, evicted)
+
+    def hello_received(self, connection: Connection) -> None:
+        """Queue a connection whose ClientHello is complete; ``begin`` says when it may go on."""
+        deadline = self.awaiting_hello.pop(connection, None)
+        if deadline is not None:
+            self.queued[connection] = deadline
+
+    def begin_unlimited(self, now: int, connection: Connection) -> None:
+        """Begin a handshake at once and free of charge: an authority's validations, which are few."""
+        if self.awaiting_hello.pop(connection, None) is not None:
+            self.running[connection] = now + self.limits.timeout_us
+
+    def begin(self, now: int) -> list[Connection]:
+        """Return the connections whose handshakes begin now, in the order of their hellos."""
         self._refill(now)
-        found = []
-        while self.waiting and self.tokens >= min(self.bounds.full, self.bounds.burst):
-            key, until = self.waiting.popitem(last=False)
-            self.tokens -= self.bounds.full
-            self.begun[key] = until
-            found.append(key)
-        return found
-
-    def done(self, now: int, key: object, resumed: bool) -> None:
-        """It succeeded."""
-        if self.begun.pop(key, None) is not None:
-            self.counts["resumed" if resumed else "full"] += 1
-            if resumed:
-                self.tokens = min(
-                    float(self.bounds.burst), self.tokens + self.bounds.full - self.bounds.resumed
-                )
-
-    def gone(self, key: object, why: str = "failed") -> None:
-        """It failed, or its client left: what it cost is spent."""
-        for group in (self.asked, self.waiting, self.begun):
-            if group.pop(key, None) is not None:
-                self.counts[why] += 1
+        begun = []
+        while self.queued and self.tokens >= self._needed_tokens():
+            connection, deadline = self.queued.popitem(last=False)
+            self.tokens -= self.limits.full_cost_us
+            self.running[connection] = deadline
+            begun.append(connection)
+        return begun
+
+    def _needed_tokens(self) -> int:
+        return min(self.limits.full_cost_us, self.limits.burst_us)
+
+    def succeeded(self, connection: Connection, resumed: bool) -> None:
+        """Count a finished handshake; a resumed one returns the tokens that it did not need."""
+        if self.running.pop(connection, None) is None:
+            return
+        self.counts["resumed" if resumed else "full"] += 1
+        if resumed:
+            unused = self.limits.full_cost_us - self.limits.resumed_cost_us
+            self.tokens = min(float(self.limits.burst_us), self.tokens + unused)
+
+    def ended(self, connection: Connection, reason: str = "failed") -> None:
+        """Count a handshake that failed or whose client left; its tokens are spent."""
+        for group in (self.awaiting_hello, self.queued, self.running):
+            if group.pop(connection, None) is not None:
+                self.counts[reason] += 1
                 return
 
-    def late(self, now: int) -> list[object]:
-        """Those whose time is up before they began; they are half open no more. One that has begun ends by itself."""
-        found = []
-        for group in (self.asked, self.waiting):
+    def expire(self, now: int) -> list[Connection]:
+        """Remove and return connections whose deadline passed before their handshake began."""
+        expired = []
+        for group in (self.awaiting_hello, self.queued):
             while group and next(iter(group.values())) <= now:
-                key, _ = group.popitem(last=False)
+                connection, _ = group.popitem(last=False)
                 self.counts["late"] += 1
-                found.append(key)
-        return found
-
-    def left(self, now: int, key: object) -> int:
-        """Microseconds that this one has left."""
-        for group in (self.asked, self.waiting, self.begun):
-            if key in group:
-                return max(0, group[key] - now)
+                expired.append(connection)
+        return expired
+
+    def remaining_us(self, now: int, connection: Connection) -> int:
+        """Return the microseconds until a connection's deadline."""
+        for group in (self.awaiting_hello, self.queued, self.running):
+            if connection in group:
+                return max(0, group[connection] - now)
         return 0
 
     def next_at(self, now: int) -> int | None:
-        """When to ask again: the first that is late, or tokens for the first that waits. None: nothing waits."""
-        times = [next(iter(g.values())) for g in (self.asked, self.waiting) if g]
-        if self.waiting:
+        """Return when to call again: for an expiry, or for tokens; None if nothing waits."""
+        times = [
+            next(iter(group.values())) for group in (self.awaiting_hello, self.queued) if group
+        ]
+        if self.queued:
             self._refill(now)
-            missing = max(0.0, min(self.bounds.full, self.bounds.burst) - self.tokens)
-            times.append(now + int(missing / self.bounds.share) + 1)
+            missing = max(0.0, self._needed_tokens() - self.tokens)
+            times.append(now + int(missing / self.limits.cpu_share) + 1)
         return min(times, default=None)
--- a/saffrongw/certs/http.py
+++ b/saffrongw/certs/http.py
@@ -11,8 +11,8 @@
 
 from saffrongw import __version__
 
-from .messages import AcmeError, Answer, Kind, clean, malformed_answer
-from .order_flow import Request
+from .messages import AcmeError, FailureKind, HttpAnswer, clean, malformed_answer
+from .order_flow import HttpRequest
 
 TIMEOUT_S = 30.0  # seconds for one request, from connecting to the last byte
 MAX_HEAD_BYTES, MAX_BODY_BYTES = 32 * 1024, 512 * 1024  # bytes
@@ -27,23 +27,25 @@
         self.context = ssl.create_default_context(cafile=ca or None)
         self.within = within
 
-    async def send(self, request: Request) -> Answer:
+    async def send(self, request: HttpRequest) -> HttpAnswer:
         """The answer; ``AcmeError`` AWAY where none came, UNUSABLE where it is none."""
         try:
             async with asyncio.timeout(self.within):
                 return await self._send(request)
         except TimeoutError:
             raise AcmeError(
-                Kind.AWAY, f"{request.read}: no answer within {self.within:g} s"
+                FailureKind.AWAY, f"{request.read}: no answer within {self.within:g} s"
             ) from None
         except ssl.SSLError as wrong:
-            raise AcmeError(Kind.AWAY, f"{request.read}: {clean(wrong.reason or wrong)}") from None
+            raise AcmeError(
+                FailureKind.AWAY, f"{request.read}: {clean(wrong.reason or wrong)}"
+            ) from None
         except (OSError, EOFError) as wrong:
-            raise AcmeError(Kind.AWAY, f"{request.read}: {clean(wrong)}") from None
+            raise AcmeError(FailureKind.AWAY, f"{request.read}: {clean(wrong)}") from None
         except h11.RemoteProtocolError as wrong:
             raise malformed_answer(request.read, f"no HTTP: {clean(wrong)}") from None
 
-    async def _send(self, request: Request) -> Answer:
+    async def _send(self, request: HttpRequest) -> HttpAnswer:
         parts = urlsplit(request.url)
         host, port = parts.hostname, parts.port or 443
         reader, writer = await asyncio.open_connection(
@@ -72,8 +74,8 @@
             writer.transport.abort()
 
     async def _read(
-        self, http: h11.Connection, reader: asyncio.StreamReader, request: Request
-    ) -> Answer:
+        self, http: h11.Connection, reader: asyncio.StreamReader, request: HttpRequest
+    ) -> HttpAnswer:
         head, body, ended = None, bytearray(), False
         while True:
             try:
@@ -106,4 +108,4 @@
                 links += [(relation, target) for target, relation in _LINK.findall(text)]
             else:
                 fields.setdefault(name.decode("latin-1"), text)
-        return Answer(head.status_code, fields, bytes(body), tuple(links))
+        return HttpAnswer(head.status_code, fields, bytes(body), tuple(links))
--- a/saffrongw/certs/lease.py
+++ b/saffrongw/certs/lease.py
@@ -1,11 +1,10 @@
-"""Who of many does a duty that only one may do: a lease with a term, by values alone. No I/O, no clock.
+"""Decisions of a lease that lies in a shared file: who of many does something that only one may do.
 
-The lease lies where all can read it and where one write at a time succeeds (``store.py`` holds a lock meanwhile). It
-names its holder, a **term** that grows with each taking, and its end in Unix seconds. Clocks may differ by ``skew``:
-the holder acts until its end less the skew, others take it after its end plus the skew. A holder that was stopped
-and goes on later is found out by its term: a write with an older term than the lease's is refused.
-
-It knows nothing of certificates: any periodic duty with a shared place to write to can use it.
+No I/O, no clock. The lease lies where all can read it and where one write at a time succeeds
+(``shared_folder.py`` holds a lock meanwhile). It names its holder, a term that grows with each taking,
+and its end in Unix seconds. Clocks may differ by ``skew``: the holder acts until its end less the skew,
+others take it after its end plus the skew. A holder that was stopped and goes on later is recognised by
+its term: a write under an older term than the lease's is rejected.
 """
 
 from __future__ import annotations
@@ -14,8 +13,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lease:
-    """Who holds it; the term, from 1; until when, in Unix seconds."""
+class LeaseRecord:
+    """The holder, the term (from 1) and the end in Unix seconds."""
 
     holder: str
     term: int
@@ -23,8 +22,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """Seconds: how long a lease is given for, and by how much clocks may differ."""
+class LeaseTerms:
+    """How long a lease is granted for, and by how much clocks may differ; both in seconds."""
 
     span: float = 30.0
     skew: float = 2.0
@@ -35,54 +34,59 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Take:
-    """Write this lease: it is ours from then on (new, or longer)."""
+class TakeLease:
+    """Write this lease: it is ours from then on, newly taken or renewed."""
 
-    lease: Lease
+    lease: LeaseRecord
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
-    """It is ours and long enough; look again at that time."""
+class KeepLease:
+    """The lease is ours and lasts long enough; check again at this time (Unix seconds)."""
 
     until: float
 
 
 @dataclass(frozen=True, slots=True)
-class Wait:
-    """Another holds it; look again at that time."""
+class WaitForLease:
+    """Another holds the lease; check again at this time (Unix seconds)."""
 
     until: float
 
 
-def decide(now: float, me: str, found: Lease | None, terms: Terms) -> Take | Keep | Wait:
-    """What to do about the lease that was found.
+LeaseDecision = TakeLease | KeepLease | WaitForLease
+
+
+def decide(now: float, holder: str, found: LeaseRecord | None, terms: LeaseTerms) -> LeaseDecision:
+    """Decide what ``holder`` does about the lease that was found.
 
-    One whose end lies further ahead than a whole span and twice the skew was written by a clock that is wrong: it
-    counts from the look on as if just given, so that it can't block the duty for ever (``capped`` says so).
+    A lease whose end lies further ahead than a whole span and twice the skew was written by a wrong
+    clock; it counts as just granted, so that it cannot block the others for ever.
     """
     if found is None:
-        return Take(Lease(me, 1, now + terms.span))
-    if found.holder == me and found.until - terms.skew > now:
+        return TakeLease(LeaseRecord(holder, 1, now + terms.span))
+    if found.holder == holder and found.until - terms.skew > now:
         if found.until - now > terms.span / 2:
-            return Keep(min(found.until, now + terms.span) - terms.span / 2)
-        return Take(Lease(me, found.term, now + terms.span))
+            return KeepLease(min(found.until, now + terms.span) - terms.span / 2)
+        return TakeLease(LeaseRecord(holder, found.term, now + terms.span))
     if found.until + terms.skew <= now:
-        return Take(Lease(me, found.term + 1, now + terms.span))
-    return Wait(min(found.until + terms.skew, now + terms.span + 2 * terms.skew))
+        return TakeLease(LeaseRecord(holder, found.term + 1, now + terms.span))
+    return WaitForLease(min(found.until + terms.skew, now + terms.span + 2 * terms.skew))
 
 
-def capped(now: float, found: Lease, terms: Terms) -> Lease:
-    """The lease as it may stand at most: one from the future is cut to what a right clock could have given."""
-    most = now + terms.span + 2 * terms.skew
-    return found if found.until <= most else Lease(found.holder, found.term, most)
+def clamp_to_clock(now: float, found: LeaseRecord, terms: LeaseTerms) -> LeaseRecord:
+    """Shorten a lease that ends later than a right clock could have granted."""
+    latest = now + terms.span + 2 * terms.skew
+    return found if found.until <= latest else LeaseRecord(found.holder, found.term, latest)
 
 
-def held(now: float, me: str, term: int, found: Lease | None, terms: Terms) -> bool:
-    """Whether the duty may be done under this term right now; asked before every write."""
+def is_held(
+    now: float, holder: str, term: int, found: LeaseRecord | None, terms: LeaseTerms
+) -> bool:
+    """Tell whether ``holder`` may write under this term right now; checked before every write."""
     return (
         found is not None
-        and found.holder == me
+        and found.holder == holder
         and found.term == term
         and now < found.until - terms.skew
     )
--- a/saffrongw/certs/messages.py
+++ b/saffrongw/certs/messages.py
@@ -21,7 +21,7 @@
 MAX_RETRY_AFTER_S = 30 * 86_400.0  # seconds: no authority can ask for more
 
 
-class Kind(Enum):
+class FailureKind(Enum):
     """What sort of failure it was."""
 
     AWAY = "authority away"  # no connection, no answer in time, 5xx
@@ -37,7 +37,7 @@
 class AcmeError(Exception):
     """A step that failed: its kind, what happened, and seconds that the authority asked to wait (0: it did not say)."""
 
-    def __init__(self, kind: Kind, detail: str, retry_after: float = 0.0) -> None:
+    def __init__(self, kind: FailureKind, detail: str, retry_after: float = 0.0) -> None:
         super().__init__(f"{kind.value}: {detail}")
         self.kind, self.detail, self.retry_after = kind, detail[:MAX_TEXT_CHARS], retry_after
 
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class HttpAnswer:
     """An answer over HTTP; names of headers in lower case. ``links``: the targets of Link headers by relation."""
 
     status: int
@@ -108,7 +108,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Window:
+class RenewalWindow:
     """RFC 9773: between which times to renew, and when to ask again; Unix seconds."""
 
     start: float
@@ -121,33 +121,33 @@
 CHALLENGE_STATES = ("pending", "processing", "valid", "invalid")
 
 _KINDS = {
-    "rateLimited": Kind.RATE,
-    "unauthorized": Kind.CHALLENGE,
-    "connection": Kind.CHALLENGE,
-    "dns": Kind.CHALLENGE,
-    "tls": Kind.CHALLENGE,
-    "incorrectResponse": Kind.CHALLENGE,
-    "accountDoesNotExist": Kind.ACCOUNT,
-    "externalAccountRequired": Kind.ACCOUNT,
-    "userActionRequired": Kind.ACCOUNT,
-    "invalidContact": Kind.ACCOUNT,
-    "unsupportedContact": Kind.ACCOUNT,
-    "badCSR": Kind.REJECTED,
-    "badPublicKey": Kind.REJECTED,
-    "caa": Kind.REJECTED,
-    "rejectedIdentifier": Kind.REJECTED,
-    "unsupportedIdentifier": Kind.REJECTED,
-    "malformed": Kind.ORDER,
-    "orderNotReady": Kind.ORDER,
-    "alreadyReplaced": Kind.ORDER,
-    "serverInternal": Kind.AWAY,
+    "rateLimited": FailureKind.RATE,
+    "unauthorized": FailureKind.CHALLENGE,
+    "connection": FailureKind.CHALLENGE,
+    "dns": FailureKind.CHALLENGE,
+    "tls": FailureKind.CHALLENGE,
+    "incorrectResponse": FailureKind.CHALLENGE,
+    "accountDoesNotExist": FailureKind.ACCOUNT,
+    "externalAccountRequired": FailureKind.ACCOUNT,
+    "userActionRequired": FailureKind.ACCOUNT,
+    "invalidContact": FailureKind.ACCOUNT,
+    "unsupportedContact": FailureKind.ACCOUNT,
+    "badCSR": FailureKind.REJECTED,
+    "badPublicKey": FailureKind.REJECTED,
+    "caa": FailureKind.REJECTED,
+    "rejectedIdentifier": FailureKind.REJECTED,
+    "unsupportedIdentifier": FailureKind.REJECTED,
+    "malformed": FailureKind.ORDER,
+    "orderNotReady": FailureKind.ORDER,
+    "alreadyReplaced": FailureKind.ORDER,
+    "serverInternal": FailureKind.AWAY,
 }
 _ACME = "urn:ietf:params:acme:error:"
 
 
 def malformed_answer(where: str, why: str) -> AcmeError:
     """What an authority said can't be used."""
-    return AcmeError(Kind.UNUSABLE, f"{where}: {why}")
+    return AcmeError(FailureKind.UNUSABLE, f"{where}: {why}")
 
 
 def clean(text: object) -> str:
@@ -155,7 +155,7 @@
     return "".join(c if c.isprintable() else " " for c in str(text)[:MAX_TEXT_CHARS])
 
 
-def document(answer: Answer, where: str) -> dict[str, Any]:
+def document(answer: HttpAnswer, where: str) -> dict[str, Any]:
     """The JSON object in an answer."""
     try:
         found = json.loads(answer.body)
@@ -217,7 +217,7 @@
         raise malformed_answer(f"{where}.{key}", f"no time: {clean(found)!r:.60}") from None
 
 
-def directory(answer: Answer) -> Directory:
+def directory(answer: HttpAnswer) -> Directory:
     """The first thing that is asked."""
     raw, where = document(answer, "directory"), "directory"
     meta = raw.get("meta", {})
@@ -247,7 +247,7 @@
     return name
 
 
-def order(answer: Answer) -> Order:
+def order(answer: HttpAnswer) -> Order:
     """An order as it stands."""
     raw, where = document(answer, "order"), "order"
     status = _state(raw, ORDER_STATES, where)
@@ -265,7 +265,7 @@
     )
 
 
-def authorisation(answer: Answer) -> Authorisation:
+def authorisation(answer: HttpAnswer) -> Authorisation:
     """What has to be proved for a name."""
     raw, where = document(answer, "authorization"), "authorization"
     found = []
@@ -321,14 +321,20 @@
                 detail += f"; {clean(who)}: {clean(one.get('detail', ''))}"
     words = f"{clean(name) or 'no type'}: {detail}"
     if name == "badNonce":
-        return BadNonceError(Kind.AWAY, words, retry_after)
+        return BadNonceError(FailureKind.AWAY, words, retry_after)
     kind = _KINDS.get(name)
     if kind is None:
-        kind = Kind.RATE if status == 429 else Kind.AWAY if status >= 500 else Kind.REJECTED
+        kind = (
+            FailureKind.RATE
+            if status == 429
+            else FailureKind.AWAY
+            if status >= 500
+            else FailureKind.REJECTED
+        )
     return AcmeError(kind, words, retry_after)
 
 
-def problem(answer: Answer, now: float) -> AcmeError:
+def problem(answer: HttpAnswer, now: float) -> AcmeError:
     """Why a request was not carried out."""
     after = retry_after(answer, now)
     try:
@@ -336,14 +342,14 @@
     except AcmeError:
         raw = {}
     found = _problem(raw, after, answer.status)
-    if answer.status == 429 and found.kind is not Kind.RATE:
-        found = AcmeError(Kind.RATE, found.detail, after)
-    if answer.status == 404 and found.kind in (Kind.REJECTED, Kind.CHALLENGE):
-        found = AcmeError(Kind.ORDER, f"not found: {found.detail}", after)
+    if answer.status == 429 and found.kind is not FailureKind.RATE:
+        found = AcmeError(FailureKind.RATE, found.detail, after)
+    if answer.status == 404 and found.kind in (FailureKind.REJECTED, FailureKind.CHALLENGE):
+        found = AcmeError(FailureKind.ORDER, f"not found: {found.detail}", after)
     return found
 
 
-def retry_after(answer: Answer, now: float) -> float:
+def retry_after(answer: HttpAnswer, now: float) -> float:
     """Seconds that the authority asks to wait; 0 where it does not say, or says what is no time."""
     raw = answer.headers.get("retry-after", "").strip()
     if not raw:
@@ -358,7 +364,7 @@
         return 0.0
 
 
-def window(answer: Answer, now: float) -> Window:
+def window(answer: HttpAnswer, now: float) -> RenewalWindow:
     """When to renew, in the authority's view."""
     raw = document(answer, "renewalInfo")
     found = raw.get("suggestedWindow")
@@ -370,4 +376,4 @@
         raise malformed_answer("renewalInfo.suggestedWindow", "ends before it begins")
     # RFC 9773, 4.3: within sensible bounds, a minute to a day.
     after = min(max(retry_after(answer, now) or 6 * 3_600, 60), 86_400)
-    return Window(start, end, now + after)
+    return RenewalWindow(start, end, now + after)
--- a/saffrongw/certs/order_flow.py
+++ b/saffrongw/certs/order_flow.py
@@ -17,43 +17,48 @@
 from .jose import AccountKey, b64
 from .messages import (
     AcmeError,
-    Answer,
     Authorisation,
     BadNonceError,
     Challenge,
     Directory,
-    Kind,
+    FailureKind,
+    HttpAnswer,
     Order,
 )
 
-NONCES = 8  # kept; each is good for one request
-NONCE_TRIES = 4  # of one request: an authority that refuses each nonce must not keep us for ever
-POLL_FIRST, POLL_MOST = 1.0, 30.0  # seconds between two looks, where the authority does not say
-PAGES_MOST, ORDERS_MOST = 4, 60  # of the list of our orders that are looked through
-ALTERNATES_MOST = 4  # further chains that are fetched
-JOSE = "application/jose+json"
+MAX_CACHED_NONCES = 8  # kept; each is good for one request
+MAX_NONCE_ATTEMPTS = (
+    4  # of one request: an authority that refuses each nonce must not keep us for ever
+)
+INITIAL_POLL_S, MAX_POLL_S = (
+    1.0,
+    30.0,
+)  # seconds between two looks, where the authority does not say
+MAX_ORDER_PAGES, MAX_ORDERS = 4, 60  # of the list of our orders that are looked through
+MAX_ALTERNATE_CHAINS = 4  # further chains that are fetched
+JOSE_CONTENT_TYPE = "application/jose+json"
 
 
 @dataclass(frozen=True, slots=True)
-class Request:
+class HttpRequest:
     """One request over HTTPS; ``read`` also says what is read of it in an error."""
 
     method: str
     url: str
     read: str
     body: bytes = b""
-    type: str = JOSE
+    type: str = JOSE_CONTENT_TYPE
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
+class SaveNote:
     """This must be durable before the next step."""
 
     note: CertNote
 
 
 @dataclass(frozen=True, slots=True)
-class Publish:
+class PublishChallenge:
     """Every gateway must be able to answer this challenge before the next step."""
 
     name: str
@@ -63,20 +68,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Withdraw:
+class WithdrawChallenges:
     """These challenges are over."""
 
     tokens: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Wait:
-    """Seconds."""
+class Sleep:
+    """Continue after so many seconds."""
 
-    span: float
+    seconds: float
 
 
-Step = Request | Keep | Publish | Withdraw | Wait
+Step = HttpRequest | SaveNote | PublishChallenge | WithdrawChallenges | Sleep
 R = TypeVar("R")
 Flow = Generator[Step, Any, R]
 
@@ -88,10 +93,10 @@
         self, directory: str, key: AccountKey, now: Callable[[], float], account: str = ""
     ) -> None:
         self.directory, self.key, self.now, self.account = directory, key, now, account
-        self.places: Directory | None = None
+        self.urls: Directory | None = None
         self.nonces: list[str] = []
 
-    def _send(self, request: Request) -> Flow[Answer]:
+    def _send(self, request: HttpRequest) -> Flow[HttpAnswer]:
         answer = yield request
         nonce = answer.headers.get("replay-nonce", "")
         if (
@@ -100,43 +105,45 @@
             and all(c.isascii() and (c.isalnum() or c in "-_") for c in nonce)
         ):
             self.nonces.append(nonce)
-            del self.nonces[:-NONCES]
+            del self.nonces[:-MAX_CACHED_NONCES]
         return answer
 
     def open(self) -> Flow[Directory]:
         """The directory, once a session."""
-        if self.places is None:
-            answer = yield from self._send(Request("GET", self.directory, "directory"))
+        if self.urls is None:
+            answer = yield from self._send(HttpRequest("GET", self.directory, "directory"))
             if answer.status != 200:
                 raise messages.problem(answer, self.now())
-            self.places = messages.directory(answer)
-        return self.places
+            self.urls = messages.directory(answer)
+        return self.urls
 
     def _nonce(self) -> Flow[str]:
         if not self.nonces:
-            places = yield from self.open()
-            answer = yield from self._send(Request("HEAD", places.nonce, "nonce"))
+            urls = yield from self.open()
+            answer = yield from self._send(HttpRequest("HEAD", urls.nonce, "nonce"))
             if not self.nonces:
                 if answer.status >= 400:
                     raise messages.problem(answer, self.now())
                 raise messages.malformed_answer("nonce", "none in the answer")
         return self.nonces.pop()
 
-    def post(self, url: str, payload: Any, read: str, by_key: bool = False) -> Flow[Answer]:
+    def post(self, url: str, payload: Any, read: str, by_key: bool = False) -> Flow[HttpAnswer]:
         """A signed request; a bad nonce is made good here, all other failures are raised. ``None``: POST-as-GET."""
         kid = None if by_key else self.account
-        for tried in range(NONCE_TRIES):
+        for tried in range(MAX_NONCE_ATTEMPTS):
             nonce = yield from self._nonce()
             signed = self.key.sign(url, payload, nonce, kid)
-            answer = yield from self._send(Request("POST", url, read, _json(signed)))
+            answer = yield from self._send(HttpRequest("POST", url, read, _json(signed)))
             if 200 <= answer.status < 300:
                 return answer
-            wrong = messages.problem(answer, self.now())
-            if not isinstance(wrong, BadNonceError):
-                raise wrong
+            error = messages.problem(answer, self.now())
+            if not isinstance(error, BadNonceError):
+                raise error
             if tried:  # its answer's own nonce was no good either: ask for a fresh one
                 self.nonces.clear()
-        raise AcmeError(Kind.AWAY, f"{read}: each of {NONCE_TRIES} nonces was refused")
+        raise AcmeError(
+            FailureKind.AWAY, f"{read}: each of {MAX_NONCE_ATTEMPTS} nonces was refused"
+        )
 
     # -- the account ----------------------------------------------------------------------------------------------
 
@@ -147,52 +154,52 @@
         existing: bool = False,
     ) -> Flow[str]:
         """The account's URL. With a key that has one the same comes back: done twice does no harm."""
-        places = yield from self.open()
+        urls = yield from self.open()
         payload: dict[str, Any] = {"termsOfServiceAgreed": True}
         if existing:
             payload["onlyReturnExisting"] = True
         if contact:
             payload["contact"] = [c if ":" in c else f"mailto:{c}" for c in contact]
         if external:
-            payload["externalAccountBinding"] = self.key.bind(places.account, *external)
-        elif places.external and not existing:
+            payload["externalAccountBinding"] = self.key.bind(urls.account, *external)
+        elif urls.external and not existing:
             raise AcmeError(
-                Kind.ACCOUNT, "the authority wants an external account; none is configured"
+                FailureKind.ACCOUNT, "the authority wants an external account; none is configured"
             )
-        answer = yield from self.post(places.account, payload, "account", by_key=True)
+        answer = yield from self.post(urls.account, payload, "account", by_key=True)
         found = messages.document(answer, "account")
         if found.get("status") != "valid":
-            raise AcmeError(Kind.ACCOUNT, f"the account is {messages.clean(found.get('status'))}")
+            raise AcmeError(
+                FailureKind.ACCOUNT, f"the account is {messages.clean(found.get('status'))}"
+            )
         self.account = messages.url(answer.headers.get("location"), "account: location")
         return self.account
 
     def roll_over(self, new: AccountKey) -> Flow[None]:
         """The account belongs to another key from now on (RFC 8555, 7.3.5)."""
-        places = yield from self.open()
-        if not places.key_change:
+        urls = yield from self.open()
+        if not urls.key_change:
             raise messages.malformed_answer("directory.keyChange", "the authority offers none")
         inner = new.sign(
-            places.key_change, {"account": self.account, "oldKey": self.key.jwk}, None, None
+            urls.key_change, {"account": self.account, "oldKey": self.key.jwk}, None, None
         )
-        yield from self.post(places.key_change, inner, "key change")
+        yield from self.post(urls.key_change, inner, "key change")
         self.key = new
 
     def revoke(self, der: bytes, reason: int) -> Flow[None]:
         """The certificate is not to be trusted any more."""
-        places = yield from self.open()
-        if not places.revoke:
+        urls = yield from self.open()
+        if not urls.revoke:
             raise messages.malformed_answer("directory.revokeCert", "the authority offers none")
-        yield from self.post(
-            places.revoke, {"certificate": b64(der), "reason": reason}, "revocation"
-        )
+        yield from self.post(urls.revoke, {"certificate": b64(der), "reason": reason}, "revocation")
 
-    def window(self, name: str) -> Flow[messages.Window | None]:
+    def window(self, name: str) -> Flow[messages.RenewalWindow | None]:
         """When the authority wants this certificate renewed; None: it offers no windows."""
-        places = yield from self.open()
-        if not places.renewal or not name:
+        urls = yield from self.open()
+        if not urls.renewal or not name:
             return None
         answer = yield from self._send(
-            Request("GET", f"{places.renewal.rstrip('/')}/{name}", "renewalInfo")
+            HttpRequest("GET", f"{urls.renewal.rstrip('/')}/{name}", "renewalInfo")
         )
         if answer.status != 200:
             raise messages.problem(answer, self.now())
@@ -202,19 +209,19 @@
         """Our newest orders, as far as the authority lists them: a few pages."""
         answer = yield from self.post(self.account, {}, "account")
         raw = messages.document(answer, "account")
-        place = messages.url_in(raw, "orders", "account", needed=False)
+        resource_url = messages.url_in(raw, "orders", "account", needed=False)
         found: list[str] = []
-        for _ in range(PAGES_MOST):
-            if not place:
+        for _ in range(MAX_ORDER_PAGES):
+            if not resource_url:
                 break
-            answer = yield from self.post(place, None, "orders")
+            answer = yield from self.post(resource_url, None, "orders")
             listed = messages.document(answer, "orders").get("orders")
             if not isinstance(listed, list):
                 raise messages.malformed_answer("orders.orders", "no list")
-            found += [messages.url(one, "orders.orders") for one in listed[:ORDERS_MOST]]
+            found += [messages.url(one, "orders.orders") for one in listed[:MAX_ORDERS]]
             following = answer.linked("next")
-            place = messages.url(following[0], "orders: next") if following else ""
-        return found[:ORDERS_MOST]
+            resource_url = messages.url(following[0], "orders: next") if following else ""
+        return found[:MAX_ORDERS]
 
 
 def _json(value: Any) -> bytes:
@@ -222,203 +229,221 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class OrderRequest:
     """What is ordered: names, how they are proved, the signing request, seconds that all of it may take."""
 
     names: tuple[str, ...]
     challenge: str
     csr: str
-    within: float = 3_600.0
+    timeout_s: float = 3_600.0
     issuer: str = ""  # of the chain that is preferred
     replaces: str = ""
 
 
-def obtain(
-    session: Session, note: CertNote, wanted: Wanted, issuers: Callable[[bytes], set[str]]
+def obtain_certificate(
+    session: Session, note: CertNote, wanted: OrderRequest, issuers: Callable[[bytes], set[str]]
 ) -> Flow[bytes]:
     """From whatever the note says was reached to the certificate's chain in PEM.
 
     The note's order is taken up again where its names and authority fit; one that the authority no longer has, or
     that failed, is forgotten (kept so) before the error is raised, so that the next run makes a new one.
     """
-    until = session.now() + wanted.within
+    deadline = session.now() + wanted.timeout_s
     try:
-        place, order = yield from _order(session, note, wanted)
+        resource_url, order = yield from _resume_or_create_order(session, note, wanted)
         if order.status == "pending":
-            yield from _prove(session, order, wanted, until)
-            order = yield from _until(session, place, until, ("pending",))
+            yield from _complete_authorisations(session, order, wanted, deadline)
+            order = yield from _poll_order(session, resource_url, deadline, ("pending",))
         if order.status == "ready":
             answer = yield from session.post(order.finalize, {"csr": wanted.csr}, "finalize")
-            order = _same(messages.order(answer), wanted)
+            order = _check_names(messages.order(answer), wanted)
         if order.status in ("processing", "ready"):
-            order = yield from _until(session, place, until, ("processing", "ready"))
+            order = yield from _poll_order(session, resource_url, deadline, ("processing", "ready"))
         if order.status != "valid":
-            raise order.error or AcmeError(Kind.ORDER, f"the order is {order.status}")
-        return (yield from _download(session, order.certificate, wanted, issuers))
-    except AcmeError as wrong:
-        if wrong.kind not in (Kind.AWAY, Kind.RATE, Kind.LOCAL):
-            yield Keep(replace(note, order=None))
+            raise order.error or AcmeError(FailureKind.ORDER, f"the order is {order.status}")
+        return (yield from _download_chain(session, order.certificate, wanted, issuers))
+    except AcmeError as error:
+        if error.kind not in (FailureKind.AWAY, FailureKind.RATE, FailureKind.LOCAL):
+            yield SaveNote(replace(note, order=None))
         raise
 
 
-def _same(order: Order, wanted: Wanted) -> Order:
+def _check_names(order: Order, wanted: OrderRequest) -> Order:
     if order.names != frozenset(wanted.names):
         raise messages.malformed_answer("order.identifiers", "not the names that were ordered")
     return order
 
 
-def _order(session: Session, note: CertNote, wanted: Wanted) -> Flow[tuple[str, Order]]:
+def _resume_or_create_order(
+    session: Session, note: CertNote, wanted: OrderRequest
+) -> Flow[tuple[str, Order]]:
     """The order to go on with: the one that was noted, one whose place was lost with a crash, or a new one."""
     old = note.order
     if old and old.directory == session.directory and set(old.names) == set(wanted.names):
         if old.url:
             answer = yield from session.post(old.url, None, "order")
-            found = _same(messages.order(answer), wanted)
+            found = _check_names(messages.order(answer), wanted)
             if found.status != "invalid":
                 return old.url, found
-            raise found.error or AcmeError(Kind.ORDER, "the order is invalid")
-        lost = yield from _find(session, wanted, old.begun)
+            raise found.error or AcmeError(FailureKind.ORDER, "the order is invalid")
+        lost = yield from _find_lost_order(session, wanted, old.begun)
         if lost:
-            yield Keep(replace(note, order=replace(old, url=lost[0])))
+            yield SaveNote(replace(note, order=replace(old, url=lost[0])))
             return lost
-    places = yield from session.open()
+    urls = yield from session.open()
     begun = OrderNote(session.directory, wanted.names, session.now(), "", wanted.replaces)
-    yield Keep(replace(note, order=begun))
+    yield SaveNote(replace(note, order=begun))
     payload: dict[str, Any] = {
         "identifiers": [{"type": "dns", "value": name} for name in wanted.names]
     }
-    if wanted.replaces and places.renewal:
+    if wanted.replaces and urls.renewal:
         payload["replaces"] = wanted.replaces
     try:
-        answer = yield from session.post(places.order, payload, "new order")
-    except AcmeError as wrong:
+        answer = yield from session.post(urls.order, payload, "new order")
+    except AcmeError as error:
         if (
-            wrong.kind is Kind.CHALLENGE
+            error.kind is FailureKind.CHALLENGE
         ):  # "unauthorized" before anything was to be proved: is it the account?
             yield from _check_account(session)
-            raise AcmeError(Kind.REJECTED, wrong.detail, wrong.retry_after) from None
-        if "replaces" not in payload or wrong.kind not in (Kind.ORDER, Kind.REJECTED):
+            raise AcmeError(FailureKind.REJECTED, error.detail, error.retry_after) from None
+        if "replaces" not in payload or error.kind not in (FailureKind.ORDER, FailureKind.REJECTED):
             raise
         # RFC 9773, 5: one that was replaced already, or is unknown there, must not keep us from a new certificate.
         del payload["replaces"]
-        answer = yield from session.post(places.order, payload, "new order")
-    place = messages.url(answer.headers.get("location"), "new order: location")
-    yield Keep(replace(note, order=replace(begun, url=place)))
-    return place, _same(messages.order(answer), wanted)
+        answer = yield from session.post(urls.order, payload, "new order")
+    resource_url = messages.url(answer.headers.get("location"), "new order: location")
+    yield SaveNote(replace(note, order=replace(begun, url=resource_url)))
+    return resource_url, _check_names(messages.order(answer), wanted)
 
 
 def _check_account(session: Session) -> Flow[None]:
     """ACCOUNT where the authority does not know our key any more, or has closed what belongs to it."""
     try:
         yield from session.register((), existing=True)
-    except AcmeError as wrong:
-        if wrong.kind is Kind.CHALLENGE:
-            raise AcmeError(Kind.ACCOUNT, wrong.detail) from None
+    except AcmeError as error:
+        if error.kind is FailureKind.CHALLENGE:
+            raise AcmeError(FailureKind.ACCOUNT, error.detail) from None
         raise
 
 
-def _find(session: Session, wanted: Wanted, begun: float) -> Flow[tuple[str, Order] | None]:
+def _find_lost_order(
+    session: Session, wanted: OrderRequest, begun: float
+) -> Flow[tuple[str, Order] | None]:
     """An order whose answer never reached us, where the authority lists orders at all."""
     try:
-        for place in (yield from session.orders()):
-            answer = yield from session.post(place, None, "order")
+        for resource_url in (yield from session.orders()):
+            answer = yield from session.post(resource_url, None, "order")
             found = messages.order(answer)
             if found.names == frozenset(wanted.names) and found.status in ("pending", "ready"):
-                return place, found
-    except AcmeError as wrong:
-        if wrong.kind in (Kind.AWAY, Kind.RATE, Kind.ACCOUNT):
+                return resource_url, found
+    except AcmeError as error:
+        if error.kind in (FailureKind.AWAY, FailureKind.RATE, FailureKind.ACCOUNT):
             raise
     return None
 
 
-def _until(session: Session, place: str, until: float, states: tuple[str, ...]) -> Flow[Order]:
+def _poll_order(
+    session: Session, resource_url: str, deadline: float, states: tuple[str, ...]
+) -> Flow[Order]:
     """Look at the order until it has left these states."""
-    span = POLL_FIRST
+    interval = INITIAL_POLL_S
     while True:
-        answer = yield from session.post(place, None, "order")
+        answer = yield from session.post(resource_url, None, "order")
         found = messages.order(answer)
         if found.status not in states:
             return found
-        span = yield from _pause(session, answer, span, until, "the order stays " + found.status)
+        interval = yield from _backoff(
+            session, answer, interval, deadline, "the order stays " + found.status
+        )
 
 
-def _pause(session: Session, answer: Answer, span: float, until: float, why: str) -> Flow[float]:
-    asked = messages.retry_after(answer, session.now())
-    wait = min(max(asked, span), max(0.0, until - session.now()))
-    if session.now() >= until or wait <= 0:
-        raise AcmeError(Kind.ORDER, why)
-    yield Wait(wait)
-    return min(span * 2, POLL_MOST)
+def _backoff(
+    session: Session, answer: HttpAnswer, interval: float, deadline: float, why: str
+) -> Flow[float]:
+    requested_s = messages.retry_after(answer, session.now())
+    wait = min(max(requested_s, interval), max(0.0, deadline - session.now()))
+    if session.now() >= deadline or wait <= 0:
+        raise AcmeError(FailureKind.ORDER, why)
+    yield Sleep(wait)
+    return min(interval * 2, MAX_POLL_S)
 
 
-def _prove(session: Session, order: Order, wanted: Wanted, until: float) -> Flow[None]:
+def _complete_authorisations(
+    session: Session, order: Order, wanted: OrderRequest, deadline: float
+) -> Flow[None]:
     """Show that each name is ours. All are put up and asked for first and only then waited for, so that 500 names
     take as long as the slowest and not as the sum. What was put up is taken down in any case."""
-    put_up: list[str] = []
-    open_ones: list[str] = []
+    published: list[str] = []
+    pending_urls: list[str] = []
     try:
-        for place in order.authorisations:
-            found = messages.authorisation((yield from session.post(place, None, "authorization")))
+        for resource_url in order.authorisations:
+            found = messages.authorisation(
+                (yield from session.post(resource_url, None, "authorization"))
+            )
             _check_name(found, wanted)
             if found.status == "valid":
                 continue
-            challenge = _choose(found, wanted)
-            put_up.append(challenge.token)
-            yield Publish(
+            challenge = _choose_challenge(found, wanted)
+            published.append(challenge.token)
+            yield PublishChallenge(
                 found.name, challenge.type, challenge.token, session.key.authorise(challenge.token)
             )
-            open_ones.append(place)
+            pending_urls.append(resource_url)
             if challenge.status == "pending":
                 yield from session.post(challenge.url, {}, "challenge")
-        for place in open_ones:
-            yield from _proved(session, place, wanted, until)
+        for resource_url in pending_urls:
+            yield from _await_authorisation(session, resource_url, wanted, deadline)
     except AcmeError:  # and nothing else: a run that is cut off yields nothing more, what it put up ends by its age
-        if put_up:
-            yield Withdraw(tuple(put_up))
+        if published:
+            yield WithdrawChallenges(tuple(published))
         raise
-    if put_up:
-        yield Withdraw(tuple(put_up))
+    if published:
+        yield WithdrawChallenges(tuple(published))
 
 
-def _check_name(found: Authorisation, wanted: Wanted) -> None:
+def _check_name(found: Authorisation, wanted: OrderRequest) -> None:
     if found.name not in wanted.names:
         raise messages.malformed_answer("authorization.identifier", f"{found.name} was not ordered")
     if found.status not in ("valid", "pending"):
         first = next((c.error for c in found.challenges if c.error), None)
         raise first or AcmeError(
-            Kind.CHALLENGE, f"{found.name}: the authorisation is {found.status}"
+            FailureKind.CHALLENGE, f"{found.name}: the authorisation is {found.status}"
         )
 
 
-def _choose(found: Authorisation, wanted: Wanted) -> Challenge:
+def _choose_challenge(found: Authorisation, wanted: OrderRequest) -> Challenge:
     for one in found.challenges:
         if one.type == wanted.challenge:
             return one
-    offered = ", ".join(c.type for c in found.challenges) or "none that we know"
-    raise AcmeError(Kind.REJECTED, f"{found.name}: no {wanted.challenge} is offered ({offered})")
+    available = ", ".join(c.type for c in found.challenges) or "none that we know"
+    raise AcmeError(
+        FailureKind.REJECTED, f"{found.name}: no {wanted.challenge} is offered ({available})"
+    )
 
 
-def _proved(session: Session, place: str, wanted: Wanted, until: float) -> Flow[None]:
-    span = POLL_FIRST
+def _await_authorisation(
+    session: Session, resource_url: str, wanted: OrderRequest, deadline: float
+) -> Flow[None]:
+    interval = INITIAL_POLL_S
     while True:
-        answer = yield from session.post(place, None, "authorization")
+        answer = yield from session.post(resource_url, None, "authorization")
         found = messages.authorisation(answer)
         _check_name(found, wanted)
         if found.status == "valid":
             return
-        span = yield from _pause(
-            session, answer, span, until, f"{found.name}: the check never ends"
+        interval = yield from _backoff(
+            session, answer, interval, deadline, f"{found.name}: the check never ends"
         )
 
 
-def _download(
-    session: Session, place: str, wanted: Wanted, issuers: Callable[[bytes], set[str]]
+def _download_chain(
+    session: Session, resource_url: str, wanted: OrderRequest, issuers: Callable[[bytes], set[str]]
 ) -> Flow[bytes]:
     """The chain; where another issuer is preferred, the first alternate that has it."""
-    answer = yield from session.post(place, None, "certificate")
+    answer = yield from session.post(resource_url, None, "certificate")
     if not wanted.issuer or wanted.issuer in issuers(answer.body):
         return answer.body
-    for other in answer.linked("alternate")[:ALTERNATES_MOST]:
+    for other in answer.linked("alternate")[:MAX_ALTERNATE_CHAINS]:
         found = yield from session.post(
             messages.url(other, "certificate: alternate"), None, "certificate"
         )
--- a/saffrongw/certs/order_runner.py
+++ b/saffrongw/certs/order_runner.py
@@ -25,15 +25,23 @@
 from .documents import Account, CertNote, DocumentError
 from .http import AuthorityClient
 from .jose import AccountKey, external_key
-from .messages import AcmeError, Kind
-from .order_flow import Flow, Keep, Publish, Request, Session, Wait, Withdraw
+from .messages import AcmeError, FailureKind
+from .order_flow import (
+    Flow,
+    HttpRequest,
+    PublishChallenge,
+    SaveNote,
+    Session,
+    Sleep,
+    WithdrawChallenges,
+)
 from .ordering_lease import LostLeaseError, OrderingTerm
 from .table import AuthorityTable, CertTable
 
 log = logging.getLogger(__name__)
 
 # Failures after which the order that was begun can be resumed.
-_RESUMABLE = (Kind.AWAY, Kind.RATE, Kind.LOCAL)
+_RESUMABLE = (FailureKind.AWAY, FailureKind.RATE, FailureKind.LOCAL)
 
 
 class Clock(Protocol):
@@ -149,9 +157,9 @@
         certificates = self.site.certificates
         key = await self.worker.run(certificates.pending_key, entry.id, entry.key_, term)
         note = await self.worker.run(certificates.note, entry.id)
-        request = await self.worker.run(chain.csr, key, entry.names)
+        request = await self.worker.run(chain.signing_request, key, entry.names)
         pair = self.status.loaded.pairs.get(entry.id)
-        wanted = order_flow.Wanted(
+        wanted = order_flow.OrderRequest(
             entry.names,
             entry.challenge,
             request,
@@ -167,28 +175,32 @@
         entry: CertTable,
         connection: _Connection,
         note: CertNote,
-        wanted: order_flow.Wanted,
+        wanted: order_flow.OrderRequest,
         term: OrderingTerm,
     ) -> bytes:
         session, https = connection.session, connection.https
         try:
-            steps = order_flow.obtain(session, note, wanted, _issuer_names)
+            steps = order_flow.obtain_certificate(session, note, wanted, _issuer_names)
             return await self.perform(steps, https, entry.id, term)
         except AcmeError as error:
             # An order of a process that died while the authority validated says nothing of the names.
             was_resumed = bool(note.order and note.order.url)
-            if not was_resumed or error.kind not in (Kind.CHALLENGE, Kind.ORDER):
+            if not was_resumed or error.kind not in (FailureKind.CHALLENGE, FailureKind.ORDER):
                 raise
             log.warning("certs: resumed order lost: certificate=%s error=%s", entry.id, error)
-        steps = order_flow.obtain(session, replace(note, order=None), wanted, _issuer_names)
+        steps = order_flow.obtain_certificate(
+            session, replace(note, order=None), wanted, _issuer_names
+        )
         return await self.perform(steps, https, entry.id, term)
 
     def _install(self, entry: CertTable, pem: bytes, key: bytes, term: OrderingTerm) -> None:
         """Check a certificate as every gateway will check it, then install it. Blocks."""
         try:
-            chain.check(pem, key, entry.names, self.clock.now())
+            chain.check_pair(pem, key, entry.names, self.clock.now())
         except chain.ChainError as error:
-            raise AcmeError(Kind.UNUSABLE, f"the certificate that was issued: {error}") from None
+            raise AcmeError(
+                FailureKind.UNUSABLE, f"the certificate that was issued: {error}"
+            ) from None
         self.site.certificates.install(entry.id, pem, key, CertNote(names=entry.names), term)
 
     # -- failures -----------------------------------------------------------------------------
@@ -201,7 +213,7 @@
         The key is dropped if the authority may not accept it, the account if the authority forgot it.
         """
         if not isinstance(error, AcmeError):
-            error = AcmeError(Kind.LOCAL, str(error))
+            error = AcmeError(FailureKind.LOCAL, str(error))
         self.counts[f"failed: {error.kind.value}"] += 1
         log.warning(
             "certs: order failed: certificate=%s authority=%s error=%s",
@@ -232,7 +244,7 @@
     def _next_failures(
         self, entry: CertTable, note: CertNote, error: AcmeError
     ) -> renewal.Failures:
-        return renewal.failed(
+        return renewal.next_failures(
             self.clock.now(),
             replace(self.status.state(entry), failures=note.failures),
             error.kind,
@@ -243,11 +255,11 @@
         )
 
     async def _drop_rejected(
-        self, entry: CertTable, authority: AuthorityTable, kind: Kind, term: OrderingTerm
+        self, entry: CertTable, authority: AuthorityTable, kind: FailureKind, term: OrderingTerm
     ) -> None:
-        if kind in (Kind.UNUSABLE, Kind.REJECTED):
+        if kind in (FailureKind.UNUSABLE, FailureKind.REJECTED):
             await self.worker.run(self.site.certificates.drop_pending_key, entry.id, term)
-        if kind is Kind.ACCOUNT:
+        if kind is FailureKind.ACCOUNT:
             await self.worker.run(self.site.accounts.retire_key, authority.directory, term)
 
     # -- renewal windows ----------------------------------------------------------------------
@@ -313,9 +325,9 @@
         certificate_id: str,
         term: OrderingTerm | None,
     ) -> Any:
-        if isinstance(step, Request):
+        if isinstance(step, HttpRequest):
             return await self._send(step, https)
-        if isinstance(step, Keep):
+        if isinstance(step, SaveNote):
             order = step.note.order  # nothing else of the note is changed by a flow
             await self.worker.run(
                 self.site.certificates.amend,
@@ -323,17 +335,17 @@
                 lambda kept: replace(kept, order=order),
                 term,
             )
-        elif isinstance(step, Publish):
+        elif isinstance(step, PublishChallenge):
             until = self.clock.now() + CHALLENGE_LIFETIME_S
             proof = ChallengeProof(step.name, step.type, step.token, step.authorisation, until)
             await self.worker.run(self.site.challenges.publish, proof, term)
-        elif isinstance(step, Withdraw):
+        elif isinstance(step, WithdrawChallenges):
             await self.worker.run(self.site.challenges.withdraw, step.tokens)
-        elif isinstance(step, Wait):
-            await self.clock.sleep(step.span)
+        elif isinstance(step, Sleep):
+            await self.clock.sleep(step.seconds)
         return None
 
-    async def _send(self, request: Request, https: AuthorityClient) -> order_flow.Answer:
+    async def _send(self, request: HttpRequest, https: AuthorityClient) -> order_flow.Answer:
         self.counts["requests"] += 1
         self.site.folder.on_step(f"ask {request.read}")
         answer = await https.send(request)
@@ -355,4 +367,4 @@
     try:
         return authority.external_id, external_key(Path(authority.external_key).read_text())
     except (OSError, ValueError) as error:
-        raise AcmeError(Kind.LOCAL, f"{authority.external_key}: {error}") from None
+        raise AcmeError(FailureKind.LOCAL, f"{authority.external_key}: {error}") from None
--- a/saffrongw/certs/ordering_lease.py
+++ b/saffrongw/certs/ordering_lease.py
@@ -15,7 +15,7 @@
 
 from saffrongw.gateway.extensions import LeaderGuard
 
-from .lease import Keep, Lease, Take, Terms, capped, decide, held
+from .lease import KeepLease, LeaseRecord, LeaseTerms, TakeLease, clamp_to_clock, decide, is_held
 from .shared_folder import SharedFolder, StoreError
 
 # Precedes the holder's name in the file where a lease of the whole fleet is behind it.
@@ -53,21 +53,21 @@
         self,
         folder: SharedFolder,
         now: Callable[[], float],
-        terms: Terms,
+        terms: LeaseTerms,
         leader_guard: LeaderGuard | None = None,
     ) -> None:
         self.folder, self.now, self.terms = folder, now, terms
         self.leader_guard = leader_guard
         self.path = folder.path / "lease.json"
 
-    def current(self) -> Lease | None:
+    def current(self) -> LeaseRecord | None:
         """Return the lease as written; a malformed one counts as none, so that it cannot block ordering."""
         raw = self.folder.read(self.path)
         if raw is None:
             return None
         try:
             found = json.loads(raw)
-            lease = Lease(str(found["holder"]), int(found["term"]), float(found["until"]))
+            lease = LeaseRecord(str(found["holder"]), int(found["term"]), float(found["until"]))
         except (ValueError, KeyError, TypeError, OverflowError):
             return None
         is_number = lease.until == lease.until  # excludes NaN
@@ -83,14 +83,15 @@
             return self._acquire_under_fleet_lease(holder, self.leader_guard)
         with self.folder.locked():
             now, found = self.now(), self.current()
-            if found is not None and (limited := capped(now, found, self.terms)) != found:
-                found = limited
+            clamped = found and clamp_to_clock(now, found, self.terms)
+            if clamped is not None and clamped != found:
+                found = clamped
                 self._write(found)
             decision = decide(now, holder, found, self.terms)
-            if isinstance(decision, Take):
+            if isinstance(decision, TakeLease):
                 self._write(decision.lease)
                 return Acquisition(decision.lease.term, decision.lease.until - self.terms.span / 2)
-            if isinstance(decision, Keep):
+            if isinstance(decision, KeepLease):
                 assert found is not None
                 return Acquisition(found.term, decision.until)
             return Acquisition(0, decision.until)
@@ -106,15 +107,15 @@
                 guard.above(found.term)
                 return Acquisition(0, retry_at)
             if found is not None and not found.holder.startswith(FLEET_PREFIX):
-                ends_at = capped(now, found, self.terms).until + self.terms.skew
+                ends_at = clamp_to_clock(now, found, self.terms).until + self.terms.skew
                 if ends_at > now:  # a gateway that goes by the file alone still holds it
                     return Acquisition(0, min(retry_at, ends_at))
             self._write_if_due(
-                now, found, Lease(FLEET_PREFIX + holder, term, now + self.terms.span)
+                now, found, LeaseRecord(FLEET_PREFIX + holder, term, now + self.terms.span)
             )
         return Acquisition(term, retry_at)
 
-    def _write_if_due(self, now: float, found: Lease | None, ours: Lease) -> None:
+    def _write_if_due(self, now: float, found: LeaseRecord | None, ours: LeaseRecord) -> None:
         is_ours = found is not None and (found.holder, found.term) == (ours.holder, ours.term)
         if found is None or not is_ours or found.until < now + self.terms.span / 2:
             self._write(ours)
@@ -124,7 +125,7 @@
         with self.folder.locked():
             found = self.current()
             if found and found.holder in (holder, FLEET_PREFIX + holder):
-                self._write(Lease(found.holder, found.term, self.now() - self.terms.skew))
+                self._write(LeaseRecord(found.holder, found.term, self.now() - self.terms.skew))
 
     @contextlib.contextmanager
     def guarded(self, term: OrderingTerm | None) -> Iterator[None]:
@@ -140,12 +141,12 @@
     def _is_in_force(self, term: OrderingTerm) -> bool:
         found = self.current()
         if self.leader_guard is None:
-            return held(self.now(), term.holder, term.term, found, self.terms)
+            return is_held(self.now(), term.holder, term.term, found, self.terms)
         is_ours = found is not None and (found.holder, found.term) == (
             FLEET_PREFIX + term.holder,
             term.term,
         )
         return is_ours and self.leader_guard.valid(term.term)
 
-    def _write(self, lease: Lease) -> None:
+    def _write(self, lease: LeaseRecord) -> None:
         self.folder.write(self.path, json.dumps(asdict(lease)).encode())
--- a/saffrongw/certs/renewal_loop.py
+++ b/saffrongw/certs/renewal_loop.py
@@ -24,7 +24,7 @@
 from .challenge_answers import ChallengeAnswers
 from .documents import DocumentError
 from .http import AuthorityClient
-from .lease import Terms
+from .lease import LeaseTerms
 from .loaded_certificates import LoadedCertificates
 from .messages import AcmeError
 from .order_runner import OrderRunner
@@ -86,7 +86,7 @@
         leader_guard: LeaderGuard | None = None,
     ) -> None:
         self.table, self.holder, self.clock = table, holder, clock or SystemClock()
-        terms = Terms(table.lease_seconds, table.clock_skew)
+        terms = LeaseTerms(table.lease_seconds, table.clock_skew)
         now = self.clock.now
         self.site = CertificateSite(table.state_dir, now, terms, on_step, leader_guard)
         self.loaded = LoadedCertificates(self.site.certificates, tls_settings, table.first)
@@ -240,7 +240,7 @@
             state = self.status.state(entry)
             if self.status.note(entry.id).imported and not state.wanted:
                 continue
-            order_at = renewal.next_try(now, state, self.status.rules)
+            order_at = renewal.next_attempt_at(now, state, self.status.rules)
             window_at = self._window_question_at(now, entry, state)
             if order_at <= now or window_at <= now:
                 due.append(_DueCertificate(state.end or 0.0, order_at > now, entry))
@@ -256,7 +256,7 @@
         self, now: float, entry: CertTable, state: renewal.CertificateState
     ) -> float:
         """Return when the authority is asked for the renewal window of a certificate."""
-        ask_at = float("inf") if state.end is None else renewal.ask_window_at(now, state)
+        ask_at = float("inf") if state.end is None else renewal.window_question_at(now, state)
         retry_at = self.orders.window_retry_at.get(entry.id, 0.0)
         clock_went_back = retry_at > now + renewal.HOUR
         return ask_at if clock_went_back else max(ask_at, retry_at)
--- a/saffrongw/certs/shared_folder.py
+++ b/saffrongw/certs/shared_folder.py
@@ -23,7 +23,7 @@
 from collections.abc import Callable, Iterator
 from pathlib import Path
 
-from .messages import AcmeError, Kind
+from .messages import AcmeError, FailureKind
 
 SCHEMA = b"saffrongw certs 1\n"
 # How long to wait for the lock, and between two attempts to take it.
@@ -43,7 +43,7 @@
     """The shared folder cannot be used as it is; the message names the file and the cause."""
 
     def __init__(self, detail: str) -> None:
-        super().__init__(Kind.LOCAL, detail)
+        super().__init__(FailureKind.LOCAL, detail)
 
 
 def store_error(error: OSError, path: Path) -> StoreError:
--- a/tests/certs/test_certificate_store.py
+++ b/tests/certs/test_certificate_store.py
@@ -16,8 +16,8 @@
 from saffrongw.certs.certificate_store import CertificateSite
 from saffrongw.certs.challenge_store import CHALLENGE_LIFETIME_S, ChallengeProof
 from saffrongw.certs.documents import Account, CertNote, DocumentError, OrderNote
-from saffrongw.certs.lease import Lease
-from saffrongw.certs.messages import Window
+from saffrongw.certs.lease import LeaseRecord
+from saffrongw.certs.messages import RenewalWindow
 from saffrongw.certs.ordering_lease import LostLeaseError, OrderingTerm
 from saffrongw.certs.renewal import Failures
 from saffrongw.certs.shared_folder import StoreError
@@ -80,7 +80,7 @@
         (ID,),
         OrderNote("https://ca.example/dir", (ID,), NOW, "https://ca.example/order/1", "x.y"),
         Failures("rate limit", 3, NOW + 5, NOW, NOW, "too many", 1, True),
-        Window(NOW, NOW + DAY, NOW + 60),
+        RenewalWindow(NOW, NOW + DAY, NOW + 60),
         True,
     )
     world.site.certificates.amend(ID, lambda _: note, world.term)
@@ -162,7 +162,7 @@
         json.dumps({"holder": "z", "term": 9, "until": NOW + 365 * DAY})
     )
     assert world.site.lease.acquire("b")[0] == 0
-    assert world.site.lease.current() == Lease("z", 9, NOW + 34)
+    assert world.site.lease.current() == LeaseRecord("z", 9, NOW + 34)
     world.now += 37
     assert world.site.lease.acquire("b")[0] == 10
 
@@ -223,7 +223,7 @@
             world.site.certificates.install(ID, new, key, CertNote(), world.term)
         world.site.folder.on_step = lambda name: None
         pair = world.site.certificates.pair(ID)
-        chain.check(*world.site.certificates.files(pair), (), NOW)
+        chain.check_pair(*world.site.certificates.files(pair), (), NOW)
         ends.add(pair.facts.end)
         world.install(end=NOW + DAY)
     assert ends == {NOW + DAY, NOW + 2 * DAY}
--- a/tests/certs/test_chain.py
+++ b/tests/certs/test_chain.py
@@ -21,7 +21,7 @@
 
 
 def csr(key: bytes = KEY) -> x509.CertificateSigningRequest:
-    return request_of(chain.csr(key, NAMES))
+    return request_of(chain.signing_request(key, NAMES))
 
 
 def issued(key: bytes = KEY, start=NOW - DAY, end=NOW + DAY, names=NAMES, other=None) -> bytes:
@@ -30,7 +30,7 @@
 
 def refused(pem: bytes, key: bytes = KEY, names=("gw.example",), now=NOW) -> str:
     with pytest.raises(chain.ChainError) as found:
-        chain.check(pem, key, names, now)
+        chain.check_pair(pem, key, names, now)
     return str(found.value)
 
 
@@ -38,7 +38,7 @@
 def test_a_good_one_tells_its_facts(kind):
     key = chain.new_key(kind)
     pem = issued(key)
-    facts = chain.check(pem, key, ("gw.example", "x.b.example"), NOW)
+    facts = chain.check_pair(pem, key, ("gw.example", "x.b.example"), NOW)
     assert (facts.start, facts.end, facts.chain) == (NOW - DAY, NOW + DAY, 2)
     assert facts.issuer == "Stand-in Intermediate"
     assert facts.ari == ari_name(x509.load_pem_x509_certificates(pem)[0])
@@ -73,14 +73,16 @@
 
 def test_one_without_its_chain_may_serve_and_a_small_skew_is_borne():
     leaf = ISSUER.sign(csr(), list(NAMES), NOW + 60, NOW + DAY)
-    assert chain.check(leaf.public_bytes(serialization.Encoding.PEM), KEY, (), NOW).chain == 1
+    assert chain.check_pair(leaf.public_bytes(serialization.Encoding.PEM), KEY, (), NOW).chain == 1
 
 
 def test_at_any_time_ended_ones_may_go_on():
     pem = issued(start=NOW - 2 * DAY, end=NOW - 1)
-    assert chain.check(pem, KEY, (), NOW, any_time=True).end == NOW - 1
+    assert chain.check_pair(pem, KEY, (), NOW, any_time=True).end == NOW - 1
     assert (
-        chain.check(issued(start=NOW + DAY, end=NOW + 2 * DAY), KEY, (), NOW, any_time=True).start
+        chain.check_pair(
+            issued(start=NOW + DAY, end=NOW + 2 * DAY), KEY, (), NOW, any_time=True
+        ).start
         == NOW + DAY
     )
 
@@ -114,11 +116,11 @@
 def test_every_byte_flipped_is_refused_or_the_same_certificate():
     """Whatever a disk or a line does to the file, what passes has our key and is signed by its chain."""
     pem = bytearray(issued())
-    good = chain.check(bytes(pem), KEY, ("gw.example",), NOW)
+    good = chain.check_pair(bytes(pem), KEY, ("gw.example",), NOW)
     for at in range(0, len(pem), 3):
         spoilt = bytes(pem[:at]) + bytes([pem[at] ^ 0x15]) + bytes(pem[at + 1 :])
         try:
-            facts = chain.check(spoilt, KEY, ("gw.example",), NOW)
+            facts = chain.check_pair(spoilt, KEY, ("gw.example",), NOW)
         except chain.ChainError:
             continue
         assert facts.names == good.names and facts.end == good.end
@@ -126,7 +128,7 @@
 
 def test_the_proof_of_a_name_has_its_digest():
     now = datetime.now(UTC)
-    cert, _ = chain.proof("gw.example", b"d" * 32, now, now + timedelta(days=1))
+    cert, _ = chain.validation_certificate("gw.example", b"d" * 32, now, now + timedelta(days=1))
     found = x509.load_pem_x509_certificate(cert)
     extension = found.extensions.get_extension_for_oid(x509.ObjectIdentifier("1.3.6.1.5.5.7.1.31"))
     assert extension.critical and extension.value.value == b"\x04\x20" + b"d" * 32
--- a/tests/certs/test_http.py
+++ b/tests/certs/test_http.py
@@ -11,8 +11,8 @@
 from conftest import asyncio_test
 
 from saffrongw.certs.http import MAX_BODY_BYTES, MAX_HEAD_BYTES, AuthorityClient
-from saffrongw.certs.messages import AcmeError, Kind
-from saffrongw.certs.order_flow import Request
+from saffrongw.certs.messages import AcmeError, FailureKind
+from saffrongw.certs.order_flow import HttpRequest
 
 CA = trustme.CA()
 GOOD = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n"
@@ -36,7 +36,7 @@
     port = server.sockets[0].getsockname()[1]
     CA.cert_pem.write_to_path(str(tmp_path / "ca.pem"))
     https = AuthorityClient(str(tmp_path / "ca.pem"), within)
-    yield lambda: https.send(Request("GET", f"https://127.0.0.1:{port}/dir", "directory"))
+    yield lambda: https.send(HttpRequest("GET", f"https://127.0.0.1:{port}/dir", "directory"))
     server.close()
 
 
@@ -60,31 +60,43 @@
 @pytest.mark.parametrize(
     ("data", "then", "within", "kind", "said"),
     [
-        (b"garbage\r\n\r\n", None, 20, Kind.UNUSABLE, "no HTTP"),
+        (b"garbage\r\n\r\n", None, 20, FailureKind.UNUSABLE, "no HTTP"),
         (
             b"HTTP/1.1 200 OK\r\nx: " + b"y" * (MAX_HEAD_BYTES + 99),
             None,
             20,
-            Kind.UNUSABLE,
+            FailureKind.UNUSABLE,
             "no HTTP",
         ),
-        (b"HTTP/1.1 200 OK\r\ncontent-length: -1\r\n\r\n", None, 20, Kind.UNUSABLE, "no HTTP"),
-        (b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nab", None, 20, Kind.AWAY, "ended within"),
+        (
+            b"HTTP/1.1 200 OK\r\ncontent-length: -1\r\n\r\n",
+            None,
+            20,
+            FailureKind.UNUSABLE,
+            "no HTTP",
+        ),
+        (
+            b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nab",
+            None,
+            20,
+            FailureKind.AWAY,
+            "ended within",
+        ),
         (
             b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nzz\r\n",
             None,
             20,
-            Kind.UNUSABLE,
+            FailureKind.UNUSABLE,
             "no HTTP",
         ),
-        (b"", None, 20, Kind.AWAY, "ended within"),
-        (b"HTTP/1.1 200 OK\r\n\r\n", endless, 20, Kind.UNUSABLE, "longer than"),
-        (b"", silent, 0.2, Kind.AWAY, "no answer within"),
+        (b"", None, 20, FailureKind.AWAY, "ended within"),
+        (b"HTTP/1.1 200 OK\r\n\r\n", endless, 20, FailureKind.UNUSABLE, "longer than"),
+        (b"", silent, 0.2, FailureKind.AWAY, "no answer within"),
         (
             b"HTTP/1.1 200 OK\r\ncontent-length: 1000\r\n\r\n",
             dripping,
             0.3,
-            Kind.AWAY,
+            FailureKind.AWAY,
             "no answer within",
         ),
     ],
@@ -114,7 +126,7 @@
     async with line(tmp_path, GOOD + b"\r\n{}", ca=trustme.CA()) as ask:
         with pytest.raises(AcmeError) as found:
             await ask()
-    assert found.value.kind is Kind.AWAY
+    assert found.value.kind is FailureKind.AWAY
     assert "VERIFY" in found.value.detail.upper()
 
 
@@ -134,5 +146,5 @@
 @asyncio_test
 async def test_nobody_there_is_away():
     with pytest.raises(AcmeError) as found:
-        await AuthorityClient().send(Request("GET", "https://127.0.0.1:1/dir", "directory"))
-    assert found.value.kind is Kind.AWAY
+        await AuthorityClient().send(HttpRequest("GET", "https://127.0.0.1:1/dir", "directory"))
+    assert found.value.kind is FailureKind.AWAY
--- a/tests/certs/test_order_flow.py
+++ b/tests/certs/test_order_flow.py
@@ -11,8 +11,15 @@
 from saffrongw.certs import chain, order_flow
 from saffrongw.certs.documents import CertNote
 from saffrongw.certs.jose import AccountKey
-from saffrongw.certs.messages import AcmeError, Answer, Kind
-from saffrongw.certs.order_flow import Keep, Publish, Request, Session, Wait, Withdraw
+from saffrongw.certs.messages import AcmeError, FailureKind, HttpAnswer
+from saffrongw.certs.order_flow import (
+    HttpRequest,
+    PublishChallenge,
+    SaveNote,
+    Session,
+    Sleep,
+    WithdrawChallenges,
+)
 from testbed.acme_server.model import Authority, Check, Reply, ari_name
 
 BASE = "https://ca.example"
@@ -31,7 +38,7 @@
 
     now: float = 1_000_000_000.0
     note: CertNote = field(default_factory=CertNote)
-    shown: dict[str, Publish] = field(default_factory=dict)
+    shown: dict[str, PublishChallenge] = field(default_factory=dict)
     steps: int = 0
     cut_at: int = -1
     after: bool = False  # cut once the step has had its effect, and not before
@@ -51,22 +58,22 @@
             self.steps += 1
             if self.steps == self.cut_at and not self.after:
                 raise Cut
-            if isinstance(step, Request):
+            if isinstance(step, HttpRequest):
                 answer = self.send(step)
-            elif isinstance(step, Keep):
+            elif isinstance(step, SaveNote):
                 self.note = step.note
-            elif isinstance(step, Publish):
+            elif isinstance(step, PublishChallenge):
                 self.shown[step.token] = step
-            elif isinstance(step, Withdraw):
+            elif isinstance(step, WithdrawChallenges):
                 for token in step.tokens:
                     self.shown.pop(token, None)
-            elif isinstance(step, Wait):
-                assert step.span > 0
-                self.now += step.span
+            elif isinstance(step, Sleep):
+                assert step.seconds > 0
+                self.now += step.seconds
             if self.steps == self.cut_at:
                 raise Cut
 
-    def send(self, request: Request) -> Answer:
+    def send(self, request: HttpRequest) -> HttpAnswer:
         self.asked.append(request.read)
         reply = self.authority.handle(request.method, request.url.removeprefix(BASE), request.body)
         checks, self.authority.checks = self.authority.checks, []
@@ -76,7 +83,7 @@
             (link.partition('rel="')[2].rstrip('"'), link[1:].partition(">")[0])
             for link in reply.links
         ]
-        return Answer(reply.status, reply.headers, reply.body, tuple(links))
+        return HttpAnswer(reply.status, reply.headers, reply.body, tuple(links))
 
     def look(self, check: Check) -> str:
         found = self.shown.get(check.token)
@@ -96,14 +103,14 @@
         wanted = {
             "names": NAMES,
             "challenge": "tls-alpn-01",
-            "csr": chain.csr(KEY, NAMES),
+            "csr": chain.signing_request(KEY, NAMES),
         } | changes
         made = session or self.session()
         return self.run(
-            order_flow.obtain(
+            order_flow.obtain_certificate(
                 made,
                 self.note,
-                order_flow.Wanted(**wanted),
+                order_flow.OrderRequest(**wanted),
                 lambda pem: chain.issuer_names(chain.parse(pem)),
             )
         )
@@ -119,7 +126,7 @@
 def test_from_nothing_to_a_certificate_that_may_serve(challenge):
     world = World()
     pem = world.obtain(challenge=challenge)
-    facts = chain.check(pem, KEY, NAMES, world.now)
+    facts = chain.check_pair(pem, KEY, NAMES, world.now)
     assert set(facts.names) == set(NAMES)
     assert facts.ari == ari_name(x509.load_pem_x509_certificates(pem)[0])
     assert world.shown == {}
@@ -137,7 +144,7 @@
             with pytest.raises(Cut):
                 world.obtain()
             world.cut_at = -1
-            chain.check(world.obtain(), KEY, NAMES, world.now)
+            chain.check_pair(world.obtain(), KEY, NAMES, world.now)
             orders = world.authority.counts["orders"]
             assert orders <= 2, f"step {cut_at}"
             assert world.authority.counts["accounts"] == 1
@@ -170,15 +177,15 @@
     world.authority.faults.bad_nonces = 10**9
     world.note = CertNote()
     wrong = failing(world, session=session)
-    assert wrong.kind is Kind.AWAY and "nonce" in wrong.detail
+    assert wrong.kind is FailureKind.AWAY and "nonce" in wrong.detail
 
 
 def test_pending_for_ever_ends_after_the_time_that_an_order_may_take():
     world = World()
     world.authority.faults.pending = True
     began = world.now
-    wrong = failing(world, within=600.0)
-    assert wrong.kind is Kind.ORDER and "never ends" in wrong.detail
+    wrong = failing(world, timeout_s=600.0)
+    assert wrong.kind is FailureKind.ORDER and "never ends" in wrong.detail
     assert 590 <= world.now - began <= 660
     assert world.note.order is None and world.shown == {}
 
@@ -186,13 +193,13 @@
 def test_processing_for_ever_too():
     world = World()
     world.authority.faults.processing = True
-    assert "processing" in failing(world, within=600.0).detail
+    assert "processing" in failing(world, timeout_s=600.0).detail
 
 
 def test_retry_after_is_kept_within_the_orders_time():
     world = World()
     world.authority.faults.pending, world.authority.faults.retry_after = True, "100"
-    failing(world, within=600.0)
+    failing(world, timeout_s=600.0)
     assert world.asked.count("authorization") <= 12
 
 
@@ -200,7 +207,7 @@
     world = World()
     world.authority.faults.fail_checks = True
     wrong = failing(world)
-    assert wrong.kind is Kind.CHALLENGE and "as the fault says" in wrong.detail
+    assert wrong.kind is FailureKind.CHALLENGE and "as the fault says" in wrong.detail
     assert world.note.order is None
     world.authority.faults.fail_checks = False
     world.obtain()
@@ -210,14 +217,14 @@
     world = World()
     world.authority.faults.rate_limited = 7_200
     wrong = failing(world)
-    assert (wrong.kind, wrong.retry_after) == (Kind.RATE, 7_200.0)
+    assert (wrong.kind, wrong.retry_after) == (FailureKind.RATE, 7_200.0)
 
 
 def test_a_deactivated_account_is_gone():
     world = World()
     session = world.session()
     world.run(session.post(session.account, {"status": "deactivated"}, "account"))
-    assert failing(world, session=session).kind in (Kind.CHALLENGE, Kind.ACCOUNT)
+    assert failing(world, session=session).kind in (FailureKind.CHALLENGE, FailureKind.ACCOUNT)
 
 
 def test_an_external_account_binds_the_key():
@@ -226,7 +233,7 @@
     session = Session(f"{BASE}/dir", AccountKey.new(), lambda: world.now)
     with pytest.raises(AcmeError, match="external account") as found:
         world.run(session.register(()))
-    assert found.value.kind is Kind.ACCOUNT
+    assert found.value.kind is FailureKind.ACCOUNT
     with pytest.raises(AcmeError, match="binding is wrong"):
         world.run(session.register((), ("kid-1", b"x" * 32)))
     world.run(session.register((), ("kid-1", b"k" * 32)))
@@ -309,8 +316,11 @@
     with pytest.raises(Cut):
         world.obtain()
     world.cut_at = -1
-    chain.check(
-        world.obtain(names=NAMES[:1], csr=chain.csr(KEY, NAMES[:1])), KEY, NAMES[:1], world.now
+    chain.check_pair(
+        world.obtain(names=NAMES[:1], csr=chain.signing_request(KEY, NAMES[:1])),
+        KEY,
+        NAMES[:1],
+        world.now,
     )
 
 
@@ -430,18 +440,18 @@
     wrong = failing(world)
     assert done, "the fault was never met"
     assert wrong.kind in (
-        Kind.UNUSABLE,
-        Kind.ORDER,
-        Kind.CHALLENGE,
-        Kind.REJECTED,
-        Kind.ACCOUNT,
-        Kind.AWAY,
+        FailureKind.UNUSABLE,
+        FailureKind.ORDER,
+        FailureKind.CHALLENGE,
+        FailureKind.REJECTED,
+        FailureKind.ACCOUNT,
+        FailureKind.AWAY,
     )
     assert wrong.detail.isprintable() and 5 < len(wrong.detail) <= 300
     assert world.steps < 60
     assert world.shown == {}
     world.authority.faults.spoil = None
-    chain.check(world.obtain(), KEY, NAMES, world.now)
+    chain.check_pair(world.obtain(), KEY, NAMES, world.now)
 
 
 def test_the_authoritys_words_can_not_speak_to_a_terminal():
--- a/tests/certs/test_order_kills.py
+++ b/tests/certs/test_order_kills.py
@@ -90,7 +90,7 @@
         """What lies on the disk after all: keys for their owner alone, nothing half written that counts."""
         site = CertificateSite(self.state)
         pair = site.certificates.pair(NAME)
-        chain.check(*site.certificates.files(pair), (NAME,), time.time())
+        chain.check_pair(*site.certificates.files(pair), (NAME,), time.time())
         assert site.certificates.note(NAME).order is None
         assert not (self.state / "certs" / NAME / "pending.key").exists()
         assert not list(self.state.rglob("account.key.gone-*"))
--- a/tests/certs/test_tls_listener.py
+++ b/tests/certs/test_tls_listener.py
@@ -33,14 +33,14 @@
     """A gateway with a TLS listener whose certificates a test writes."""
 
     def __init__(
-        self, tmp_path, manner: TlsSettings | None = None, bounds: HandshakeLimits | None = None
+        self, tmp_path, settings: TlsSettings | None = None, limits: HandshakeLimits | None = None
     ) -> None:
         self.site = CertificateSite(tmp_path / "state")
         self.site.folder.open()
         self.issuer = Issuer(time.time())
-        self.loaded = LoadedCertificates(self.site.certificates, manner or TlsSettings(), "")
-        self.front = TlsListener(
-            ("127.0.0.1", free_port()), self.loaded.settings, bounds or HandshakeLimits(), self
+        self.loaded = LoadedCertificates(self.site.certificates, settings or TlsSettings(), "")
+        self.listener = TlsListener(
+            ("127.0.0.1", free_port()), self.loaded.settings, limits or HandshakeLimits(), self
         )
         self.checks: dict[str, ssl.SSLContext] = {}
 
@@ -64,13 +64,13 @@
         self.host = await FakeHost("a").listen()
         self.rig = Rig(self.host, lines=[self.host.line(host=n) for n in "abcdef"], **changes)
         await self.rig.clients.listen()
-        self.front.prepare()
-        await self.rig.clients.open_fronts((self.front,))
+        self.listener.prepare()
+        await self.rig.clients.open_fronts((self.listener,))
         return self
 
     @property
     def port(self) -> int:
-        return self.front.listener.getsockname()[1]
+        return self.listener.listener.getsockname()[1]
 
     async def caller(self, name: str | None = "a.example", context=None) -> Caller:
         return await secure_caller(self.port, name, context)
@@ -98,7 +98,7 @@
     for name in ("d.example", "x.y.w.example", "w.example"):
         with pytest.raises(ssl.SSLError, match="UNRECOGNIZED_NAME"):
             await world.caller(name)
-    assert world.front.counts["unknown name"] == 3
+    assert world.listener.counts["unknown name"] == 3
 
 
 @asyncio_test
@@ -141,9 +141,9 @@
         world.install("a.example", days=2)
         session, reused = await asyncio.to_thread(visit, session)
         assert reused
-        assert world.front.handshakes.counts["resumed"] == 2
-        world.front.born -= world.front.manner.tickets + 1
-        world.front._turn()
+        assert world.listener.handshakes.counts["resumed"] == 2
+        world.listener.ticket_keys_made_at -= world.listener.settings.ticket_lifetime_s + 1
+        world.listener._advance()
         session, reused = await asyncio.to_thread(visit, session)
         assert not reused
 
@@ -156,8 +156,8 @@
     world.install("a.example")
     await world.open()
     looks = []
-    peek = world.front._peek
-    world.front._peek = lambda sock: (looks.append(sock), peek(sock))
+    peek = world.listener._peek
+    world.listener._peek = lambda sock: (looks.append(sock), peek(sock))
     loop = asyncio.get_running_loop()
     into, out = ssl.MemoryBIO(), ssl.MemoryBIO()
     client = trusting().wrap_bio(into, out, server_hostname="a.example")
@@ -176,7 +176,7 @@
             except ssl.SSLWantReadError:
                 into.write(await loop.sock_recv(sock, 65_536))
         await loop.sock_sendall(sock, out.read())
-        await until(lambda: world.front.handshakes.counts["full"] == 1)
+        await until(lambda: world.listener.handshakes.counts["full"] == 1)
     assert len(looks) <= 8  # and not one for each byte, or each turn of the loop
 
 
@@ -196,19 +196,19 @@
             await loop.sock_sendall(sock, data)
             with contextlib.suppress(ConnectionResetError):
                 assert await loop.sock_recv(sock, 100) == b""
-    assert world.front.handshakes.counts["no hello"] == 3
+    assert world.listener.handshakes.counts["no hello"] == 3
     with world.raw() as sock:
         sock.sendall(real("a.example")[:50])
     with world.raw():
         pass
-    await until(lambda: world.front.handshakes.counts["left"] == 2)
-    assert world.front.opening == 0
+    await until(lambda: world.listener.handshakes.counts["left"] == 2)
+    assert world.listener.opening == 0
 
 
 @asyncio_test
 async def test_clients_that_never_finish_are_bounded_and_hold_up_nobody(tmp_path):
     """Silent ones, and ones that stop within the handshake, while a swap is on: others are served, all ends."""
-    world = World(tmp_path, bounds=HandshakeLimits(half_open=16, within=1_500_000))
+    world = World(tmp_path, limits=HandshakeLimits(max_half_open=16, timeout_us=1_500_000))
     world.install("a.example")
     await world.open(sockets=400)
     hello = real("a.example")
@@ -217,17 +217,17 @@
         sock.sendall(hello)  # and never an answer to ours
     await until(
         lambda: (
-            world.front.handshakes.counts["made room"]
-            + world.front.handshakes.counts["turned away"]
+            world.listener.handshakes.counts["made room"]
+            + world.listener.handshakes.counts["turned away"]
             > 0
         )
     )
-    assert world.front.opening <= 16
+    assert world.listener.opening <= 16
     serial = world.install("a.example", days=2)
     plain = await world.rig.caller()
     plain.call()
     assert (await plain.replied(1))[0] == b"ok"
-    await until(lambda: world.front.opening == 0)
+    await until(lambda: world.listener.opening == 0)
     assert await world.serial() == serial
     for sock in socks:
         sock.close()
@@ -237,7 +237,10 @@
 @asyncio_test
 async def test_handshakes_beyond_their_share_of_the_core_wait_in_line(tmp_path):
     world = World(
-        tmp_path, bounds=HandshakeLimits(share=0.01, burst=1_000, full=1_000, within=5_000_000)
+        tmp_path,
+        limits=HandshakeLimits(
+            cpu_share=0.01, burst_us=1_000, full_cost_us=1_000, timeout_us=5_000_000
+        ),
     )
     world.install("a.example")
     await world.open()
@@ -287,17 +290,19 @@
 
 
 @asyncio_test
-async def test_another_manner_takes_effect_for_new_connections_and_a_wrong_one_not_at_all(tmp_path):
+async def test_other_settings_apply_to_new_connections_and_invalid_ones_not_at_all(
+    tmp_path,
+):
     world = World(tmp_path)
     world.install("a.example")
     await world.open()
     with pytest.raises(OSError):
-        world.front.change(
+        world.listener.prepare_change(
             TlsSettings(client_ca=str(tmp_path / "none.pem"), clients="required"), HandshakeLimits()
         )
-    manner = replace(world.front.manner, minimum="1.3")
-    commit = world.front.change(manner, HandshakeLimits())
-    world.loaded.settings = manner
+    settings = replace(world.listener.settings, minimum_version="1.3")
+    commit = world.listener.prepare_change(settings, HandshakeLimits())
+    world.loaded.settings = settings
     world.loaded.load()
     commit()
     old = trusting()
--- a/tests/leases/test_leader_guard.py
+++ b/tests/leases/test_leader_guard.py
@@ -7,7 +7,7 @@
 
 from saffrongw.certs.certificate_store import LostLease, Store
 from saffrongw.certs.documents import CertNote
-from saffrongw.certs.lease import Terms
+from saffrongw.certs.lease import LeaseTerms
 from testbed.acme_server.server import AuthorityServer
 from testbed.model.lease_day import LeaseDay
 from testbed.runner.lease_world import LeaseWorld
@@ -38,7 +38,7 @@
     def __init__(self, tmp_path) -> None:
         self.now = 1_700_000_000.0
         self.duties = {"a": Duty(), "b": Duty()}
-        terms, clock = Terms(30.0, 2.0), lambda: self.now
+        terms, clock = LeaseTerms(30.0, 2.0), lambda: self.now
         self.stores = {
             name: Store(tmp_path / "s", clock, terms, None, duty)
             for name, duty in self.duties.items()
