--- a/saffrongw/admin/certs.py
+++ b/saffrongw/admin/certs.py
@@ -1,7 +1,7 @@
 """``saffrongw certs``: what a site's folder of certificates holds, and what an operator does to it.
 
-Works beside running gateways, which look at the folder once a second. ``renew`` leaves the ordering to whoever holds
-the duty; ``revoke`` and ``rollover`` speak to the authority themselves.
+Works beside running gateways, which look at the folder once a second. ``renew`` leaves the ordering
+to whoever holds the duty; ``revoke`` and ``rollover`` speak to the authority themselves.
 """
 
 from __future__ import annotations
@@ -10,6 +10,7 @@
 import asyncio
 import json
 import time
+from collections.abc import Callable
 from dataclasses import dataclass
 from datetime import UTC, datetime
 
@@ -21,6 +22,7 @@
 from saffrongw.certs.documents import CertNote, DocumentError
 from saffrongw.certs.jose import AccountKey
 from saffrongw.certs.messages import AcmeError
+from saffrongw.certs.order_flow import Flow, Session
 from saffrongw.certs.renewal_loop import RenewalLoop
 from saffrongw.certs.table import REASONS, AuthorityTable, CertsTable
 from saffrongw.certs.tls_listener import TlsSettings
@@ -114,9 +116,7 @@
 def _show(site: NamedSite, given: argparse.Namespace) -> int:
     row = next((row for row in rows_of(site) if row.id == given.id), None)
     if row is None:
-        return unusable(
-            f"no certificate is called {given.id!r}; there are: {', '.join(site.stores.certificates.ids()) or 'none'}"
-        )
+        return _unknown(given.id, site.stores.certificates.ids())
     note, pair = site.stores.certificates.note(given.id), site.stores.certificates.pair(given.id)
     print(f"certificate  {row.id}")
     print(f"names        {', '.join(row.names) or '-'}")
@@ -130,9 +130,8 @@
     else:
         print("valid        there is none that may serve")
     print(f"alarm        {row.alarm.name.lower()}")
-    print(
-        f"renewal      {'by hand (imported)' if note.imported and not note.wanted else when(row.next_at)}"
-    )
+    by_hand = note.imported and not note.wanted
+    print(f"renewal      {'by hand (imported)' if by_hand else when(row.next_at)}")
     if note.window:
         print(
             f"window       {_utc(note.window.start)} to {_utc(note.window.end)}, by the authority"
@@ -151,6 +150,12 @@
     return datetime.fromtimestamp(at, UTC).strftime("%Y-%m-%d %H:%M:%S UTC")
 
 
+def _unknown(certificate_id: str, known: list[str]) -> int:
+    return unusable(
+        f"no certificate is called {certificate_id!r}; there are: {', '.join(known) or 'none'}"
+    )
+
+
 def _renew(site: NamedSite, given: argparse.Namespace) -> int:
     managed = (
         {one.id for one in site.table.certificate}
@@ -158,12 +163,11 @@
         else set(site.stores.certificates.ids())
     )
     if given.id not in managed:
-        return unusable(
-            f"no certificate is called {given.id!r}; there are: {', '.join(sorted(managed)) or 'none'}"
-        )
+        return _unknown(given.id, sorted(managed))
     site.stores.certificates.request_renewal(given.id)
     print(
-        f"{given.id}: whoever holds the duty renews it within a second or two; watch `saffrongw certs list`"
+        f"{given.id}: whoever holds the duty renews it within a second or two; "
+        "watch `saffrongw certs list`"
     )
     return 0
 
@@ -171,43 +175,45 @@
 def _import(site: NamedSite, given: argparse.Namespace) -> int:
     try:
         cert, key = given.cert.read_bytes(), given.key.read_bytes()
-    except OSError as wrong:
-        return unusable(f"{wrong.filename}: can't be read: {wrong.strerror}")
+    except OSError as error:
+        return unusable(f"{error.filename}: can't be read: {error.strerror}")
     try:
         facts = chain.check_pair(cert, key, (), time.time())
-    except chain.ChainError as wrong:
-        return unusable(f"{given.cert}: {wrong}")
-    id = given.id or facts.names[0].replace("*", "_")
+    except chain.ChainError as error:
+        return unusable(f"{given.cert}: {error}")
+    certificate_id = given.id or facts.names[0].replace("*", "_")
     note = CertNote(names=facts.names, imported=True)
-    site.stores.certificates.install(id, cert, key, note, None)
-    print(
-        f"{id}: in service for {', '.join(facts.names)}, {(facts.end - time.time()) / 86_400:.1f} days left"
-    )
-    if site.table and id in {one.id for one in site.table.certificate}:
+    site.stores.certificates.install(certificate_id, cert, key, note, None)
+    days_left = (facts.end - time.time()) / renewal.DAY
+    print(f"{certificate_id}: in service for {', '.join(facts.names)}, {days_left:.1f} days left")
+    if site.table and certificate_id in {one.id for one in site.table.certificate}:
         print("it is not renewed until `saffrongw certs renew` asks for it")
     return 0
 
 
 def _authority(site: NamedSite, directory: str) -> AuthorityTable:
     """The one that was named, or the only one."""
-    places = site.table.authority if site.table else ()
-    for place in places:
-        if place.directory == directory or (not directory and len(places) == 1):
-            return place
+    authorities = site.table.authority if site.table else ()
+    for authority in authorities:
+        if authority.directory == directory or (not directory and len(authorities) == 1):
+            return authority
     known = (
-        ", ".join(p.directory for p in places) or "none (name the operator file with --operator)"
+        ", ".join(p.directory for p in authorities)
+        or "none (name the operator file with --operator)"
     )
     raise DocumentError(f"which authority? --authority is one of: {known}")
 
 
-async def _speak(site: NamedSite, place: AuthorityTable, what) -> None:
-    """One conversation with an authority under our account there."""
+async def _converse(
+    site: NamedSite, authority: AuthorityTable, steps: Callable[[Session], Flow[None]]
+) -> None:
+    """Carry out steps with an authority under our account there."""
     renewal_loop = RenewalLoop(site.table, "operator", TlsSettings())
     orders = renewal_loop.orders
     orders.site = site.stores
     try:
-        session, https = await orders.connect(place, None)
-        await orders.perform(what(session), https, "", None)
+        session, https = await orders.connect(authority, None)
+        await orders.perform(steps(session), https, "", None)
     finally:
         renewal_loop.worker.close()
 
@@ -217,22 +223,25 @@
     if pair is None:
         return unusable(f"{given.id}: there is no certificate")
     der = chain.der_of(site.stores.certificates.files(pair)[0])
-    place = _authority(site, given.authority)
-    asyncio.run(_speak(site, place, lambda session: session.revoke(der, REASONS[given.reason])))
+    authority = _authority(site, given.authority)
+    asyncio.run(
+        _converse(site, authority, lambda session: session.revoke(der, REASONS[given.reason]))
+    )
     site.stores.certificates.drop_pending_key(given.id, None)
     site.stores.certificates.request_renewal(given.id)
     print(
-        f"{given.id}: revoked; it serves until its successor is there, which is ordered now with a new key"
+        f"{given.id}: revoked; it serves until its successor is there, "
+        "which is ordered now with a new key"
     )
     return 0
 
 
 def _rollover(site: NamedSite, given: argparse.Namespace) -> int:
-    place, new = _authority(site, given.authority), AccountKey.new()
-    site.stores.accounts.begin_key_change(place.directory, new)
-    asyncio.run(_speak(site, place, lambda session: session.roll_over(new)))
-    site.stores.accounts.end_key_change(place.directory)
-    print(f"the account at {place.directory} has a new key")
+    authority, new = _authority(site, given.authority), AccountKey.new()
+    site.stores.accounts.begin_key_change(authority.directory, new)
+    asyncio.run(_converse(site, authority, lambda session: session.roll_over(new)))
+    site.stores.accounts.end_key_change(authority.directory)
+    print(f"the account at {authority.directory} has a new key")
     return 0
 
 
@@ -255,7 +264,7 @@
             return unusable(f"{site.folder.path}: there is no such folder")
         site.folder.open()
         return act[given.what](NamedSite(site, table), given)
-    except SchemaError as wrong:
-        return unusable(wrong)
-    except (AcmeError, DocumentError) as wrong:
-        return unusable(getattr(wrong, "detail", None) or wrong)
+    except SchemaError as error:
+        return unusable(error)
+    except (AcmeError, DocumentError) as error:
+        return unusable(getattr(error, "detail", None) or error)
--- a/saffrongw/certs/__init__.py
+++ b/saffrongw/certs/__init__.py
@@ -1,9 +1,17 @@
-"""TLS for clients, and its certificates: obtained and renewed by ACME, swapped while connections go on.
-
-Modules that decide and do no I/O: ``hello.py`` (what a client wants), ``handshakes.py`` (which handshakes may begin),
-``lease.py`` (who of many gateways orders), ``renewal.py`` (when, where and after which pause), ``messages.py`` and
-``flow.py`` (the protocol of RFC 8555), ``jose.py`` (its signatures), ``chain.py`` (whether a certificate may be put in
-service), ``documents.py`` (what is kept between steps). With I/O: ``store.py``, ``http.py``, ``agent.py``,
-``front.py``, ``responder.py``; ``part.py`` puts them together.
-Loaded only where the operator file has ``[certs]``; ``table.py`` alone is read with every operator file.
+"""TLS for clients, with certificates obtained and renewed by ACME and swapped in service.
+
+Decisions without I/O: ``client_hello`` (what a client asks for), ``handshakes`` (which handshakes
+may begin), ``lease`` (which of many gateways orders), ``renewal`` (when to order, backoff, alarms),
+``messages`` and ``order_flow`` (RFC 8555), ``jose`` (its signatures), ``chain`` (whether a
+certificate may serve), ``documents`` (what is kept between steps).
+
+The shared folder: ``shared_folder`` (files and lock), ``ordering_lease``, ``account_store``,
+``challenge_store``, ``certificate_store``.
+
+In service: ``tls_listener``, ``loaded_certificates``, ``challenge_answers``, ``responder``
+(HTTP-01), ``http`` (client of the authority), ``order_runner``, ``certificate_status``,
+``renewal_loop``, ``blocking_worker``; ``component`` puts them together.
+
+The package is loaded only if the operator file has ``[certs]``; ``table`` alone is read with every
+file.
 """
--- a/saffrongw/certs/account_store.py
+++ b/saffrongw/certs/account_store.py
@@ -1,7 +1,8 @@
 """The site's accounts with certificate authorities: their keys and what the authority said of them.
 
-Each authority has a directory named by a digest of its URL: ``account.key`` (PEM), ``account.json``, and
-``account.next`` while the account's key is being changed. Keys are set aside, never deleted.
+Each authority has a directory named by a digest of its URL: ``account.key`` (PEM),
+``account.json``, and ``account.next`` while the account's key is being changed. Keys are set aside,
+never deleted.
 """
 
 from __future__ import annotations
@@ -31,68 +32,73 @@
 
         ``directory`` is the URL of the authority's directory.
         """
-        place = self._place(directory)
-        pem = self.folder.read(place / "account.key")
+        account_directory = self._account_directory(directory)
+        pem = self.folder.read(account_directory / "account.key")
         if pem is None:
-            pem = self._create_key(place, term)
+            pem = self._create_key(account_directory, term)
         try:
             key = AccountKey.of(pem)
         except ValueError as error:
-            raise StoreError(f"{place / 'account.key'}: {error}") from None
-        return key, self._read_account(place)
+            raise StoreError(f"{account_directory / 'account.key'}: {error}") from None
+        return key, self._read_account(account_directory)
 
-    def _create_key(self, place: Path, term: OrderingTerm | None) -> bytes:
+    def _create_key(self, account_directory: Path, term: OrderingTerm | None) -> bytes:
         with self.lease.guarded(term):
-            self.folder.make_directory(place)
-            pem = self.folder.read(place / "account.key")
+            self.folder.make_directory(account_directory)
+            pem = self.folder.read(account_directory / "account.key")
             if pem is None:  # else another process has created it meanwhile
                 pem = AccountKey.new().pem
-                self.folder.write(place / "account.key", pem)
+                self.folder.write(account_directory / "account.key", pem)
             return pem
 
-    def _read_account(self, place: Path) -> Account | None:
-        raw = self.folder.read(place / "account.json")
+    def _read_account(self, account_directory: Path) -> Account | None:
+        raw = self.folder.read(account_directory / "account.json")
         if raw is None:
             return None
         try:
-            return documents.account(raw, str(place / "account.json"))
+            return documents.account(raw, str(account_directory / "account.json"))
         except DocumentError:
             return None  # registering again with the same key returns the same account
 
     def save(self, account: Account, term: OrderingTerm | None) -> None:
         """Keep what the authority said of the account."""
         with self.lease.guarded(term):
-            path = self._place(account.directory) / "account.json"
+            path = self._account_directory(account.directory) / "account.json"
             self.folder.write(path, documents.dump(account))
 
     def retire_key(self, directory: str, term: OrderingTerm | None) -> None:
-        """Set the key aside because the authority no longer knows the account; a new one is created next."""
-        place = self._place(directory)
+        """Set the key aside because the authority no longer knows the account.
+
+        A new one is created next.
+        """
+        account_directory = self._account_directory(directory)
         with self.lease.guarded(term):
-            self.folder.remove(place / "account.json")
-            retired = place / f"account.key.gone-{int(self.now())}"
+            self.folder.remove(account_directory / "account.json")
+            retired = account_directory / f"account.key.gone-{int(self.now())}"
             with contextlib.suppress(FileNotFoundError):
-                self.folder.rename(place / "account.key", retired)
+                self.folder.rename(account_directory / "account.key", retired)
 
     def next_key(self, directory: str) -> AccountKey | None:
         """Return the key of a key change that was interrupted, if there was one."""
-        pem = self.folder.read(self._place(directory) / "account.next")
+        pem = self.folder.read(self._account_directory(directory) / "account.next")
         return AccountKey.of(pem) if pem else None
 
     def begin_key_change(self, directory: str, key: AccountKey) -> None:
         """Keep the new key durably before the authority is asked to accept it."""
         with self.lease.guarded(None):
-            self.folder.write(self._place(directory) / "account.next", key.pem)
+            self.folder.write(self._account_directory(directory) / "account.next", key.pem)
 
     def end_key_change(self, directory: str) -> None:
         """Make the new key the account's key."""
-        place = self._place(directory)
+        account_directory = self._account_directory(directory)
         with self.lease.guarded(None):
             try:
-                self.folder.rename(place / "account.next", place / "account.key")
+                self.folder.rename(
+                    account_directory / "account.next", account_directory / "account.key"
+                )
             except FileNotFoundError as error:
-                raise StoreError(f"{place}: {error.strerror}") from None
+                raise StoreError(f"{account_directory}: {error.strerror}") from None
 
-    def _place(self, directory: str) -> Path:
+    def _account_directory(self, directory: str) -> Path:
         digest = hashlib.sha256(directory.encode()).hexdigest()[:16]
         return self.folder.path / "authorities" / digest
--- a/saffrongw/certs/certificate_status.py
+++ b/saffrongw/certs/certificate_status.py
@@ -1,4 +1,7 @@
-"""What is known of each certificate: its notes, failures not yet kept, and the rows that operators see."""
+"""What is known of each certificate.
+
+Its notes, failures not yet kept, and the rows that operators see.
+"""
 
 from __future__ import annotations
 
@@ -32,14 +35,20 @@
 
 
 def spread_position(certificate_id: str) -> float:
-    """Return a certificate's place in spreads, 0 to 1: the same on each gateway and after each restart."""
+    """Return a certificate's place in spreads, 0 to 1.
+
+    The same on each gateway and after each restart.
+    """
     return random.Random(certificate_id).random()
 
 
 def certificate_state(
     pair: CertificatePair | None, note: CertNote, position: float, names: tuple[str, ...]
 ) -> CertificateState:
-    """Return what decides about one certificate; it is due at once if it does not prove ``names``."""
+    """Return what decides about one certificate.
+
+    It is due at once if it does not prove ``names``.
+    """
     covers_all = pair is None or all(pair.facts.covers(name) for name in names)
     return CertificateState(
         start=pair.facts.start if pair else None,
@@ -96,7 +105,10 @@
         return certificate_state(pair, note, spread_position(entry.id), entry.names)
 
     def rows(self, ordering: frozenset[str] = frozenset()) -> list[CertificateRow]:
-        """Return every certificate, the most urgent first; ``ordering`` names those being ordered."""
+        """Return every certificate, the most urgent first.
+
+        ``ordering`` names those being ordered.
+        """
         now = self.now()
         managed = {entry.id: entry for entry in self.table.certificate}
         rows = [
--- a/saffrongw/certs/certificate_store.py
+++ b/saffrongw/certs/certificate_store.py
@@ -1,4 +1,6 @@
-"""Certificates of a site in its shared folder: versions in service, pending keys, and what is known of each.
+"""Certificates of a site in its shared folder.
+
+Versions in service, pending keys, and what is known of each.
 
     certs/ID/note.json          order, failures, renewal window (``documents.py``)
     certs/ID/pending.key        the key that is being certified
@@ -36,7 +38,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CertificatePair:
-    """A certificate that may serve: the files of certificate and key, and what the certificate says."""
+    """A certificate that may serve.
+
+    The files of certificate and key, and what the certificate says.
+    """
 
     id: str
     cert: Path
@@ -78,8 +83,8 @@
     ) -> None:
         """Change what is known of a certificate, durably before the next step.
 
-        The note is read and written under one lock, so that what an operator and an order write at the
-        same time both hold. A malformed note begins anew.
+        The note is read and written under one lock, so that what an operator and an order write at
+        the same time both hold. A malformed note begins anew.
         """
         with self.lease.guarded(term):
             try:
@@ -145,8 +150,8 @@
     def finish_interrupted_install(self, certificate_id: str, term: OrderingTerm | None) -> None:
         """Clear the order of a certificate that is in service already.
 
-        A crash right after the installation leaves the note of the order and a second copy of the key;
-        the next renewal would otherwise resume an order that is done.
+        A crash right after the installation leaves the note of the order and a second copy of the
+        key; the next renewal would otherwise resume an order that is done.
         """
         pending = self.folder.read(self._directory(certificate_id) / "pending.key")
         pair = self.pair(certificate_id)
@@ -168,8 +173,8 @@
     def pair(self, certificate_id: str, names: tuple[str, ...] = ()) -> CertificatePair | None:
         """Return the pair that may serve, or None.
 
-        This is the current version or, if it cannot be used, the newest kept one that can; an expired
-        one serves as the last resort.
+        This is the current version or, if it cannot be used, the newest kept one that can; an
+        expired one serves as the last resort.
         """
         versions = self._versions(certificate_id)
         for allow_expired in (False, True):
@@ -249,7 +254,10 @@
 
 
 class CertificateSite:
-    """The stores of one site's folder: certificates, accounts, challenges and the ordering lease."""
+    """The stores of one site's folder.
+
+    Certificates, accounts, challenges and the ordering lease.
+    """
 
     def __init__(
         self,
--- a/saffrongw/certs/chain.py
+++ b/saffrongw/certs/chain.py
@@ -1,7 +1,7 @@
-"""Whether a certificate may be put in service, and what it says of itself. Bytes in, values out; no I/O, no clock.
+"""Checks of certificate chains and keys. Bytes in, values out; no I/O, no clock.
 
-The rules: it parses, its key is ours, it is in force now, it covers the names it was ordered for, each certificate of
-its chain signs the one before it, and none of them ends before it does by more than the chain allows to notice.
+A certificate may serve if it parses, its key is ours, it is valid now, it covers the names it was
+ordered for, and each certificate of its chain signs the one before it.
 """
 
 from __future__ import annotations
@@ -14,46 +14,53 @@
 from cryptography.exceptions import InvalidSignature
 from cryptography.hazmat.primitives import hashes, serialization
 from cryptography.hazmat.primitives.asymmetric import ec, rsa
+from cryptography.hazmat.primitives.asymmetric.types import PublicKeyTypes
 from cryptography.x509.oid import ExtendedKeyUsageOID, NameOID
 
 from .jose import b64
 
-CHAIN_MOST = 8  # certificates
-PEM_MOST = 128 * 1024  # bytes
-SKEW = 300.0  # seconds by which our clock may be behind an authority's
+MAX_CHAIN_CERTIFICATES = 8
+MAX_PEM_BYTES = 128 * 1024
+# Seconds by which our clock may be behind an authority's.
+CLOCK_SKEW_S = 300.0
 
 PrivateKey = ec.EllipticCurvePrivateKey | rsa.RSAPrivateKey
 
 
 class ChainError(ValueError):
-    """It must not be put in service; the text says why."""
+    """A certificate or key that must not serve; the message says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class CertificateFacts:
-    """Of a certificate that may serve: its names in lower case, validity in Unix seconds, and what identifies it."""
+    """What a certificate says: names in lower case, validity in Unix seconds, identifiers.
+
+    ``fingerprint`` is the SHA-256 in hexadecimal; ``ari`` is its identifier by RFC 9773, empty if
+    it has no key identifier of its authority; ``chain`` is the number of certificates including its
+    own.
+    """
 
     names: tuple[str, ...]
     start: float
     end: float
     serial: int
     issuer: str
-    fingerprint: str  # SHA-256 of the certificate, hexadecimal
-    ari: str  # RFC 9773's name for it; empty where it has no key identifier of its authority
-    chain: int  # certificates, its own among them
+    fingerprint: str
+    ari: str
+    chain: int
 
     @property
     def life(self) -> float:
-        """Seconds from its start to its end."""
+        """Return the length of its validity in seconds."""
         return self.end - self.start
 
     def covers(self, name: str) -> bool:
-        """Whether it proves this name."""
+        """Tell whether the certificate proves a name, by a wildcard too."""
         return name in self.names or ("." in name and "*." + name.partition(".")[2] in self.names)
 
 
 def new_key(kind: str) -> bytes:
-    """A private key as PEM; ``kind`` is ``ecdsa-p256``, ``ecdsa-p384`` or ``rsa-2048``."""
+    """Create a private key as PEM; ``kind`` is ``ecdsa-p256``, ``ecdsa-p384`` or ``rsa-2048``."""
     key: PrivateKey
     if kind == "rsa-2048":
         key = rsa.generate_private_key(public_exponent=65537, key_size=2048)
@@ -67,20 +74,20 @@
 
 
 def load_key(pem: bytes) -> PrivateKey:
-    """A private key from PEM; ``ChainError``."""
+    """Load a private key from PEM; ``ChainError`` if it cannot be used."""
     try:
         key = serialization.load_pem_private_key(pem, None)
-    except (ValueError, TypeError) as wrong:
-        raise ChainError(f"the key can't be read: {wrong}") from None
-    except Exception as wrong:  # the library names unknown algorithms by errors of its own
-        raise ChainError(f"the key can't be used: {wrong!r:.100}") from None
+    except (ValueError, TypeError) as error:
+        raise ChainError(f"the key can't be read: {error}") from None
+    except Exception as error:
+        raise ChainError(f"the key can't be used: {error!r:.100}") from None
     if not isinstance(key, ec.EllipticCurvePrivateKey | rsa.RSAPrivateKey):
         raise ChainError("the key is neither ECDSA nor RSA")
     return key
 
 
 def signing_request(pem: bytes, names: tuple[str, ...]) -> str:
-    """The signing request for these names, as ACME wants it (base64url of DER)."""
+    """Return the signing request for these names as ACME wants it (base64url of DER)."""
     subject = [x509.NameAttribute(NameOID.COMMON_NAME, names[0])] if len(names[0]) <= 64 else []
     request = (
         x509.CertificateSigningRequestBuilder()
@@ -94,25 +101,25 @@
 
 
 def parse(pem: bytes) -> list[x509.Certificate]:
-    """The certificates of a PEM text in order; ``ChainError``."""
-    if len(pem) > PEM_MOST:
-        raise ChainError(f"longer than {PEM_MOST} bytes")
+    """Parse the certificates of a PEM text in order; ``ChainError`` if it holds none."""
+    if len(pem) > MAX_PEM_BYTES:
+        raise ChainError(f"longer than {MAX_PEM_BYTES} bytes")
     try:
         found = x509.load_pem_x509_certificates(pem)
-    except ValueError as wrong:
-        raise ChainError(f"no certificates: {wrong!s:.100}") from None
-    if len(found) > CHAIN_MOST:
-        raise ChainError(f"{len(found)} certificates; {CHAIN_MOST} at most")
+    except ValueError as error:
+        raise ChainError(f"no certificates: {error!s:.100}") from None
+    if len(found) > MAX_CHAIN_CERTIFICATES:
+        raise ChainError(f"{len(found)} certificates; {MAX_CHAIN_CERTIFICATES} at most")
     return found
 
 
 def der_of(pem: bytes) -> bytes:
-    """The first certificate of a PEM text as DER; ``ChainError``."""
+    """Return the first certificate of a PEM text as DER; ``ChainError`` if there is none."""
     return parse(pem)[0].public_bytes(serialization.Encoding.DER)
 
 
 def names_of(leaf: x509.Certificate) -> tuple[str, ...]:
-    """The names that it proves."""
+    """Return the DNS names that a certificate proves."""
     try:
         found = leaf.extensions.get_extension_for_class(x509.SubjectAlternativeName).value
     except (x509.ExtensionNotFound, x509.DuplicateExtension, ValueError):
@@ -139,7 +146,7 @@
 
 
 def issuer_names(chain: list[x509.Certificate]) -> set[str]:
-    """Common names of all issuers in a chain: by these operators choose among chains."""
+    """Return the common names of all issuers in a chain; operators choose among chains by them."""
     found = set()
     for one in chain:
         for part in one.issuer.get_attributes_for_oid(NameOID.COMMON_NAME):
@@ -163,7 +170,7 @@
     )
 
 
-def _public(key) -> bytes:
+def _public(key: PublicKeyTypes) -> bytes:
     return key.public_bytes(
         serialization.Encoding.DER, serialization.PublicFormat.SubjectPublicKeyInfo
     )
@@ -172,19 +179,18 @@
 def check_pair(
     pem: bytes, key: bytes, names: tuple[str, ...], now: float, any_time: bool = False
 ) -> CertificateFacts:
-    """What may serve; ``ChainError`` says why it may not. ``now`` in Unix seconds.
+    """Return the facts of a pair that may serve; ``ChainError`` says why it may not.
 
-    ``any_time``: one that is in service stays there when it ends, or when our clock goes back before its start: a
-    clock may be wrong, and a refusal helps nobody.
+    ``now`` is in Unix seconds. With ``any_time`` the validity is not checked: a certificate in
+    service stays there when it expires, or when our clock goes back before its start, since
+    rejecting it helps nobody.
     """
     try:
         return _check(parse(pem), key, names, now, any_time)
     except ChainError:
         raise
-    except (
-        Exception
-    ) as wrong:  # broken fields show only when they are read, by errors of many types
-        raise ChainError(f"it can't be read: {wrong!r:.100}") from None
+    except Exception as error:
+        raise ChainError(f"it can't be read: {error!r:.100}") from None
 
 
 def _check(
@@ -202,7 +208,7 @@
         raise ChainError("it covers no name")
     if found.end <= found.start:
         raise ChainError("it ends before it begins")
-    if found.start > now + SKEW and not any_time:
+    if found.start > now + CLOCK_SKEW_S and not any_time:
         raise ChainError("it is not valid yet")
     if found.end <= now and not any_time:
         raise ChainError("it has ended")
--- a/saffrongw/certs/challenge_answers.py
+++ b/saffrongw/certs/challenge_answers.py
@@ -1,4 +1,7 @@
-"""Answers to an authority that validates a name: the TLS context (RFC 8737) or the HTTP key authorisation."""
+"""Answers to an authority that validates a name.
+
+The TLS context (RFC 8737) or the HTTP key authorisation.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +37,7 @@
         self._contexts: dict[str, _CachedContext] = {}
 
     async def tls_context(self, name: str) -> ssl.SSLContext | None:
-        """Return the TLS context that proves a name, or None if no challenge for it is published."""
+        """Return the TLS context that proves a name, or None without a published challenge."""
         try:
             proof = await self.worker.run(self.store.by_name, name)
             if proof is None:
--- a/saffrongw/certs/challenge_store.py
+++ b/saffrongw/certs/challenge_store.py
@@ -1,7 +1,7 @@
 """Challenges that an authority may come to validate; any gateway of the site can answer them.
 
-A challenge lies under its token and, for validation by TLS (RFC 8737), also under a digest of the name:
-such a connection names no token. Files are deleted when the challenge is over or too old.
+A challenge lies under its token and, for validation by TLS (RFC 8737), also under a digest of the
+name: such a connection names no token. Files are deleted when the challenge is over or too old.
 """
 
 from __future__ import annotations
--- a/saffrongw/certs/client_hello.py
+++ b/saffrongw/certs/client_hello.py
@@ -1,43 +1,43 @@
-"""What a client asks for before any key is used: the ClientHello of TLS 1.0 to 1.3, read from plain bytes.
+"""Parser of the TLS ClientHello (TLS 1.0 to 1.3). No I/O.
 
-It is read ahead of the handshake because what it says decides who answers: a check by an authority (the protocol
-``acme-tls/1``, RFC 8737) gets another certificate than a client of the same name. Formats: RFC 8446, 4.1.2 and 5.1;
-RFC 6066, 3; RFC 7301. No I/O.
+It is read ahead of the handshake because it decides which certificate answers: a validation by an
+authority (the ALPN protocol ``acme-tls/1``, RFC 8737) gets another one than a client of the same
+name. Formats: RFC 8446, 4.1.2 and 5.1; RFC 6066, 3; RFC 7301.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-RECORD_HEAD, HANDSHAKE_HEAD = 5, 4  # bytes
-RECORD_MOST = 16_384  # bytes in a record
-MAX_HELLO_BYTES = (
-    16_384  # bytes of a whole hello; what clients send has a few hundred to two thousand
-)
+RECORD_HEAD_BYTES, HANDSHAKE_HEAD_BYTES = 5, 4
+MAX_RECORD_BYTES = 16_384
+# Of a complete ClientHello; what clients send has a few hundred to two thousand.
+MAX_HELLO_BYTES = 16_384
+# Record type, message type and extension types (RFC 8446, RFC 6066, RFC 7301).
 HANDSHAKE, CLIENT_HELLO = 22, 1
 SERVER_NAME, ALPN = 0, 16
 ACME_PROTOCOL = b"acme-tls/1"
 
 
 class ClientHelloError(ValueError):
-    """Bytes that are no ClientHello."""
+    """The bytes are not a ClientHello."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClientHello:
-    """The name a client asks for, in lower case (none: it asked for none), and the protocols it offers."""
+    """The server name in lower case (None if the client sent none) and the ALPN protocols."""
 
     name: str | None = None
     protocols: tuple[bytes, ...] = ()
 
     @property
     def is_check(self) -> bool:
-        """Whether an authority checks that the name is ours."""
+        """Whether an authority validates the name (RFC 8737)."""
         return self.protocols == (ACME_PROTOCOL,)
 
 
 class _Reader:
-    """Bytes with a place; every length is checked against what there is."""
+    """A cursor over bytes that checks every length against what is there."""
 
     __slots__ = ("at", "data", "end")
 
@@ -54,7 +54,7 @@
         return self.data[self.at - size : self.at]
 
     def block(self, size: int) -> _Reader:
-        """What follows a length of so many bytes."""
+        """Return a reader of the block whose length is given in so many bytes."""
         length = self.number(size)
         if self.at + length > self.end:
             raise ClientHelloError("a length points beyond the end")
@@ -62,31 +62,34 @@
         return _Reader(self.data, self.at - length, self.at)
 
     @property
-    def left(self) -> int:
+    def remaining(self) -> int:
         return self.end - self.at
 
 
 def parse_client_hello(data: bytes) -> ClientHello | int:
-    """The hello that ``data`` begins with; or how many bytes are needed at least before it can be told."""
-    body, at, need = b"", 0, HANDSHAKE_HEAD
+    """Return the ClientHello at the start of ``data``, or the least number of bytes needed.
+
+    Raises ``ClientHelloError`` as soon as the bytes cannot become one.
+    """
+    body, at, need = b"", 0, HANDSHAKE_HEAD_BYTES
     while True:
-        if len(data) < at + RECORD_HEAD:
+        if len(data) < at + RECORD_HEAD_BYTES:
             _check_head(data[at:])
-            return at + RECORD_HEAD
-        _check_head(data[at : at + RECORD_HEAD])
-        length = int.from_bytes(data[at + 3 : at + RECORD_HEAD])
-        if not 0 < length <= RECORD_MOST:
+            return at + RECORD_HEAD_BYTES
+        _check_head(data[at : at + RECORD_HEAD_BYTES])
+        length = int.from_bytes(data[at + 3 : at + RECORD_HEAD_BYTES])
+        if not 0 < length <= MAX_RECORD_BYTES:
             raise ClientHelloError(f"a record of {length} bytes")
-        body += data[at + RECORD_HEAD : at + RECORD_HEAD + length]
+        body += data[at + RECORD_HEAD_BYTES : at + RECORD_HEAD_BYTES + length]
         if body and body[0] != CLIENT_HELLO:
             raise ClientHelloError(f"a handshake that begins with message {body[0]}")
-        if len(body) >= HANDSHAKE_HEAD:
-            need = HANDSHAKE_HEAD + int.from_bytes(body[1:HANDSHAKE_HEAD])
+        if len(body) >= HANDSHAKE_HEAD_BYTES:
+            need = HANDSHAKE_HEAD_BYTES + int.from_bytes(body[1:HANDSHAKE_HEAD_BYTES])
             if need > MAX_HELLO_BYTES:
                 raise ClientHelloError(f"a hello of {need} bytes")
             if len(body) >= need:
-                return _parse(_Reader(body, HANDSHAKE_HEAD, need))
-        at += RECORD_HEAD + length
+                return _parse(_Reader(body, HANDSHAKE_HEAD_BYTES, need))
+        at += RECORD_HEAD_BYTES + length
         if len(data) < at:
             return at
 
@@ -99,14 +102,16 @@
 def _parse(hello: _Reader) -> ClientHello:
     hello.take(2 + 32)  # version, random
     hello.block(1)  # session
-    if hello.block(2).left < 2:
+    if hello.block(2).remaining < 2:
         raise ClientHelloError("no cipher is offered")
-    if not hello.block(1).left:
+    if not hello.block(1).remaining:
         raise ClientHelloError("no compression is offered, not even none")
-    name, protocols, seen = None, (), set()
-    if hello.left:
+    name: str | None = None
+    protocols: tuple[bytes, ...] = ()
+    seen: set[int] = set()
+    if hello.remaining:
         extensions = hello.block(2)
-        while extensions.left:
+        while extensions.remaining:
             kind, content = extensions.number(2), extensions.block(2)
             if kind in seen:
                 raise ClientHelloError(f"the extension {kind} stands twice")
@@ -115,21 +120,21 @@
                 name = _name(content)
             elif kind == ALPN:
                 protocols = _protocols(content)
-    if hello.left:
+    if hello.remaining:
         raise ClientHelloError("bytes behind the extensions")
     return ClientHello(name, protocols)
 
 
 def _name(content: _Reader) -> str | None:
     names = content.block(2)
-    if content.left or not names.left:
+    if content.remaining or not names.remaining:
         raise ClientHelloError("a list of names that makes no sense")
     found = None
-    while names.left:
+    while names.remaining:
         kind, raw = names.number(1), names.block(2)
         if kind == 0 and found is None:
             try:
-                found = raw.take(raw.left).decode("ascii").lower()
+                found = raw.take(raw.remaining).decode("ascii").lower()
             except UnicodeDecodeError:
                 raise ClientHelloError("a name that is not ASCII") from None
             if not found or len(found) > 253 or "\0" in found:
@@ -139,11 +144,11 @@
 
 def _protocols(content: _Reader) -> tuple[bytes, ...]:
     names, found = content.block(2), []
-    if content.left or not names.left:
+    if content.remaining or not names.remaining:
         raise ClientHelloError("a list of protocols that makes no sense")
-    while names.left:
+    while names.remaining:
         one = names.block(1)
-        if not one.left:
+        if not one.remaining:
             raise ClientHelloError("a protocol without a name")
-        found.append(one.take(one.left))
+        found.append(one.take(one.remaining))
     return tuple(found)
--- a/saffrongw/certs/component.py
+++ b/saffrongw/certs/component.py
@@ -1,4 +1,4 @@
-"""The part that ``[certs]`` switches on: built from its table, changed in service, shown as rows and figures."""
+"""The component that ``[certs]`` of the operator file switches on."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 
 
 def tls_settings_of(table: ClientsTable) -> TlsSettings:
-    """How TLS is spoken."""
+    """Return the TLS settings of a table."""
     return TlsSettings(
         table.minimum, table.protocols, table.client_ca, table.clients, table.ticket_hours * 3_600
     )
 
 
 def handshake_limits_of(table: ClientsTable) -> HandshakeLimits:
-    """What handshakes may cost."""
+    """Return the handshake limits of a table."""
     return HandshakeLimits(
         table.half_open, table.handshake_ms * MS, table.share, int(table.share * SECOND / 5)
     )
 
 
 class CertsComponent:
-    """Service, front, figures and rows in one."""
+    """TLS listener, renewal loop, HTTP challenges, metrics and rows of one gateway."""
 
     def __init__(
         self,
@@ -60,22 +60,25 @@
         )
 
     async def start(self, driver: Driver) -> None:
-        """Serve what the folder has, and look after it."""
+        """Serve the certificates of the folder and keep them renewed."""
         self.listener.prepare()
         if self.responder:
             self.responder.start(driver.loop)
         await self.renewal.start()
 
     async def stop(self) -> None:
-        """End; another gateway may order at once."""
+        """Stop; another gateway may order at once."""
         self.listener.close()
         if self.responder:
             self.responder.close()
         await self.renewal.stop()
 
     def change(self, new: CertsTable) -> Callable[[], None]:
-        """Prepare another table: ``OSError`` or ``ValueError`` where it can't be. What is returned puts it in force
-        and can't fail. Addresses, the folder and the lease wait for the next start."""
+        """Prepare another table; the result applies it and cannot fail.
+
+        Raises ``OSError`` or ``ValueError`` if it cannot be applied. Addresses, the folder and the
+        lease wait for the next start.
+        """
         same = ("listen", "http_listen", "state_dir", "lease_seconds", "clock_skew")
         if moved := [name for name in same if getattr(new, name) != getattr(self.table, name)]:
             raise ValueError(f"certs.{moved[0]} can't change in service")
@@ -90,11 +93,11 @@
         return put_in_force
 
     def rows(self) -> list[CertificateRow]:
-        """Every certificate, the most urgent first."""
+        """Return every certificate, the most urgent first."""
         return self.renewal.rows()
 
     def figures(self) -> list[tuple[str, int]]:
-        """Counts since the start, and as of now: certificates, hours that the first one has left, alarms."""
+        """Return counts since the start, and as of now certificates, hours left and alarms."""
         rows, handshakes = self.rows(), self.listener.handshakes
         counts = self.renewal.orders.counts
         hours = [int(row.days_left * 24) for row in rows if row.days_left is not None]
--- a/saffrongw/certs/documents.py
+++ b/saffrongw/certs/documents.py
@@ -1,7 +1,8 @@
-"""What is kept between the steps of an order: plain values to JSON and back, checked on the way in. No I/O.
+"""Documents kept in the shared folder: dataclasses to JSON and back, validated when read. No I/O.
 
-A document carries its schema; one of a later program is refused and left as it is. One that makes no sense raises
-``DocumentError``, and its certificate goes on serving: only the order it described is lost.
+A document carries its schema version; one of a later program is rejected and left untouched. A
+malformed one raises ``DocumentError``, and its certificate goes on serving: only the order it
+described is lost.
 """
 
 from __future__ import annotations
@@ -20,12 +21,12 @@
 
 
 class DocumentError(ValueError):
-    """A document that can't be used: which, and why."""
+    """A document that cannot be used; the message names the file and the cause."""
 
 
 @dataclass(frozen=True, slots=True)
 class Account:
-    """Our account with an authority; its key lies beside it."""
+    """Our account with an authority, without its key."""
 
     directory: str
     url: str
@@ -34,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderNote:
-    """An order that was begun. Without a URL the request for it may or may not have arrived."""
+    """An order that was begun; without a URL its request may or may not have arrived."""
 
     directory: str
     names: tuple[str, ...]
@@ -45,18 +46,18 @@
 
 @dataclass(frozen=True, slots=True)
 class CertNote:
-    """All that is kept of one certificate besides itself and its keys."""
+    """What is kept of one certificate besides its files; an imported one is never renewed."""
 
     names: tuple[str, ...] = ()
     order: OrderNote | None = None
     failures: Failures = NO_FAILURES
     window: RenewalWindow | None = None
     wanted: bool = False
-    imported: bool = False  # by hand: never renewed by us
+    imported: bool = False
 
 
-def dump(value: Any) -> bytes:
-    """As JSON with its schema."""
+def dump(value: Account | CertNote) -> bytes:
+    """Return a document as JSON with its schema version."""
     return json.dumps({"schema": SCHEMA, **asdict(value)}, indent=1).encode()
 
 
@@ -81,8 +82,8 @@
 }
 
 
-def _make(kind: type[T], raw: Any, where: str) -> T:
-    """A dataclass of plain fields and lists of text."""
+def _make(kind: type[T], raw: object, where: str) -> T:
+    """Build a dataclass whose fields are plain values or lists of text."""
     if not isinstance(raw, dict):
         raise DocumentError(f"{where}: no object")
     values = {}
@@ -106,12 +107,12 @@
 
 
 def account(raw: bytes, where: str) -> Account:
-    """An account's document."""
+    """Parse an account document."""
     return _make(Account, _object(raw, where), where)
 
 
 def cert(raw: bytes, where: str) -> CertNote:
-    """A certificate's document."""
+    """Parse a certificate document."""
     found = _object(raw, where)
     order = found.pop("order", None)
     failures = found.pop("failures", None)
--- a/saffrongw/certs/handshakes.py
+++ b/saffrongw/certs/handshakes.py
@@ -2,12 +2,12 @@
 
 A handshake costs as much CPU as several requests, and anybody may ask for one. Two limits hold:
 
-- half-open connections: so many connections may be accepted without a finished handshake. Beyond that
-  the one that has waited longest for a complete ClientHello is evicted; if all have sent theirs, the
-  new connection is rejected.
-- CPU: handshakes together get a share of the core, as a token bucket in microseconds. A handshake that
-  finds too few tokens waits in line. Its real cost is known when it ends: a resumed one returns most
-  of what it took.
+- half-open connections: so many connections may be accepted without a finished handshake. Beyond
+  that the one that has waited longest for a complete ClientHello is evicted; if all have sent
+  theirs, the new connection is rejected.
+- CPU: handshakes together get a share of the core, as a token bucket in microseconds. A handshake
+  that finds too few tokens waits in line. Its real cost is known when it ends: a resumed one
+  returns most of what it took.
 
 All times are microseconds of one clock and are passed in.
 """
@@ -29,8 +29,8 @@
 class HandshakeLimits:
     """Limits on connections whose handshake has not finished.
 
-    ``cpu_share`` is a share of the core, ``burst_us`` the size of the token bucket. The expected costs
-    of full and resumed handshakes were measured (docs/notes/certs.md).
+    ``cpu_share`` is a share of the core, ``burst_us`` the size of the token bucket. The expected
+    costs of full and resumed handshakes were measured (docs/notes/certs.md).
     """
 
     max_half_open: int = 256
@@ -108,7 +108,10 @@
             self.queued[connection] = deadline
 
     def begin_unlimited(self, now: int, connection: Connection) -> None:
-        """Begin a handshake at once and free of charge: an authority's validations, which are few."""
+        """Begin a handshake at once and free of charge.
+
+        An authority's validations, which are few.
+        """
         if self.awaiting_hello.pop(connection, None) is not None:
             self.running[connection] = now + self.limits.timeout_us
 
--- a/saffrongw/certs/http.py
+++ b/saffrongw/certs/http.py
@@ -1,4 +1,7 @@
-"""HTTPS to an authority: one request a connection, every length and time bounded, no redirect followed."""
+"""HTTPS client for an authority.
+
+One request a connection, bounded lengths and times, no redirects.
+"""
 
 from __future__ import annotations
 
@@ -14,36 +17,40 @@
 from .messages import AcmeError, FailureKind, HttpAnswer, clean, malformed_answer
 from .order_flow import HttpRequest
 
-TIMEOUT_S = 30.0  # seconds for one request, from connecting to the last byte
-MAX_HEAD_BYTES, MAX_BODY_BYTES = 32 * 1024, 512 * 1024  # bytes
+# For one request, from connecting to the last byte.
+TIMEOUT_S = 30.0
+MAX_HEAD_BYTES, MAX_BODY_BYTES = 32 * 1024, 512 * 1024
 READ_BYTES = 64 * 1024
 _LINK = re.compile(r'<([^<>\s]{1,2048})>\s*;[^,<]*?\brel\s*=\s*"?([A-Za-z0-9\- ]{1,64})"?')
 
 
 class AuthorityClient:
-    """A way to one authority. ``ca``: a file of authorities that its own certificate must come from."""
+    """A client of one authority; ``ca`` is a file of root certificates for the authority's own."""
 
     def __init__(self, ca: str = "", within: float = TIMEOUT_S) -> None:
         self.context = ssl.create_default_context(cafile=ca or None)
         self.within = within
 
     async def send(self, request: HttpRequest) -> HttpAnswer:
-        """The answer; ``AcmeError`` AWAY where none came, UNUSABLE where it is none."""
+        """Return the answer.
+
+        ``AcmeError`` UNREACHABLE if none came, UNUSABLE if it is malformed.
+        """
         try:
             async with asyncio.timeout(self.within):
                 return await self._send(request)
         except TimeoutError:
             raise AcmeError(
-                FailureKind.AWAY, f"{request.read}: no answer within {self.within:g} s"
+                FailureKind.UNREACHABLE, f"{request.read}: no answer within {self.within:g} s"
             ) from None
-        except ssl.SSLError as wrong:
+        except ssl.SSLError as error:
             raise AcmeError(
-                FailureKind.AWAY, f"{request.read}: {clean(wrong.reason or wrong)}"
+                FailureKind.UNREACHABLE, f"{request.read}: {clean(error.reason or error)}"
             ) from None
-        except (OSError, EOFError) as wrong:
-            raise AcmeError(FailureKind.AWAY, f"{request.read}: {clean(wrong)}") from None
-        except h11.RemoteProtocolError as wrong:
-            raise malformed_answer(request.read, f"no HTTP: {clean(wrong)}") from None
+        except (OSError, EOFError) as error:
+            raise AcmeError(FailureKind.UNREACHABLE, f"{request.read}: {clean(error)}") from None
+        except h11.RemoteProtocolError as error:
+            raise malformed_answer(request.read, f"no HTTP: {clean(error)}") from None
 
     async def _send(self, request: HttpRequest) -> HttpAnswer:
         parts = urlsplit(request.url)
@@ -76,36 +83,51 @@
     async def _read(
         self, http: h11.Connection, reader: asyncio.StreamReader, request: HttpRequest
     ) -> HttpAnswer:
-        head, body, ended = None, bytearray(), False
+        head: h11.Response | None = None
+        body = bytearray()
         while True:
-            try:
-                event = http.next_event()
-            except h11.RemoteProtocolError:
-                if (
-                    ended
-                ):  # whoever goes in the middle of a word is away, and its order is not forgotten
-                    raise EOFError("the connection ended within the answer") from None
-                raise
-            if event is h11.NEED_DATA:
-                data = await reader.read(READ_BYTES)
-                ended = not data
-                http.receive_data(data)
-            elif isinstance(event, h11.Response):
+            event = await _next_event(http, reader)
+            if isinstance(event, h11.Response):
                 head = event
             elif isinstance(event, h11.Data):
                 body += event.data
                 if len(body) > MAX_BODY_BYTES:
                     raise malformed_answer(request.read, f"longer than {MAX_BODY_BYTES} bytes")
             elif isinstance(event, h11.EndOfMessage):
-                break
+                assert head is not None  # h11 ends no message before its head
+                return _answer(head, bytes(body))
             elif isinstance(event, h11.ConnectionClosed):
                 raise EOFError("the connection ended within the answer")
-        fields: dict[str, str] = {}
-        links = []
-        for name, value in head.headers:
-            text = value.decode("latin-1")
-            if name == b"link":
-                links += [(relation, target) for target, relation in _LINK.findall(text)]
-            else:
-                fields.setdefault(name.decode("latin-1"), text)
-        return HttpAnswer(head.status_code, fields, bytes(body), tuple(links))
+
+
+async def _next_event(http: h11.Connection, reader: asyncio.StreamReader) -> object:
+    """Return the next HTTP event, reading as needed.
+
+    Raises ``EOFError`` if the connection ends within a message: the authority is then unreachable,
+    and its order is kept.
+    """
+    has_ended = False
+    while True:
+        try:
+            event = http.next_event()
+        except h11.RemoteProtocolError:
+            if has_ended:
+                raise EOFError("the connection ended within the answer") from None
+            raise
+        if event is not h11.NEED_DATA:
+            return event
+        data = await reader.read(READ_BYTES)
+        has_ended = not data
+        http.receive_data(data)
+
+
+def _answer(head: h11.Response, body: bytes) -> HttpAnswer:
+    fields: dict[str, str] = {}
+    links: list[tuple[str, str]] = []
+    for name, value in head.headers:
+        text = value.decode("latin-1")
+        if name == b"link":
+            links += [(relation, target) for target, relation in _LINK.findall(text)]
+        else:
+            fields.setdefault(name.decode("latin-1"), text)
+    return HttpAnswer(head.status_code, fields, body, tuple(links))
--- a/saffrongw/certs/jose.py
+++ b/saffrongw/certs/jose.py
@@ -1,4 +1,4 @@
-"""Signatures of RFC 8555, 6.2: flattened JWS with ``nonce`` and ``url``, by an account's key. No I/O."""
+"""ACME request signatures (RFC 8555, 6.2): flattened JWS by an account's key. No I/O."""
 
 from __future__ import annotations
 
@@ -11,23 +11,24 @@
 from joserfc.jwk import ECKey, OctKey
 
 REGISTRY = jws.JWSRegistry(algorithms=["ES256", "HS256"], strict_check_header=False)
-EXTERNAL_LEAST = 16  # bytes of the key that an authority gave for an external account
+# Of the key that an authority gave for an external account.
+MIN_EXTERNAL_KEY_BYTES = 16
 
 
 def b64(data: bytes) -> str:
-    """Base64url without padding."""
+    """Encode as base64url without padding."""
     return base64.urlsafe_b64encode(data).rstrip(b"=").decode()
 
 
 def external_key(text: str) -> bytes:
-    """The key of an external account as authorities hand it out, in base64url; ``ValueError``."""
+    """Decode the key of an external account; ``ValueError`` if it is malformed."""
     text = text.strip().rstrip("=")
     try:
         key = base64.b64decode(text + "=" * (-len(text) % 4), altchars=b"-_", validate=True)
     except ValueError:
         raise ValueError("not base64url") from None
-    if len(key) < EXTERNAL_LEAST:
-        raise ValueError(f"shorter than {EXTERNAL_LEAST} bytes")
+    if len(key) < MIN_EXTERNAL_KEY_BYTES:
+        raise ValueError(f"shorter than {MIN_EXTERNAL_KEY_BYTES} bytes")
     return key
 
 
@@ -41,34 +42,39 @@
 
     @classmethod
     def new(cls) -> AccountKey:
-        """A fresh one."""
+        """Create a new key."""
         return cls(ECKey.generate_key("P-256"))
 
     @classmethod
     def of(cls, pem: bytes) -> AccountKey:
-        """From PEM; ``ValueError`` where it is none."""
+        """Load a key from PEM; ``ValueError`` if it is not a P-256 key."""
         try:
             return cls(ECKey.import_key(pem))
-        except Exception as wrong:  # the library's errors have many types
-            raise ValueError(f"no key of P-256: {wrong!r:.100}") from None
+        except Exception as error:
+            raise ValueError(f"no key of P-256: {error!r:.100}") from None
 
     @property
     def pem(self) -> bytes:
-        """As PEM, with its private half."""
+        """Return the private key as PEM."""
         return self.key.as_pem(private=True)
 
     @property
     def thumbprint(self) -> str:
-        """RFC 7638."""
+        """Return the key's thumbprint (RFC 7638)."""
         text = json.dumps(self.jwk, separators=(",", ":"), sort_keys=True)
         return b64(hashlib.sha256(text.encode()).digest())
 
     def authorise(self, token: str) -> str:
-        """The key authorisation of a challenge (RFC 8555, 8.1)."""
+        """Return the key authorisation of a challenge (RFC 8555, 8.1)."""
         return f"{token}.{self.thumbprint}"
 
-    def sign(self, url: str, payload: Any, nonce: str | None, kid: str | None) -> dict[str, str]:
-        """A request's JWS: by the account's URL, or by the key itself. ``None`` as payload: POST-as-GET."""
+    def sign(
+        self, url: str, payload: object, nonce: str | None, kid: str | None
+    ) -> dict[str, object]:
+        """Return the JWS of a request, identified by the account's URL or by the key itself.
+
+        A payload of None is a POST-as-GET.
+        """
         head: dict[str, Any] = {"alg": "ES256", "url": url}
         if nonce is not None:
             head["nonce"] = nonce
@@ -76,8 +82,8 @@
         body = b"" if payload is None else json.dumps(payload).encode()
         return dict(jws.serialize_json({"protected": head}, body, self.key, registry=REGISTRY))
 
-    def bind(self, url: str, kid: str, key: bytes) -> dict[str, str]:
-        """The external account binding of RFC 8555, 7.3.4."""
+    def bind(self, url: str, kid: str, key: bytes) -> dict[str, object]:
+        """Return the external account binding (RFC 8555, 7.3.4)."""
         head = {"alg": "HS256", "kid": kid, "url": url}
         signed = jws.serialize_json(
             {"protected": head},
--- a/saffrongw/certs/lease.py
+++ b/saffrongw/certs/lease.py
@@ -1,10 +1,10 @@
 """Decisions of a lease that lies in a shared file: who of many does something that only one may do.
 
 No I/O, no clock. The lease lies where all can read it and where one write at a time succeeds
-(``shared_folder.py`` holds a lock meanwhile). It names its holder, a term that grows with each taking,
-and its end in Unix seconds. Clocks may differ by ``skew``: the holder acts until its end less the skew,
-others take it after its end plus the skew. A holder that was stopped and goes on later is recognised by
-its term: a write under an older term than the lease's is rejected.
+(``shared_folder.py`` holds a lock meanwhile). It names its holder, a term that grows with each
+taking, and its end in Unix seconds. Clocks may differ by ``skew``: the holder acts until its end
+less the skew, others take it after its end plus the skew. A holder that was stopped and goes on
+later is recognised by its term: a write under an older term than the lease's is rejected.
 """
 
 from __future__ import annotations
--- a/saffrongw/certs/loaded_certificates.py
+++ b/saffrongw/certs/loaded_certificates.py
@@ -1,4 +1,4 @@
-"""The certificates that this process serves, loaded from the shared folder and swapped when it changes."""
+"""The certificates that this process serves, reloaded when the shared folder changes."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 class LoadedCertificates:
     """TLS contexts of all certificates that may serve.
 
-    ``load`` runs on a worker thread and replaces each attribute in one assignment: a handshake sees the
-    old contexts or the new ones.
+    ``load`` runs on a worker thread and replaces each attribute in one assignment: a handshake sees
+    the old contexts or the new ones.
     """
 
     def __init__(self, store: CertificateStore, settings: TlsSettings, default: str) -> None:
--- a/saffrongw/certs/messages.py
+++ b/saffrongw/certs/messages.py
@@ -1,7 +1,9 @@
-"""What an authority says, as typed values: RFC 8555's objects, RFC 7807's problems, RFC 9773's windows. No I/O.
+"""ACME messages as typed values: objects of RFC 8555, problems of RFC 7807, windows of RFC 9773.
 
-Everything is checked and bounded; what makes no sense raises ``AcmeError`` that says which field of what, and never
-anything else. Errors carry a kind, by which ``renewal.py`` chooses the pause before the next try.
+No I/O.
+
+Everything is checked and bounded; a malformed message raises ``AcmeError`` that names the field,
+and never another error. Errors carry a kind, by which ``renewal.py`` chooses the backoff.
 """
 
 from __future__ import annotations
@@ -15,27 +17,38 @@
 from typing import Any
 from urllib.parse import urlsplit
 
-MAX_URL_CHARS = 2_048  # characters
-MAX_LIST_ITEMS = 1_000  # names, authorisations or challenges of one object
-MAX_TEXT_CHARS = 300  # characters of an authority's words that are kept
-MAX_RETRY_AFTER_S = 30 * 86_400.0  # seconds: no authority can ask for more
+MAX_URL_CHARS = 2_048
+# Names, authorisations or challenges of one object.
+MAX_LIST_ITEMS = 1_000
+# Characters of an authority's text that are kept.
+MAX_TEXT_CHARS = 300
+# No authority can make us wait longer.
+MAX_RETRY_AFTER_S = 30 * 86_400.0
 
 
 class FailureKind(Enum):
-    """What sort of failure it was."""
+    """The kind of a failure; the values are kept in ``note.json``.
+
+    UNREACHABLE: no connection, no answer in time, or 5xx. ORDER: expired, invalid or not found.
+    REJECTED: names or a key that the authority does not accept. UNUSABLE: a malformed answer, or a
+    certificate that must not serve. LOCAL: our disk or our lease.
+    """
 
-    AWAY = "authority away"  # no connection, no answer in time, 5xx
+    UNREACHABLE = "authority away"
     RATE = "rate limit"
     CHALLENGE = "challenge failed"
     ACCOUNT = "account gone"
-    ORDER = "order lost"  # expired, invalid or not found
-    REJECTED = "rejected"  # names or key that the authority does not want
-    UNUSABLE = "unusable answer"  # makes no sense, or a certificate that must not serve
-    LOCAL = "local failure"  # our disk, our lease
+    ORDER = "order lost"
+    REJECTED = "rejected"
+    UNUSABLE = "unusable answer"
+    LOCAL = "local failure"
 
 
 class AcmeError(Exception):
-    """A step that failed: its kind, what happened, and seconds that the authority asked to wait (0: it did not say)."""
+    """A step that failed.
+
+    Its kind, what happened, and the authority's Retry-After in seconds, or 0.
+    """
 
     def __init__(self, kind: FailureKind, detail: str, retry_after: float = 0.0) -> None:
         super().__init__(f"{kind.value}: {detail}")
@@ -43,12 +56,15 @@
 
 
 class BadNonceError(AcmeError):
-    """The nonce was used or too old: the same request again, with the next one."""
+    """The nonce was used or too old; the same request is sent again with the next one."""
 
 
 @dataclass(frozen=True, slots=True)
 class HttpAnswer:
-    """An answer over HTTP; names of headers in lower case. ``links``: the targets of Link headers by relation."""
+    """An HTTP answer.
+
+    Header names are in lower case, ``links`` holds relation and target of each Link.
+    """
 
     status: int
     headers: Mapping[str, str]
@@ -56,26 +72,30 @@
     links: tuple[tuple[str, str], ...] = ()
 
     def linked(self, relation: str) -> list[str]:
-        """All targets with this relation."""
+        """Return all link targets with this relation."""
         return [target for name, target in self.links if name == relation]
 
 
 @dataclass(frozen=True, slots=True)
 class Directory:
-    """Where an authority does what."""
+    """The URLs of an authority.
+
+    ``renewal`` is empty if it offers no renewal windows; ``external`` says that it needs an
+    external account.
+    """
 
     nonce: str
     account: str
     order: str
     revoke: str
     key_change: str
-    renewal: str  # empty: it offers no windows
-    external: bool  # wants an external account
+    renewal: str
+    external: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """``certificate`` is empty until the order is valid; ``error`` tells why it is invalid."""
+    """An order; ``certificate`` is empty until it is valid, ``error`` says why it is invalid."""
 
     status: str
     names: frozenset[str]
@@ -99,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Authorisation:
-    """What has to be proved for one name, and how it can be."""
+    """What has to be proved for one name, and the challenges that can prove it."""
 
     status: str
     name: str
@@ -109,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RenewalWindow:
-    """RFC 9773: between which times to renew, and when to ask again; Unix seconds."""
+    """When to renew, and when to ask again (RFC 9773); Unix seconds."""
 
     start: float
     end: float
@@ -140,23 +160,23 @@
     "malformed": FailureKind.ORDER,
     "orderNotReady": FailureKind.ORDER,
     "alreadyReplaced": FailureKind.ORDER,
-    "serverInternal": FailureKind.AWAY,
+    "serverInternal": FailureKind.UNREACHABLE,
 }
 _ACME = "urn:ietf:params:acme:error:"
 
 
 def malformed_answer(where: str, why: str) -> AcmeError:
-    """What an authority said can't be used."""
+    """Return the error for a malformed answer."""
     return AcmeError(FailureKind.UNUSABLE, f"{where}: {why}")
 
 
 def clean(text: object) -> str:
-    """An authority's words as one line of bounded length that a terminal can show."""
+    """Return a text as one printable line of bounded length."""
     return "".join(c if c.isprintable() else " " for c in str(text)[:MAX_TEXT_CHARS])
 
 
 def document(answer: HttpAnswer, where: str) -> dict[str, Any]:
-    """The JSON object in an answer."""
+    """Return the JSON object in an answer."""
     try:
         found = json.loads(answer.body)
     except (ValueError, RecursionError):
@@ -167,14 +187,14 @@
 
 
 def url_in(raw: Mapping[str, Any], key: str, where: str, needed: bool = True) -> str:
-    """A URL of https; empty where it is missing and not needed."""
+    """Return an https URL from an object; empty if it is missing and not needed."""
     if key not in raw and not needed:
         return ""
     return url(raw.get(key), f"{where}.{key}")
 
 
 def url(found: object, where: str) -> str:
-    """The same, as a value."""
+    """Return an https URL, or raise the error for a malformed one."""
     if not isinstance(found, str) or not 0 < len(found) <= MAX_URL_CHARS or not found.isascii():
         raise malformed_answer(where, "no URL")
     try:
@@ -204,7 +224,7 @@
 
 
 def time_in(raw: Mapping[str, Any], key: str, where: str, needed: bool = False) -> float:
-    """RFC 3339 as Unix seconds; 0 where it is missing and not needed."""
+    """Return an RFC 3339 time as Unix seconds; 0 if it is missing and not needed."""
     if key not in raw and not needed:
         return 0.0
     found = raw.get(key)
@@ -218,7 +238,7 @@
 
 
 def directory(answer: HttpAnswer) -> Directory:
-    """The first thing that is asked."""
+    """Parse the directory of an authority."""
     raw, where = document(answer, "directory"), "directory"
     meta = raw.get("meta", {})
     if not isinstance(meta, dict):
@@ -248,16 +268,16 @@
 
 
 def order(answer: HttpAnswer) -> Order:
-    """An order as it stands."""
+    """Parse an order."""
     raw, where = document(answer, "order"), "order"
     status = _state(raw, ORDER_STATES, where)
-    places = _list(raw, "authorizations", where)
-    if not places:
+    urls = _list(raw, "authorizations", where)
+    if not urls:
         raise malformed_answer("order.authorizations", "none")
     return Order(
         status,
         frozenset(_name(one, "order.identifiers") for one in _list(raw, "identifiers", where)),
-        tuple(url(one, f"order.authorizations[{at}]") for at, one in enumerate(places)),
+        tuple(url(one, f"order.authorizations[{at}]") for at, one in enumerate(urls)),
         url_in(raw, "finalize", where),
         url_in(raw, "certificate", where, needed=status == "valid"),
         time_in(raw, "expires", where),
@@ -266,18 +286,16 @@
 
 
 def authorisation(answer: HttpAnswer) -> Authorisation:
-    """What has to be proved for a name."""
+    """Parse an authorisation."""
     raw, where = document(answer, "authorization"), "authorization"
     found = []
     for at, one in enumerate(_list(raw, "challenges", where)):
-        place = f"authorization.challenges[{at}]"
+        field = f"authorization.challenges[{at}]"
         if not isinstance(one, dict):
-            raise malformed_answer(place, "no object")
-        if one.get("type") in (
-            "http-01",
-            "tls-alpn-01",
-        ):  # of others nothing is known, not even their fields
-            found.append(_challenge(one, place))
+            raise malformed_answer(field, "no object")
+        # Nothing is known of other types, not even their fields.
+        if one.get("type") in ("http-01", "tls-alpn-01"):
+            found.append(_challenge(one, field))
     return Authorisation(
         _state(raw, AUTHORISATION_STATES, where),
         _name(raw.get("identifier"), "authorization.identifier"),
@@ -291,9 +309,8 @@
     if not isinstance(token, str) or not 8 <= len(token) <= 256:
         raise malformed_answer(f"{where}.token", "no token")
     if not all(c.isascii() and (c.isalnum() or c in "-_") for c in token):
-        raise malformed_answer(
-            f"{where}.token", "not in the alphabet of base64url"
-        )  # it becomes the name of a file
+        # The token becomes the name of a file.
+        raise malformed_answer(f"{where}.token", "not in the alphabet of base64url")
     status = _state(raw, CHALLENGE_STATES, where)
     return Challenge(raw["type"], url_in(raw, "url", where), token, status, _error(raw, where))
 
@@ -308,7 +325,7 @@
 
 
 def _problem(raw: Mapping[str, Any], retry_after: float, status: int = 0) -> AcmeError:
-    """RFC 7807; subproblems tell which names."""
+    """Return the error for an RFC 7807 problem; subproblems name the identifiers."""
     name = raw.get("type")
     name = name.removeprefix(_ACME) if isinstance(name, str) else ""
     detail = clean(raw.get("detail", "")) or "no detail"
@@ -321,13 +338,13 @@
                 detail += f"; {clean(who)}: {clean(one.get('detail', ''))}"
     words = f"{clean(name) or 'no type'}: {detail}"
     if name == "badNonce":
-        return BadNonceError(FailureKind.AWAY, words, retry_after)
+        return BadNonceError(FailureKind.UNREACHABLE, words, retry_after)
     kind = _KINDS.get(name)
     if kind is None:
         kind = (
             FailureKind.RATE
             if status == 429
-            else FailureKind.AWAY
+            else FailureKind.UNREACHABLE
             if status >= 500
             else FailureKind.REJECTED
         )
@@ -335,7 +352,7 @@
 
 
 def problem(answer: HttpAnswer, now: float) -> AcmeError:
-    """Why a request was not carried out."""
+    """Return the error for an answer that is not a success."""
     after = retry_after(answer, now)
     try:
         raw = document(answer, "problem")
@@ -350,7 +367,7 @@
 
 
 def retry_after(answer: HttpAnswer, now: float) -> float:
-    """Seconds that the authority asks to wait; 0 where it does not say, or says what is no time."""
+    """Return the Retry-After of an answer in seconds; 0 if it is missing or malformed."""
     raw = answer.headers.get("retry-after", "").strip()
     if not raw:
         return 0.0
@@ -365,7 +382,7 @@
 
 
 def window(answer: HttpAnswer, now: float) -> RenewalWindow:
-    """When to renew, in the authority's view."""
+    """Parse a renewal window."""
     raw = document(answer, "renewalInfo")
     found = raw.get("suggestedWindow")
     if not isinstance(found, dict):
--- a/saffrongw/certs/order_flow.py
+++ b/saffrongw/certs/order_flow.py
@@ -1,8 +1,9 @@
-"""The protocol of RFC 8555 as steps: generators that yield what has to be done and are sent what came of it. No I/O.
+"""The ACME protocol (RFC 8555) as generators of steps. No I/O.
 
-``Request`` is answered with an ``Answer``; the others with nothing. Whoever runs a generator may stop between any two
-steps, for ever: all that a later run needs was yielded as ``Keep`` before the step that depends on it, so the order is
-taken up where it was and not made a second time.
+A generator yields what has to be done and is sent the result: an ``HttpAnswer`` for an
+``HttpRequest``, nothing for the other steps. A run may end between any two steps: all that a later
+run needs was yielded as ``SaveNote`` before the step that depends on it, so an order is resumed and
+not made a second time.
 """
 
 from __future__ import annotations
@@ -26,22 +27,21 @@
     Order,
 )
 
-MAX_CACHED_NONCES = 8  # kept; each is good for one request
-MAX_NONCE_ATTEMPTS = (
-    4  # of one request: an authority that refuses each nonce must not keep us for ever
-)
-INITIAL_POLL_S, MAX_POLL_S = (
-    1.0,
-    30.0,
-)  # seconds between two looks, where the authority does not say
-MAX_ORDER_PAGES, MAX_ORDERS = 4, 60  # of the list of our orders that are looked through
-MAX_ALTERNATE_CHAINS = 4  # further chains that are fetched
+# Each nonce is valid for one request.
+MAX_CACHED_NONCES = 8
+# Attempts of one request: an authority that rejects each nonce must not hold us for ever.
+MAX_NONCE_ATTEMPTS = 4
+# Seconds between two polls, if the authority names no Retry-After.
+INITIAL_POLL_S, MAX_POLL_S = 1.0, 30.0
+# How much of the list of our orders is searched.
+MAX_ORDER_PAGES, MAX_ORDERS = 4, 60
+MAX_ALTERNATE_CHAINS = 4
 JOSE_CONTENT_TYPE = "application/jose+json"
 
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """One request over HTTPS; ``read`` also says what is read of it in an error."""
+    """One HTTPS request; ``read`` names what it fetches, in error messages."""
 
     method: str
     url: str
@@ -52,14 +52,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SaveNote:
-    """This must be durable before the next step."""
+    """Keep this note durably before the next step."""
 
     note: CertNote
 
 
 @dataclass(frozen=True, slots=True)
 class PublishChallenge:
-    """Every gateway must be able to answer this challenge before the next step."""
+    """Let every gateway answer this challenge before the next step."""
 
     name: str
     type: str
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WithdrawChallenges:
-    """These challenges are over."""
+    """Stop answering these challenges."""
 
     tokens: tuple[str, ...]
 
@@ -87,7 +87,7 @@
 
 
 class Session:
-    """One authority and our account with it: its directory, nonces, and signed requests."""
+    """Our account with one authority: the directory, nonces, and signed requests."""
 
     def __init__(
         self, directory: str, key: AccountKey, now: Callable[[], float], account: str = ""
@@ -109,7 +109,7 @@
         return answer
 
     def open(self) -> Flow[Directory]:
-        """The directory, once a session."""
+        """Fetch the directory, once a session."""
         if self.urls is None:
             answer = yield from self._send(HttpRequest("GET", self.directory, "directory"))
             if answer.status != 200:
@@ -127,8 +127,11 @@
                 raise messages.malformed_answer("nonce", "none in the answer")
         return self.nonces.pop()
 
-    def post(self, url: str, payload: Any, read: str, by_key: bool = False) -> Flow[HttpAnswer]:
-        """A signed request; a bad nonce is made good here, all other failures are raised. ``None``: POST-as-GET."""
+    def post(self, url: str, payload: object, read: str, by_key: bool = False) -> Flow[HttpAnswer]:
+        """Send a signed request; a payload of None is a POST-as-GET.
+
+        A rejected nonce is replaced here; all other failures are raised.
+        """
         kid = None if by_key else self.account
         for tried in range(MAX_NONCE_ATTEMPTS):
             nonce = yield from self._nonce()
@@ -139,10 +142,10 @@
             error = messages.problem(answer, self.now())
             if not isinstance(error, BadNonceError):
                 raise error
-            if tried:  # its answer's own nonce was no good either: ask for a fresh one
+            if tried:  # the nonce of its answer was rejected too: ask for a fresh one
                 self.nonces.clear()
         raise AcmeError(
-            FailureKind.AWAY, f"{read}: each of {MAX_NONCE_ATTEMPTS} nonces was refused"
+            FailureKind.UNREACHABLE, f"{read}: each of {MAX_NONCE_ATTEMPTS} nonces was refused"
         )
 
     # -- the account ----------------------------------------------------------------------------------------------
@@ -153,7 +156,7 @@
         external: tuple[str, bytes] | None = None,
         existing: bool = False,
     ) -> Flow[str]:
-        """The account's URL. With a key that has one the same comes back: done twice does no harm."""
+        """Register the account and return its URL; with a known key the same URL comes back."""
         urls = yield from self.open()
         payload: dict[str, Any] = {"termsOfServiceAgreed": True}
         if existing:
@@ -176,7 +179,7 @@
         return self.account
 
     def roll_over(self, new: AccountKey) -> Flow[None]:
-        """The account belongs to another key from now on (RFC 8555, 7.3.5)."""
+        """Change the account's key (RFC 8555, 7.3.5)."""
         urls = yield from self.open()
         if not urls.key_change:
             raise messages.malformed_answer("directory.keyChange", "the authority offers none")
@@ -187,14 +190,14 @@
         self.key = new
 
     def revoke(self, der: bytes, reason: int) -> Flow[None]:
-        """The certificate is not to be trusted any more."""
+        """Revoke a certificate."""
         urls = yield from self.open()
         if not urls.revoke:
             raise messages.malformed_answer("directory.revokeCert", "the authority offers none")
         yield from self.post(urls.revoke, {"certificate": b64(der), "reason": reason}, "revocation")
 
     def window(self, name: str) -> Flow[messages.RenewalWindow | None]:
-        """When the authority wants this certificate renewed; None: it offers no windows."""
+        """Ask when the authority wants a certificate renewed; None if it offers no windows."""
         urls = yield from self.open()
         if not urls.renewal or not name:
             return None
@@ -206,7 +209,7 @@
         return messages.window(answer, self.now())
 
     def orders(self) -> Flow[list[str]]:
-        """Our newest orders, as far as the authority lists them: a few pages."""
+        """Return the URLs of our newest orders, as far as the authority lists them."""
         answer = yield from self.post(self.account, {}, "account")
         raw = messages.document(answer, "account")
         resource_url = messages.url_in(raw, "orders", "account", needed=False)
@@ -224,29 +227,33 @@
         return found[:MAX_ORDERS]
 
 
-def _json(value: Any) -> bytes:
+def _json(value: object) -> bytes:
     return json.dumps(value).encode()
 
 
 @dataclass(frozen=True, slots=True)
 class OrderRequest:
-    """What is ordered: names, how they are proved, the signing request, seconds that all of it may take."""
+    """What is ordered.
+
+    Names, challenge type, signing request, preferred issuer and total time-out.
+    """
 
     names: tuple[str, ...]
     challenge: str
     csr: str
     timeout_s: float = 3_600.0
-    issuer: str = ""  # of the chain that is preferred
+    issuer: str = ""
     replaces: str = ""
 
 
 def obtain_certificate(
     session: Session, note: CertNote, wanted: OrderRequest, issuers: Callable[[bytes], set[str]]
 ) -> Flow[bytes]:
-    """From whatever the note says was reached to the certificate's chain in PEM.
+    """Obtain the certificate's chain in PEM, resuming from what the note says was reached.
 
-    The note's order is taken up again where its names and authority fit; one that the authority no longer has, or
-    that failed, is forgotten (kept so) before the error is raised, so that the next run makes a new one.
+    The note's order is resumed if its names and authority fit. One that failed, or that the
+    authority no longer has, is removed from the note before the error is raised, so that the next
+    run makes a new one.
     """
     deadline = session.now() + wanted.timeout_s
     try:
@@ -263,7 +270,7 @@
             raise order.error or AcmeError(FailureKind.ORDER, f"the order is {order.status}")
         return (yield from _download_chain(session, order.certificate, wanted, issuers))
     except AcmeError as error:
-        if error.kind not in (FailureKind.AWAY, FailureKind.RATE, FailureKind.LOCAL):
+        if error.kind not in (FailureKind.UNREACHABLE, FailureKind.RATE, FailureKind.LOCAL):
             yield SaveNote(replace(note, order=None))
         raise
 
@@ -277,7 +284,10 @@
 def _resume_or_create_order(
     session: Session, note: CertNote, wanted: OrderRequest
 ) -> Flow[tuple[str, Order]]:
-    """The order to go on with: the one that was noted, one whose place was lost with a crash, or a new one."""
+    """Return the URL and state of the order.
+
+    The noted one, one whose URL was lost, or a new one.
+    """
     old = note.order
     if old and old.directory == session.directory and set(old.names) == set(wanted.names):
         if old.url:
@@ -286,7 +296,7 @@
             if found.status != "invalid":
                 return old.url, found
             raise found.error or AcmeError(FailureKind.ORDER, "the order is invalid")
-        lost = yield from _find_lost_order(session, wanted, old.begun)
+        lost = yield from _find_lost_order(session, wanted)
         if lost:
             yield SaveNote(replace(note, order=replace(old, url=lost[0])))
             return lost
@@ -301,14 +311,13 @@
     try:
         answer = yield from session.post(urls.order, payload, "new order")
     except AcmeError as error:
-        if (
-            error.kind is FailureKind.CHALLENGE
-        ):  # "unauthorized" before anything was to be proved: is it the account?
+        # "unauthorized" before anything was to be proved: is it the account?
+        if error.kind is FailureKind.CHALLENGE:
             yield from _check_account(session)
             raise AcmeError(FailureKind.REJECTED, error.detail, error.retry_after) from None
         if "replaces" not in payload or error.kind not in (FailureKind.ORDER, FailureKind.REJECTED):
             raise
-        # RFC 9773, 5: one that was replaced already, or is unknown there, must not keep us from a new certificate.
+        # RFC 9773, 5: an unknown or already replaced certificate must not prevent a new one.
         del payload["replaces"]
         answer = yield from session.post(urls.order, payload, "new order")
     resource_url = messages.url(answer.headers.get("location"), "new order: location")
@@ -317,7 +326,7 @@
 
 
 def _check_account(session: Session) -> Flow[None]:
-    """ACCOUNT where the authority does not know our key any more, or has closed what belongs to it."""
+    """Raise an ACCOUNT failure if the authority no longer knows our key or closed the account."""
     try:
         yield from session.register((), existing=True)
     except AcmeError as error:
@@ -326,10 +335,8 @@
         raise
 
 
-def _find_lost_order(
-    session: Session, wanted: OrderRequest, begun: float
-) -> Flow[tuple[str, Order] | None]:
-    """An order whose answer never reached us, where the authority lists orders at all."""
+def _find_lost_order(session: Session, wanted: OrderRequest) -> Flow[tuple[str, Order] | None]:
+    """Find an order whose answer never reached us, if the authority lists orders."""
     try:
         for resource_url in (yield from session.orders()):
             answer = yield from session.post(resource_url, None, "order")
@@ -337,7 +344,7 @@
             if found.names == frozenset(wanted.names) and found.status in ("pending", "ready"):
                 return resource_url, found
     except AcmeError as error:
-        if error.kind in (FailureKind.AWAY, FailureKind.RATE, FailureKind.ACCOUNT):
+        if error.kind in (FailureKind.UNREACHABLE, FailureKind.RATE, FailureKind.ACCOUNT):
             raise
     return None
 
@@ -345,7 +352,7 @@
 def _poll_order(
     session: Session, resource_url: str, deadline: float, states: tuple[str, ...]
 ) -> Flow[Order]:
-    """Look at the order until it has left these states."""
+    """Poll the order until it has left these states."""
     interval = INITIAL_POLL_S
     while True:
         answer = yield from session.post(resource_url, None, "order")
@@ -371,8 +378,11 @@
 def _complete_authorisations(
     session: Session, order: Order, wanted: OrderRequest, deadline: float
 ) -> Flow[None]:
-    """Show that each name is ours. All are put up and asked for first and only then waited for, so that 500 names
-    take as long as the slowest and not as the sum. What was put up is taken down in any case."""
+    """Complete the authorisations of all names.
+
+    All challenges are published and started first and then awaited, so that many names take as long
+    as the slowest. Published challenges are withdrawn in any case.
+    """
     published: list[str] = []
     pending_urls: list[str] = []
     try:
@@ -393,7 +403,9 @@
                 yield from session.post(challenge.url, {}, "challenge")
         for resource_url in pending_urls:
             yield from _await_authorisation(session, resource_url, wanted, deadline)
-    except AcmeError:  # and nothing else: a run that is cut off yields nothing more, what it put up ends by its age
+    except (
+        AcmeError
+    ):  # and nothing else: a run that is closed yields nothing, its challenges expire by age
         if published:
             yield WithdrawChallenges(tuple(published))
         raise
@@ -439,7 +451,7 @@
 def _download_chain(
     session: Session, resource_url: str, wanted: OrderRequest, issuers: Callable[[bytes], set[str]]
 ) -> Flow[bytes]:
-    """The chain; where another issuer is preferred, the first alternate that has it."""
+    """Download the chain; if another issuer is preferred, the first alternate chain that has it."""
     answer = yield from session.post(resource_url, None, "certificate")
     if not wanted.issuer or wanted.issuer in issuers(answer.body):
         return answer.body
@@ -449,4 +461,4 @@
         )
         if wanted.issuer in issuers(found.body):
             return found.body
-    return answer.body  # any chain is better than none; the rows in force name the issuer
+    return answer.body  # any chain is better than none; operators see the issuer
--- a/saffrongw/certs/order_runner.py
+++ b/saffrongw/certs/order_runner.py
@@ -1,8 +1,8 @@
 """Carries out the steps of orders against an authority: accounts, certificates, renewal windows.
 
-The steps are decided by ``order_flow.py``; what each step needs kept is written to the shared folder
-before the next one, under the term that the caller holds. A failure is kept with the time of the next
-attempt (``renewal.py``).
+The steps are decided by ``order_flow.py``; what each step needs kept is written to the shared
+folder before the next one, under the term that the caller holds. A failure is kept with the time of
+the next attempt (``renewal.py``).
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from .documents import Account, CertNote, DocumentError
 from .http import AuthorityClient
 from .jose import AccountKey, external_key
-from .messages import AcmeError, FailureKind
+from .messages import AcmeError, FailureKind, HttpAnswer, RenewalWindow
 from .order_flow import (
     Flow,
     HttpRequest,
@@ -41,7 +41,7 @@
 log = logging.getLogger(__name__)
 
 # Failures after which the order that was begun can be resumed.
-_RESUMABLE = (FailureKind.AWAY, FailureKind.RATE, FailureKind.LOCAL)
+_RESUMABLE = (FailureKind.UNREACHABLE, FailureKind.RATE, FailureKind.LOCAL)
 
 
 class Clock(Protocol):
@@ -89,7 +89,10 @@
     async def connect(
         self, authority: AuthorityTable, term: OrderingTerm | None
     ) -> tuple[Session, AuthorityClient]:
-        """Return a session of our account with an authority; the account is registered if needed."""
+        """Return a session of our account with an authority.
+
+        The account is registered if needed.
+        """
         https = await self.worker.run(self.https, authority.ca)
         async with self._opening.setdefault(authority.directory, asyncio.Lock()):
             key, account = await self.worker.run(self.site.accounts.load, authority.directory, term)
@@ -183,7 +186,8 @@
             steps = order_flow.obtain_certificate(session, note, wanted, _issuer_names)
             return await self.perform(steps, https, entry.id, term)
         except AcmeError as error:
-            # An order of a process that died while the authority validated says nothing of the names.
+            # An order of a process that died while the authority validated says nothing of the
+            # names.
             was_resumed = bool(note.order and note.order.url)
             if not was_resumed or error.kind not in (FailureKind.CHALLENGE, FailureKind.ORDER):
                 raise
@@ -210,7 +214,8 @@
     ) -> None:
         """Keep what failed and when to try again.
 
-        The key is dropped if the authority may not accept it, the account if the authority forgot it.
+        The key is dropped if the authority may not accept it, the account if the authority forgot
+        it.
         """
         if not isinstance(error, AcmeError):
             error = AcmeError(FailureKind.LOCAL, str(error))
@@ -285,7 +290,7 @@
                 term,
             )
 
-    async def _fetch_window(self, entry: CertTable, term: OrderingTerm) -> renewal.Window | None:
+    async def _fetch_window(self, entry: CertTable, term: OrderingTerm) -> RenewalWindow | None:
         pair = self.status.loaded.pairs.get(entry.id)
         authority = self.status.table.authority[0]
         https = await self.worker.run(self.https, authority.ca)
@@ -345,7 +350,7 @@
             await self.clock.sleep(step.seconds)
         return None
 
-    async def _send(self, request: HttpRequest, https: AuthorityClient) -> order_flow.Answer:
+    async def _send(self, request: HttpRequest, https: AuthorityClient) -> HttpAnswer:
         self.counts["requests"] += 1
         self.site.folder.on_step(f"ask {request.read}")
         answer = await https.send(request)
--- a/saffrongw/certs/ordering_lease.py
+++ b/saffrongw/certs/ordering_lease.py
@@ -1,8 +1,8 @@
 """The lease under which one gateway of a site orders certificates, kept in the shared folder.
 
-The decisions are made by ``lease.py``; this module reads and writes ``lease.json`` under the folder's
-lock. Where a lease of the whole fleet exists (``LeaderGuard``), its fencing token is the term, and the
-file only tells gateways that do not know that lease who orders.
+The decisions are made by ``lease.py``; this module reads and writes ``lease.json`` under the
+folder's lock. Where a lease of the whole fleet exists (``LeaderGuard``), its fencing token is the
+term, and the file only tells gateways that do not know that lease who orders.
 """
 
 from __future__ import annotations
@@ -39,7 +39,8 @@
 class Acquisition(NamedTuple):
     """The outcome of an attempt to take the lease.
 
-    ``term`` is 0 if another gateway holds it; ``retry_at`` (Unix seconds) is when to try or renew again.
+    ``term`` is 0 if another gateway holds it; ``retry_at`` (Unix seconds) is when to try or renew
+    again.
     """
 
     term: int
@@ -61,7 +62,10 @@
         self.path = folder.path / "lease.json"
 
     def current(self) -> LeaseRecord | None:
-        """Return the lease as written; a malformed one counts as none, so that it cannot block ordering."""
+        """Return the lease as written.
+
+        A malformed one counts as none, so that it cannot block ordering.
+        """
         raw = self.folder.read(self.path)
         if raw is None:
             return None
@@ -76,8 +80,9 @@
     def acquire(self, holder: str) -> Acquisition:
         """Take or renew the lease if it is free or ours.
 
-        Under a fleet-wide lease its fencing token is the term, and only a higher term in the file stands
-        in its way. The file tells gateways that go by it alone, until all of them know the fleet's lease.
+        Under a fleet-wide lease its fencing token is the term, and only a higher term in the file
+        stands in its way. The file tells gateways that go by it alone, until all of them know the
+        fleet's lease.
         """
         if self.leader_guard is not None:
             return self._acquire_under_fleet_lease(holder, self.leader_guard)
--- a/saffrongw/certs/renewal.py
+++ b/saffrongw/certs/renewal.py
@@ -1,7 +1,10 @@
-"""When a certificate is ordered, from which authority, after which pause, and when somebody is woken. No I/O, no clock.
+"""Renewal decisions.
 
-All times are Unix seconds of a clock that may be wrong: what is kept is clamped against ``now`` whenever it is read,
-so that a clock which jumped ahead or back costs one early or late look and never a silence.
+When a certificate is ordered, from which authority, after which backoff, and alarms.
+
+No I/O, no clock. All times are Unix seconds of a clock that may be wrong: kept times are clamped
+against ``now`` whenever they are read, so that a clock that jumped costs one early or late check
+and nothing more.
 """
 
 from __future__ import annotations
@@ -16,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Backoff:
-    """First pause, factor, most; in seconds. ``elsewhere``: failures after which the next authority is asked."""
+    """An exponential backoff in seconds, and when the next authority is tried instead."""
 
     initial_s: float
     max_s: float
@@ -24,11 +27,11 @@
     factor: float = 2.0
 
 
-# Why these: an authority that is away costs nothing to ask again, so an hour is the most, and that bounds how soon a
-# renewal follows its return. Validations that failed count against limits of a few an hour with public authorities.
-# What was rejected will be rejected again until somebody changes something.
+# Asking an unreachable authority again costs nothing, so an hour is the maximum; it bounds how soon
+# a renewal follows its return. Failed validations count against limits of a few an hour with public
+# authorities. What was rejected will be rejected again until somebody changes something.
 BACKOFFS = {
-    FailureKind.AWAY: Backoff(MINUTE, HOUR, 3),
+    FailureKind.UNREACHABLE: Backoff(MINUTE, HOUR, 3),
     FailureKind.RATE: Backoff(HOUR, DAY, 1),
     FailureKind.CHALLENGE: Backoff(10 * MINUTE, 12 * HOUR, 6),
     FailureKind.ACCOUNT: Backoff(MINUTE, 6 * HOUR, 2, 4.0),
@@ -39,28 +42,34 @@
 }
 # Random part of a backoff, so that many names that failed together do not come back together.
 JITTER = 0.25
-# The largest share of the remaining lifetime that a backoff may take, unless the authority named one.
+# The largest share of the remaining lifetime that a backoff may take, unless the authority named
+# one.
 MAX_BACKOFF_SHARE = 0.1
 # Seconds that a backoff may take in any case, also once the certificate has expired.
 MIN_BACKOFF_LIMIT_S = 30.0
 # Seconds between attempts while there is no certificate at all.
 MAX_BACKOFF_WITHOUT_CERTIFICATE_S = 10 * MINUTE
-# Share of a lifetime over which certificates with one lifetime spread their renewals before they are due.
+# Share of a lifetime over which certificates with one lifetime spread their renewals before they
+# are due.
 RENEWAL_SPREAD = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class Failures:
-    """What went wrong since the last success: how often in a row by its kind, at which authority, what was said."""
+    """Failures since the last success, as kept in ``note.json``.
+
+    ``count`` failures of one kind in a row; ``authority`` is the index that is tried next;
+    ``forced`` says that ``next_at`` is the authority's own Retry-After.
+    """
 
     kind: str = ""
     count: int = 0
     next_at: float = 0.0
     since: float = 0.0
-    at: float = 0.0  # when the last one was
+    at: float = 0.0
     detail: str = ""
-    authority: int = 0  # the place in the list that is asked next
-    forced: bool = False  # the pause is the authority's own word
+    authority: int = 0
+    forced: bool = False
 
     def __bool__(self) -> bool:
         return self.count > 0
@@ -70,7 +79,7 @@
 
 
 class Alarm(IntEnum):
-    """How urgent it is."""
+    """How urgent the state of a certificate is."""
 
     NONE = 0
     NOTICE = 1
@@ -81,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RenewalRules:
-    """``lead``: part of the life that is left when a renewal is due. Alarms: parts of the life left, and no renewal."""
+    """Shares of the lifetime left at which a renewal is due, or an alarm is raised."""
 
     lead: float = 1 / 3
     notice: float = 0.25
@@ -91,21 +100,25 @@
 
 @dataclass(frozen=True, slots=True)
 class CertificateState:
-    """What is known of one certificate: its validity (None: there is none), its window, what failed, who it is."""
+    """What decides about one certificate; without one, ``start`` and ``end`` are None.
+
+    ``draw``, 0 to 1, is its position in spreads and windows. ``wanted`` says that an operator asked
+    for a renewal now, or that its names changed.
+    """
 
     start: float | None = None
     end: float | None = None
     window: RenewalWindow | None = None
     failures: Failures = NO_FAILURES
-    draw: float = 0.0  # 0 to 1, its own: where in spreads and windows it lies
-    wanted: bool = False  # an operator asked for it now, or its names changed
+    draw: float = 0.0
+    wanted: bool = False
 
 
 def due_at(state: CertificateState, rules: RenewalRules) -> float:
-    """When its renewal begins, if nothing failed. Without a certificate: at once.
+    """Return when the renewal begins if nothing failed; without a certificate at once.
 
-    An authority's window counts where there is one, but never beyond half of what the rule would leave: a window that
-    begins after the certificate ends, or on its last day, would be followed into the ground.
+    An authority's window counts, but never beyond half of the lead time: a window that begins after
+    the certificate expires, or on its last day, must not be followed.
     """
     if state.wanted or state.start is None or state.end is None:
         return 0.0
@@ -118,12 +131,13 @@
 
 
 def next_attempt_at(now: float, state: CertificateState, rules: RenewalRules) -> float:
-    """When to begin, what failed taken into account."""
+    """Return when to begin, with failures and their backoff taken into account."""
     due = due_at(state, rules)
     failures = state.failures
     if not failures:
         return due
-    # A clock that was ahead when it was written must not silence us; one pause of the longest kind is the bound.
+    # A clock that was ahead when it was written must not silence us; one pause of the longest kind
+    # is the bound.
     longest = BACKOFFS[FailureKind(failures.kind)].max_s * (1 + JITTER)
     until = failures.next_at if failures.forced else min(failures.next_at, now + longest)
     if failures.forced:
@@ -140,7 +154,11 @@
     draw: float,
     authorities: int,
 ) -> Failures:
-    """What is kept of a failure: the pause grows by kind, shrinks as the end nears, another authority takes over."""
+    """Return the failures to keep after one more.
+
+    The backoff grows by kind and shrinks as the expiry nears; after some failures the next
+    authority is tried.
+    """
     before = state.failures
     count = before.count + 1 if before.kind == kind.value else 1
     pause = BACKOFFS[kind]
@@ -169,7 +187,7 @@
 
 
 def alarm(now: float, state: CertificateState, rules: RenewalRules) -> Alarm:
-    """How urgent its state is: by the part of its life that is left, where its renewal should have happened."""
+    """Return how urgent a state is, by the share of the lifetime that is left."""
     if state.start is None or state.end is None:
         return Alarm.CRITICAL if state.failures else Alarm.NOTICE
     left, life = state.end - now, max(1.0, state.end - state.start)
@@ -184,7 +202,10 @@
 
 
 def window_question_at(now: float, state: CertificateState) -> float:
-    """When the authority's window is asked for (again); at once where none is known or the clock went back."""
+    """Return when the authority is asked for the window.
+
+    At once if none is known or the clock went back.
+    """
     window = state.window
     if window is None or window.ask_at > now + DAY + HOUR:
         return now
@@ -192,6 +213,9 @@
 
 
 def window_failed(now: float, state: CertificateState) -> CertificateState:
-    """Asking failed: what was known stays, and the next question comes in an hour."""
+    """Return the state after a failed question.
+
+    The known window stays, the next question comes in an hour.
+    """
     window = state.window
     return replace(state, window=replace(window, ask_at=now + HOUR) if window else None)
--- a/saffrongw/certs/renewal_loop.py
+++ b/saffrongw/certs/renewal_loop.py
@@ -1,8 +1,10 @@
-"""The loops that keep a site's certificates in service: watching the folder, and ordering what is due.
+"""The loops that keep a site's certificates in service.
 
-Every gateway of a site runs one. The holder of the ordering lease orders; all gateways check the shared
-folder once a second and serve what is new there. Disk access and the making of keys run on one worker
-thread; an authority that does not answer delays one certificate and nothing else.
+Watching the folder, and ordering what is due.
+
+Every gateway of a site runs one. The holder of the ordering lease orders; all gateways check the
+shared folder once a second and serve what is new there. Disk access and the making of keys run on
+one worker thread; an authority that does not answer delays one certificate and nothing else.
 """
 
 from __future__ import annotations
@@ -38,7 +40,8 @@
 
 # Seconds between two checks of the shared folder.
 FOLDER_POLL_S = 1.0
-# Seconds after which everything is loaded again also without a change: what has expired may be replaced.
+# Seconds after which everything is loaded again also without a change: what has expired may be
+# replaced.
 RELOAD_S = 60.0
 MAX_CONCURRENT_ORDERS = 4
 # Seconds at most between two checks of what is due.
--- a/saffrongw/certs/responder.py
+++ b/saffrongw/certs/responder.py
@@ -1,4 +1,7 @@
-"""Answers HTTP-01 (RFC 8555, 8.3) and nothing else: a token that is known gets its key authorisation, all else 404."""
+"""HTTP server for HTTP-01 challenges (RFC 8555, 8.3).
+
+A known token gets its key authorisation, all else 404.
+"""
 
 from __future__ import annotations
 
@@ -12,45 +15,49 @@
 from saffrongw.gateway.config import Address
 
 PATH = b"/.well-known/acme-challenge/"
-MAX_CONNECTIONS = 64  # connections at once
-TIMEOUT_S = 5.0  # seconds for a connection
-MAX_HEAD_BYTES = 8 * 1024  # bytes
+MAX_CONNECTIONS = 64
+# For a whole connection.
+TIMEOUT_S = 5.0
+MAX_HEAD_BYTES = 8 * 1024
+
 
+class _ChallengeConnection(asyncio.Protocol):
+    """One connection that carries one request."""
 
-class _Visitor(asyncio.Protocol):
-    """One connection with one question on it."""
+    # Set by ``connection_made``, before anything else is called.
+    transport: asyncio.Transport
+    limit: asyncio.TimerHandle
 
     def __init__(self, responder: Responder) -> None:
         self.responder = responder
         self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
-        self.transport: asyncio.Transport | None = None
-        self.asked = False
+        self.has_request = False
 
-    def connection_made(self, transport: asyncio.Transport) -> None:
-        """Somebody asks."""
+    def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
+        """Register the connection and limit its lifetime."""
         self.transport = transport
         self.responder.opened(self)
         self.limit = self.responder.loop.call_later(TIMEOUT_S, transport.abort)
 
     def data_received(self, data: bytes) -> None:
-        """A question, or a part of it; what comes behind it is not read."""
-        if self.asked or self.transport.is_closing():
+        """Read the request; bytes behind it are ignored."""
+        if self.has_request or self.transport.is_closing():
             return
         try:
             self.http.receive_data(data)
             event = self.http.next_event()
         except h11.RemoteProtocolError:
-            self.asked = True
+            self.has_request = True
             self.answer(400, b"not a question\n")
             return
         if isinstance(event, h11.Request):
-            self.asked = True
+            self.has_request = True
             known = event.method == b"GET" and event.target.startswith(PATH)
             token = event.target[len(PATH) :].decode("latin-1") if known else ""
             self.responder.find(self, token)
 
     def answer(self, status: int, body: bytes) -> None:
-        """The answer, then the end."""
+        """Send the response and close."""
         if self.transport.is_closing() or self.http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             self.transport.abort()
             return
@@ -64,54 +71,61 @@
         )
         self.transport.close()
 
-    def connection_lost(self, error: Exception | None) -> None:
-        """It has ended."""
+    def connection_lost(self, _error: Exception | None) -> None:
+        """Forget the connection."""
         self.limit.cancel()
         self.responder.open.discard(self)
 
 
 class Responder:
-    """The listener. ``proof``: the key authorisation for a token, or None."""
+    """The server; ``proof`` returns the key authorisation for a token, or None."""
+
+    # Set by ``start``.
+    loop: asyncio.AbstractEventLoop
+    acceptor: Acceptor
 
     def __init__(self, listen: Address, proof: Callable[[str], Awaitable[str | None]]) -> None:
         self.listen, self.proof = listen, proof
-        self.open: set[_Visitor] = set()
+        self.open: set[_ChallengeConnection] = set()
         self.answered = 0
-        self.tasks: set[asyncio.Task] = set()
-        self.acceptor: Acceptor | None = None
+        self.tasks: set[asyncio.Task[None]] = set()
+        self._is_started = False
 
     def start(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Serve from now on; ``OSError`` where the address can't be had."""
+        """Accept connections; ``OSError`` if the address cannot be bound."""
         self.loop = loop
         listener = socket.create_server(self.listen, backlog=MAX_CONNECTIONS, reuse_port=True)
-        self.acceptor = Acceptor(loop, listener, self._room, lambda: _Visitor(self))
+        self.acceptor = Acceptor(
+            loop, listener, self._has_capacity, lambda: _ChallengeConnection(self)
+        )
         self.acceptor.start()
+        self._is_started = True
 
-    def _room(self) -> bool:
+    def _has_capacity(self) -> bool:
         return len(self.open) + self.acceptor.opening < MAX_CONNECTIONS
 
-    def opened(self, visitor: _Visitor) -> None:
-        """One more."""
-        self.acceptor.opened(visitor)
-        self.open.add(visitor)
+    def opened(self, connection: _ChallengeConnection) -> None:
+        """Count a new connection."""
+        self.acceptor.opened(connection)
+        self.open.add(connection)
 
-    def find(self, visitor: _Visitor, token: str) -> None:
-        """Look for the answer, off the loop."""
-        task = self.loop.create_task(self._find(visitor, token))
+    def find(self, connection: _ChallengeConnection, token: str) -> None:
+        """Look up the answer off the event loop and send it."""
+        task = self.loop.create_task(self._find(connection, token))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _find(self, visitor: _Visitor, token: str) -> None:
+    async def _find(self, connection: _ChallengeConnection, token: str) -> None:
         found = await self.proof(token) if token else None
         if found is None:
-            visitor.answer(404, b"not known here\n")
+            connection.answer(404, b"not known here\n")
         else:
             self.answered += 1
-            visitor.answer(200, found.encode())
+            connection.answer(200, found.encode())
 
     def close(self) -> None:
-        """Accept no more."""
-        if self.acceptor:
+        """Accept no more connections and abort the open ones."""
+        if self._is_started:
             self.acceptor.close()
-        for visitor in list(self.open):
-            visitor.transport.abort()
+        for connection in list(self.open):
+            connection.transport.abort()
--- a/saffrongw/certs/shared_folder.py
+++ b/saffrongw/certs/shared_folder.py
@@ -1,15 +1,18 @@
-"""The folder that all gateways of one site share: atomic, durable files and one lock for all processes.
+"""The folder that all gateways of one site share.
+
+Atomic, durable files and one lock for all processes.
 
     lock                        held (flock) for each change
     lease.json                  who orders certificates (``ordering_lease.py``)
-    news                        changes whenever another certificate serves (``certificate_store.py``)
+    news                        changes whenever another certificate serves
     authorities/DIGEST/         account.json, account.key, account.next (``account_store.py``)
-    certs/ID/                   note.json, pending.key, current, FINGERPRINT/ (``certificate_store.py``)
+    certs/ID/                   note.json, pending.key, current and versions
+                                (``certificate_store.py``)
     challenges/                 TOKEN.json (``challenge_store.py``)
 
-These are plain files rather than a database: several machines may mount the folder, each key has its
-own mode, and operators can read them with the tools they know. Nothing here may be called on the event
-loop; several processes may use one folder at once.
+These are plain files rather than a database: several machines may mount the folder, each key has
+its own mode, and operators can read them with the tools they know. Nothing here may be called on
+the event loop; several processes may use one folder at once.
 """
 
 from __future__ import annotations
@@ -55,19 +58,19 @@
 class SharedFolder:
     """Reads, atomically replaces and locks the files of one site's folder.
 
-    ``on_step`` is called with a name before and after each change that other processes can see; tests
-    interrupt the process there.
+    ``on_step`` is called with a name before and after each change that other processes can see;
+    tests interrupt the process there.
     """
 
     def __init__(self, path: Path, on_step: Callable[[str], None] | None = None) -> None:
         self.path = path
-        self.on_step: Callable[[str], None] = on_step or (lambda name: None)
+        self.on_step: Callable[[str], None] = on_step or (lambda _name: None)
 
     def open(self) -> None:
         """Create the folder if there is none.
 
-        Raises ``StoreError`` if it belongs to another program (it is left untouched), if others can read
-        it, or if it cannot be created.
+        Raises ``StoreError`` if it belongs to another program (it is left untouched), if others can
+        read it, or if it cannot be created.
         """
         try:
             self.path.mkdir(mode=0o700, parents=True, exist_ok=True)
@@ -159,7 +162,10 @@
 
     @contextlib.contextmanager
     def locked(self) -> Iterator[None]:
-        """Hold the lock that serialises changes over all processes; it is freed if the holder dies."""
+        """Hold the lock that serialises changes over all processes.
+
+        It is freed if the holder dies.
+        """
         lock_file = self.path / "lock"
         try:
             descriptor = os.open(lock_file, os.O_RDWR | os.O_CREAT, 0o600)
--- a/saffrongw/certs/table.py
+++ b/saffrongw/certs/table.py
@@ -1,5 +1,7 @@
-"""``[certs]`` of the operator file: its keys, units, defaults and bounds. Read with every operator file, so it loads
-nothing of the rest."""
+"""Schema of ``[certs]`` in the operator file: keys, units, defaults and bounds.
+
+It is read with every operator file, so it imports nothing of the rest.
+"""
 
 from __future__ import annotations
 
@@ -14,19 +16,22 @@
 URL = r"https://[!-~]{1,2000}"
 KEYS = ("ecdsa-p256", "ecdsa-p384", "rsa-2048")
 CHALLENGES = ("tls-alpn-01", "http-01")
-NAMES_MOST = 100  # of one certificate: authorities allow no more
-CERTS_MOST = 1_000  # contexts are kept for all
+# Authorities allow no more names in one certificate.
+MAX_NAMES = 100
+# A TLS context is kept for each.
+MAX_CERTIFICATES = 1_000
+# Reasons of a revocation (RFC 5280, 5.3.1).
 REASONS = {
     "unspecified": 0,
     "key-compromise": 1,
     "superseded": 4,
     "cessation": 5,
-}  # of revocation: RFC 5280, 5.3.1
+}
 
 
 @dataclass(frozen=True, slots=True)
 class AuthorityTable:
-    """``[[certs.authority]]``: asked in this order; the next one where the one before it fails for long."""
+    """``[[certs.authority]]``: tried in this order when the one before it keeps failing."""
 
     directory: str = key(form=URL, about="its directory")
     contact: tuple[str, ...] = key((), about="addresses of mail")
@@ -53,14 +58,14 @@
     def __post_init__(self) -> None:
         if not self.names:
             raise ValueError("names is empty")
-        if len(self.names) > NAMES_MOST:
-            raise ValueError(f"{len(self.names)} names; one certificate has {NAMES_MOST} at most")
+        if len(self.names) > MAX_NAMES:
+            raise ValueError(f"{len(self.names)} names; one certificate has {MAX_NAMES} at most")
         if len(set(self.names)) < len(self.names):
             raise ValueError("a name stands twice")
 
     @property
     def id(self) -> str:
-        """Under which it is kept."""
+        """Return the identifier under which the certificate is kept."""
         return self.names[0]
 
 
@@ -131,8 +136,8 @@
     def __post_init__(self) -> None:
         if self.certificate and not self.authority:
             raise ValueError("certificates are to be obtained, but there is no [[certs.authority]]")
-        if len(self.certificate) > CERTS_MOST:
-            raise ValueError(f"{len(self.certificate)} certificates; {CERTS_MOST} at most")
+        if len(self.certificate) > MAX_CERTIFICATES:
+            raise ValueError(f"{len(self.certificate)} certificates; {MAX_CERTIFICATES} at most")
         ids = [one.id for one in self.certificate]
         if len(set(ids)) < len(ids):
             raise ValueError("two certificates begin with the same name")
@@ -148,5 +153,5 @@
 
     @property
     def first(self) -> str:
-        """The certificate for clients that name none; empty: whichever there is."""
+        """Return the certificate for clients that name none, or an empty string for any."""
         return self.default or (self.certificate[0].id if self.certificate else "")
--- a/saffrongw/certs/tls_listener.py
+++ b/saffrongw/certs/tls_listener.py
@@ -1,10 +1,10 @@
 """The TLS listener for clients, beside the plain one; its connections are served like any other.
 
 The ClientHello of each connection is read ahead (``MSG_PEEK``), the connection waits for its turn
-(``handshakes.py``), and only then costs a handshake. One base context stands before all names and lives
-for hours: it holds the keys of session tickets, so that a new certificate costs nobody a full handshake.
-The context of a name is looked up during the handshake, so a swap of certificates is one assignment, and
-open connections go on with the certificate they have.
+(``handshakes.py``), and only then costs a handshake. One base context stands before all names and
+lives for hours: it holds the keys of session tickets, so that a new certificate costs nobody a full
+handshake. The context of a name is looked up during the handshake, so a swap of certificates is one
+assignment, and open connections go on with the certificate they have.
 """
 
 from __future__ import annotations
@@ -69,7 +69,10 @@
 
 
 def make_context(settings: TlsSettings) -> ssl.SSLContext:
-    """Create a context without a certificate; ``OSError`` if the client authorities cannot be read."""
+    """Create a context without a certificate.
+
+    ``OSError`` if the client authorities cannot be read.
+    """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = VERSIONS[settings.minimum_version]
     context.options |= ssl.OP_NO_RENEGOTIATION | ssl.OP_NO_COMPRESSION
@@ -154,7 +157,10 @@
         return len(self.handshakes)
 
     def prepare_change(self, settings: TlsSettings, limits: HandshakeLimits) -> Callable[[], None]:
-        """Prepare other settings; ``OSError`` if they cannot be applied. The result applies them."""
+        """Prepare other settings; ``OSError`` if they cannot be applied.
+
+        The result applies them.
+        """
         base_context = self._make_base_context(settings)
 
         def commit() -> None:
@@ -170,7 +176,10 @@
         return context
 
     def _replace_ticket_keys(self, now: float) -> None:
-        """Make new session ticket keys; clients with tickets under the old ones pay a full handshake."""
+        """Make new session ticket keys.
+
+        Clients with tickets under the old ones pay a full handshake.
+        """
         self.base_context = self._make_base_context(self.settings)
         self.ticket_keys_made_at = now
 
--- a/tests/certs/test_http.py
+++ b/tests/certs/test_http.py
@@ -79,7 +79,7 @@
             b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nab",
             None,
             20,
-            FailureKind.AWAY,
+            FailureKind.UNREACHABLE,
             "ended within",
         ),
         (
@@ -89,14 +89,14 @@
             FailureKind.UNUSABLE,
             "no HTTP",
         ),
-        (b"", None, 20, FailureKind.AWAY, "ended within"),
+        (b"", None, 20, FailureKind.UNREACHABLE, "ended within"),
         (b"HTTP/1.1 200 OK\r\n\r\n", endless, 20, FailureKind.UNUSABLE, "longer than"),
-        (b"", silent, 0.2, FailureKind.AWAY, "no answer within"),
+        (b"", silent, 0.2, FailureKind.UNREACHABLE, "no answer within"),
         (
             b"HTTP/1.1 200 OK\r\ncontent-length: 1000\r\n\r\n",
             dripping,
             0.3,
-            FailureKind.AWAY,
+            FailureKind.UNREACHABLE,
             "no answer within",
         ),
     ],
@@ -126,7 +126,7 @@
     async with line(tmp_path, GOOD + b"\r\n{}", ca=trustme.CA()) as ask:
         with pytest.raises(AcmeError) as found:
             await ask()
-    assert found.value.kind is FailureKind.AWAY
+    assert found.value.kind is FailureKind.UNREACHABLE
     assert "VERIFY" in found.value.detail.upper()
 
 
@@ -147,4 +147,4 @@
 async def test_nobody_there_is_away():
     with pytest.raises(AcmeError) as found:
         await AuthorityClient().send(HttpRequest("GET", "https://127.0.0.1:1/dir", "directory"))
-    assert found.value.kind is FailureKind.AWAY
+    assert found.value.kind is FailureKind.UNREACHABLE
--- a/tests/certs/test_order_flow.py
+++ b/tests/certs/test_order_flow.py
@@ -177,7 +177,7 @@
     world.authority.faults.bad_nonces = 10**9
     world.note = CertNote()
     wrong = failing(world, session=session)
-    assert wrong.kind is FailureKind.AWAY and "nonce" in wrong.detail
+    assert wrong.kind is FailureKind.UNREACHABLE and "nonce" in wrong.detail
 
 
 def test_pending_for_ever_ends_after_the_time_that_an_order_may_take():
@@ -445,7 +445,7 @@
         FailureKind.CHALLENGE,
         FailureKind.REJECTED,
         FailureKind.ACCOUNT,
-        FailureKind.AWAY,
+        FailureKind.UNREACHABLE,
     )
     assert wrong.detail.isprintable() and 5 < len(wrong.detail) <= 300
     assert world.steps < 60
