--- a/saffrongw/certs/messages.py
+++ b/saffrongw/certs/messages.py
@@ -1,7 +1,9 @@
-"""What an authority says, as typed values: RFC 8555's objects, RFC 7807's problems, RFC 9773's windows. No I/O.
+"""ACME messages as typed values: objects of RFC 8555, problems of RFC 7807, windows of RFC 9773.
 
-Everything is checked and bounded; what makes no sense raises ``AcmeError`` that says which field of what, and never
-anything else. Errors carry a kind, by which ``renewal.py`` chooses the pause before the next try.
+No I/O.
+
+Everything is checked and bounded; a malformed message raises ``AcmeError`` that names the field,
+and never another error. Errors carry a kind, by which ``renewal.py`` chooses the backoff.
 """
 
 from __future__ import annotations
@@ -15,40 +17,54 @@
 from typing import Any
 from urllib.parse import urlsplit
 
-URL_MOST = 2_048  # characters
-LIST_MOST = 1_000  # names, authorisations or challenges of one object
-TEXT_MOST = 300  # characters of an authority's words that are kept
-PAUSE_MOST = 30 * 86_400.0  # seconds: no authority can ask for more
+MAX_URL_CHARS = 2_048
+# Names, authorisations or challenges of one object.
+MAX_LIST_ITEMS = 1_000
+# Characters of an authority's text that are kept.
+MAX_TEXT_CHARS = 300
+# No authority can make us wait longer.
+MAX_RETRY_AFTER_S = 30 * 86_400.0
+
 
+class FailureKind(Enum):
+    """The kind of a failure; the values are kept in ``note.json``.
 
-class Kind(Enum):
-    """What sort of failure it was."""
+    UNREACHABLE: no connection, no answer in time, or 5xx. ORDER: expired, invalid or not found.
+    REJECTED: names or a key that the authority does not accept. UNUSABLE: a malformed answer, or a
+    certificate that must not serve. LOCAL: our disk or our lease.
+    """
 
-    AWAY = "authority away"  # no connection, no answer in time, 5xx
+    UNREACHABLE = "authority away"
     RATE = "rate limit"
     CHALLENGE = "challenge failed"
     ACCOUNT = "account gone"
-    ORDER = "order lost"  # expired, invalid or not found
-    REJECTED = "rejected"  # names or key that the authority does not want
-    UNUSABLE = "unusable answer"  # makes no sense, or a certificate that must not serve
-    LOCAL = "local failure"  # our disk, our lease
+    ORDER = "order lost"
+    REJECTED = "rejected"
+    UNUSABLE = "unusable answer"
+    LOCAL = "local failure"
 
 
 class AcmeError(Exception):
-    """A step that failed: its kind, what happened, and seconds that the authority asked to wait (0: it did not say)."""
+    """A step that failed.
+
+    Its kind, what happened, and the authority's Retry-After in seconds, or 0.
+    """
 
-    def __init__(self, kind: Kind, detail: str, retry_after: float = 0.0) -> None:
+    def __init__(self, kind: FailureKind, detail: str, retry_after: float = 0.0) -> None:
         super().__init__(f"{kind.value}: {detail}")
-        self.kind, self.detail, self.retry_after = kind, detail[:TEXT_MOST], retry_after
+        self.kind, self.detail, self.retry_after = kind, detail[:MAX_TEXT_CHARS], retry_after
 
 
-class BadNonce(AcmeError):
-    """The nonce was used or too old: the same request again, with the next one."""
+class BadNonceError(AcmeError):
+    """The nonce was used or too old; the same request is sent again with the next one."""
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """An answer over HTTP; names of headers in lower case. ``links``: the targets of Link headers by relation."""
+class HttpAnswer:
+    """An HTTP answer.
+
+    Header names are in lower case, ``links`` holds relation and target of each Link.
+    """
 
     status: int
     headers: Mapping[str, str]
@@ -56,26 +72,30 @@
     links: tuple[tuple[str, str], ...] = ()
 
     def linked(self, relation: str) -> list[str]:
-        """All targets with this relation."""
+        """Return all link targets with this relation."""
         return [target for name, target in self.links if name == relation]
 
 
 @dataclass(frozen=True, slots=True)
 class Directory:
-    """Where an authority does what."""
+    """The URLs of an authority.
+
+    ``renewal`` is empty if it offers no renewal windows; ``external`` says that it needs an
+    external account.
+    """
 
     nonce: str
     account: str
     order: str
     revoke: str
     key_change: str
-    renewal: str  # empty: it offers no windows
-    external: bool  # wants an external account
+    renewal: str
+    external: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """``certificate`` is empty until the order is valid; ``error`` tells why it is invalid."""
+    """An order; ``certificate`` is empty until it is valid, ``error`` says why it is invalid."""
 
     status: str
     names: frozenset[str]
@@ -99,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Authorisation:
-    """What has to be proved for one name, and how it can be."""
+    """What has to be proved for one name, and the challenges that can prove it."""
 
     status: str
     name: str
@@ -108,8 +128,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Window:
-    """RFC 9773: between which times to renew, and when to ask again; Unix seconds."""
+class RenewalWindow:
+    """When to renew, and when to ask again (RFC 9773); Unix seconds."""
 
     start: float
     end: float
@@ -121,88 +141,90 @@
 CHALLENGE_STATES = ("pending", "processing", "valid", "invalid")
 
 _KINDS = {
-    "rateLimited": Kind.RATE,
-    "unauthorized": Kind.CHALLENGE,
-    "connection": Kind.CHALLENGE,
-    "dns": Kind.CHALLENGE,
-    "tls": Kind.CHALLENGE,
-    "incorrectResponse": Kind.CHALLENGE,
-    "accountDoesNotExist": Kind.ACCOUNT,
-    "externalAccountRequired": Kind.ACCOUNT,
-    "userActionRequired": Kind.ACCOUNT,
-    "invalidContact": Kind.ACCOUNT,
-    "unsupportedContact": Kind.ACCOUNT,
-    "badCSR": Kind.REJECTED,
-    "badPublicKey": Kind.REJECTED,
-    "caa": Kind.REJECTED,
-    "rejectedIdentifier": Kind.REJECTED,
-    "unsupportedIdentifier": Kind.REJECTED,
-    "malformed": Kind.ORDER,
-    "orderNotReady": Kind.ORDER,
-    "alreadyReplaced": Kind.ORDER,
-    "serverInternal": Kind.AWAY,
+    "rateLimited": FailureKind.RATE,
+    "unauthorized": FailureKind.CHALLENGE,
+    "connection": FailureKind.CHALLENGE,
+    "dns": FailureKind.CHALLENGE,
+    "tls": FailureKind.CHALLENGE,
+    "incorrectResponse": FailureKind.CHALLENGE,
+    "accountDoesNotExist": FailureKind.ACCOUNT,
+    "externalAccountRequired": FailureKind.ACCOUNT,
+    "userActionRequired": FailureKind.ACCOUNT,
+    "invalidContact": FailureKind.ACCOUNT,
+    "unsupportedContact": FailureKind.ACCOUNT,
+    "badCSR": FailureKind.REJECTED,
+    "badPublicKey": FailureKind.REJECTED,
+    "caa": FailureKind.REJECTED,
+    "rejectedIdentifier": FailureKind.REJECTED,
+    "unsupportedIdentifier": FailureKind.REJECTED,
+    "malformed": FailureKind.ORDER,
+    "orderNotReady": FailureKind.ORDER,
+    "alreadyReplaced": FailureKind.ORDER,
+    "serverInternal": FailureKind.UNREACHABLE,
 }
 _ACME = "urn:ietf:params:acme:error:"
 
 
-def odd(where: str, why: str) -> AcmeError:
-    """What an authority said can't be used."""
-    return AcmeError(Kind.UNUSABLE, f"{where}: {why}")
+def malformed_answer(where: str, why: str) -> AcmeError:
+    """Return the error for a malformed answer."""
+    return AcmeError(FailureKind.UNUSABLE, f"{where}: {why}")
 
 
 def clean(text: object) -> str:
-    """An authority's words as one line of bounded length that a terminal can show."""
-    return "".join(c if c.isprintable() else " " for c in str(text)[:TEXT_MOST])
+    """Return a text as one printable line of bounded length."""
+    return "".join(c if c.isprintable() else " " for c in str(text)[:MAX_TEXT_CHARS])
 
 
-def document(answer: Answer, where: str) -> dict[str, Any]:
-    """The JSON object in an answer."""
+def document(answer: HttpAnswer, where: str) -> dict[str, Any]:
+    """Return the JSON object in an answer."""
     try:
         found = json.loads(answer.body)
     except (ValueError, RecursionError):
-        raise odd(where, "not JSON") from None
+        raise malformed_answer(where, "not JSON") from None
     if not isinstance(found, dict):
-        raise odd(where, "no object")
+        raise malformed_answer(where, "no object")
     return found
 
 
 def url_in(raw: Mapping[str, Any], key: str, where: str, needed: bool = True) -> str:
-    """A URL of https; empty where it is missing and not needed."""
+    """Return an https URL from an object; empty if it is missing and not needed."""
     if key not in raw and not needed:
         return ""
     return url(raw.get(key), f"{where}.{key}")
 
 
 def url(found: object, where: str) -> str:
-    """The same, as a value."""
-    if not isinstance(found, str) or not 0 < len(found) <= URL_MOST or not found.isascii():
-        raise odd(where, "no URL")
+    """Return an https URL, or raise the error for a malformed one."""
+    if not isinstance(found, str) or not 0 < len(found) <= MAX_URL_CHARS or not found.isascii():
+        raise malformed_answer(where, "no URL")
     try:
         parts = urlsplit(found)
         good = parts.scheme == "https" and bool(parts.hostname) and (parts.port or 443) > 0
     except ValueError:
         good = False
     if not good or any(c.isspace() or not c.isprintable() for c in found):
-        raise odd(where, f"no URL of https: {clean(found)!r:.80}")
+        raise malformed_answer(where, f"no URL of https: {clean(found)!r:.80}")
     return found
 
 
 def _list(raw: Mapping[str, Any], key: str, where: str) -> list[Any]:
     found = raw.get(key)
-    if not isinstance(found, list) or len(found) > LIST_MOST:
-        raise odd(f"{where}.{key}", f"no list of at most {LIST_MOST}")
+    if not isinstance(found, list) or len(found) > MAX_LIST_ITEMS:
+        raise malformed_answer(f"{where}.{key}", f"no list of at most {MAX_LIST_ITEMS}")
     return found
 
 
 def _state(raw: Mapping[str, Any], allowed: tuple[str, ...], where: str) -> str:
     found = raw.get("status")
     if found not in allowed:
-        raise odd(f"{where}.status", f"{clean(found)!r:.40} is not one of {', '.join(allowed)}")
+        raise malformed_answer(
+            f"{where}.status", f"{clean(found)!r:.40} is not one of {', '.join(allowed)}"
+        )
     return found
 
 
 def time_in(raw: Mapping[str, Any], key: str, where: str, needed: bool = False) -> float:
-    """RFC 3339 as Unix seconds; 0 where it is missing and not needed."""
+    """Return an RFC 3339 time as Unix seconds; 0 if it is missing and not needed."""
     if key not in raw and not needed:
         return 0.0
     found = raw.get(key)
@@ -212,15 +234,15 @@
         at = datetime.fromisoformat(found)
         return (at if at.tzinfo else at.replace(tzinfo=UTC)).timestamp()
     except (ValueError, OverflowError):
-        raise odd(f"{where}.{key}", f"no time: {clean(found)!r:.60}") from None
+        raise malformed_answer(f"{where}.{key}", f"no time: {clean(found)!r:.60}") from None
 
 
-def directory(answer: Answer) -> Directory:
-    """The first thing that is asked."""
+def directory(answer: HttpAnswer) -> Directory:
+    """Parse the directory of an authority."""
     raw, where = document(answer, "directory"), "directory"
     meta = raw.get("meta", {})
     if not isinstance(meta, dict):
-        raise odd("directory.meta", "no object")
+        raise malformed_answer("directory.meta", "no object")
     return Directory(
         url_in(raw, "newNonce", where),
         url_in(raw, "newAccount", where),
@@ -238,24 +260,24 @@
         or raw.get("type") != "dns"
         or not isinstance(raw.get("value"), str)
     ):
-        raise odd(where, "no name of DNS")
+        raise malformed_answer(where, "no name of DNS")
     name = raw["value"].lower()
     if not 0 < len(name) <= 253 or not name.isascii():
-        raise odd(where, "no name of DNS")
+        raise malformed_answer(where, "no name of DNS")
     return name
 
 
-def order(answer: Answer) -> Order:
-    """An order as it stands."""
+def order(answer: HttpAnswer) -> Order:
+    """Parse an order."""
     raw, where = document(answer, "order"), "order"
     status = _state(raw, ORDER_STATES, where)
-    places = _list(raw, "authorizations", where)
-    if not places:
-        raise odd("order.authorizations", "none")
+    urls = _list(raw, "authorizations", where)
+    if not urls:
+        raise malformed_answer("order.authorizations", "none")
     return Order(
         status,
         frozenset(_name(one, "order.identifiers") for one in _list(raw, "identifiers", where)),
-        tuple(url(one, f"order.authorizations[{at}]") for at, one in enumerate(places)),
+        tuple(url(one, f"order.authorizations[{at}]") for at, one in enumerate(urls)),
         url_in(raw, "finalize", where),
         url_in(raw, "certificate", where, needed=status == "valid"),
         time_in(raw, "expires", where),
@@ -263,19 +285,17 @@
     )
 
 
-def authorisation(answer: Answer) -> Authorisation:
-    """What has to be proved for a name."""
+def authorisation(answer: HttpAnswer) -> Authorisation:
+    """Parse an authorisation."""
     raw, where = document(answer, "authorization"), "authorization"
     found = []
     for at, one in enumerate(_list(raw, "challenges", where)):
-        place = f"authorization.challenges[{at}]"
+        field = f"authorization.challenges[{at}]"
         if not isinstance(one, dict):
-            raise odd(place, "no object")
-        if one.get("type") in (
-            "http-01",
-            "tls-alpn-01",
-        ):  # of others nothing is known, not even their fields
-            found.append(_challenge(one, place))
+            raise malformed_answer(field, "no object")
+        # Nothing is known of other types, not even their fields.
+        if one.get("type") in ("http-01", "tls-alpn-01"):
+            found.append(_challenge(one, field))
     return Authorisation(
         _state(raw, AUTHORISATION_STATES, where),
         _name(raw.get("identifier"), "authorization.identifier"),
@@ -287,11 +307,10 @@
 def _challenge(raw: Mapping[str, Any], where: str) -> Challenge:
     token = raw.get("token")
     if not isinstance(token, str) or not 8 <= len(token) <= 256:
-        raise odd(f"{where}.token", "no token")
+        raise malformed_answer(f"{where}.token", "no token")
     if not all(c.isascii() and (c.isalnum() or c in "-_") for c in token):
-        raise odd(
-            f"{where}.token", "not in the alphabet of base64url"
-        )  # it becomes the name of a file
+        # The token becomes the name of a file.
+        raise malformed_answer(f"{where}.token", "not in the alphabet of base64url")
     status = _state(raw, CHALLENGE_STATES, where)
     return Challenge(raw["type"], url_in(raw, "url", where), token, status, _error(raw, where))
 
@@ -301,12 +320,12 @@
     if found is None:
         return None
     if not isinstance(found, dict):
-        raise odd(f"{where}.error", "no object")
+        raise malformed_answer(f"{where}.error", "no object")
     return _problem(found, 0.0)
 
 
 def _problem(raw: Mapping[str, Any], retry_after: float, status: int = 0) -> AcmeError:
-    """RFC 7807; subproblems tell which names."""
+    """Return the error for an RFC 7807 problem; subproblems name the identifiers."""
     name = raw.get("type")
     name = name.removeprefix(_ACME) if isinstance(name, str) else ""
     detail = clean(raw.get("detail", "")) or "no detail"
@@ -319,53 +338,59 @@
                 detail += f"; {clean(who)}: {clean(one.get('detail', ''))}"
     words = f"{clean(name) or 'no type'}: {detail}"
     if name == "badNonce":
-        return BadNonce(Kind.AWAY, words, retry_after)
+        return BadNonceError(FailureKind.UNREACHABLE, words, retry_after)
     kind = _KINDS.get(name)
     if kind is None:
-        kind = Kind.RATE if status == 429 else Kind.AWAY if status >= 500 else Kind.REJECTED
+        kind = (
+            FailureKind.RATE
+            if status == 429
+            else FailureKind.UNREACHABLE
+            if status >= 500
+            else FailureKind.REJECTED
+        )
     return AcmeError(kind, words, retry_after)
 
 
-def problem(answer: Answer, now: float) -> AcmeError:
-    """Why a request was not carried out."""
+def problem(answer: HttpAnswer, now: float) -> AcmeError:
+    """Return the error for an answer that is not a success."""
     after = retry_after(answer, now)
     try:
         raw = document(answer, "problem")
     except AcmeError:
         raw = {}
     found = _problem(raw, after, answer.status)
-    if answer.status == 429 and found.kind is not Kind.RATE:
-        found = AcmeError(Kind.RATE, found.detail, after)
-    if answer.status == 404 and found.kind in (Kind.REJECTED, Kind.CHALLENGE):
-        found = AcmeError(Kind.ORDER, f"not found: {found.detail}", after)
+    if answer.status == 429 and found.kind is not FailureKind.RATE:
+        found = AcmeError(FailureKind.RATE, found.detail, after)
+    if answer.status == 404 and found.kind in (FailureKind.REJECTED, FailureKind.CHALLENGE):
+        found = AcmeError(FailureKind.ORDER, f"not found: {found.detail}", after)
     return found
 
 
-def retry_after(answer: Answer, now: float) -> float:
-    """Seconds that the authority asks to wait; 0 where it does not say, or says what is no time."""
+def retry_after(answer: HttpAnswer, now: float) -> float:
+    """Return the Retry-After of an answer in seconds; 0 if it is missing or malformed."""
     raw = answer.headers.get("retry-after", "").strip()
     if not raw:
         return 0.0
     if raw.isascii() and raw.isdigit():
-        return min(float(raw[:12]), PAUSE_MOST)
+        return min(float(raw[:12]), MAX_RETRY_AFTER_S)
     try:
         at = parsedate_to_datetime(raw)
         at = at if at.tzinfo else at.replace(tzinfo=UTC)
-        return min(max(0.0, at.timestamp() - now), PAUSE_MOST)
+        return min(max(0.0, at.timestamp() - now), MAX_RETRY_AFTER_S)
     except (ValueError, TypeError, OverflowError, IndexError):
         return 0.0
 
 
-def window(answer: Answer, now: float) -> Window:
-    """When to renew, in the authority's view."""
+def window(answer: HttpAnswer, now: float) -> RenewalWindow:
+    """Parse a renewal window."""
     raw = document(answer, "renewalInfo")
     found = raw.get("suggestedWindow")
     if not isinstance(found, dict):
-        raise odd("renewalInfo.suggestedWindow", "no object")
+        raise malformed_answer("renewalInfo.suggestedWindow", "no object")
     start = time_in(found, "start", "renewalInfo.suggestedWindow", True)
     end = time_in(found, "end", "renewalInfo.suggestedWindow", True)
     if end <= start:
-        raise odd("renewalInfo.suggestedWindow", "ends before it begins")
+        raise malformed_answer("renewalInfo.suggestedWindow", "ends before it begins")
     # RFC 9773, 4.3: within sensible bounds, a minute to a day.
     after = min(max(retry_after(answer, now) or 6 * 3_600, 60), 86_400)
-    return Window(start, end, now + after)
+    return RenewalWindow(start, end, now + after)
--- a/tests/leases/test_leader_guard.py
+++ b/tests/leases/test_leader_guard.py
@@ -7,7 +7,7 @@
 
 from saffrongw.certs.certificate_store import LostLease, Store
 from saffrongw.certs.documents import CertNote
-from saffrongw.certs.lease import Terms
+from saffrongw.certs.lease import LeaseTerms
 from testbed.acme_server.server import AuthorityServer
 from testbed.model.lease_day import LeaseDay
 from testbed.runner.lease_world import LeaseWorld
