--- a/benchmarks/tls_cost.py
+++ b/benchmarks/tls_cost.py
@@ -88,7 +88,7 @@
     def __init__(self, folder: Path, share: float = 1.0, core: int | None = None) -> None:
         self.share, self.core = share, core
         self.folder, self.plain, self.tls = folder, free_port(), free_port()
-        self.site, self.issuer = Store(folder / "state"), Issuer(time.time())
+        self.site, self.issuer = CertificateSite(folder / "state"), Issuer(time.time())
         self.site.folder.open()
         self.number = 0
 
--- a/saffrongw/admin/cli.py
+++ b/saffrongw/admin/cli.py
@@ -55,7 +55,7 @@
         if path.suffix == ".toml":
             operator.load(path)
         else:
-            malformed = read_config(path).known.odd
+            malformed = read_config(path).known.malformed_count
             if malformed:
                 return unusable(f"{path}: known.hosts: {malformed} entries make no sense")
     except toml_schema.SchemaError as error:
--- a/saffrongw/authz/build.py
+++ b/saffrongw/authz/build.py
@@ -35,7 +35,7 @@
         names_of(config),
         Fields(options.customer, options.plan, options.class_),
         config.settings.node_count,
-        config.units_most,
+        config.max_units,
         options.in_flight,
         tls_of(options.tls),
     )
--- a/saffrongw/certs/build.py
+++ b/saffrongw/certs/build.py
@@ -22,11 +22,11 @@
 def build(table: CertsTable, context: BuildContext) -> Component:
     """The TLS listener and its certificates, ordered under a lease where ``[leases]`` is on."""
     guard = context.leader_guard(lease_name(table))
-    certs = CertsComponent(table, context.config.seed, duty=guard)
+    certs = CertsComponent(table, context.config.seed, leader_guard=guard)
     return Component(
         certs,
         services=(certs,),
-        listeners=(certs.front,),
+        listeners=(certs.listener,),
         metrics=(certs.figures,),
         prepare=lambda new: PreparedReload(certs.change(new)),
     )
--- a/saffrongw/certs/tls_listener.py
+++ b/saffrongw/certs/tls_listener.py
@@ -133,7 +133,7 @@
 
     def prepare(self) -> None:
         """Bind the address, so that an error ends the start; nothing is accepted yet."""
-        self.listener = socket.create_server(self.address, backlog=BACKLOG, reuse_port=True)
+        self.listener = socket.create_server(self.address, backlog=LISTEN_BACKLOG, reuse_port=True)
         self.listener.setblocking(False)
         self._is_prepared = True
         self._replace_ticket_keys(0.0)
@@ -210,7 +210,7 @@
         self._advance()
 
     def _admit(self, sock: socket.socket) -> None:
-        if not self.clients.make_room():
+        if not self.clients.ensure_capacity():
             sock.close()
             self.counts["no room"] += 1
             return
--- a/saffrongw/channel/component.py
+++ b/saffrongw/channel/component.py
@@ -68,7 +68,7 @@
 
     async def start(self, driver: Driver) -> None:
         """Bind the socket; raise ``OSError`` naming the address where that fails."""
-        await self.channel.open(driver.succeeds)
+        await self.channel.open(driver.is_successor)
 
     async def stop(self) -> None:
         """Close the socket."""
--- a/saffrongw/extension_registry.py
+++ b/saffrongw/extension_registry.py
@@ -66,14 +66,14 @@
     for component in built:
         admin_commands.update(component.admin_commands)
     return Extensions(
-        stages=tuple(chain.from_iterable(component.filters for component in built)),
+        filters=tuple(chain.from_iterable(component.filters for component in built)),
         observers=tuple(chain.from_iterable(component.observers for component in built)),
         services=tuple(chain.from_iterable(component.services for component in built)),
         time_share=file.stages.time_share,
-        again=OperatorFileReloader(path, file, context).reload if path else None,
-        fronts=tuple(chain.from_iterable(component.listeners for component in built)),
-        figures=tuple(chain.from_iterable(component.metrics for component in built)),
-        calls=admin_commands,
+        reload=OperatorFileReloader(path, file, context).reload if path else None,
+        listeners=tuple(chain.from_iterable(component.listeners for component in built)),
+        metrics=tuple(chain.from_iterable(component.metrics for component in built)),
+        admin_commands=admin_commands,
         on_drain=tuple(chain.from_iterable(component.on_drain for component in built)),
     )
 
--- a/saffrongw/gateway/admin_http/handlers.py
+++ b/saffrongw/gateway/admin_http/handlers.py
@@ -55,10 +55,10 @@
     def stats(self) -> bytes:
         """All metrics as of now, as text."""
         gateway = self.driver.gateway
-        rows = self.driver.figures.rows(
+        rows = self.driver.metrics.rows(
             self.config.class_names,
             self.clients.inflight,
-            len(gateway.hosts),
+            len(gateway.endpoints.by_id),
             gateway.avoided(self.driver.clock()),
         )
         for extension_rows in self.extension_metrics:
@@ -68,7 +68,7 @@
     def exclude(self, endpoint_id: EndpointId) -> None:
         """Send nothing more to an endpoint until it is readmitted."""
         self._require_known(endpoint_id)
-        excluded = self.driver.gateway.excluded
+        excluded = self.driver.gateway.exclusions.sources
         if len(excluded) >= MAX_EXCLUDED_ENDPOINTS and endpoint_id not in excluded:
             raise AdminCallError("too many hosts are out")
         self._set_excluded(endpoint_id, True)
@@ -82,13 +82,13 @@
 
     def quiesce(self) -> None:
         """Begin draining: take no more clients."""
-        self.clients.quiesce()
+        self.clients.shutdown.quiesce()
         self.notify_draining(True)
         self.notify_peer_process(MessageKind.QUIESCED, True)
 
     def resume(self) -> None:
         """End draining: take clients again."""
-        self.clients.resume()
+        self.clients.shutdown.resume()
         self.notify_draining(False)
         self.notify_peer_process(MessageKind.QUIESCED, False)
 
@@ -108,23 +108,23 @@
             self._set_excluded(exclusion.endpoint_id, exclusion.excluded)
         elif kind == MessageKind.QUIESCED:
             if decode_quiesced(message):
-                self.clients.quiesce()
+                self.clients.shutdown.quiesce()
             else:
-                self.clients.resume()
+                self.clients.shutdown.resume()
         else:
             raise MalformedMessageError(f"unknown message: {kind!r}")
 
     def _require_known(self, endpoint_id: EndpointId) -> None:
         gateway = self.driver.gateway
-        is_excluded_here = EXCLUSION_SOURCE in gateway.excluded.get(endpoint_id, ())
-        if endpoint_id not in gateway.hosts and not is_excluded_here:
+        is_excluded_here = EXCLUSION_SOURCE in gateway.exclusions.sources.get(endpoint_id, ())
+        if endpoint_id not in gateway.endpoints.by_id and not is_excluded_here:
             raise AdminCallError("no host has this id")
 
     def _set_excluded(self, endpoint_id: EndpointId, excluded: bool) -> None:
-        self.driver.excluded(ExclusionChanged(endpoint_id, EXCLUSION_SOURCE, excluded))
+        self.driver.exclusion_changed(ExclusionChanged(endpoint_id, EXCLUSION_SOURCE, excluded))
 
     def _notify_exclusion(self, endpoint_id: EndpointId, excluded: bool) -> None:
-        text = state_transfer.text_of(endpoint_id)
+        text = state_transfer.endpoint_id_to_text(endpoint_id)
         self.notify_peer_process(MessageKind.EXCLUSION, text, excluded)
 
 
--- a/saffrongw/gateway/admission_queue.py
+++ b/saffrongw/gateway/admission_queue.py
@@ -12,7 +12,7 @@
 from time import monotonic
 from typing import Protocol, cast
 
-from ..policy.load_shedding import Shedder, Waiting
+from ..policy.load_shedding import LoadShedder, QueuedRequest
 from .driver import Driver
 from .request_types import RequestTerms, busy_reply
 
@@ -40,8 +40,8 @@
         """Use the settings of the driver's policy."""
         self.driver = driver
         self.loop = loop
-        settings = driver.gateway.s
-        self.shedder = Shedder(settings.classes, settings.plans)
+        settings = driver.gateway.settings
+        self.shedder = LoadShedder(settings.classes, settings.plans)
         self.max_retry_after_us = settings.max_retry_after_us
         # Within a turn of the loop whose end was asked for.
         self.is_turn_open = False
@@ -69,14 +69,16 @@
 
     def enqueue(
         self, terms: RequestTerms, class_and_plan: bytes, customer: bytes, queued: PendingRequest
-    ) -> Waiting | None:
+    ) -> QueuedRequest | None:
         """Let a request wait; return None where it was rejected at once."""
         now = self.driver.clock()
-        if self.driver.gateway.beyond(now, terms.customer, terms.plan, terms.units):
+        if self.driver.gateway.exceeds_quota(now, terms.customer, terms.plan, terms.units):
             self.saturated.add(customer)
             queued.reject(self._update_rejection(now))
             return None
-        waiting = Waiting(terms.customer, terms.plan, terms.kind, now + terms.timeout_us, queued)
+        waiting = QueuedRequest(
+            terms.customer, terms.plan, terms.kind, now + terms.timeout_us, queued
+        )
         shed = self.shedder.offer(now, waiting)
         if shed is None:
             return waiting
@@ -84,11 +86,11 @@
         shed_request.reject(self._update_rejection(now))
         if shed is not waiting:
             return waiting
-        too_many = self.shedder.too_many(terms.customer)
+        too_many = self.shedder.exceeds_fair_share(terms.customer)
         self.saturated.add(customer if too_many else class_and_plan)
         return None
 
-    def remove(self, waiting: Waiting) -> None:
+    def remove(self, waiting: QueuedRequest) -> None:
         """Forget a request that waits: its client has disconnected."""
         self.shedder.drop(waiting)
 
@@ -105,7 +107,7 @@
         return self.rejection
 
     def _make_rejection(self, now: int) -> bytes:
-        return busy_reply(self.shedder.back_in(now, self.max_retry_after_us))
+        return busy_reply(self.shedder.retry_after_us(now, self.max_retry_after_us))
 
     def _run_queue(self) -> None:
         """Start what waits, for a while: all that arrived in this turn has been read."""
@@ -119,7 +121,7 @@
             # started: a process that was stopped for a while would otherwise reject all that
             # arrived meanwhile.
             now = self.driver.clock()
-            for expired in self.shedder.expired(now):
+            for expired in self.shedder.pop_expired(now):
                 queued = cast("PendingRequest", expired.tag)
                 queued.reject(self._update_rejection(now))
         finally:
--- a/saffrongw/gateway/bootstrap.py
+++ b/saffrongw/gateway/bootstrap.py
@@ -82,7 +82,7 @@
     successor = await SuccessorHandOver.connect(loop, config.listen)
     await _start_driver(config, driver, successor, extensions)
     discovery = _start_discovery(config, driver)
-    reloader = ConfigReloader(path, config, discovery, driver.figures)
+    reloader = ConfigReloader(path, config, discovery, driver.metrics)
     _reload_on_sighup(loop, reloader, extensions)
     clients = ClientConnections(driver, config, budget.clients)
     admin = _build_admin(config, driver, clients, extensions)
@@ -114,7 +114,7 @@
     if extensions is None:
         return Driver(config.settings, config.seed, loop)
     # Only here: a gateway without extensions does not even load it.
-    from .filter_chain import FilteringDriver
+    from .filtering_driver import FilteringDriver
 
     return FilteringDriver(config.settings, config.seed, loop, extensions)
 
@@ -124,10 +124,10 @@
         driver,
         config.settings.load_report_fields,
         budget.upstream,
-        config.idle_close,
-        config.connect_timeout,
+        config.idle_close_s,
+        config.connect_timeout_s,
     )
-    driver.hosts = cluster
+    driver.connect_upstream(cluster)
     return cluster
 
 
@@ -138,7 +138,7 @@
     extensions: Extensions | None,
 ) -> None:
     """Start with the running process's endpoint list or the configuration's; start services."""
-    driver.succeeds = successor is not None
+    driver.is_successor = successor is not None
     driver.start((successor and successor.endpoint_list) or config.known)
     for service in extensions.services if extensions else ():
         await service.start(driver)
@@ -149,13 +149,15 @@
     schedule = PollSchedule(
         settings.node_count,
         random.Random(config.seed),
-        config.known.version if config.known.hosts else None,
+        config.known.version if config.known.endpoints else None,
         settings.notification_deadline_us / US_PER_S,
-        has_clients=lambda: driver.last_number > 0,
+        has_clients=lambda: driver.last_request_id > 0,
         pushed=not settings.polls_endpoint_list,
-        grace=settings.drain_grace_us / US_PER_S,
+        drain_grace_s=settings.drain_grace_us / US_PER_S,
+    )
+    client = DiscoveryClient(
+        driver.loop, config.discovery, config.zones, driver.endpoint_list_received, schedule
     )
-    client = DiscoveryClient(driver.loop, config.discovery, config.zones, driver.listed, schedule)
     client.start()
     return client
 
@@ -167,8 +169,8 @@
 
     def reload_all() -> None:
         reloader.reload()
-        if extensions and extensions.again:
-            extensions.again()
+        if extensions and extensions.reload:
+            extensions.reload()
 
     loop.add_signal_handler(signal.SIGHUP, reload_all)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
@@ -179,8 +181,8 @@
 ) -> AdminHandlers:
     admin = AdminHandlers(driver, clients, config)
     if extensions:
-        admin.extension_metrics = extensions.figures
-        admin.extension_commands = extensions.calls
+        admin.extension_metrics = extensions.metrics
+        admin.extension_commands = extensions.admin_commands
         admin.draining_listeners = extensions.on_drain
     return admin
 
@@ -225,7 +227,7 @@
         await gossip.listen(handed_over, config.peer_listen)
     await runtime.parts.clients.listen(successor.listener if successor else None)
     if runtime.extensions:
-        await runtime.parts.clients.open_fronts(runtime.extensions.fronts)
+        await runtime.parts.clients.open_listeners(runtime.extensions.listeners)
     return gossip
 
 
--- a/saffrongw/gateway/downstream/reply_slot.py
+++ b/saffrongw/gateway/downstream/reply_slot.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from ...policy.load_shedding import Waiting
+from ...policy.load_shedding import QueuedRequest
 from ..request_types import US_PER_MS, ClientRequest, FinalReply, RequestTerms
 
 if TYPE_CHECKING:
@@ -30,7 +30,7 @@
         self.reply: FinalReply | None = None
         self.request: ClientRequest | None = None
         # While it is in the admission queue.
-        self.waiting: Waiting | None = None
+        self.waiting: QueuedRequest | None = None
 
     def start(self) -> None:
         """Start the request; the time that it waited is taken from its timeout."""
@@ -38,7 +38,7 @@
         if waiting is None:
             return
         driver = self.connection.clients.driver
-        timeout_us = max(US_PER_MS, waiting.until - driver.clock())
+        timeout_us = max(US_PER_MS, waiting.deadline_us - driver.clock())
         terms = self.terms._replace(timeout_us=timeout_us)
         self.request = driver.request_arrived(terms, self.parts, self.answer)
 
--- a/saffrongw/gateway/driver.py
+++ b/saffrongw/gateway/driver.py
@@ -190,11 +190,11 @@
 
     def endpoint_list_received(self, endpoints: EndpointList, cached: bool = False) -> None:
         """Follow an endpoint list from discovery, or the cached one at the start."""
-        kind = EndpointListKind.COMPLETE if endpoints.whole else EndpointListKind.DELTA
+        kind = EndpointListKind.COMPLETE if endpoints.is_complete else EndpointListKind.DELTA
         if cached:
             kind = EndpointListKind.CACHED
         stranded = self.cluster.update_endpoints(endpoints)
-        entries = tuple(endpoint.entry for endpoint in endpoints.hosts)
+        entries = tuple(endpoint.entry for endpoint in endpoints.endpoints)
         self.feed(EndpointListReceived(kind, endpoints.version, entries))
         # Only now: where they are retried depends on the list.
         for attempt in stranded:
@@ -234,7 +234,9 @@
             log.exception("driver: policy failed: event=%s", event.topic)
             self._fail_request_of(event)
             # Guards the gossip's own timer, which the policy sets again before all else.
-            actions = [action for action in self.gateway.actions if isinstance(action, SetTimer)]
+            actions = [
+                action for action in self.gateway.context.actions if isinstance(action, SetTimer)
+            ]
         self._execute(actions)
 
     def _fail_request_of(self, event: Event) -> None:
--- a/saffrongw/gateway/gossip_transport.py
+++ b/saffrongw/gateway/gossip_transport.py
@@ -39,26 +39,26 @@
 
     def close(self) -> None:
         """Send and receive nothing more."""
-        self.driver.tell_peer = _discard
+        self.driver.send_gossip = _discard
         self.transport.close()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Let the driver send."""
         self.transport = cast("asyncio.DatagramTransport", transport)
-        self.driver.tell_peer = self.send
+        self.driver.send_gossip = self.send
 
     def datagram_received(self, body: bytes, source: Address) -> None:
         """Pass a datagram on; one from an unknown address or of impossible size is dropped."""
         node_index = self.node_indexes.get(source)
-        if node_index is not None and 0 < len(body) <= gossip_codec.SIZE_MOST:
-            self.driver.peer_said(node_index, body)
+        if node_index is not None and 0 < len(body) <= gossip_codec.MAX_MESSAGE_BYTES:
+            self.driver.gossip_received(node_index, body)
 
     def error_received(self, error: Exception) -> None:
         """Ignore the error of an earlier datagram: its receiver is down, and gossip may be lost."""
 
     def send(self, node_index: int, body: bytes) -> None:
         """Send a datagram to one gateway."""
-        if len(body) <= gossip_codec.SIZE_MOST and not self.transport.is_closing():
+        if len(body) <= gossip_codec.MAX_MESSAGE_BYTES and not self.transport.is_closing():
             self.transport.sendto(body, self.addresses[node_index])
 
 
--- a/saffrongw/gateway/hot_restart/messages.py
+++ b/saffrongw/gateway/hot_restart/messages.py
@@ -133,7 +133,9 @@
 def decode_upstream(message: Message) -> UpstreamConnectionOffer:
     """Where a handed-over upstream connection leads."""
     with _decoding(message[0]):
-        return UpstreamConnectionOffer(state_transfer.server_of(message[1]), int(message[2]))
+        return UpstreamConnectionOffer(
+            state_transfer.endpoint_id_from_text(message[1]), int(message[2])
+        )
 
 
 def decode_exclusion(message: Message) -> Exclusion:
@@ -141,7 +143,7 @@
     with _decoding(message[0]):
         if not isinstance(message[1], str):
             raise TypeError(f"no endpoint id: {message[1]!r:.80}")
-        return Exclusion(state_transfer.server_of(message[1]), bool(message[2]))
+        return Exclusion(state_transfer.endpoint_id_from_text(message[1]), bool(message[2]))
 
 
 def decode_quiesced(message: Message) -> bool:
@@ -153,7 +155,7 @@
 def encode_endpoint(entry: EndpointEntry, started_at_us: int, address: Address) -> list:
     """One endpoint as a row; ``started_at_us`` is the start of that to which connections lead."""
     return [
-        state_transfer.text_of(entry.endpoint_id),
+        state_transfer.endpoint_id_to_text(entry.endpoint_id),
         entry.state.value,
         entry.zone,
         entry.cell,
@@ -168,7 +170,7 @@
     with _decoding(MessageKind.ENDPOINTS):
         endpoint_id, state, zone, cell, started_at_us, size, host, port = row
         entry = EndpointEntry(
-            state_transfer.server_of(str(endpoint_id)),
+            state_transfer.endpoint_id_from_text(str(endpoint_id)),
             EndpointState(state),
             int(zone),
             int(cell),
--- a/saffrongw/gateway/hot_restart/parts.py
+++ b/saffrongw/gateway/hot_restart/parts.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from ..admin_http.handlers import AdminHandlers
-from ..downstream.connection import ClientConnections
+from ..downstream.listener import ClientConnections
 from ..driver import Driver
 from ..upstream.cluster import UpstreamCluster
 
--- a/saffrongw/gateway/hot_restart/predecessor.py
+++ b/saffrongw/gateway/hot_restart/predecessor.py
@@ -57,7 +57,7 @@
         if self.successors and self.successors.is_successor_ready and self.successors.channel:
             await self._hand_over(self.successors, self.successors.channel)
         else:
-            await self.parts.clients.drain(self.accept_period_s)
+            await self.parts.clients.shutdown.drain(self.accept_period_s)
 
     def _notify(self, *message: object) -> None:
         if self.successors and self.successors.channel:
@@ -77,14 +77,14 @@
             channel.send(MessageKind.ENDPOINTS, rows)
         for rows in pack_rows(state_transfer.exclusions(parts.driver.gateway)):
             channel.send(MessageKind.STATE_ROWS, rows)
-        channel.send(MessageKind.QUIESCED, parts.clients.draining)
+        channel.send(MessageKind.QUIESCED, parts.clients.shutdown.is_draining)
         channel.send(MessageKind.GREETED)
 
     def _endpoint_rows(self) -> Iterator[list]:
         """The endpoint list as rows: as discovery gave it, and where connections lead."""
-        for host in self.parts.driver.gateway.hosts.values():
-            if pool := self.parts.cluster.pools.get(host.entry.endpoint_id):
-                yield encode_endpoint(host.entry, pool.born, pool.address)
+        for endpoint in self.parts.driver.gateway.endpoints.by_id.values():
+            if pool := self.parts.cluster.pools.get(endpoint.entry.endpoint_id):
+                yield encode_endpoint(endpoint.entry, pool.started_at_us, pool.address)
 
     async def _hand_over(self, successors: SuccessorListener, channel: HandOverChannel) -> None:
         """Let the successor serve, and finish what is in flight here.
@@ -92,22 +92,22 @@
         If the successor is lost meanwhile, this process drains as it would without one.
         """
         clients, cluster = self.parts.clients, self.parts.cluster
-        clients.count_down()
+        clients.shutdown.start_countdown()
         successors.stop_listening()
         if self.gossip:
             self.gossip.close()
         if await self._send_state(channel):
             cluster.hand_over(self._give_upstream)
-            clients.hand_over(self._give_client)
-            await wait_for_first(clients.finish(), successors.successor_lost.wait())
+            clients.shutdown.hand_over(self._give_client)
+            await wait_for_first(clients.shutdown.finish(), successors.successor_lost.wait())
         if not successors.successor_lost.is_set():
             await channel.flush()
             return
         log.warning("hot_restart: successor lost: action=drain")
         self.parts.driver.gateway.handed_over = False
-        cluster.heir = None
-        clients.take_back()
-        await clients.drain(self.accept_period_s)
+        cluster.give_to_successor = None
+        clients.shutdown.take_back()
+        await clients.shutdown.drain(self.accept_period_s)
 
     async def _send_state(self, channel: HandOverChannel) -> bool:
         """Send the policy's state and the word to take over; False where the successor is lost."""
@@ -125,7 +125,7 @@
         length = len(partial_command)
         if channel is None or not channel.send(MessageKind.CLIENT, length, fds=(fd,)):
             # The successor is lost: connections are closed in order, at least.
-            self.parts.clients.draining = True
+            self.parts.clients.shutdown.is_draining = True
             return False
         for start in range(0, length, PARTIAL_COMMAND_CHUNK_BYTES):
             chunk = partial_command[start : start + PARTIAL_COMMAND_CHUNK_BYTES]
@@ -135,7 +135,7 @@
     def _give_upstream(self, endpoint_id: EndpointId, started_at_us: int, fd: int) -> bool:
         """Whether an idle connection to an endpoint went to the successor."""
         channel = self.successors.channel if self.successors else None
-        endpoint = state_transfer.text_of(endpoint_id)
+        endpoint = state_transfer.endpoint_id_to_text(endpoint_id)
         return channel is not None and channel.send(
             MessageKind.UPSTREAM, endpoint, started_at_us, fds=(fd,)
         )
--- a/saffrongw/gateway/hot_restart/successor.py
+++ b/saffrongw/gateway/hot_restart/successor.py
@@ -216,7 +216,7 @@
         for row in rows:
             try:
                 state_transfer.adopt(gateway, parts.driver.clock(), row)
-            except state_transfer.OddRow as error:
+            except state_transfer.MalformedRowError as error:
                 log.warning("hot_restart: state row left out: cause=%s", error)
 
 
--- a/saffrongw/gateway/request_parser.py
+++ b/saffrongw/gateway/request_parser.py
@@ -132,7 +132,7 @@
 def _parse_amounts(terms: dict[bytes, bytes], config: Config) -> tuple[float, int, int]:
     """Parse the units, and the size and the first node of the replica set."""
     units, set_size, set_first = terms[b"units"], terms[b"spread"], terms[b"first"]
-    if not _UNITS.fullmatch(units) or not 0 < float(units) <= config.units_most:
+    if not _UNITS.fullmatch(units) or not 0 < float(units) <= config.max_units:
         raise MalformedMessageError("term units is out of range")
     if not _NODE_NUMBER.fullmatch(set_size) or not _NODE_NUMBER.fullmatch(set_first):
         raise MalformedMessageError("terms spread and first are malformed")
@@ -164,7 +164,7 @@
         self.plans = config.plans
         self.idempotency_of = tuple(each.idempotency for each in config.settings.classes)
         self.node_count = config.settings.node_count
-        self.max_units = config.units_most
+        self.max_units = config.max_units
         # The meaning of texts that come again and again; only classes and plans that the settings
         # name.
         self.class_and_plan_cache: dict[bytes, ClassAndPlan] = {}
--- a/saffrongw/gateway/upstream/cluster.py
+++ b/saffrongw/gateway/upstream/cluster.py
@@ -83,11 +83,11 @@
         They waited for a connection to an endpoint that is removed or drains.
         """
         stranded: list[UpstreamAttempt] = []
-        if endpoints.whole:
-            listed = {endpoint.entry.endpoint_id for endpoint in endpoints.hosts}
+        if endpoints.is_complete:
+            listed = {endpoint.entry.endpoint_id for endpoint in endpoints.endpoints}
             for endpoint_id in [each for each in self.pools if each not in listed]:
                 stranded += self.pools.pop(endpoint_id).remove()
-        for endpoint in endpoints.hosts:
+        for endpoint in endpoints.endpoints:
             stranded += self._update_endpoint(endpoint)
         return stranded
 
--- a/saffrongw/leases/build.py
+++ b/saffrongw/leases/build.py
@@ -18,6 +18,6 @@
         metrics=(leases.figures,),
         admin_commands=leases.calls(),
         on_drain=(leases.drain,),
-        leader_guard=leases.duty,
+        leader_guard=leases.leader_guard,
         prepare=lambda new: PreparedReload(leases.change(new)),
     )
--- a/saffrongw/leases/component.py
+++ b/saffrongw/leases/component.py
@@ -91,7 +91,7 @@
             self.clock,
             self.loop,
             # Looked up at each call: the gateway sets it when its listeners start.
-            lambda: driver.pressed(),
+            lambda: driver.is_overloaded(),
             reservation,
         )
         self.node_driver.start(table)
--- a/saffrongw/ledger/request_filter.py
+++ b/saffrongw/ledger/request_filter.py
@@ -50,7 +50,7 @@
 FAILED = "failed"
 
 
-class _GatedCluster(ObservedCluster):
+class _GatedCluster(UpstreamDecorator):
     """Sends attempts upstream, those of recorded classes once they are durable."""
 
     def __init__(self, inner: Upstream, ledger: LedgerFilter) -> None:
@@ -59,7 +59,7 @@
 
     def send(self, attempt: UpstreamAttempt) -> None:
         """Send an attempt at once, or when its intent is durable."""
-        if attempt.call.event.kind in self.ledger.request_classes:
+        if attempt.request.event.kind in self.ledger.request_classes:
             self.ledger.intend(attempt, self.inner)
         else:
             super().send(attempt)
@@ -117,7 +117,7 @@
             self.retention_s,
             self.max_bytes,
         )
-        driver.wrap_hosts(lambda inner: _GatedCluster(inner, self))
+        driver.wrap_upstream(lambda inner: _GatedCluster(inner, self))
         self.writer.start()
         for _ in range(int(OPEN_TIMEOUT_S / OPEN_INTERVAL_S)):
             if self.writer.first_open_done.is_set():
@@ -147,7 +147,7 @@
 
     def intend(self, attempt: UpstreamAttempt, cluster: Upstream) -> None:
         """Record an attempt, then send it; one that could not be recorded is not sent."""
-        call = attempt.call
+        call = attempt.request
         number = call.event.request
         entry = self.entries.get(number)
         # A store that was reopened has begun a new incarnation; an entry stays with its own.
@@ -157,7 +157,7 @@
         event = events.intent(
             key,
             now_us(),
-            attempt.number,
+            attempt.index,
             attempt.endpoint_id.decode("utf-8", "replace"),
             endpoint_started_at_us,
             request,
@@ -176,19 +176,19 @@
 
     def _send(self, attempt: UpstreamAttempt, cluster: Upstream, key: EntryKey) -> None:
         """Send an attempt whose intent is durable, unless it has ended meanwhile."""
-        call = attempt.call
+        call = attempt.request
         entry = self.entries.setdefault(key.request_number, _RecordedEntry(key))
-        entry.ordinals.add(attempt.number)
+        entry.ordinals.add(attempt.index)
         # It may have timed out, or its client gone, before it was durable.
-        if attempt.ended or call.finished:
-            self.writer.record(events.outcome(entry.key, now_us(), attempt.number, NEVER_SENT))
-            if not attempt.ended:
+        if attempt.is_ended or call.is_finished:
+            self.writer.record(events.outcome(entry.key, now_us(), attempt.index, NEVER_SENT))
+            if not attempt.is_ended:
                 self.driver.attempt_ended(attempt, AttemptOutcome.NOT_SENT)
-            if call.finished:
+            if call.is_finished:
                 self._drop_entry(call)
             return
         # The disk's time does not count as the endpoint's.
-        attempt.sent = self.driver.clock()
+        attempt.sent_at_us = self.driver.clock()
         cluster.send(attempt)
         self._record_fully_sent(attempt, MIN_SENT_INTERVAL_S)
 
@@ -197,18 +197,18 @@
 
         As a rule that is at once, but later where a connection has to be opened first.
         """
-        if attempt.whole:
+        if attempt.is_fully_sent:
             entry = self._entry_with(attempt)
             if entry:
-                self.writer.record(events.fully_sent(entry.key, now_us(), attempt.number))
-        elif not attempt.ended:
+                self.writer.record(events.fully_sent(entry.key, now_us(), attempt.index))
+        elif not attempt.is_ended:
             next_interval_s = min(2 * interval_s, MAX_SENT_INTERVAL_S)
             asyncio.get_running_loop().call_later(
                 interval_s, self._record_fully_sent, attempt, next_interval_s
             )
 
     def _endpoint_started_at_us(self, attempt: UpstreamAttempt) -> int:
-        endpoint = self.driver.gateway.hosts.get(attempt.endpoint_id)
+        endpoint = self.driver.gateway.endpoints.by_id.get(attempt.endpoint_id)
         return endpoint.entry.started_at_us if endpoint else 0
 
     def _recorded_request(self, call: ClientRequest) -> RecordedRequest:
@@ -227,12 +227,12 @@
 
     def _entry_with(self, attempt: UpstreamAttempt) -> _RecordedEntry | None:
         """Return the entry of an attempt whose intent is durable."""
-        entry = self.entries.get(attempt.call.event.request)
-        return entry if entry is not None and attempt.number in entry.ordinals else None
+        entry = self.entries.get(attempt.request.event.request)
+        return entry if entry is not None and attempt.index in entry.ordinals else None
 
     def _drop_entry(self, call: ClientRequest, ending: UpstreamAttempt | None = None) -> None:
         """Drop the entry of an answered request once its last attempt has ended."""
-        if all(attempt.ended or attempt is ending for attempt in call.attempts):
+        if all(attempt.is_ended or attempt is ending for attempt in call.attempts):
             self.entries.pop(call.event.request, None)
 
     # -- the observer --
@@ -244,14 +244,14 @@
             return
         # What was given up before its last byte was sent has not run: endpoints begin at the last
         # byte.
-        has_not_run = not attempt.whole and outcome in (
+        has_not_run = not attempt.is_fully_sent and outcome in (
             AttemptOutcome.TIMED_OUT,
             AttemptOutcome.CANCELLED,
         )
         text = NOT_CONNECTED if has_not_run else outcome.value
-        self.writer.record(events.outcome(entry.key, now_us(), attempt.number, text))
-        if attempt.call.finished:
-            self._drop_entry(attempt.call, ending=attempt)
+        self.writer.record(events.outcome(entry.key, now_us(), attempt.index, text))
+        if attempt.request.is_finished:
+            self._drop_entry(attempt.request, ending=attempt)
 
     def answered(self, call: ClientRequest, reply: bytes) -> None:
         """Record the final answer, which is about to be written to the client."""
--- a/tests/authz/test_request_filter.py
+++ b/tests/authz/test_request_filter.py
@@ -17,7 +17,7 @@
 from saffrongw.authz.checks import Figures
 from saffrongw.authz.request_filter import AuthzFilter, Rules
 from saffrongw.gateway.extensions import Extensions
-from saffrongw.gateway.filter_chain import FilteringDriver
+from saffrongw.gateway.filtering_driver import FilteringDriver
 from saffrongw.policy.events import EndpointListKind, EndpointListReceived
 from saffrongw.policy.gateway import Gateway
 from testbed.ext_authz_server.server import MODES, Authoriser, Behaviour, allow, deny
--- a/tests/certs/test_handshakes.py
+++ b/tests/certs/test_handshakes.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from saffrongw.certs.handshakes import Handshakes, HandshakeLimits, HandshakeStage
+from saffrongw.certs.handshakes import HandshakeLimits, Handshakes, HandshakeStage
 
 LIMITS = HandshakeLimits(
     max_half_open=4,
--- a/tests/certs/test_renewal.py
+++ b/tests/certs/test_renewal.py
@@ -67,7 +67,9 @@
 
 def test_an_authority_that_is_away_for_hours_around_the_due_time_is_asked_until_it_is_back():
     back = START + 56 * DAY + 9 * HOUR
-    tries, done = lived(lambda now, _: None if now >= back else (FailureKind.UNREACHABLE, 0), START + LIFE)
+    tries, done = lived(
+        lambda now, _: None if now >= back else (FailureKind.UNREACHABLE, 0), START + LIFE
+    )
     assert back <= done <= back + 1.25 * HOUR
     assert START + LIFE - done > 30 * DAY
     assert len(tries) < 40
@@ -75,7 +77,9 @@
 
 def test_away_for_the_whole_window_and_beyond_the_end_it_is_renewed_within_a_minute_of_its_return():
     back = START + LIFE + 5 * HOUR
-    tries, done = lived(lambda now, _: None if now >= back else (FailureKind.UNREACHABLE, 0), back + DAY)
+    tries, done = lived(
+        lambda now, _: None if now >= back else (FailureKind.UNREACHABLE, 0), back + DAY
+    )
     assert back <= done <= back + MINUTE
     assert len(tries) < 3_000  # and it was not hammered: an hour's pause until the last ones
     early = [at for at, _ in tries if at < START + 85 * DAY]
@@ -121,7 +125,9 @@
 
 
 def test_two_authorities_that_both_fail_are_asked_in_turn_and_not_in_a_storm():
-    tries, done = lived(lambda now, _: (FailureKind.UNREACHABLE, 0), START + 60 * DAY, authorities=2)
+    tries, done = lived(
+        lambda now, _: (FailureKind.UNREACHABLE, 0), START + 60 * DAY, authorities=2
+    )
     assert done is None
     assert {a for _, a in tries} == {0, 1}
     assert len(tries) < 24 * 8 * 3
@@ -130,7 +136,13 @@
 def test_a_clock_that_was_ahead_does_not_silence_us():
     """A failure was kept by a clock a year ahead; it came back."""
     ahead = next_failures(
-        START + 365 * DAY, replace(FRESH, end=START + 366 * DAY), FailureKind.UNREACHABLE, "", 0, 0.5, 1
+        START + 365 * DAY,
+        replace(FRESH, end=START + 366 * DAY),
+        FailureKind.UNREACHABLE,
+        "",
+        0,
+        0.5,
+        1,
     )
     state = replace(FRESH, failures=ahead)
     now = START + 70 * DAY
--- a/tests/gateway/test_admin_http.py
+++ b/tests/gateway/test_admin_http.py
@@ -105,7 +105,7 @@
         writer.write(bytes((byte,)))
         await asyncio.sleep(0)
     assert (await reader.read()).startswith(b"HTTP/1.1 200")
-    assert list(admin.rig.driver.gateway.excluded) == [b"a"]
+    assert list(admin.rig.driver.gateway.exclusions.sources) == [b"a"]
     reader, writer = await asyncio.open_connection(*admin.address[:2])
     writer.write(
         b"POST /admin/uncordon HTTP/1.1\r\nhost: x\r\n"
--- a/tests/gateway/test_bootstrap.py
+++ b/tests/gateway/test_bootstrap.py
@@ -11,7 +11,7 @@
 from fake_endpoint import FakeEndpoint, value
 from program_rig import started
 
-from saffrongw.gateway.bootstrap import LOG_MOST, RateLimitedLogFilter
+from saffrongw.gateway.logging_setup import MAX_LINES_PER_SPAN, RateLimitedLogFilter
 
 
 @asyncio_test
@@ -85,7 +85,7 @@
         logging.makeLogRecord({"msg": "odd", "created": 100.0 + index / 1000})
         for index in range(200)
     ]
-    assert sum(bounded.filter(line) for line in lines) == LOG_MOST
+    assert sum(bounded.filter(line) for line in lines) == MAX_LINES_PER_SPAN
     later = logging.makeLogRecord({"msg": "odd", "created": 200.0})
     assert bounded.filter(later)
-    assert later.msg == f"({200 - LOG_MOST} lines left out before) odd"
+    assert later.msg == f"({200 - MAX_LINES_PER_SPAN} lines left out before) odd"
--- a/tests/gateway/test_gossip_transport.py
+++ b/tests/gateway/test_gossip_transport.py
@@ -24,8 +24,8 @@
         local_addr=("127.0.0.1", 0),
     )
     own = transport.get_extra_info("sockname")
-    row = gossip_codec.Row(9, 0, 0, 2, 0, 50.0, 50.0, 0.0, ())
-    good = gossip_codec.pack(
+    row = gossip_codec.GossipRow(9, 0, 0, 2, 0, 50.0, 50.0, 0.0, ())
+    good = gossip_codec.pack_message(
         rig.driver.clock() // 1000, True, True, [gossip_codec.pack_row(row, 0, 2)]
     )
     stranger.sendto(good, own)
@@ -33,11 +33,11 @@
     peer.sendto(b"\xff" * 40, own)
     peer.sendto(b"", own)
     peer.sendto(good, own)
-    await until(lambda: 9 in rig.driver.gateway.accounts)
-    assert list(rig.driver.gateway.heard) == [1]
+    await until(lambda: 9 in rig.driver.gateway.quota_counters.customers)
+    assert list(rig.driver.gateway.reachability.last_received_us) == [1]
     peer.setblocking(False)
     reply = await loop.sock_recv(peer, 512)
-    assert len(reply) <= gossip_codec.SIZE_MOST
+    assert len(reply) <= gossip_codec.MAX_MESSAGE_BYTES
     stranger.setblocking(False)
     # A stranger is not answered.
     with pytest.raises(BlockingIOError):
--- a/tests/gateway/test_request_filters.py
+++ b/tests/gateway/test_request_filters.py
@@ -103,7 +103,7 @@
         caller.call()
         assert error((await caller.replied())[0]) == reply
         assert endpoint.commands == []
-        assert rig.driver.gateway.accounts == {}
+        assert rig.driver.gateway.quota_counters.customers == {}
         assert rig.driver.requests == {} == rig.driver.filter_chain.runs
 
     check()
--- a/tests/leases/test_leader_guard.py
+++ b/tests/leases/test_leader_guard.py
@@ -5,9 +5,10 @@
 import pytest
 from conftest import asyncio_test
 
-from saffrongw.certs.certificate_store import LostLease, Store
+from saffrongw.certs.certificate_store import CertificateSite
 from saffrongw.certs.documents import CertNote
 from saffrongw.certs.lease import LeaseTerms
+from saffrongw.certs.ordering_lease import LostLeaseError, OrderingTerm
 from testbed.acme_server.server import AuthorityServer
 from testbed.model.lease_day import LeaseDay
 from testbed.runner.lease_world import LeaseWorld
@@ -38,22 +39,22 @@
     def __init__(self, tmp_path) -> None:
         self.now = 1_700_000_000.0
         self.guards = {"a": FakeLeaderGuard(), "b": FakeLeaderGuard()}
-        terms, clock = Terms(30.0, 2.0), lambda: self.now
+        terms, clock = LeaseTerms(30.0, 2.0), lambda: self.now
         self.stores = {
-            name: Store(tmp_path / "s", clock, terms, None, guard)
+            name: CertificateSite(tmp_path / "s", clock, terms, None, guard)
             for name, guard in self.guards.items()
         }
-        self.plain = Store(tmp_path / "s", clock, terms)
-        self.plain.open()
+        self.plain = CertificateSite(tmp_path / "s", clock, terms)
+        self.plain.folder.open()
 
     def hold(self, name: str, number: int) -> int:
         for guard in self.guards.values():
             guard.now = 0
         self.guards[name].now = number
-        return self.stores[name].take_duty(name)[0]
+        return self.stores[name].lease.acquire(name)[0]
 
     def write(self, name: str, number: int) -> None:
-        self.stores[name].amend(NAME, lambda note: note, (name, number))
+        self.stores[name].certificates.amend(NAME, lambda note: note, OrderingTerm(name, number))
 
 
 @pytest.fixture
@@ -63,22 +64,22 @@
 
 def test_only_the_lease_holder_may_order(folder):
     assert folder.hold("a", 700) == 700
-    assert folder.stores["b"].take_duty("b")[0] == 0
+    assert folder.stores["b"].lease.acquire("b")[0] == 0
     folder.write("a", 700)
-    with pytest.raises(LostLease):
+    with pytest.raises(LostLeaseError):
         folder.write("b", 700)
 
 
 def test_a_stopped_leader_writes_nothing_once_its_lease_or_token_is_over(folder):
     folder.hold("a", 700)
     folder.guards["a"].now = 0
-    with pytest.raises(LostLease):
+    with pytest.raises(LostLeaseError):
         folder.write("a", 700)
     # It still believes in its lease, as after a stop between its check and the write: the folder
     # has seen a newer one.
     folder.hold("b", 701)
     folder.guards["a"].now = 700
-    with pytest.raises(LostLease):
+    with pytest.raises(LostLeaseError):
         folder.write("a", 700)
     folder.write("b", 701)
 
@@ -91,17 +92,17 @@
 
 
 def test_beside_gateways_with_the_file_lease_alone_one_orders(folder):
-    assert folder.plain.take_duty("p") == (1, folder.now + 15)
+    assert folder.plain.lease.acquire("p") == (1, folder.now + 15)
     assert folder.hold("a", 700) == 0  # it waits for the file's own lease to end
     folder.now += 32.5
     assert folder.hold("a", 700) == 700
-    assert folder.plain.take_duty("p")[0] == 0
-    with pytest.raises(LostLease):
-        folder.plain.amend(NAME, lambda _: CertNote(), ("p", 1))
+    assert folder.plain.lease.acquire("p")[0] == 0
+    with pytest.raises(LostLeaseError):
+        folder.plain.certificates.amend(NAME, lambda _: CertNote(), OrderingTerm("p", 1))
     folder.now += 10
-    folder.stores["a"].drop_duty("a")
+    folder.stores["a"].lease.release("a")
     assert (
-        folder.plain.take_duty("p")[0] == 701
+        folder.plain.lease.acquire("p")[0] == 701
     )  # and the next one under a lease has to be above it
     folder.now += 40
     assert folder.hold("b", 700) == 0
@@ -147,7 +148,7 @@
         named = [row for row in state["leases"] if row["lease"].startswith("certs:")]
         assert len(named) == 1
         assert named[0]["holder"]
-        lease = Store(tmp_path / "state").lease()
+        lease = CertificateSite(tmp_path / "state").lease.current()
         assert lease.term == named[0]["number"]
         assert lease.holder.startswith("fleet:")
         assert not world.crashes()
--- a/tests/ledger/gateway_rig.py
+++ b/tests/ledger/gateway_rig.py
@@ -9,7 +9,7 @@
 from conftest import FakeHost, Rig
 
 from saffrongw.gateway.extensions import Extensions
-from saffrongw.gateway.filter_chain import FilteringDriver
+from saffrongw.gateway.filtering_driver import FilteringDriver
 from saffrongw.ledger.request_filter import LedgerFilter
 from saffrongw.ledger.store import LedgerStore
 
--- a/tests/ledger/kill_points.py
+++ b/tests/ledger/kill_points.py
@@ -52,25 +52,25 @@
 
 def wrap_send(step: Step, after: bool) -> None:
     """Take a step before or after a non-idempotent request is written to a connection."""
-    method = cluster.UpstreamConnection.begin
+    method = cluster.UpstreamConnection.start
 
     def begin(self: Any, attempt: Any, now: int) -> None:
-        is_recorded = attempt.call.event.kind == NON_IDEMPOTENT
+        is_recorded = attempt.request.event.kind == NON_IDEMPOTENT
         if is_recorded and not after:
             step()
         method(self, attempt, now)
         if is_recorded and after:
             step()
 
-    cluster.UpstreamConnection.begin = begin
+    cluster.UpstreamConnection.start = begin
 
 
 def wrap_answer(step: Step, after: bool) -> None:
     """Take a step before or after the final answer of a non-idempotent request."""
-    method = Driver._finish
+    method = Driver._send_final_reply
 
     def finish(self: Any, call: Any, reply: bytes) -> None:
-        is_recorded = call.event.kind == NON_IDEMPOTENT and not call.finished
+        is_recorded = call.event.kind == NON_IDEMPOTENT and not call.is_finished
         if is_recorded and not after:
             step()
         method(self, call, reply)
--- a/tests/loopback_rig.py
+++ b/tests/loopback_rig.py
@@ -88,20 +88,20 @@
         self.config = config.parse_config(json.dumps(text))
         self.driver = driver(self.config.settings, self.config.seed, self.loop)
         # With one endpoint or two the policy would reject most of what these tests have in flight.
-        self.driver.gateway._patience = lambda request: float("inf")
+        self.driver.gateway.admission.max_expected_latency_us = lambda request: float("inf")
         self.cluster = UpstreamCluster(
             self.driver,
             self.config.settings.load_report_fields,
             sockets,
-            self.config.idle_close,
-            self.config.connect_timeout,
+            self.config.idle_close_s,
+            self.config.connect_timeout_s,
         )
         self.driver.connect_upstream(self.cluster)
         self.driver.start(self.config.known)
         self.clients = ClientConnections(self.driver, self.config, sockets)
         self.is_listening = False
         # On a machine that is busy beside the tests no request must be queued so long that it is shed.
-        self.clients.admission_queue.shedder.most_wait = [3_600 * SECOND_US] * len(
+        self.clients.admission_queue.shedder.max_wait_us = [3_600 * SECOND_US] * len(
             self.config.settings.classes
         )
 
