--- a/tests/gateway/test_upstream_interleavings.py
+++ b/tests/gateway/test_upstream_interleavings.py
@@ -191,7 +191,7 @@
     caller.call(kind, wait=20_000)
     await until(
         lambda: any(
-            attempt.carrier.remainder_timer
+            getattr(attempt.carrier, "remainder_timer", None)
             for call in rig.driver.requests.values()
             for attempt in call.attempts
         )
