--- a/saffrongw/channel/socket.py
+++ b/saffrongw/channel/socket.py
@@ -6,7 +6,6 @@
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import errno
 import logging
 import socket
@@ -98,8 +97,7 @@
         """Send and receive nothing more."""
         if self.bind_task:
             self.bind_task.cancel()
-            with contextlib.suppress(asyncio.CancelledError):
-                await self.bind_task
+            await asyncio.gather(self.bind_task, return_exceptions=True)
         if self.transport:
             self.transport.close()
 
