--- a/saffrongw/admin/lease_text.py
+++ b/saffrongw/admin/lease_text.py
@@ -22,12 +22,12 @@
 def gateway_lines(state: JsonObject) -> list[str]:
     """Return the lines about the gateway itself, with what is wrong."""
     since_ms = state["since_majority_ms"]
-    heard = "never" if since_ms is None else f"{since_ms / MS_PER_S:.1f} s ago"
+    last_majority = "never" if since_ms is None else f"{since_ms / MS_PER_S:.1f} s ago"
     kind = "voter" if state["is_voter"] else "no voter: it knows only what it holds itself"
     voters = ", ".join(state["voters"])
     lines = [
         f"gateway   {state['gateway']} ({kind}), life {state['life']}",
-        f"voters    set {state['set']}: {voters}; a majority was heard {heard}",
+        f"voters    set {state['set']}: {voters}; a majority was heard {last_majority}",
     ]
     if state["silent_ms"]:
         silent_s = state["silent_ms"] / MS_PER_S
