--- a/tests/policy/policy_rig.py
+++ b/tests/policy/policy_rig.py
@@ -24,7 +24,7 @@
 
 
 def serve_one(bench: Bench, request: int, duration_us) -> SendAttempt | None:
-    """Ask, and answer at once with a time by server; the send, if there was one."""
+    """Send one request and serve it after a duration by endpoint; return its attempt, if any."""
     sends = of(bench.ask(request, customer=request, left=2 * SECOND), SendAttempt)
     if not sends:
         return None
@@ -39,7 +39,7 @@
 
 
 def shares_of_endpoints(bench: Bench, requests: int, report=()) -> dict[bytes, float]:
-    """The part of so many requests that each server got; each is answered at once, with a report."""
+    """Serve so many requests at once; return the part of them that each endpoint got."""
     count: dict[bytes, int] = {}
     for number in range(1, requests + 1):
         (send,) = of(bench.ask(number, customer=number, size=1), SendAttempt)
@@ -53,7 +53,7 @@
 def receive_rows(
     bench: Bench, sender: int, *rows: GossipRow, ask=False, is_report=False, sent=None
 ) -> list:
-    """A peer's message, sent now."""
+    """Receive a peer's message with these rows."""
     sent = bench.now // 1_000 if sent is None else sent
     packed = [gossip_codec.pack_row(r, sent, bench.settings.node_count) for r in rows]
     return bench.feed(
@@ -64,19 +64,19 @@
 def quota_row(
     counts, headroom=10.0, total=0.0, customer=7, reach=0, first=0, size=3, plan=0, grants=0.0
 ) -> GossipRow:
-    """What a peer tells of a customer."""
+    """Return a gossip row on a customer."""
     return GossipRow(customer, plan, first, size, reach, headroom, total, grants, tuple(counts))
 
 
 def confirmed_bench(**changes) -> Bench:
-    """A gateway that was told of the customer."""
+    """Return a gateway that a peer has confirmed the customer to."""
     bench = Bench(**changes)
     receive_rows(bench, 1, quota_row([]))
     return bench
 
 
 def count_admitted(bench: Bench, number: int, start=1, **request) -> int:
-    """How many of so many requests are sent on at once, answered at once."""
+    """Return how many of so many requests are sent at once; each is served at once."""
     sent = 0
     for i in range(start, start + number):
         for send in of(bench.ask(i, **request), SendAttempt):
@@ -86,7 +86,7 @@
 
 
 def sent_messages(actions) -> list:
-    """The decoded messages among the actions, with their receivers."""
+    """Return the decoded messages among the actions, with their receivers."""
     now = T0 // 1_000 + 60_000
     return [
         (a.peer, gossip_codec.unpack_message(a.body, now, 10**6, 9))
@@ -96,7 +96,7 @@
 
 
 def final_answers(bench: Bench, request: int) -> list:
-    """Our final answers to one request."""
+    """Return the gateway's own final answers to one request."""
     return [
         a for a in bench.log if isinstance(a, (RejectRequest, FailRequest)) and a.request == request
     ]
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission by quota, concurrency limit and expected latency, of requests and of admission checks."""
+"""Admission of requests and checks by quota, concurrency limit and expected latency."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def send(bench: Bench, number: int) -> bool:
-    """A request of the same customer, served at once where it is sent on."""
+    """Send a request of the same customer; tell whether it was admitted, and serve it."""
     sent = of(bench.ask(number, size=1), SendAttempt)
     for action in sent:
         bench.outcome(number, action.endpoint_id, AttemptOutcome.SERVED)
@@ -38,7 +38,7 @@
 
 
 def test_a_check_takes_units_as_a_first_attempt_does(bench):
-    """As many as sends are let in on the same quota: it closes below a quarter of its burst."""
+    """As many are admitted as requests on the same quota: it is exhausted below a quarter."""
     let_in = [bool(of(check(bench, n), AdmitRequest)) for n in range(1, 13)]
     other = Bench()
     assert let_in == [send(other, n) for n in range(1, 13)]
@@ -99,7 +99,7 @@
 
 
 def test_a_slow_class_at_idle_endpoints_is_not_shed():
-    """The usual answer time itself is no reason to refuse, however near to the aim it is."""
+    """The typical latency itself is no reason to shed, however near to the objective it is."""
     bench = Bench(endpoints=1)
     assert all(serve_one(bench, r, lambda _: 110_000) for r in range(1, 60))
 
@@ -126,7 +126,7 @@
 
 
 def test_a_waiting_request_outlives_its_customers_idle_record():
-    """Its entry was dropped while it waited for a server; spending then left a change of nobody (fault)."""
+    """The record was once dropped while the request waited, and a change of nobody was left."""
     bench = confirmed_bench(endpoints=0)
     bench.ask(1, left=9 * SECOND)
     for i in range(50, 60):
@@ -138,7 +138,7 @@
 
 
 def test_a_rejected_client_gets_a_retry_after_if_its_quota_reopens_soon():
-    """Nothing is told where a client that waits so long would only spend quota on a late answer."""
+    """No Retry-After where a client that waits so long would spend quota on a late answer."""
     bench = Bench(node_count=1)
     for request in range(1, 60):
         bench.ask(request, size=1)
@@ -159,7 +159,7 @@
 
 
 def test_a_replica_set_of_one_gets_its_full_quota(bench):
-    """Nobody else can tell of it: taken as unheard it would be refused for ever after its first burst."""
+    """No peer can ever confirm it: unconfirmed, it would be rejected after its first burst."""
     sent = 0
     for number in range(60):
         actions = of(bench.ask(number, customer=5, size=1), SendAttempt)
--- a/tests/policy/test_coordinator_reports.py
+++ b/tests/policy/test_coordinator_reports.py
@@ -39,7 +39,7 @@
 
 
 def test_a_customer_whose_candidates_are_all_silent_is_not_locked_to_its_first_share():
-    """In a cut a new customer got its share once and nothing more, for nobody answered."""
+    """In a partition a new customer once got its share and nothing more, as nobody answered."""
     bench = Bench(node_count=60)
     count_admitted(bench, 3, size=50)
     bench.run(3 * SECOND)
@@ -47,7 +47,7 @@
 
 
 def test_reports_that_come_fast_share_messages_and_none_is_lost():
-    """One message each would use up what a gateway may send, and leave none to answer with."""
+    """One message for each would use up the budget and leave none to answer with."""
     bench = Bench()
     for number in range(300):
         (sent,) = of(bench.ask(number, customer=number), SendAttempt)
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -46,7 +46,7 @@
 
 
 def test_records_of_removed_endpoints_are_forgotten():
-    """A long day replaces every server many times, each in a block of its own."""
+    """A long day replaces every endpoint many times, each in a cell of its own."""
     bench = Bench(endpoints=0)
     gateway = bench.gateway
     for number in range(200):
--- a/tests/policy/test_event_orders.py
+++ b/tests/policy/test_event_orders.py
@@ -1,4 +1,4 @@
-"""Every order of two and three events behind a first send, for each effect: one final answer, nothing more after it."""
+"""Every order of two and three events after a first attempt gets exactly one final answer."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Case:
-    """One request at one gateway, and what the rules make of each action."""
+    """One request at one gateway, and a check of each action against the rules."""
 
     def __init__(self, kind: int) -> None:
         self.bench = Bench(endpoints=0, connect_timeout_us=50_000)
@@ -77,7 +77,7 @@
             assert first[3] // 2 == endpoint_id[3] // 2, "another zone"
 
     def ends(self, outcome: AttemptOutcome) -> None:
-        """The attempt that is out ends so."""
+        """End the attempt in flight with this outcome."""
         index = len(self.sent) - 1
         if index in self.outcomes:
             return
@@ -92,7 +92,7 @@
         )
 
     def happens(self, name: str) -> None:
-        """One event."""
+        """Let one event happen."""
         bench, host = self.bench, self.sent[-1][0]
         if name == "deadline":
             bench.now += 4 * SECOND
@@ -136,20 +136,16 @@
                 case._read(case.bench.run(SECOND))
             case.ends(AttemptOutcome.TIMED_OUT)
             assert case.finals == 1, "not one final answer"
-            assert (
-                not case.bench.gateway.lifecycle.requests
-                and not case.bench.gateway.lifecycle.attempts
-            )
+            assert not case.bench.gateway.lifecycle.requests
+            assert not case.bench.gateway.lifecycle.attempts
         except AssertionError as wrong:
             raise AssertionError(f"{order}: {wrong}") from wrong
 
 
 @pytest.mark.parametrize("kind", [1, 2, 4])
 def test_a_planted_retry_against_the_rules_is_caught(kind, monkeypatch):
-    """The planted fault: what may have run goes anywhere, at any time."""
-    monkeypatch.setattr(
-        "saffrongw.policy.retry_policy.RetryPolicy.may_send", lambda self, request, host: True
-    )
+    """The planted fault: a request that may have run is sent anywhere, at any time."""
+    monkeypatch.setattr("saffrongw.policy.retry_policy.RetryPolicy.may_send", lambda *_: True)
     monkeypatch.setattr(
         "saffrongw.policy.request_lifecycle.RequestLifecycle.attempt_ended",
         lambda self, event: (
--- a/tests/policy/test_exclusions.py
+++ b/tests/policy/test_exclusions.py
@@ -1,4 +1,4 @@
-"""A server taken out by hand: nothing new to it whatever discovery says, and back it is cold."""
+"""Administrative exclusions: no attempts whatever is listed, and slow start when they end."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def endpoints_used(bench: Bench, requests: int, first=1, **more) -> list[bytes]:
-    """Where so many requests go; each is answered at once."""
+    """Return where so many requests go; each is served at once."""
     endpoints = []
     for number in range(first, first + requests):
         sends = of(bench.ask(number, customer=number, **more), SendAttempt)
@@ -78,7 +78,7 @@
 
 
 def test_a_restored_endpoint_warms_up_though_the_list_is_late(bench):
-    """Rule 4: its restart is not listed yet, and a whole list with the old launch comes once more."""
+    """Rule 4: a complete list with the start before the exclusion comes once more."""
     exclude(bench, 0)
     bench.run(5 * SECOND)
     exclude(bench, 0, excluded=False)
--- a/tests/policy/test_fleet_quotas.py
+++ b/tests/policy/test_fleet_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas over the fleet on a quiet day: what goes beyond them, beside a policy that sees the true books late."""
+"""Quotas of a fleet on a quiet day, beside a policy that sees the true units late."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     gateway = Gateway(*args)
     plain = gateway.quota_broadcast.gossip_turn
 
-    def report(quota, candidate: int = 0) -> None:
+    def report(quota, _candidate: int = 0) -> None:
         quota.is_unconfirmed = False
 
     def gossip_turn() -> None:
@@ -49,7 +49,7 @@
 
 
 def test_a_fleet_without_reports_exceeds_quotas():
-    """A gateway that hears no others leaves them their parts only where it has noticed; here none is ever asked."""
+    """Gateways leave unreachable peers their parts only once they notice; here none is asked."""
     ours, theirs = played(40, 16, QUIET, without_reports).costs()
     assert ours > theirs + MORE
 
@@ -57,13 +57,13 @@
 def without_extra_rows(*args) -> Gateway:
     """The planted fault: a message holds only what it is sent for."""
     gateway = Gateway(*args)
-    gateway.quota_broadcast.rows_of_exhausted = lambda peer, excluded: iter(())
+    gateway.quota_broadcast.rows_of_exhausted = lambda *_: iter(())
     return gateway
 
 
 @pytest.mark.parametrize("kind", [Gateway, without_extra_rows])
 def test_a_fleet_with_sets_wider_than_its_messages_reach_stays_within_quotas(kind):
-    """500 customers in sets of 100: one message about each spent quota to each of its set is five times too many."""
+    """With 500 customers in sets of 100, a message on each quota to each gateway is too much."""
     day = played(100, 100, QUIET, kind, customers=500, seconds=6)
     ours, theirs = day.costs()
     assert (ours <= theirs + MORE / 2) is (kind is Gateway)
--- a/tests/policy/test_fleet_rate_ceilings.py
+++ b/tests/policy/test_fleet_rate_ceilings.py
@@ -1,4 +1,4 @@
-"""Ceilings over many gateways that start, die and lose messages, on the virtual clock: never more than the store."""
+"""Rate ceilings hold over many gateways that start, die and lose messages."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def lowest_store(kind=Gateway, seeds=range(2), link=BAD, **more) -> float:
-    """Of all true stores, with restarts of seven in ten every few seconds."""
+    """Return the lowest of all true stores, with restarts of seven in ten gateways."""
     lowest = 0.0
     for seed in seeds:
         world = World(**FLEET | more, plan=WIDE, heavy_rate=80.0, link=link, kind=kind, seed=seed)
@@ -38,7 +38,7 @@
 def test_grants_that_are_not_deducted_exceed_a_ceiling():
     def generous(*args) -> Gateway:
         gateway = Gateway(*args)
-        gateway.token_grants.give = lambda quota, node_index, wanted, has_waiting: wanted
+        gateway.token_grants.give = lambda _quota, _node_index, wanted, _has_waiting: wanted
         return gateway
 
     assert lowest_store(generous) < -PLAN.ceiling_slack
@@ -64,19 +64,21 @@
 
 @pytest.mark.parametrize("share", [0.0, 0.7], ids=["all start", "seven in ten restart"])
 def test_after_a_start_few_requests_are_rejected_in_vain(share):
-    """No customer asks for more than its quota here: each of these tries could have been served."""
+    """No customer exceeds its quota here: each of these requests could have been served."""
     calm = FLEET | {"heavy": 0.0, "customers": 24}
     now, before = (
         measure(World(**calm, kind=kind, seed=1), 8 * SECOND * bool(share), share)[0]
         for kind in (Gateway, rejecting_at_once)
     )
-    assert now < 0.08 and now < before
+    assert now < 0.08
+    assert now < before
 
 
 def test_a_part_too_small_for_one_request_is_enough_with_grants():
-    """Sets so large that a part never holds a request: all of them were refused."""
+    """In sets so large that a part never holds a request, all were rejected."""
     large = {"gateways": 64, "spread": 40, "customers": 20, "heavy": 0.0}
     now, before = (
         measure(World(**large, kind=kind, seed=1))[0] for kind in (Gateway, rejecting_at_once)
     )
-    assert now < 0.15 and before > 0.8
+    assert now < 0.15
+    assert before > 0.8
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -33,7 +33,7 @@
 
 
 def count_policy_calls(gateways: int) -> int:
-    """Calls made within the package for the same events at one size of fleet and set."""
+    """Count the calls within the policy for the same events at one size of fleet and set."""
     bench = Bench(node_count=gateways, endpoints=4, gossip_intake=1_000.0)
     count = 0
 
@@ -58,7 +58,7 @@
 
 
 def test_work_per_event_does_not_grow_with_the_fleet():
-    """Days of a large fleet were cut off for CPU: each event walked the whole set."""
+    """Each event once walked the whole replica set, and large fleets ran out of CPU."""
     assert count_policy_calls(400) < 4 * count_policy_calls(4)
     assert count_policy_calls(400) < 1.2 * count_policy_calls(100)
 
--- a/tests/policy/test_latency_model.py
+++ b/tests/policy/test_latency_model.py
@@ -11,7 +11,7 @@
 
 
 def test_a_new_gateway_learns_the_typical_latency_from_the_first_answers():
-    """Its first guess refused a burst at idle hosts: 259 of 12,000 requests at 3,000 a second from nothing."""
+    """Its first guess once shed a burst at idle endpoints: 259 of 12,000 requests."""
     bench = Bench(endpoints=3)
     guess = bench.gateway.latency.typical_us[0]
     for request in range(1, 20):
--- a/tests/policy/test_load_balancer.py
+++ b/tests/policy/test_load_balancer.py
@@ -17,7 +17,7 @@
 
 
 def test_requests_are_admitted_after_an_overload():
-    """An answer time learnt in a jam must not refuse everything for good (lockout of an incident)."""
+    """A latency learned in an overload must not reject everything for good (an incident)."""
     bench = Bench(endpoints=3)
     for request in range(1, 200):
         serve_one(bench, request, lambda _: 3 * SECOND)
@@ -50,7 +50,7 @@
 
 
 def test_a_warm_endpoint_is_found_among_many_warming_ones():
-    """A sample of a mostly cold fleet held requests though a warm server was free (incident)."""
+    """A sample of warming endpoints made requests wait though a warm one was free (incident)."""
     bench = Bench(endpoints=0)
     bench.feed(listed(entry(0), *(entry(i, started_at_us=bench.now) for i in range(1, 200))))
     assert [s.endpoint_id for s in of(bench.ask(1), SendAttempt)] == [entry(0).endpoint_id]
--- a/tests/policy/test_load_shedding.py
+++ b/tests/policy/test_load_shedding.py
@@ -1,4 +1,4 @@
-"""Who is begun first and who is refused while requests wait."""
+"""Load shedding: which requests are begun first and which are rejected while others wait."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def queue_to_capacity(shedder: LoadShedder, kind: int, now=T0, plan=0, first=1_000) -> None:
-    """So many that no more has room."""
+    """Queue as many requests as the capacity allows."""
     for customer in range(first, first + shedder.capacity - len(shedder)):
         assert shedder.offer(now, queued(customer, plan, kind)) is None
     assert len(shedder) == shedder.capacity
@@ -61,9 +61,12 @@
     shedder = new_shedder()
     queue_to_capacity(shedder, kind=0)
     late = queued(1)
-    assert shedder.offer(T0, late) is late and late.is_done
+    assert shedder.offer(T0, late) is late
+    assert late.is_done
     out = shedder.offer(T0, dear := queued(2, kind=1))
-    assert out.kind == 0 and out.is_done and not dear.is_done
+    assert out.kind == 0
+    assert out.is_done
+    assert not dear.is_done
     assert len(shedder) == shedder.capacity
     assert shedder.take(T0) is dear
 
@@ -116,7 +119,8 @@
     wait = shedder.max_wait_us[0]
     assert shedder.pop_expired(T0 + wait - 1) == []
     assert shedder.pop_expired(T0 + wait) == [stays]
-    assert shedder.pop_expired(T0 + 2 * wait) == [] and shedder.take(T0) is None
+    assert shedder.pop_expired(T0 + 2 * wait) == []
+    assert shedder.take(T0) is None
     shedder.offer(T0, soon := queued(3, until=T0 + MS_US))
     assert shedder.pop_expired(T0 + MS_US) == [soon]
 
@@ -146,7 +150,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_each_request_ends_exactly_once_whatever_comes(seed):
-    """Each request ends exactly once, as begun, refused, expired or left; nothing of it stays."""
+    """Each request is begun, rejected, expired or dropped, once; nothing of it stays."""
     shedder, generator, not_ended, ended, now = new_shedder(), random.Random(seed), {}, {}, T0
 
     def end(request: QueuedRequest, how: str) -> None:
@@ -178,17 +182,17 @@
         )
     while request := shedder.take(now):
         end(request, "begun")
-    assert len(ended) == 6_000 and not shedder.count_by_customer
-    assert not any(shedder.by_arrival) and not any(
-        lane.flows for lanes in shedder.lanes for lane in lanes
-    )
+    assert len(ended) == 6_000
+    assert not shedder.count_by_customer
+    assert not any(shedder.by_arrival)
+    assert not any(lane.flows for lanes in shedder.lanes for lane in lanes)
     assert set(ended.values()) == {"begun", "refused", "expired", "left"}
 
 
 def test_a_request_that_exceeds_its_quota_is_recognized_without_counting():
     bench = Bench()
     assert not bench.gateway.exceeds_quota(T0, 7, 0, 1.0)  # not met yet
-    bench.gateway.admission.max_expected_latency_us = lambda request: float(
+    bench.gateway.admission.max_expected_latency_us = lambda _request: float(
         "inf"
     )  # none of these is answered
     number = 1
@@ -202,9 +206,9 @@
 
 
 def test_a_reopened_share_of_a_quota_is_not_taken_for_exceeded():
-    """Others unheard, a gateway grants its share alone: its room never reaches 0.6 of the whole burst."""
+    """Isolated, a gateway grants its share: its headroom never reaches 0.6 of the whole burst."""
     bench = Bench(may_send_gossip=False)
-    bench.gateway.admission.max_expected_latency_us = lambda request: float("inf")
+    bench.gateway.admission.max_expected_latency_us = lambda _request: float("inf")
     number = 1
     while any(isinstance(action, SendAttempt) for action in bench.ask(number, size=3)):
         number += 1
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -16,7 +16,7 @@
 
 
 def test_one_error_of_each_endpoint_does_not_close_an_idle_fleet(bench):
-    """Each server spoils one answer: counted as dead ones, all would be refused for seconds."""
+    """Counted as full failures, one error of each endpoint would reject all for seconds."""
     for number in range(1, 5):
         bench.ask(number, kind=2, customer=number)
         sent = of(bench.log, SendAttempt)[-1]
@@ -26,14 +26,14 @@
 
 
 def test_failures_of_all_endpoints_do_not_close_an_idle_fleet(bench):
-    """Marks fade with time and with answers: who refuses all gets no answers."""
+    """Scores decay with time and answers: a gateway that rejects all gets no answers."""
     for host in bench.gateway.endpoints.warm.endpoints:
         host.failure_score, host.updated_at_us = 2.0, bench.now
     assert of(bench.ask(99, customer=99), SendAttempt)
 
 
 def test_an_overload_of_the_fleet_is_noticed_by_a_gateway_that_meets_each_endpoint_seldom():
-    """Each of many gateways met each server once in many seconds, learnt nothing, let all in (incident)."""
+    """Many gateways met each endpoint seldom, learned nothing and admitted all (incident)."""
     bench = Bench(endpoints=200)
     for request in range(1, 40):
         serve_one(bench, request, lambda _: 60_000)
@@ -78,7 +78,7 @@
 
 
 def test_an_unreachable_zone_is_avoided_before_each_of_its_endpoints_failed():
-    """In a cut each server of the other zone was tried in turn (ctva-kathmandu-later big-1)."""
+    """In a partition each endpoint of the other zone was tried (ctva-kathmandu-later big-1)."""
     bench, tried = Bench(endpoints=0), 0
     far = {entry(i).endpoint_id for i in range(50)}
     bench.feed(listed(*(entry(i, zone=int(i >= 50)) for i in range(100))))
@@ -117,7 +117,7 @@
 
 
 def remaining_failure_score(every: int) -> float:
-    """How much of a server's mark is left 6 s after it failed, with an outcome at another one each so often."""
+    """Return the part of a failure score that is left after 6 s, by the time between outcomes."""
     bench = Bench(endpoints=60)
     number, at = 1, bench.now
     while bench.now - at < 20 * SECOND:
@@ -137,7 +137,7 @@
 
 
 def test_a_gateway_that_meets_each_endpoint_rarely_remembers_it_longer():
-    """At 5 requests a second to 60 servers a mark that fades in 3 s is gone long before the next meeting."""
+    """At 5 requests a second to 60 endpoints a score that decays in 3 s is gone too early."""
     assert remaining_failure_score(every=SECOND // 5) > 0.5
     assert (
         remaining_failure_score(every=SECOND // 50) < 0.2
--- a/tests/policy/test_peer_reachability.py
+++ b/tests/policy/test_peer_reachability.py
@@ -1,4 +1,4 @@
-"""What a gateway grants while it reaches no other one, and how it finds out that it does again."""
+"""What a gateway grants in a partition, and how it learns that the partition is over."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def receive_quota_row(bench: Bench, sender: int, counts, total: float) -> None:
-    """A peer's word on the customer."""
+    """Receive a peer's row on the customer."""
     sent = bench.now // MS
     row = GossipRow(CUSTOMER, 0, 0, SIZE, 0, 10.0, total, 0.0, tuple(counts))
     body = gossip_codec.pack_message(sent, False, False, [gossip_codec.pack_row(row, sent, SIZE)])
@@ -42,7 +42,7 @@
 
 
 def partitioned_gateway(node_index: int, own: int, total: float) -> Bench:
-    """A gateway that has sent so many of the customer's requests and has heard of all of them; then it is cut off."""
+    """Return a gateway that knows the customer's use and its own part, and is then cut off."""
     bench = Bench(node_index=node_index, node_count=SIZE)
     receive_quota_row(bench, (node_index + 1) % SIZE, (), 0.0)
     for number in range(own):
@@ -61,7 +61,9 @@
         parts.append(
             bench.gateway.quota_counters.share(bench.gateway.quota_counters.customers[CUSTOMER])
         )
-    assert parts[0] > 0.5 and parts[1] > 0.25 and 0 < parts[2] < 1 / SIZE
+    assert parts[0] > 0.5
+    assert parts[1] > 0.25
+    assert 0 < parts[2] < 1 / SIZE
     assert sum(parts) == pytest.approx(1.0)
     stranger = Bench(node_index=3, node_count=SIZE)
     request_once(stranger, 1)
--- a/tests/policy/test_quota_broadcast.py
+++ b/tests/policy/test_quota_broadcast.py
@@ -19,7 +19,7 @@
 
 
 def test_a_nearly_spent_quota_reaches_each_gateway_of_a_large_set_exactly_once():
-    """Every gateway of a large set is reached by handing on, each exactly once, by a bounded fan."""
+    """A bounded fan-out with forwarding reaches each gateway once."""
     rest, reached = 60, []
     bench = Bench(node_count=80, gossip_intake=1_000.0)
     receive_rows(
@@ -39,7 +39,7 @@
 
 
 def test_broadcasts_to_large_sets_leave_messages_to_reports():
-    """With 40 gateways the sets of a few spent customers would take all messages, and approvals wait for them."""
+    """Broadcasts to the sets of a few customers would use up all messages of 40 gateways."""
     bench = Bench(node_count=40, gossip_intake=40.0)
     for customer in range(40):
         row = quota_row(
--- a/tests/policy/test_quota_counters.py
+++ b/tests/policy/test_quota_counters.py
@@ -41,7 +41,7 @@
 
 
 def test_a_total_covers_counters_that_were_never_received():
-    """A gateway that missed messages, or has just started, learns from one row what is spent."""
+    """A gateway that missed messages, or has just started, learns the total from one row."""
     bench = Bench()
     receive_rows(bench, 1, quota_row([(2, NOW_TICK - 9, 1.0)], headroom=1.0, total=500.0))
     assert count_admitted(bench, 20) == 0
@@ -104,7 +104,7 @@
 
 
 def merge_rows(rows) -> tuple:
-    """Counts and room after these rows, all at one instant."""
+    """Return counters and headroom after these rows, all received at one time."""
     bench = confirmed_bench()
     for counts, headroom in rows:
         receive_rows(bench, 1, quota_row(counts, headroom=headroom))
@@ -127,7 +127,7 @@
 
 
 def test_a_changed_replica_set_retains_the_counters_and_leaves_nothing_when_forgotten():
-    """A customer whose set moved left an entry to tell that no longer existed (fault of an incident)."""
+    """A customer whose set changed once left a change to gossip without a record (incident)."""
     bench = confirmed_bench(node_count=4)
     assert count_admitted(bench, 20, first=0, size=3) == 8
     assert count_admitted(bench, 20, start=100, first=3, size=2) == 0
@@ -139,7 +139,7 @@
 
 
 def test_customers_that_came_once_are_forgotten():
-    """Those nobody told of too, those with a ceiling, and those whose set is one gateway."""
+    """Unconfirmed ones, ones with a rate ceiling, and ones in a set of one gateway too."""
     bench = Bench()
     for number in range(60):
         for sent in of(
@@ -158,7 +158,7 @@
 
 
 def test_forgetting_a_customer_grants_no_more_than_its_quota():
-    """A customer that no other gateway tells of: what is granted stays below the share and the rate."""
+    """What is granted to an unconfirmed customer stays below its share and rate."""
     bench, granted, start = Bench(), 0, None
     start = bench.now
     for number in range(2_000):
--- a/tests/policy/test_rate_ceiling.py
+++ b/tests/policy/test_rate_ceiling.py
@@ -52,7 +52,7 @@
 
 
 def test_all_parts_of_a_ceiling_together_are_the_ceiling():
-    """Rule 5: each met it anew after a while; together they hold no more than the store."""
+    """Rule 5: gateways that meet a customer late hold no more than the ceiling together."""
     for size in (2, 3):
         parts = []
         for node_index in range(size):
--- a/tests/policy/test_request_lifecycle.py
+++ b/tests/policy/test_request_lifecycle.py
@@ -74,7 +74,7 @@
 
 
 def test_a_request_without_an_endpoint_ends_before_half_its_time_is_over():
-    """Who waits until the end has no time left to ask elsewhere."""
+    """A client that waits until the end has no time left to try another gateway."""
     bench = Bench(endpoints=0)
     bench.ask(1, left=2 * SECOND)
     start, done = bench.now, []
--- a/tests/policy/test_retry_policy.py
+++ b/tests/policy/test_retry_policy.py
@@ -83,7 +83,7 @@
 def test_a_retry_that_could_connect_after_the_deduplication_window_is_not_sent(
     connects,
 ):
-    """A send begins when its connection is up: decided in the window, it would run a second time behind it."""
+    """An attempt begins when its connection is up: it would run again after the window."""
     for early in (False, True):
         bench = Bench(connect_timeout_us=connects)
         send = of(bench.ask(1, kind=ALL_KIND, left=4 * SECOND), SendAttempt)[0]
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -48,7 +48,7 @@
 
 
 def test_a_warming_endpoint_gets_its_part_over_many_gateways_together():
-    """A gateway of a large fleet sends to one server less than once in its warm-up: chance has to sum up."""
+    """Each gateway of a large fleet sends an endpoint less than one request in its slow start."""
     warming, sent = entry(9, started_at_us=T0), {True: 0, False: 0}
     for seed in range(200):
         bench = Bench(endpoints=0, seed=seed, node_count=200, now=T0 + 2 * SECOND)
--- a/tests/policy/test_state_transfer.py
+++ b/tests/policy/test_state_transfer.py
@@ -1,4 +1,4 @@
-"""What one process hands to the next: nothing is granted twice, what is out stays out, odd rows do no harm."""
+"""What a process transfers to its successor: nothing is granted twice, nothing is lost."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def successor_of(old: Bench, endpoints=4) -> Bench:
-    """A successor that has got all rows, through JSON as on the wire."""
+    """Return a successor that has adopted all rows, through JSON as on the wire."""
     new = Bench(endpoints=endpoints, now=old.now, seed=2)
     for row in json.loads(json.dumps(list(state_transfer.export(old.gateway)))):
         state_transfer.adopt(new.gateway, new.now, row)
@@ -24,7 +24,7 @@
 
 
 def served(bench: Bench, requests: range, **more) -> int:
-    """How many of these are sent on; each is answered at once."""
+    """Return how many of these requests are sent; each is served at once."""
     count = 0
     for number in requests:
         for send in of(bench.ask(number, **more), SendAttempt):
--- a/tests/policy/test_token_grants.py
+++ b/tests/policy/test_token_grants.py
@@ -31,7 +31,7 @@
 def receive_grant_row(
     bench: Bench, sender: int, grants: float, counts=(), is_report=False, ago=0
 ) -> list:
-    """A peer's word: rights given, or wanted (keep); sent so long ago (ms)."""
+    """Receive a row with grants given, or requested in a report, sent so long ago (ms)."""
     sent = bench.now // MS - ago
     row = GossipRow(CUSTOMER, CEILED, 0, SIZE, 0, 8.0, 0.0, grants, counts)
     body = gossip_codec.pack_message(
@@ -41,7 +41,7 @@
 
 
 def grants_to(actions, peer: int) -> list[float]:
-    """What the rows to a peer ask for or give."""
+    """Return the grants that the rows to a peer request or give."""
     bodies = [a.body for a in of(actions, SendGossip) if a.peer == peer]
     messages = [gossip_codec.unpack_message(body, T0 // MS + 60_000, SIZE, 9) for body in bodies]
     return [row.grants for message in messages for row in message.rows]
@@ -58,7 +58,8 @@
 def test_a_request_waits_for_grants_and_is_sent_when_they_come():
     bench = Bench(node_index=OTHER)
     actions = request_once(bench, 1)
-    assert not final_answers_in(actions) and grants_to(actions, COORDINATOR) == [1.0]
+    assert not final_answers_in(actions)
+    assert grants_to(actions, COORDINATOR) == [1.0]
     bench.run(30 * MS)
     came = receive_grant_row(bench, COORDINATOR, 1.0)
     assert [send.request for send in of(came, SendAttempt)] == [1]
@@ -117,7 +118,7 @@
 
 
 def coordinator_with(level: float) -> Bench:
-    """The keeper with so many units of its part, which gains 16 / 3 a second and holds 32 / 3."""
+    """Return the coordinator with so many units; its part gains 16 / 3 a second, holds 32 / 3."""
     bench = Bench(node_index=COORDINATOR)
     receive_grant_row(bench, OTHER, 0.0, is_report=True)
     bench.gateway.quota_counters.customers[CUSTOMER].ceiling_units = level
@@ -140,7 +141,8 @@
     assert grants_to(receive_grant_row(bench, OTHER, 1.0, is_report=True), OTHER) == [0.0]
     receive_grant_row(bench, THIRD, 0.25, is_report=True)
     paid = bench.run(PENDING_GRANT_LIFETIME_US)
-    assert grants_to(paid, OTHER) == [1.0] and grants_to(paid, THIRD) == [0.25]
+    assert grants_to(paid, OTHER) == [1.0]
+    assert grants_to(paid, THIRD) == [0.25]
     assert [a.peer for a in of(paid, SendGossip) if grants_to([a], a.peer) != [0.0]] == [
         OTHER,
         THIRD,
@@ -177,12 +179,12 @@
 
 
 def ceiling_row(grants: float, total=0.0) -> GossipRow:
-    """A word on a customer with a ceiling, with rights wanted or given."""
+    """Return a row on a customer with a ceiling, with grants requested or given."""
     return GossipRow(1, 2, 0, 3, 0, 8.0, total, grants, ())
 
 
 def receive_ceiling_row(bench: Bench, sender: int, row: GossipRow, is_report: bool) -> list:
-    """A peer's word, which asks for an answer where it wants rights."""
+    """Receive a row, which asks for an answer if it is a report."""
     sent = bench.now // 1_000
     body = gossip_codec.pack_message(
         sent, is_report, is_report, [gossip_codec.pack_row(row, sent, 3)]
@@ -191,7 +193,7 @@
 
 
 def test_a_coordinator_grants_no_more_than_its_part_of_a_ceiling():
-    """What it gives is off its own part first; together no more than the ceiling's store goes out."""
+    """Each grant is deducted from its own part first, so that together they stay within it."""
     coordinator = next(
         r
         for r in range(3)
@@ -213,7 +215,7 @@
 
 
 def test_grants_that_were_not_requested_are_ignored():
-    """A repeated or made-up gift must not lift a ceiling."""
+    """A repeated or invented grant must not raise a ceiling."""
     bench = Bench(node_index=1)
     receive_ceiling_row(bench, 0, ceiling_row(16.0), is_report=False)
     assert not of(bench.ask(1, customer=1, plan=2), SendAttempt)
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -1,4 +1,4 @@
-"""The wire: byte layouts, malformed input, the process."""
+"""The simulator's wire: byte layouts, malformed input, and the process."""
 
 from __future__ import annotations
 
@@ -94,17 +94,17 @@
 
 
 def raw(text: str, size: int = codec.EVENT_SIZE) -> bytes:
-    """A record of the protocol note, zeros to its size."""
+    """Return a record of the protocol page, padded with zeros to its size."""
     return bytes.fromhex(text.replace(" ", "")).ljust(size, b"\0")
 
 
 def decode(*records: bytes, tail: bytes = b""):
-    """The events of one frame."""
+    """Decode the events of one frame."""
     return codec.Decoder().frame(len(records), b"".join(records) + tail)
 
 
 def encode(*actions: Action) -> bytes:
-    """The reply's bytes after its header."""
+    """Return the reply's bytes after its header."""
     encoder = codec.Encoder()
     for action in actions:
         encoder.add(3, action)
@@ -112,19 +112,19 @@
 
 
 def frame(*records: bytes, tail: bytes = b"", now: int = 1) -> bytes:
-    """A whole batch."""
+    """Return a frame."""
     body = b"".join(records) + tail
     return struct.pack("<IIQ", len(records), len(body), now) + body
 
 
 def init(gateway: int, settings: dict, at: int = 0, seed: int = 5) -> tuple[bytes, bytes]:
-    """A start record and its text for the tail."""
+    """Return a start record and its text for the tail."""
     text = json.dumps(settings).encode()
     return struct.pack("<BHQII", 7, gateway, seed, at, len(text)).ljust(48, b"\0"), text
 
 
 def play(*frames: bytes) -> bytes:
-    """What the process answers."""
+    """Return what the process answers."""
     sink = io.BytesIO()
     process.serve(io.BytesIO(b"".join(frames)), sink)
     return sink.getvalue()
@@ -141,7 +141,8 @@
     timer = raw("01 0300 4d00000000000000")
     disconnected = raw("03 0500 192b6f0e")
     answer = raw(
-        "06 0300 c4913a5d 0000 0a124a07 2b23 6400 44480000 01 5600 0300 0352b81e3f 00006841 0000e040 00000000"
+        "06 0300 c4913a5d 0000 0a124a07 2b23 6400 44480000 01 5600 0300"
+        " 0352b81e3f 00006841 0000e040 00000000"
     )
     counted = raw("0a 0300 00001842 66080000 6400 90f6890000000000")
     got = decode(order, timer, disconnected, answer, counted)
@@ -216,7 +217,7 @@
 
 
 def without(*path: str) -> dict:
-    """The settings without one key."""
+    """Return the settings without one key."""
     settings = json.loads(json.dumps(SETTINGS))
     inner = settings
     for key in path[:-1]:
