--- a/Makefile
+++ b/Makefile
@@ -19,6 +19,7 @@
 	$(BIN)/ruff check .
 	$(BIN)/ruff format --check .
 	$(BIN)/lint-imports
+	$(BIN)/mypy
 	$(BIN)/python -m pytest -n $(JOBS) --dist worksteal
 
 scenarios: $(READY)
--- a/saffrongw/__main__.py
+++ b/saffrongw/__main__.py
@@ -14,7 +14,7 @@
 
 
 def main() -> int:
-    """The gateway alone, or with what the operator file that SAFFRONGW_OPERATOR names switches on."""
+    """Run the gateway, with what the operator file of SAFFRONGW_OPERATOR switches on, if set."""
     if os.environ.get("SAFFRONGW_OPERATOR"):
         from .admin.cli import serve  # only here: without an operator file nothing of it is loaded
 
--- a/saffrongw/admin/certs.py
+++ b/saffrongw/admin/certs.py
@@ -140,9 +140,11 @@
         place = note.order.url or "its answer never came"
         print(f"order        begun {_utc(note.order.begun)} at {note.order.directory}: {place}")
     if note.failures:
-        f = note.failures
-        print(f"failed       {f.count} times in a row since {_utc(f.since)}; last {_utc(f.at)}")
-        print(f"             {f.kind}: {f.detail}")
+        failures = note.failures
+        print(
+            f"failed       {failures.count} times in a row since {_utc(failures.since)}; last {_utc(failures.at)}"
+        )
+        print(f"             {failures.kind}: {failures.detail}")
     return 0
 
 
@@ -208,6 +210,7 @@
     site: NamedSite, authority: AuthorityTable, steps: Callable[[Session], Flow[None]]
 ) -> None:
     """Carry out steps with an authority under our account there."""
+    assert site.table is not None  # an authority was found in it
     renewal_loop = RenewalLoop(site.table, "operator", TlsSettings())
     orders = renewal_loop.orders
     orders.site = site.stores
--- a/saffrongw/certs/account_store.py
+++ b/saffrongw/certs/account_store.py
@@ -25,6 +25,7 @@
     def __init__(
         self, folder: SharedFolder, lease: OrderingLease, now: Callable[[], float]
     ) -> None:
+        """Use the accounts of a shared folder; ``now`` returns Unix seconds."""
         self.folder, self.lease, self.now = folder, lease, now
 
     def load(self, directory: str, term: OrderingTerm | None) -> tuple[AccountKey, Account | None]:
--- a/saffrongw/certs/blocking_worker.py
+++ b/saffrongw/certs/blocking_worker.py
@@ -14,9 +14,10 @@
     """Runs functions one after another on a thread of its own, off the event loop."""
 
     def __init__(self) -> None:
+        """Create the thread's pool; the thread starts with the first work."""
         self._pool = ThreadPoolExecutor(1, "certs")
 
-    async def run(self, function: Callable[..., Result], *arguments: Any) -> Result:
+    async def run(self, function: Callable[..., Result], *arguments: Any) -> Result:  # noqa: ANN401 - passed on
         """Return what the function returns; its exceptions are raised here."""
         return await asyncio.get_running_loop().run_in_executor(self._pool, function, *arguments)
 
--- a/saffrongw/certs/certificate_status.py
+++ b/saffrongw/certs/certificate_status.py
@@ -70,6 +70,7 @@
         loaded: LoadedCertificates,
         now: Callable[[], float],
     ) -> None:
+        """Start without notes; ``now`` returns Unix seconds."""
         self.table, self.store, self.loaded, self.now = table, store, loaded, now
         self.notes: dict[str, CertNote] = {}
         self.unsaved_failures: dict[str, renewal.Failures] = {}
--- a/saffrongw/certs/certificate_store.py
+++ b/saffrongw/certs/certificate_store.py
@@ -55,6 +55,7 @@
     def __init__(
         self, folder: SharedFolder, lease: OrderingLease, now: Callable[[], float]
     ) -> None:
+        """Use the certificates of a shared folder; ``now`` returns Unix seconds."""
         self.folder, self.lease, self.now = folder, lease, now
         self.path = folder.path / "certs"
 
@@ -267,6 +268,7 @@
         on_step: Callable[[str], None] | None = None,
         leader_guard: LeaderGuard | None = None,
     ) -> None:
+        """Use one folder for all stores; ``now`` returns Unix seconds."""
         self.folder = SharedFolder(path, on_step)
         self.lease = OrderingLease(self.folder, now, terms or LeaseTerms(), leader_guard)
         self.certificates = CertificateStore(self.folder, self.lease, now)
--- a/saffrongw/certs/chain.py
+++ b/saffrongw/certs/chain.py
@@ -79,7 +79,7 @@
         key = serialization.load_pem_private_key(pem, None)
     except (ValueError, TypeError) as error:
         raise ChainError(f"the key can't be read: {error}") from None
-    except Exception as error:
+    except Exception as error:  # noqa: BLE001 - the library names algorithms by errors of its own
         raise ChainError(f"the key can't be used: {error!r:.100}") from None
     if not isinstance(key, ec.EllipticCurvePrivateKey | rsa.RSAPrivateKey):
         raise ChainError("the key is neither ECDSA nor RSA")
@@ -189,7 +189,7 @@
         return _check(parse(pem), key, names, now, any_time)
     except ChainError:
         raise
-    except Exception as error:
+    except Exception as error:  # noqa: BLE001 - malformed fields raise errors of many types
         raise ChainError(f"it can't be read: {error!r:.100}") from None
 
 
--- a/saffrongw/certs/challenge_answers.py
+++ b/saffrongw/certs/challenge_answers.py
@@ -33,6 +33,7 @@
     """Finds published challenges and makes what proves them."""
 
     def __init__(self, store: ChallengeStore, worker: BlockingWorker) -> None:
+        """Read challenges by this worker."""
         self.store, self.worker = store, worker
         self._contexts: dict[str, _CachedContext] = {}
 
--- a/saffrongw/certs/challenge_store.py
+++ b/saffrongw/certs/challenge_store.py
@@ -40,6 +40,7 @@
     def __init__(
         self, folder: SharedFolder, lease: OrderingLease, now: Callable[[], float]
     ) -> None:
+        """Use the challenges of a shared folder; ``now`` returns Unix seconds."""
         self.folder, self.lease, self.now = folder, lease, now
         self.path = folder.path / "challenges"
 
--- a/saffrongw/certs/component.py
+++ b/saffrongw/certs/component.py
@@ -44,6 +44,7 @@
         clock: SystemClock | None = None,
         leader_guard: LeaderGuard | None = None,
     ) -> None:
+        """Build all parts; ``OSError`` if the client authorities cannot be read."""
         self.table = table
         settings = tls_settings_of(table.tls)
         make_context(settings)  # an unreadable file of client authorities ends the start
--- a/saffrongw/certs/handshakes.py
+++ b/saffrongw/certs/handshakes.py
@@ -60,6 +60,7 @@
     """All half-open connections, the oldest first, each with its deadline."""
 
     def __init__(self, limits: HandshakeLimits, now: int) -> None:
+        """Start with a full token bucket."""
         self.limits, self.refilled_at = limits, now
         self.tokens = float(limits.burst_us)
         self.awaiting_hello: OrderedDict[Connection, int] = OrderedDict()
@@ -68,6 +69,7 @@
         self.counts: Counter[str] = Counter()
 
     def __len__(self) -> int:
+        """Return the number of half-open connections."""
         return len(self.awaiting_hello) + len(self.queued) + len(self.running)
 
     def stage(self, connection: Connection) -> HandshakeStage | None:
--- a/saffrongw/certs/http.py
+++ b/saffrongw/certs/http.py
@@ -28,6 +28,7 @@
     """A client of one authority; ``ca`` is a file of root certificates for the authority's own."""
 
     def __init__(self, ca: str = "", within: float = TIMEOUT_S) -> None:
+        """Trust this root file, or the system's; ``within`` is in seconds."""
         self.context = ssl.create_default_context(cafile=ca or None)
         self.within = within
 
--- a/saffrongw/certs/jose.py
+++ b/saffrongw/certs/jose.py
@@ -36,6 +36,7 @@
     """A P-256 key that signs for an account (ES256)."""
 
     def __init__(self, key: ECKey) -> None:
+        """Wrap a P-256 key."""
         self.key = key
         self.jwk: dict[str, Any] = key.as_dict(private=False)
         self.jwk = {name: self.jwk[name] for name in ("crv", "kty", "x", "y")}
@@ -50,7 +51,7 @@
         """Load a key from PEM; ``ValueError`` if it is not a P-256 key."""
         try:
             return cls(ECKey.import_key(pem))
-        except Exception as error:
+        except Exception as error:  # noqa: BLE001 - the library's errors have many types
             raise ValueError(f"no key of P-256: {error!r:.100}") from None
 
     @property
--- a/saffrongw/certs/lease.py
+++ b/saffrongw/certs/lease.py
@@ -29,6 +29,7 @@
     skew: float = 2.0
 
     def __post_init__(self) -> None:
+        """Reject a skew under which two holders could overlap."""
         if not 0 <= 3 * self.skew < self.span:
             raise ValueError("clocks may differ by less than a third of a lease")
 
--- a/saffrongw/certs/loaded_certificates.py
+++ b/saffrongw/certs/loaded_certificates.py
@@ -30,6 +30,7 @@
     """
 
     def __init__(self, store: CertificateStore, settings: TlsSettings, default: str) -> None:
+        """Start empty; ``load`` reads the folder."""
         self.store, self.settings, self.default = store, settings, default
         self.contexts_by_name = ContextsByName()
         self.pairs: dict[str, CertificatePair] = {}
--- a/saffrongw/certs/messages.py
+++ b/saffrongw/certs/messages.py
@@ -51,6 +51,7 @@
     """
 
     def __init__(self, kind: FailureKind, detail: str, retry_after: float = 0.0) -> None:
+        """Keep the kind, the bounded detail and the Retry-After."""
         super().__init__(f"{kind.value}: {detail}")
         self.kind, self.detail, self.retry_after = kind, detail[:MAX_TEXT_CHARS], retry_after
 
--- a/saffrongw/certs/order_flow.py
+++ b/saffrongw/certs/order_flow.py
@@ -92,6 +92,7 @@
     def __init__(
         self, directory: str, key: AccountKey, now: Callable[[], float], account: str = ""
     ) -> None:
+        """Start without nonces; ``account`` is the account's URL, if it is known."""
         self.directory, self.key, self.now, self.account = directory, key, now, account
         self.urls: Directory | None = None
         self.nonces: list[str] = []
@@ -148,7 +149,7 @@
             FailureKind.UNREACHABLE, f"{read}: each of {MAX_NONCE_ATTEMPTS} nonces was refused"
         )
 
-    # -- the account ----------------------------------------------------------------------------------------------
+    # -- the account -------------------------------------------------------------------------------
 
     def register(
         self,
--- a/saffrongw/certs/order_runner.py
+++ b/saffrongw/certs/order_runner.py
@@ -74,6 +74,7 @@
         clock: Clock,
         https: Callable[[str], AuthorityClient] = AuthorityClient,
     ) -> None:
+        """Order for this site; ``https`` makes the client of an authority."""
         self.site, self.status, self.worker = site, status, worker
         self.clock, self.https = clock, https
         self.random = random.Random()
@@ -308,7 +309,7 @@
         https: AuthorityClient,
         certificate_id: str,
         term: OrderingTerm | None,
-    ) -> Any:
+    ) -> Any:  # noqa: ANN401 - what the flow returns
         """Carry out the steps of a flow; return what the flow returns, raise what it raises."""
         answer: Any = None
         error: AcmeError | None = None
@@ -329,7 +330,7 @@
         https: AuthorityClient,
         certificate_id: str,
         term: OrderingTerm | None,
-    ) -> Any:
+    ) -> Any:  # noqa: ANN401 - what the step is answered with
         if isinstance(step, HttpRequest):
             return await self._send(step, https)
         if isinstance(step, SaveNote):
--- a/saffrongw/certs/ordering_lease.py
+++ b/saffrongw/certs/ordering_lease.py
@@ -57,6 +57,7 @@
         terms: LeaseTerms,
         leader_guard: LeaderGuard | None = None,
     ) -> None:
+        """Use the lease file of a shared folder; ``now`` returns Unix seconds."""
         self.folder, self.now, self.terms = folder, now, terms
         self.leader_guard = leader_guard
         self.path = folder.path / "lease.json"
--- a/saffrongw/certs/renewal.py
+++ b/saffrongw/certs/renewal.py
@@ -72,6 +72,7 @@
     forced: bool = False
 
     def __bool__(self) -> bool:
+        """Tell whether anything has failed since the last success."""
         return self.count > 0
 
 
--- a/saffrongw/certs/renewal_loop.py
+++ b/saffrongw/certs/renewal_loop.py
@@ -88,6 +88,7 @@
         https: Callable[[str], AuthorityClient] = AuthorityClient,
         leader_guard: LeaderGuard | None = None,
     ) -> None:
+        """Build all parts for one site; ``holder`` names this process in the lease."""
         self.table, self.holder, self.clock = table, holder, clock or SystemClock()
         terms = LeaseTerms(table.lease_seconds, table.clock_skew)
         now = self.clock.now
--- a/saffrongw/certs/responder.py
+++ b/saffrongw/certs/responder.py
@@ -85,6 +85,7 @@
     acceptor: Acceptor
 
     def __init__(self, listen: Address, proof: Callable[[str], Awaitable[str | None]]) -> None:
+        """Keep the address; ``start`` binds it."""
         self.listen, self.proof = listen, proof
         self.open: set[_ChallengeConnection] = set()
         self.answered = 0
--- a/saffrongw/certs/shared_folder.py
+++ b/saffrongw/certs/shared_folder.py
@@ -46,6 +46,7 @@
     """The shared folder cannot be used as it is; the message names the file and the cause."""
 
     def __init__(self, detail: str) -> None:
+        """Make it a local failure with this detail."""
         super().__init__(FailureKind.LOCAL, detail)
 
 
@@ -63,6 +64,7 @@
     """
 
     def __init__(self, path: Path, on_step: Callable[[str], None] | None = None) -> None:
+        """Use this path; ``open`` creates it."""
         self.path = path
         self.on_step: Callable[[str], None] = on_step or (lambda _name: None)
 
--- a/saffrongw/certs/table.py
+++ b/saffrongw/certs/table.py
@@ -43,6 +43,7 @@
     external_key: str = key("", about="the file of its key, base64url, mode 0600")
 
     def __post_init__(self) -> None:
+        """Reject an external account without its key, and the reverse."""
         if bool(self.external_id) != bool(self.external_key):
             raise ValueError("external_id and external_key stand together or not at all")
 
@@ -56,6 +57,7 @@
     challenge: str = key("tls-alpn-01", choices=CHALLENGES, about="how the names are proved")
 
     def __post_init__(self) -> None:
+        """Reject an unusable list of names."""
         if not self.names:
             raise ValueError("names is empty")
         if len(self.names) > MAX_NAMES:
@@ -91,6 +93,7 @@
     share: float = key(0.25, least=0.01, most=1.0, about="of the core, for all handshakes together")
 
     def __post_init__(self) -> None:
+        """Reject client authorities without client certificates, and the reverse."""
         if (self.clients != "none") != bool(self.client_ca):
             raise ValueError("client_ca is needed where clients prove themselves, and only there")
 
@@ -110,6 +113,7 @@
     order_minutes: float = key(60.0, least=0.01, most=1_440, about="for a whole order")
 
     def __post_init__(self) -> None:
+        """Reject shares in the wrong order."""
         if not self.lead > self.notice >= self.warning >= self.critical:
             raise ValueError("lead, notice, warning and critical must fall in this order")
 
@@ -134,6 +138,7 @@
     renewal: RenewalTable = key(RenewalTable())
 
     def __post_init__(self) -> None:
+        """Reject tables that contradict each other."""
         if self.certificate and not self.authority:
             raise ValueError("certificates are to be obtained, but there is no [[certs.authority]]")
         if len(self.certificate) > MAX_CERTIFICATES:
--- a/saffrongw/certs/tls_listener.py
+++ b/saffrongw/certs/tls_listener.py
@@ -91,6 +91,7 @@
     def __init__(
         self, contexts: Mapping[str, ssl.SSLContext] | None = None, default: str | None = None
     ) -> None:
+        """Keep the contexts and the name of the default one."""
         self.contexts = dict(contexts or {})
         self.default = default
 
@@ -121,6 +122,7 @@
         limits: HandshakeLimits,
         certificates: CertificateSource,
     ) -> None:
+        """Keep the address; ``prepare`` binds it."""
         self.address, self.settings, self.certificates = address, settings, certificates
         self.handshakes: Handshakes[socket.socket] = Handshakes(limits, 0)
         self.counts: Counter[str] = Counter()
--- a/saffrongw/gateway/__init__.py
+++ b/saffrongw/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The core on sockets: clients, driver, hosts, discovery, peers, framing, configuration. It decides nothing."""
+"""The core on sockets: clients, driver, endpoints, discovery and gossip. It decides nothing."""
--- a/saffrongw/ledger/writer.py
+++ b/saffrongw/ledger/writer.py
@@ -174,7 +174,7 @@
         """Take a step with the store; whatever fails closes the store, and the thread goes on."""
         try:
             return step()
-        except Exception as error:  # noqa: BLE001, RUF100  a disk may fail in any way
+        except Exception as error:  # noqa: BLE001  a disk may fail in any way
             self._close_failed(error)
             return False
 
--- a/saffrongw/simulator/__main__.py
+++ b/saffrongw/simulator/__main__.py
@@ -38,7 +38,7 @@
             try:
                 actions = _decide(gateways, number, event, now_us)
             # The wire has a record for any failure of the policy.
-            except Exception as error:
+            except Exception as error:  # noqa: BLE001
                 encoder.add_policy_error(number, f"{type(error).__name__}: {error}")
                 continue
             for action in actions:
