--- a/saffrongw/authz/attributes.py
+++ b/saffrongw/authz/attributes.py
@@ -14,24 +14,24 @@
 from saffrongw.gateway.extensions import FilteredRequest
 
 from . import check_pb2 as pb
-from .checks import Kind, Reply
+from .checks import ReplyKind, CheckReply
 
 METHOD = "/envoy.service.auth.v3.Authorization/Check"
 NAMESPACE = "saffrongw"  # of dynamic metadata that is read
-TEXT_MOST = 256  # characters of any text that is read
+MAX_TEXT_CHARS = 256  # characters of any text that is read
 RETRY_INFO = "type.googleapis.com/google.rpc.RetryInfo"
 OK, INVALID_ARGUMENT, EXHAUSTED, UNAVAILABLE = 0, 3, 8, 14  # codes of google.rpc.Status
 MS, SECOND = 1_000, 1_000_000
-RETRY_MOST = 3600 * SECOND
-COME_AGAIN = {429, 503}  # HTTP statuses after which trying again is of use
+MAX_RETRY_AFTER_US = 3600 * SECOND
+RETRYABLE_STATUSES = {429, 503}  # HTTP statuses after which trying again is of use
 
 
-class BadReply(Exception):
+class InvalidReplyError(Exception):
     """What came is no usable answer; it says why."""
 
 
 @dataclass(frozen=True, slots=True)
-class Names:
+class RequestNames:
     """Classes and plans by number, and which classes are safe to ask with GET."""
 
     classes: tuple[str, ...]
@@ -39,8 +39,11 @@
     safe: tuple[bool, ...]
 
 
-def key_of(request: FilteredRequest) -> Hashable:
-    """What the answer may hang on: all that the authoriser is shown but the id, the time and the wait."""
+def cache_key(request: FilteredRequest) -> Hashable:
+    """What the answer may hang on.
+
+    All that the authoriser is shown but the id, the time and the wait.
+    """
     terms = request.terms
     return (
         terms.customer,
@@ -54,7 +57,7 @@
     )
 
 
-def check_of(request: FilteredRequest, names: Names, gateway: str, at: int) -> bytes:
+def encode_check(request: FilteredRequest, names: RequestNames, gateway: str, at: int) -> bytes:
     """The message that asks; at in us of Unix time."""
     terms = request.terms
     message = pb.CheckRequest()
@@ -81,32 +84,34 @@
     return message.SerializeToString()
 
 
-def reply_of(body: bytes) -> Reply:
+def parse_reply(body: bytes) -> CheckReply:
     """An answer as a reply; ``BadReply`` where it contradicts itself or can't be read."""
     response = pb.CheckResponse()
     try:
         response.ParseFromString(body)
     except DecodeError as wrong:
-        raise BadReply(f"not a CheckResponse: {wrong}") from None
+        raise InvalidReplyError(f"not a CheckResponse: {wrong}") from None
     code, which = response.status.code, response.WhichOneof("http_response")
     if code == OK and which == "denied_response":
-        raise BadReply("status OK with a denied response")
+        raise InvalidReplyError("status OK with a denied response")
     if code != OK and which == "ok_response":
-        raise BadReply(f"status {code} with an ok response")
+        raise InvalidReplyError(f"status {code} with an ok response")
     # Older authorisers put it into the ok response, which is empty where there is none.
-    told = _told(response.dynamic_metadata) or _told(response.ok_response.dynamic_metadata)
+    told = _dynamic_metadata(response.dynamic_metadata) or _dynamic_metadata(
+        response.ok_response.dynamic_metadata
+    )
     lifetime, plan = _lifetime(told), told.get("plan", "")
     if code == OK:
-        named = isinstance(plan, str) and len(plan) <= TEXT_MOST
-        return Reply(Kind.ALLOW, 0, lifetime, plan if named else "")
+        named = isinstance(plan, str) and len(plan) <= MAX_TEXT_CHARS
+        return CheckReply(ReplyKind.ALLOW, 0, lifetime, plan if named else "")
     status = response.denied_response.status.code if which else 0
     retry = _retry_after(response)
-    if status in COME_AGAIN or (not status and code in (EXHAUSTED, UNAVAILABLE)):
-        return Reply(Kind.LATER, retry, lifetime)
-    return Reply(Kind.DENY, 0, lifetime)
+    if status in RETRYABLE_STATUSES or (not status and code in (EXHAUSTED, UNAVAILABLE)):
+        return CheckReply(ReplyKind.LATER, retry, lifetime)
+    return CheckReply(ReplyKind.DENY, 0, lifetime)
 
 
-def _told(metadata: Struct) -> dict:
+def _dynamic_metadata(metadata: Struct) -> dict:
     """Our part of the dynamic metadata, if there is one."""
     field = metadata.fields.get(NAMESPACE)
     if field is None or field.WhichOneof("kind") != "struct_value":
@@ -130,7 +135,10 @@
 
 
 def _retry_after(response: pb.CheckResponse) -> int:
-    """When to come back, by RetryInfo or a ``retry-after`` header in seconds; 0 where it does not say."""
+    """When to come back, by RetryInfo or a ``retry-after`` header in seconds.
+
+    0 where it does not say.
+    """
     for detail in response.status.details[:16]:
         if detail.type_url == RETRY_INFO:
             info = pb.RetryInfo()
@@ -139,26 +147,26 @@
             except DecodeError:
                 continue
             return min(
-                RETRY_MOST,
+                MAX_RETRY_AFTER_US,
                 max(0, info.retry_delay.seconds * SECOND + info.retry_delay.nanos // 1000),
             )
     for option in response.denied_response.headers[:64]:
         if option.header.key.lower() == "retry-after":
             text = option.header.value or option.header.raw_value.decode("ascii", "replace")
             if text.isascii() and text.isdigit() and len(text) <= 9:
-                return min(RETRY_MOST, int(text) * SECOND)
+                return min(MAX_RETRY_AFTER_US, int(text) * SECOND)
     return 0
 
 
 # -- the gateway as an authoriser -----------------------------------------------------------------------------------
 
 
-class BadRequest(Exception):
+class InvalidCheckError(Exception):
     """A check that can't be decided; it says what is wrong with it."""
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class AdmissionCheck:
     """What another proxy asks."""
 
     customer: int
@@ -170,7 +178,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fields:
+class ContextExtensionNames:
     """Which context extensions hold what."""
 
     customer: str = "customer"
@@ -181,13 +189,22 @@
 CUSTOMER_BITS = 33
 
 
-def asked_of(body: bytes, names: Names, fields: Fields, gateways: int, units_most: float) -> Asked:
-    """A check as terms, in the exact forms that a client's command has; ``BadRequest`` names what is not."""
+def parse_check(
+    body: bytes,
+    names: RequestNames,
+    fields: ContextExtensionNames,
+    gateways: int,
+    units_most: float,
+) -> AdmissionCheck:
+    """A check as terms, in the exact forms that a client's command has.
+
+    ``BadRequest`` names what is not.
+    """
     message = pb.CheckRequest()
     try:
         message.ParseFromString(body)
     except DecodeError as wrong:
-        raise BadRequest(f"not a CheckRequest: {wrong}") from None
+        raise InvalidCheckError(f"not a CheckRequest: {wrong}") from None
     extensions = message.attributes.context_extensions
     customer = extensions.get(fields.customer) or message.attributes.source.principal
     if (
@@ -195,12 +212,12 @@
         or not set(customer) <= set("0123456789abcdef")
         or int(customer, 16) >> CUSTOMER_BITS
     ):
-        raise BadRequest(f"{fields.customer} is not 16 hex digits below 2^33")
+        raise InvalidCheckError(f"{fields.customer} is not 16 hex digits below 2^33")
     plan, cls = extensions.get(fields.plan, ""), extensions.get(fields.cls, "")
     if plan not in names.plans:
-        raise BadRequest(f"{fields.plan} is no plan")
+        raise InvalidCheckError(f"{fields.plan} is no plan")
     if cls not in names.classes:
-        raise BadRequest(f"{fields.cls} is no class")
+        raise InvalidCheckError(f"{fields.cls} is no class")
     units = extensions.get("units", "1")
     if (
         len(units) > 18
@@ -208,16 +225,16 @@
         or units.count(".") > 1
         or units in (".", "")
     ):
-        raise BadRequest("units is no number")
+        raise InvalidCheckError("units is no number")
     if not 0 < float(units) <= units_most:
-        raise BadRequest("units is out of range")
+        raise InvalidCheckError("units is out of range")
     spread, first = extensions.get("spread", str(gateways)), extensions.get("first", "0")
     for name, text in (("spread", spread), ("first", first)):
         if not (text.isascii() and text.isdigit()) or len(text) > 5:
-            raise BadRequest(f"{name} is no number")
+            raise InvalidCheckError(f"{name} is no number")
     if not 1 <= int(spread) <= gateways or not int(first) < gateways:
-        raise BadRequest("spread and first are out of range")
-    return Asked(
+        raise InvalidCheckError("spread and first are out of range")
+    return AdmissionCheck(
         int(customer, 16),
         names.plans.index(plan),
         names.classes.index(cls),
@@ -227,7 +244,7 @@
     )
 
 
-def let_in() -> bytes:
+def admitted_response() -> bytes:
     """The answer to a check that is let in: never to be kept, as each takes its units."""
     response = pb.CheckResponse()
     response.status.code = OK
@@ -235,7 +252,7 @@
     return response.SerializeToString()
 
 
-def turned_away(retry_after: int) -> bytes:
+def rejected_response(retry_after: int) -> bytes:
     """The answer to one that is not; retry_after in us, 0 says nothing."""
     response = pb.CheckResponse()
     response.status.code = EXHAUSTED
--- a/saffrongw/authz/build.py
+++ b/saffrongw/authz/build.py
@@ -11,7 +11,7 @@
 from saffrongw.gateway.components import BuildContext, Component, ComponentError
 from saffrongw.gateway.extensions import Service
 
-from .attributes import Fields
+from .attributes import ContextExtensionNames
 from .component import AuthzComponent, names_of, tls_of
 from .options import AuthzOptions, AuthzServerOptions
 from .server import AuthzServer
@@ -33,7 +33,7 @@
     server = AuthzServer(
         options.listen,
         names_of(config),
-        Fields(options.customer, options.plan, options.class_),
+        ContextExtensionNames(options.customer, options.plan, options.class_),
         config.settings.node_count,
         config.max_units,
         options.in_flight,
--- a/saffrongw/authz/channel.py
+++ b/saffrongw/authz/channel.py
@@ -1,6 +1,9 @@
-"""One authoriser's gRPC channel: checks as bytes, errors with a kind, TLS from files that may change in service.
+"""One authoriser's gRPC channel.
 
-grpcio's core does HTTP/2, keepalive and reconnecting with back-off and jitter; the figures are set here.
+Checks as bytes, errors with a kind, TLS from files that may change in service.
+
+grpcio's core does HTTP/2, keepalive and reconnecting with back-off and jitter; the figures are set
+here.
 """
 
 from __future__ import annotations
@@ -14,14 +17,14 @@
 
 from .attributes import METHOD
 
-REPLY_MOST = 64 * 1024  # bytes of an answer
-METADATA_MOST = 16 * 1024  # bytes of headers or trailers
-LOOK = 1.0  # seconds between two looks at the files of TLS
-CLOSE_WITHIN = 0.2  # seconds for checks that are out on a channel that is replaced
+MAX_REPLY_BYTES = 64 * 1024  # bytes of an answer
+MAX_METADATA_BYTES = 16 * 1024  # bytes of headers or trailers
+TLS_FILES_POLL_S = 1.0  # seconds between two looks at the files of TLS
+CLOSE_TIMEOUT_S = 0.2  # seconds for checks that are out on a channel that is replaced
 OPTIONS = (
-    ("grpc.max_receive_message_length", REPLY_MOST),
-    ("grpc.max_metadata_size", METADATA_MOST),
-    ("grpc.absolute_max_metadata_size", METADATA_MOST),
+    ("grpc.max_receive_message_length", MAX_REPLY_BYTES),
+    ("grpc.max_metadata_size", MAX_METADATA_BYTES),
+    ("grpc.absolute_max_metadata_size", MAX_METADATA_BYTES),
     ("grpc.keepalive_time_ms", 10_000),
     ("grpc.keepalive_timeout_ms", 2_000),
     ("grpc.keepalive_permit_without_calls", 1),
@@ -35,7 +38,7 @@
 )
 
 
-class ChannelError(Exception):
+class AuthzChannelError(Exception):
     """A check that brought no answer; kind is a short name for counts."""
 
     def __init__(self, kind: str, text: str) -> None:
@@ -44,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tls:
+class TlsFiles:
     """Files in PEM; empty names say nothing."""
 
     ca: str = ""
@@ -71,10 +74,10 @@
         return ca, cert, key
 
 
-class Channel:
+class AuthzChannel:
     """To one authoriser."""
 
-    def __init__(self, address: str, tls: Tls | None = None) -> None:
+    def __init__(self, address: str, tls: TlsFiles | None = None) -> None:
         self.name, self.tls = address, tls
         self.stamp: tuple = ()
         self.looked = 0.0
@@ -95,10 +98,12 @@
         self.method = self.channel.unary_unary(METHOD)
 
     def _refresh(self) -> None:
-        """New connections by new files; the old channel ends what is out on it. A file that can't be read changes
-        nothing: the channel that there is goes on."""
+        """New connections by new files; the old channel ends what is out on it.
+
+        A file that can't be read changes nothing: the channel that there is goes on.
+        """
         now = asyncio.get_running_loop().time()
-        if not self.tls or now - self.looked < LOOK:
+        if not self.tls or now - self.looked < TLS_FILES_POLL_S:
             return
         self.looked = now
         if self.tls.stamp() == self.stamp:
@@ -108,7 +113,7 @@
             self._open()
         except OSError:
             return
-        task = asyncio.get_running_loop().create_task(old.close(CLOSE_WITHIN))
+        task = asyncio.get_running_loop().create_task(old.close(CLOSE_TIMEOUT_S))
         self.closing.add(task)
         task.add_done_callback(self.closing.discard)
 
@@ -118,9 +123,9 @@
         try:
             return await self.method(message, timeout=within)
         except grpc.aio.AioRpcError as wrong:
-            raise ChannelError(wrong.code().name.lower(), wrong.details() or "") from None
+            raise AuthzChannelError(wrong.code().name.lower(), wrong.details() or "") from None
         except grpc.aio.UsageError as wrong:  # the channel was closed under it
-            raise ChannelError("closed", str(wrong)) from None
+            raise AuthzChannelError("closed", str(wrong)) from None
 
     async def close(self) -> None:
         """End what is out."""
--- a/saffrongw/authz/checks.py
+++ b/saffrongw/authz/checks.py
@@ -1,7 +1,9 @@
-"""Which checks are asked, joined, answered from the cache or given up: the whole state of the asking side.
+"""Which checks are asked, joined, answered from the cache or given up.
 
-Pure, after the sans-I/O pattern: events and the time (us) go in, effects come out; ``stage.py`` carries them out.
-Each request that enters gets exactly one ``Settle``, unless it leaves first.
+The whole state of the asking side.
+
+Pure, after the sans-I/O pattern: events and the time (us) go in, effects come out; ``stage.py``
+carries them out. Each request that enters gets exactly one ``Settle``, unless it leaves first.
 """
 
 from __future__ import annotations
@@ -12,12 +14,12 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from .breaker import MS, BreakerFigures, Endpoint, choose
+from .breaker import MS, BreakerSettings, AuthoriserEndpoint, choose_endpoint
 
-TTL_MOST = 3600 * 1_000_000  # us; no answer is believed for longer
+MAX_LIFETIME_US = 3600 * 1_000_000  # us; no answer is believed for longer
 
 
-class Kind(Enum):
+class ReplyKind(Enum):
     """What an authoriser said, or that it said nothing."""
 
     ALLOW = "allow"
@@ -27,51 +29,54 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
-    """An answer; lifetime and retry_after in us, 0 says nothing. plan is a plan's name to narrow to, or none."""
+class CheckReply:
+    """An answer; lifetime and retry_after in us, 0 says nothing.
+
+    Plan is a plan's name to narrow to, or none.
+    """
 
-    kind: Kind
+    kind: ReplyKind
     retry_after: int = 0
     lifetime: int = 0
     plan: str = ""
 
 
-UNREACHED = Reply(Kind.UNREACHED)
+UNREACHED = CheckReply(ReplyKind.UNREACHED)
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
+class CheckSettings:
     """The operators' figures; spans in us."""
 
-    share: float = 0.25  # of a request's time that its check may take
-    timeout_most: int = 500 * MS
-    timeout_least: int = 5 * MS
+    time_share: float = 0.25  # of a request's time that its check may take
+    max_timeout_us: int = 500 * MS
+    min_timeout_us: int = 5 * MS
     in_flight: int = 256  # checks out at once; beyond it requests are settled at once
     cache_entries: int = 10_000  # 0: none
-    cache_most: int = 60_000 * MS  # of a lifetime that an answer states
+    max_cached_us: int = 60_000 * MS  # of a lifetime that an answer states
     coalesce: bool = True
-    hedge_after: int = 0  # 0: never
-    breaker: BreakerFigures = field(default_factory=BreakerFigures)
+    hedge_after_us: int = 0  # 0: never
+    breaker: BreakerSettings = field(default_factory=BreakerSettings)
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class SendCheck:
     """Effect: send a check to an authoriser, to be given up after ``within`` us."""
 
     flight: int
     endpoint: int
-    within: int
+    timeout_us: int
 
 
 @dataclass(frozen=True, slots=True)
-class CallOff:
+class CancelCheck:
     """Effect: stop waiting for a check; nobody is interested any more."""
 
     flight: int
 
 
 @dataclass(frozen=True, slots=True)
-class Hedge:
+class ScheduleHedge:
     """Effect: call ``hedge`` with this flight after so many us."""
 
     flight: int
@@ -79,19 +84,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Settle:
+class CompleteRequest:
     """Effect: a request has its reply."""
 
     request: int
-    reply: Reply
+    reply: CheckReply
     source: str  # asked, joined, cached, full, open
 
 
-Effect = Ask | CallOff | Hedge | Settle
+CheckEffect = SendCheck | CancelCheck | ScheduleHedge | CompleteRequest
 
 
 @dataclass(slots=True)
-class _Flight:
+class _CheckInFlight:
     """One check that is out."""
 
     key: Hashable
@@ -103,16 +108,18 @@
     twin: int = 0  # the other one of a hedged pair
 
 
-class Checks:
+class CheckScheduler:
     """All checks of one gateway."""
 
-    def __init__(self, figures: Figures, names: Sequence[str], seed: int) -> None:
+    def __init__(self, figures: CheckSettings, names: Sequence[str], seed: int) -> None:
         self.f, self.lots = figures, random.Random(seed)
-        self.endpoints = [Endpoint(name, figures.breaker, seed + n) for n, name in enumerate(names)]
-        self.flights: dict[int, _Flight] = {}
+        self.endpoints = [
+            AuthoriserEndpoint(name, figures.breaker, seed + n) for n, name in enumerate(names)
+        ]
+        self.flights: dict[int, _CheckInFlight] = {}
         self.joinable: dict[Hashable, int] = {}
         self.of: dict[int, int] = {}  # request -> its flight
-        self.cache: OrderedDict[Hashable, tuple[int, int, Reply]] = (
+        self.cache: OrderedDict[Hashable, tuple[int, int, CheckReply]] = (
             OrderedDict()
         )  # kept, until, reply
         self.last = 0
@@ -120,11 +127,13 @@
 
     # -- requests ---------------------------------------------------------------------------------------------
 
-    def enter(self, now: int, request: int, key: Hashable, left: int) -> list[Effect]:
+    def enter(self, now: int, request: int, key: Hashable, left: int) -> list[CheckEffect]:
         """A request wants to know; left is its own time in us."""
         if (cached := self._cached(now, key)) is not None:
             return [self._settle(request, cached, "cached")]
-        within = max(self.f.timeout_least, min(self.f.timeout_most, int(self.f.share * left)))
+        within = max(
+            self.f.min_timeout_us, min(self.f.max_timeout_us, int(self.f.time_share * left))
+        )
         if self.f.coalesce and (number := self.joinable.get(key)):
             flight = self.flights[number]
             if flight.due <= now + within:  # what it joins ends within its own time
@@ -133,18 +142,21 @@
                 return []
         if len(self.flights) >= self.f.in_flight:
             return [self._settle(request, UNREACHED, "full")]
-        endpoint = choose(self.endpoints, now, self.lots)
+        endpoint = choose_endpoint(self.endpoints, now, self.lots)
         if endpoint is None:
             return [self._settle(request, UNREACHED, "open")]
         number = self._launch(now, key, endpoint, within, {request: "asked"})
         self.of[request] = number
-        effects: list[Effect] = [Ask(number, self.flights[number].endpoint, within)]
-        if self.f.hedge_after and self.f.hedge_after < within and len(self.endpoints) > 1:
-            effects.append(Hedge(number, self.f.hedge_after))
+        effects: list[CheckEffect] = [SendCheck(number, self.flights[number].endpoint, within)]
+        if self.f.hedge_after_us and self.f.hedge_after_us < within and len(self.endpoints) > 1:
+            effects.append(ScheduleHedge(number, self.f.hedge_after_us))
         return effects
 
-    def leave(self, request: int) -> list[Effect]:
-        """The request has ended without us: client gone, or its time is up. A check nobody waits for is called off."""
+    def leave(self, request: int) -> list[CheckEffect]:
+        """The request has ended without us: client gone, or its time is up.
+
+        A check nobody waits for is called off.
+        """
         number = self.of.pop(request, None)
         flight = self.flights.get(number) if number else None
         if flight is None:
@@ -152,17 +164,17 @@
         flight.requests.pop(request, None)
         if flight.requests:
             return []
-        effects: list[Effect] = []
+        effects: list[CheckEffect] = []
         for each in (number, flight.twin):
             if gone := self._land(each):
                 self.endpoints[gone.endpoint].abandon(gone.trial)
-                effects.append(CallOff(each))
+                effects.append(CancelCheck(each))
         self.counts["called off"] += 1
         return effects
 
     # -- checks -----------------------------------------------------------------------------------------------
 
-    def hedge(self, now: int, number: int) -> list[Effect]:
+    def hedge(self, now: int, number: int) -> list[CheckEffect]:
         """The time for a second check of the same has come; it goes to another authoriser."""
         flight = self.flights.get(number)
         if (
@@ -172,15 +184,15 @@
             or flight.due <= now
         ):
             return []
-        other = choose(self.endpoints, now, self.lots, but=self.endpoints[flight.endpoint])
+        other = choose_endpoint(self.endpoints, now, self.lots, but=self.endpoints[flight.endpoint])
         if other is None:
             return []
         twin = self._launch(now, flight.key, other, flight.due - now, flight.requests, join=False)
         flight.twin, self.flights[twin].twin = twin, number
         self.counts["hedged"] += 1
-        return [Ask(twin, self.flights[twin].endpoint, flight.due - now)]
+        return [SendCheck(twin, self.flights[twin].endpoint, flight.due - now)]
 
-    def answered(self, now: int, number: int, reply: Reply) -> list[Effect]:
+    def answered(self, now: int, number: int, reply: CheckReply) -> list[CheckEffect]:
         """A usable answer. One that comes to a check that is over changes nothing."""
         flight = self._land(number)
         if flight is None:
@@ -188,14 +200,17 @@
             return []
         self.endpoints[flight.endpoint].end(now, now - flight.sent, False, flight.trial)
         self._keep(now, flight.key, reply)
-        effects: list[Effect] = []
+        effects: list[CheckEffect] = []
         if twin := self._land(flight.twin):
             self.endpoints[twin.endpoint].abandon(twin.trial)
-            effects.append(CallOff(flight.twin))
+            effects.append(CancelCheck(flight.twin))
         return effects + self._settle_all(flight, reply)
 
-    def failed(self, now: int, number: int, why: str) -> list[Effect]:
-        """No answer in time, or none that is usable: its requests are settled, unless a twin is still out."""
+    def failed(self, now: int, number: int, why: str) -> list[CheckEffect]:
+        """No answer in time, or none that is usable.
+
+        Its requests are settled, unless a twin is still out.
+        """
         flight = self._land(number)
         if flight is None:
             return []
@@ -210,13 +225,13 @@
             return []
         return self._settle_all(flight, UNREACHED)
 
-    def drop(self, now: int) -> list[Effect]:
+    def drop(self, now: int) -> list[CheckEffect]:
         """The end, or new figures: all that is out is called off, and what waits is settled."""
-        effects: list[Effect] = []
+        effects: list[CheckEffect] = []
         for number in list(
             self.flights
         ):  # a hedged pair shares its requests: they are settled once
-            effects += [CallOff(number), *self._settle_all(self._land(number), UNREACHED)]
+            effects += [CancelCheck(number), *self._settle_all(self._land(number), UNREACHED)]
         return effects
 
     # -- parts ------------------------------------------------------------------------------------------------
@@ -225,7 +240,7 @@
         self,
         now: int,
         key: Hashable,
-        endpoint: Endpoint,
+        endpoint: AuthoriserEndpoint,
         within: int,
         requests: dict[int, str],
         join: bool = True,
@@ -233,31 +248,31 @@
         self.last += 1
         trial = endpoint.begin()
         place = self.endpoints.index(endpoint)
-        self.flights[self.last] = _Flight(key, place, now, now + within, trial, requests)
+        self.flights[self.last] = _CheckInFlight(key, place, now, now + within, trial, requests)
         if join and self.f.coalesce:
             self.joinable[key] = self.last
         return self.last
 
-    def _land(self, number: int) -> _Flight | None:
+    def _land(self, number: int) -> _CheckInFlight | None:
         flight = self.flights.pop(number, None)
         if flight and self.joinable.get(flight.key) == number:
             del self.joinable[flight.key]
         return flight
 
-    def _settle(self, request: int, reply: Reply, source: str) -> Settle:
+    def _settle(self, request: int, reply: CheckReply, source: str) -> CompleteRequest:
         self.counts[source] += 1
         self.counts[reply.kind.value] += 1
-        return Settle(request, reply, source)
+        return CompleteRequest(request, reply, source)
 
-    def _settle_all(self, flight: _Flight, reply: Reply) -> list[Effect]:
-        settled: list[Effect] = []
+    def _settle_all(self, flight: _CheckInFlight, reply: CheckReply) -> list[CheckEffect]:
+        settled: list[CheckEffect] = []
         for request, source in flight.requests.items():
             self.of.pop(request, None)
             settled.append(self._settle(request, reply, source))
         flight.requests.clear()
         return settled
 
-    def _cached(self, now: int, key: Hashable) -> Reply | None:
+    def _cached(self, now: int, key: Hashable) -> CheckReply | None:
         found = self.cache.get(key)
         if found is None:
             return None
@@ -267,13 +282,13 @@
             return None
         self.cache.move_to_end(key)
         if reply.retry_after:  # it told when: what is left of that
-            return Reply(
+            return CheckReply(
                 reply.kind, max(0, kept + reply.retry_after - now), reply.lifetime, reply.plan
             )
         return reply
 
-    def _keep(self, now: int, key: Hashable, reply: Reply) -> None:
-        lifetime = min(reply.lifetime, self.f.cache_most, TTL_MOST)
+    def _keep(self, now: int, key: Hashable, reply: CheckReply) -> None:
+        lifetime = min(reply.lifetime, self.f.max_cached_us, MAX_LIFETIME_US)
         if lifetime <= 0 or not self.f.cache_entries:
             return
         self.cache[key] = now, now + lifetime, reply
--- a/saffrongw/authz/component.py
+++ b/saffrongw/authz/component.py
@@ -9,12 +9,12 @@
 from saffrongw.gateway.config import Config
 
 from ..policy.settings import Idempotency
-from .attributes import Names
-from .breaker import BreakerFigures
-from .channel import Channel, Tls
-from .checks import Figures
+from .attributes import RequestNames
+from .breaker import BreakerSettings
+from .channel import AuthzChannel, TlsFiles
+from .checks import CheckSettings
 from .options import AuthzOptions, BreakerOptions, TlsOptions
-from .request_filter import AuthzFilter, Rules
+from .request_filter import AuthzFilter, FailureRules
 
 US_PER_MS = 1_000
 # A check is given at least this, or the whole timeout where that is less.
@@ -23,20 +23,20 @@
 GATEWAY_NAME = "saffrongw"
 
 
-def names_of(config: Config) -> Names:
+def names_of(config: Config) -> RequestNames:
     """The configuration's classes and plans, and which classes are idempotent."""
     idempotent = [
         request_class.idempotency is Idempotency.IDEMPOTENT
         for request_class in config.settings.classes
     ]
-    return Names(config.class_names, config.plan_names, tuple(idempotent))
+    return RequestNames(config.class_names, config.plan_names, tuple(idempotent))
 
 
-def tls_of(options: TlsOptions | None) -> Tls | None:
+def tls_of(options: TlsOptions | None) -> TlsFiles | None:
     """The files of TLS; None for connections without it."""
     if options is None:
         return None
-    return Tls(options.ca, options.cert, options.key, options.server_name)
+    return TlsFiles(options.ca, options.cert, options.key, options.server_name)
 
 
 class AuthzComponent:
@@ -69,7 +69,7 @@
         prepared.commit()
 
 
-def _check_names(options: AuthzOptions, names: Names) -> None:
+def _check_names(options: AuthzOptions, names: RequestNames) -> None:
     for position, line in enumerate(options.fail_for):
         key = f"authz.fail_for[{position}]"
         if line.class_ and line.class_ not in names.classes:
@@ -81,13 +81,13 @@
             _check_plan(plan, names, f"authz.narrow[{position}]")
 
 
-def _check_plan(plan: str, names: Names, key: str) -> None:
+def _check_plan(plan: str, names: RequestNames, key: str) -> None:
     if plan not in names.plans:
         raise ComponentError(f"{key}: {plan!r} is no plan of the configuration")
 
 
-def _breaker_figures(options: BreakerOptions) -> BreakerFigures:
-    return BreakerFigures(
+def _breaker_figures(options: BreakerOptions) -> BreakerSettings:
+    return BreakerSettings(
         options.window_ms * US_PER_MS,
         options.least,
         options.share,
@@ -99,8 +99,8 @@
     )
 
 
-def _figures(options: AuthzOptions) -> Figures:
-    return Figures(
+def _figures(options: AuthzOptions) -> CheckSettings:
+    return CheckSettings(
         options.time_share,
         options.timeout_ms * US_PER_MS,
         min(options.timeout_ms, MIN_TIMEOUT_MS) * US_PER_MS,
@@ -113,15 +113,15 @@
     )
 
 
-def _rules(options: AuthzOptions) -> Rules:
-    return Rules(
+def _rules(options: AuthzOptions) -> FailureRules:
+    return FailureRules(
         options.fail,
         {(line.class_, line.plan): line.mode for line in options.fail_for},
         {line.plan: line.to for line in options.narrow},
     )
 
 
-def _channels(options: AuthzOptions) -> Callable[[], list[Channel]]:
+def _channels(options: AuthzOptions) -> Callable[[], list[AuthzChannel]]:
     """A factory of channels to the servers; it reads the files of TLS."""
     tls = tls_of(options.tls)
-    return lambda: [Channel(address, tls) for address in options.authorisers]
+    return lambda: [AuthzChannel(address, tls) for address in options.authorisers]
--- a/saffrongw/authz/request_filter.py
+++ b/saffrongw/authz/request_filter.py
@@ -13,19 +13,32 @@
 from saffrongw.gateway.driver import Driver
 from saffrongw.gateway.extensions import Abort, Continue, Ending, FilteredRequest, Reject, Verdict
 
-from .attributes import BadReply, Names, check_of, key_of, reply_of
-from .channel import Channel, ChannelError
-from .checks import Ask, CallOff, Checks, Effect, Figures, Hedge, Kind, Reply, Settle
+from .attributes import InvalidReplyError, RequestNames, encode_check, cache_key, parse_reply
+from .channel import AuthzChannel, AuthzChannelError
+from .checks import (
+    SendCheck,
+    CancelCheck,
+    CheckScheduler,
+    CheckEffect,
+    CheckSettings,
+    ScheduleHedge,
+    ReplyKind,
+    CheckReply,
+    CompleteRequest,
+)
 
 log = logging.getLogger(__name__)
 
-RETIRE_WITHIN = 10.0  # seconds for checks that are out when figures change
-RETIRE_LOOK = 0.05  # seconds between two looks at them
+RETIRE_TIMEOUT_S = 10.0  # seconds for checks that are out when figures change
+RETIRE_POLL_S = 0.05  # seconds between two looks at them
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
-    """What the operators say of replies: fail modes by (class, plan), "" for all; what may be narrowed."""
+class FailureRules:
+    """What the operators say of replies: fail modes by (class, plan), "" for all.
+
+    What may be narrowed.
+    """
 
     fail: str = "closed"
     fail_for: Mapping[tuple[str, str], str] = field(default_factory=dict)
@@ -43,21 +56,21 @@
         return to in self.may_narrow_plan.get(plan, ())
 
 
-class Asker:
+class CheckClient:
     """Checks by one set of figures over one set of channels."""
 
     def __init__(
         self,
-        figures: Figures,
-        rules: Rules,
-        names: Names,
-        channels: list[Channel],
+        figures: CheckSettings,
+        rules: FailureRules,
+        names: RequestNames,
+        channels: list[AuthzChannel],
         gateway: str,
         seed: int,
     ) -> None:
         self.rules, self.names, self.gateway, self.channels = rules, names, gateway, channels
         self.loop = asyncio.get_running_loop()
-        self.checks = Checks(figures, [channel.name for channel in channels], seed)
+        self.checks = CheckScheduler(figures, [channel.name for channel in channels], seed)
         self.waiting: dict[int, tuple[FilteredRequest, asyncio.Future[Verdict]]] = {}
         self.out: dict[int, asyncio.Task] = {}  # by flight
         self.messages: dict[int, bytes] = {}  # by flight, for hedges
@@ -73,10 +86,10 @@
 
     async def retire(self) -> None:
         """Let what is out end by its own deadlines, then close."""
-        for _ in range(int(RETIRE_WITHIN / RETIRE_LOOK)):
+        for _ in range(int(RETIRE_TIMEOUT_S / RETIRE_POLL_S)):
             if not self.checks.flights:
                 break
-            await asyncio.sleep(RETIRE_LOOK)
+            await asyncio.sleep(RETIRE_POLL_S)
         await self.close()
 
     @staticmethod
@@ -86,11 +99,14 @@
     # -- requests -------------------------------------------------------------------------------------------------
 
     def ask(self, request: FilteredRequest) -> Verdict | asyncio.Future[Verdict]:
-        """Settled at once from the cache or where no check may be sent; else when the check has ended."""
+        """Settled at once from the cache or where no check may be sent.
+
+        Else when the check has ended.
+        """
         number = request.number
         left = request.terms.timeout_us
-        effects = self.checks.enter(self._now(), number, key_of(request), left)
-        if len(effects) == 1 and isinstance(effects[0], Settle):
+        effects = self.checks.enter(self._now(), number, cache_key(request), left)
+        if len(effects) == 1 and isinstance(effects[0], CompleteRequest):
             return self._verdict(request, effects[0].reply)
         future: asyncio.Future[Verdict] = self.loop.create_future()
         self.waiting[number] = request, future
@@ -98,22 +114,27 @@
         return future
 
     def leave(self, number: int) -> None:
-        """The request is over: a check that nobody waits for is called off, and what it would say is not heard."""
+        """The request is over.
+
+        A check that nobody waits for is called off, and what it would say is not heard.
+        """
         if self.waiting.pop(number, None):
             self._run(self.checks.leave(number))
 
-    def _verdict(self, request: FilteredRequest, reply: Reply) -> Verdict:
-        """By the rules: a denial is a refusal only if trying again is harmless and useful. Nothing was sent yet, so it
-        is harmless; the authoriser says whether it is of use."""
+    def _verdict(self, request: FilteredRequest, reply: CheckReply) -> Verdict:
+        """By the rules: a denial is a refusal only if trying again is harmless and useful.
+
+        Nothing was sent yet, so it is harmless; the authoriser says whether it is of use.
+        """
         terms = request.terms
         plan = self.names.plans[terms.plan]
-        if reply.kind is Kind.ALLOW:
+        if reply.kind is ReplyKind.ALLOW:
             if reply.plan and reply.plan != plan and self.rules.narrows(plan, reply.plan):
                 return Continue({"plan": self.names.plans.index(reply.plan)})
             return Continue()
-        if reply.kind is Kind.LATER:
+        if reply.kind is ReplyKind.LATER:
             return Reject(reply.retry_after)
-        if reply.kind is Kind.DENY:
+        if reply.kind is ReplyKind.DENY:
             return Abort()
         return (
             Continue()
@@ -123,22 +144,24 @@
 
     # -- effects --------------------------------------------------------------------------------------------------
 
-    def _run(self, effects: list[Effect], request: FilteredRequest | None = None) -> None:
+    def _run(self, effects: list[CheckEffect], request: FilteredRequest | None = None) -> None:
         for effect in effects:
-            if isinstance(effect, Settle):
+            if isinstance(effect, CompleteRequest):
                 if waits := self.waiting.pop(effect.request, None):
                     of, future = waits
                     if not future.done():
                         future.set_result(self._verdict(of, effect.reply))
-            elif isinstance(effect, Ask):
+            elif isinstance(effect, SendCheck):
                 if request is not None:
                     at = time.time_ns() // 1000
-                    self.messages[effect.flight] = check_of(request, self.names, self.gateway, at)
+                    self.messages[effect.flight] = encode_check(
+                        request, self.names, self.gateway, at
+                    )
                 task = self.loop.create_task(self._ask(effect, self.messages[effect.flight]))
                 self.out[effect.flight] = task
-            elif isinstance(effect, CallOff):
+            elif isinstance(effect, CancelCheck):
                 self._forget(effect.flight, cancel=True)
-            elif isinstance(effect, Hedge):
+            elif isinstance(effect, ScheduleHedge):
                 self.timers[effect.flight] = self.loop.call_later(
                     effect.after / 1e6, self._hedge, effect.flight
                 )
@@ -158,13 +181,13 @@
         if timer:
             timer.cancel()
 
-    async def _ask(self, ask: Ask, message: bytes) -> None:
+    async def _ask(self, ask: SendCheck, message: bytes) -> None:
         """One check, from its first byte to its one end."""
         try:
-            async with asyncio.timeout(ask.within / 1e6):
-                body = await self.channels[ask.endpoint].check(message, ask.within / 1e6)
-            reply = reply_of(body)
-        except (ChannelError, BadReply, TimeoutError) as wrong:
+            async with asyncio.timeout(ask.timeout_us / 1e6):
+                body = await self.channels[ask.endpoint].check(message, ask.timeout_us / 1e6)
+            reply = parse_reply(body)
+        except (AuthzChannelError, InvalidReplyError, TimeoutError) as wrong:
             why = (
                 "deadline"
                 if isinstance(wrong, TimeoutError)
@@ -177,7 +200,7 @@
             self._forget(ask.flight)
             self._run(self.checks.answered(self._now(), ask.flight, reply))
 
-    def _warn(self, ask: Ask, wrong: Exception) -> None:
+    def _warn(self, ask: SendCheck, wrong: Exception) -> None:
         """One line a second at most: an authoriser that is away fails every check."""
         if self.loop.time() - self.warned >= 1:
             self.warned = self.loop.time()
@@ -186,40 +209,56 @@
 
 
 class AuthzFilter:
-    """The stage of one gateway, and a service of its process. Figures, rules and channels can change in service: what
-    is out ends by the old ones."""
+    """The stage of one gateway, and a service of its process.
+
+    Figures, rules and channels can change in service: what is out ends by the old ones.
+    """
 
     name = "authz"
 
     def __init__(
         self,
-        figures: Figures,
-        rules: Rules,
-        names: Names,
-        channels: Callable[[], list[Channel]],
+        figures: CheckSettings,
+        rules: FailureRules,
+        names: RequestNames,
+        channels: Callable[[], list[AuthzChannel]],
         gateway: str,
         seed: int,
     ) -> None:
         self.names, self.gateway, self.seed = names, gateway, seed
         self.figures, self.rules, self.make = figures, rules, channels
         self.fallback: Verdict = Reject()
-        self.asker: Asker | None = None
-        self.askers: dict[int, Asker] = {}  # by request that waits
+        self.asker: CheckClient | None = None
+        self.askers: dict[int, CheckClient] = {}  # by request that waits
         self.retiring: set[asyncio.Task] = set()
 
     async def start(self, driver: Driver | None = None) -> None:
-        """Open the channels; nothing is waited for: an authoriser may come up later than the gateway."""
+        """Open the channels; nothing is waited for.
+
+        An authoriser may come up later than the gateway.
+        """
         self.change(self.figures, self.rules, self.make)
 
-    def change(self, figures: Figures, rules: Rules, channels: Callable[[], list[Channel]]) -> None:
-        """From now on by these; ``OSError`` where a file of TLS can't be read, and then nothing has changed."""
+    def change(
+        self,
+        figures: CheckSettings,
+        rules: FailureRules,
+        channels: Callable[[], list[AuthzChannel]],
+    ) -> None:
+        """From now on by these.
+
+        ``OSError`` where a file of TLS can't be read, and then nothing has changed.
+        """
         self.prepare(figures, rules, channels).commit()
 
     def prepare(
-        self, figures: Figures, rules: Rules, channels: Callable[[], list[Channel]]
+        self,
+        figures: CheckSettings,
+        rules: FailureRules,
+        channels: Callable[[], list[AuthzChannel]],
     ) -> PreparedReload:
         """Open channels for a change; ``OSError`` where a file of TLS can't be read."""
-        new = Asker(figures, rules, self.names, channels(), self.gateway, self.seed)
+        new = CheckClient(figures, rules, self.names, channels(), self.gateway, self.seed)
 
         def commit() -> None:
             old, self.asker = self.asker, new
--- a/saffrongw/authz/server.py
+++ b/saffrongw/authz/server.py
@@ -1,7 +1,9 @@
-"""The gateway as an authoriser: Check answered by the decision module's quotas and ceilings, for other proxies.
+"""The gateway as an authoriser.
 
-A check that is let in takes its units exactly as a first send does, on the same counts: both ways in together keep the
-quota. A check decides at once and holds nothing.
+Check answered by the decision module's quotas and ceilings, for other proxies.
+
+A check that is let in takes its units exactly as a first send does, on the same counts: both ways
+in together keep the quota. A check decides at once and holds nothing.
 """
 
 from __future__ import annotations
@@ -14,15 +16,23 @@
 from saffrongw.gateway.filtering_driver import FilteringDriver
 
 from ..policy.actions import AdmitRequest, RejectRequest
-from .attributes import METHOD, BadRequest, Fields, Names, asked_of, let_in, turned_away
-from .channel import METADATA_MOST, REPLY_MOST, Tls
+from .attributes import (
+    METHOD,
+    InvalidCheckError,
+    ContextExtensionNames,
+    RequestNames,
+    parse_check,
+    admitted_response,
+    rejected_response,
+)
+from .channel import MAX_METADATA_BYTES, MAX_REPLY_BYTES, TlsFiles
 
 log = logging.getLogger(__name__)
 
-STOP_WITHIN = 0.5  # seconds for checks that are being answered at the end
+STOP_TIMEOUT_S = 0.5  # seconds for checks that are being answered at the end
 OPTIONS = (
-    ("grpc.max_receive_message_length", REPLY_MOST),
-    ("grpc.max_metadata_size", METADATA_MOST),
+    ("grpc.max_receive_message_length", MAX_REPLY_BYTES),
+    ("grpc.max_metadata_size", MAX_METADATA_BYTES),
     ("grpc.max_concurrent_streams", 1000),
     ("grpc.so_reuseport", 0),  # guards against two processes that share the port unseen
     ("grpc.keepalive_time_ms", 30_000),
@@ -38,12 +48,12 @@
     def __init__(
         self,
         listen: str,
-        names: Names,
-        fields: Fields,
+        names: RequestNames,
+        fields: ContextExtensionNames,
         gateways: int,
         units_most: float,
         in_flight: int,
-        tls: Tls | None = None,
+        tls: TlsFiles | None = None,
     ) -> None:
         self.listen, self.names, self.fields = listen, names, fields
         self.gateways, self.units_most, self.in_flight, self.tls = (
@@ -88,7 +98,10 @@
         return grpc.ssl_server_certificate_configuration([(key, cert)], ca)
 
     def _changed(self) -> grpc.ServerCertificateConfiguration | None:
-        """Asked at each handshake: new files serve new connections, what can't be read changes nothing."""
+        """Asked at each handshake.
+
+        New files serve new connections, what can't be read changes nothing.
+        """
         if self.tls.stamp() == self.stamp:
             return None
         try:
@@ -99,8 +112,8 @@
 
     async def _check(self, body: bytes, context: grpc.aio.ServicerContext) -> bytes:
         try:
-            asked = asked_of(body, self.names, self.fields, self.gateways, self.units_most)
-        except BadRequest as wrong:
+            asked = parse_check(body, self.names, self.fields, self.gateways, self.units_most)
+        except InvalidCheckError as wrong:
             self.counts["bad"] += 1
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(wrong))
         verdict = self.driver.check_admission(
@@ -108,10 +121,10 @@
         )
         if isinstance(verdict, AdmitRequest):
             self.counts["let in"] += 1
-            return let_in()
+            return admitted_response()
         if isinstance(verdict, RejectRequest):
             self.counts["turned away"] += 1
-            return turned_away(verdict.retry_after_us)
+            return rejected_response(verdict.retry_after_us)
         self.counts["undecided"] += 1
         await context.abort(grpc.StatusCode.UNAVAILABLE, "not decided")
         raise AssertionError("abort raises")
@@ -119,4 +132,4 @@
     async def stop(self) -> None:
         """Take no more, end what is being answered."""
         if self.server:
-            await self.server.stop(STOP_WITHIN)
+            await self.server.stop(STOP_TIMEOUT_S)
--- a/tests/authz/test_request_filter.py
+++ b/tests/authz/test_request_filter.py
@@ -11,20 +11,22 @@
 import trustme
 from conftest import Caller, FakeHost, Rig, asyncio_test, error, until
 
-from saffrongw.authz.attributes import Names
-from saffrongw.authz.breaker import BreakerFigures, State
-from saffrongw.authz.channel import Channel, Tls
-from saffrongw.authz.checks import Figures
-from saffrongw.authz.request_filter import AuthzFilter, Rules
+from saffrongw.authz.attributes import RequestNames
+from saffrongw.authz.breaker import BreakerSettings, BreakerState
+from saffrongw.authz.channel import AuthzChannel, TlsFiles
+from saffrongw.authz.checks import CheckSettings
+from saffrongw.authz.request_filter import AuthzFilter, FailureRules
 from saffrongw.gateway.extensions import Extensions
 from saffrongw.gateway.filtering_driver import FilteringDriver
 from saffrongw.policy.events import EndpointListKind, EndpointListReceived
 from saffrongw.policy.gateway import Gateway
 from testbed.ext_authz_server.server import MODES, Authoriser, Behaviour, allow, deny
 
-NAMES = Names(("read", "put", "bill"), ("team",), (True, False, False))
+NAMES = RequestNames(("read", "put", "bill"), ("team",), (True, False, False))
 MS = 1_000
-PATIENT = BreakerFigures(in_a_row=1000, least=1000)  # a breaker that does not open in these tests
+PATIENT = BreakerSettings(
+    max_consecutive_failures=1000, min_outcomes=1000
+)  # a breaker that does not open in these tests
 
 
 class World:
@@ -34,12 +36,12 @@
         self, *authorisers: Authoriser, rules=None, tls=None, share=0.6, names=NAMES, **figures
     ) -> World:
         self.authorisers, self.host = authorisers, await FakeHost("a").listen()
-        figures = {"breaker": PATIENT, "share": 0.5, "timeout_most": 2000 * MS} | figures
+        figures = {"breaker": PATIENT, "time_share": 0.5, "max_timeout_us": 2000 * MS} | figures
         self.stage = AuthzFilter(
-            Figures(**figures),
-            rules or Rules(),
+            CheckSettings(**figures),
+            rules or FailureRules(),
             names,
-            lambda: [Channel(a.address, tls) for a in authorisers],
+            lambda: [AuthzChannel(a.address, tls) for a in authorisers],
             "saffrongw",
             1,
         )
@@ -137,7 +139,7 @@
     @world_test
     async def check(open_):
         authoriser = await Authoriser(behaviour=Behaviour({mode: 1.0})).start()
-        world = await open_(authoriser, rules=Rules(fail), timeout_most=150 * MS)
+        world = await open_(authoriser, rules=FailureRules(fail), max_timeout_us=150 * MS)
         caller = await world.caller()
         caller.call("bill", wait=3000)
         (answer,) = await caller.replied()
@@ -159,7 +161,7 @@
 @world_test
 async def test_a_window_that_is_never_opened_ends_by_the_checks_deadline(open_):
     authoriser = await Authoriser(behaviour=Behaviour(window_shut=True)).start()
-    world = await open_(authoriser, timeout_most=150 * MS)
+    world = await open_(authoriser, max_timeout_us=150 * MS)
     caller = await world.caller()
     caller.call(wait=3000)
     assert error((await caller.replied())[0]) == "BUSY"
@@ -170,9 +172,9 @@
 async def test_an_answer_after_the_requests_own_end_sends_nothing(open_):
     """The guard of the request ends it while its check is out; the late OK must not send it."""
     authoriser = await Authoriser(behaviour=Behaviour({"delay": 1.0}, (0.6, 0.6))).start()
-    world = await open_(authoriser, share=0.9, timeout_most=5000 * MS)
-    world.stage.asker.checks.f = Figures(
-        share=0.9, timeout_least=2000 * MS, timeout_most=2000 * MS, breaker=PATIENT
+    world = await open_(authoriser, share=0.9, max_timeout_us=5000 * MS)
+    world.stage.asker.checks.f = CheckSettings(
+        time_share=0.9, min_timeout_us=2000 * MS, max_timeout_us=2000 * MS, breaker=PATIENT
     )
     world.rig.driver.filter_chain.time_share = 5.0  # no share that would end it before
     caller = await world.caller()
@@ -258,22 +260,26 @@
 @world_test
 async def test_an_open_breaker_costs_no_time_and_closes_when_the_authoriser_is_back(open_):
     authoriser = await Authoriser(behaviour=Behaviour({"silent": 1.0})).start()
-    breaker = BreakerFigures(in_a_row=3, open_for=200 * MS, successes=1)
+    breaker = BreakerSettings(max_consecutive_failures=3, open_us=200 * MS, successes=1)
     world = await open_(
-        authoriser, rules=Rules("open"), timeout_most=50 * MS, breaker=breaker, coalesce=False
+        authoriser,
+        rules=FailureRules("open"),
+        max_timeout_us=50 * MS,
+        breaker=breaker,
+        coalesce=False,
     )
     caller = await world.caller()
     for number in range(3):
         caller.call(wait=2000, number=b"n%d" % number)
         await caller.replied(number + 1)
-    assert world.stage.asker.checks.endpoints[0].breaker.state is State.OPEN
+    assert world.stage.asker.checks.endpoints[0].breaker.state is BreakerState.OPEN
     caller.call(wait=2000, number=b"fast")
     await caller.replied(4)
     assert len(authoriser.asked) == 3
     authoriser.behaviour.chances.clear()
     number = 4
 
-    async def ask() -> State:
+    async def ask() -> BreakerState:
         nonlocal number
         number += 1
         caller.call(wait=2000, number=b"m%d" % number)
@@ -281,7 +287,7 @@
         return world.stage.asker.checks.endpoints[0].breaker.state
 
     async with asyncio.timeout(10):
-        while await ask() is not State.CLOSED:
+        while await ask() is not BreakerState.CLOSED:
             await asyncio.sleep(0.02)
 
 
@@ -289,7 +295,7 @@
 async def test_one_of_two_authorisers_that_is_away_is_left_alone(open_):
     here, away = await Authoriser().start(), await Authoriser().start()
     away.stop()
-    breaker = BreakerFigures(in_a_row=2, open_for=60_000 * MS)
+    breaker = BreakerSettings(max_consecutive_failures=2, open_us=60_000 * MS)
     world = await open_(here, away, breaker=breaker, coalesce=False)
     caller = await world.caller()
     endpoints = world.stage.asker.checks.endpoints
@@ -300,14 +306,14 @@
         await caller.replied(number + 1)
     assert [reply == b"ok" for reply in caller.replies] == [False] * 2 + [True] * 28
     assert len(here.asked) == 28
-    assert world.stage.asker.checks.endpoints[1].breaker.state is State.OPEN
+    assert world.stage.asker.checks.endpoints[1].breaker.state is BreakerState.OPEN
 
 
 @world_test
 async def test_a_hedged_check_is_answered_by_the_faster_one(open_):
     slow = await Authoriser(behaviour=Behaviour({"silent": 1.0})).start()
     fast = await Authoriser().start()
-    world = await open_(slow, fast, hedge_after=30 * MS)
+    world = await open_(slow, fast, hedge_after_us=30 * MS)
     world.stage.asker.checks.endpoints[1].latency = 1e9  # the slow one is asked first
     caller = await world.caller()
     caller.call(wait=4000)
@@ -319,8 +325,12 @@
 
 @world_test
 async def test_an_authoriser_narrows_a_plan_only_where_it_may(open_):
-    names = Names(NAMES.classes, ("team", "small"), NAMES.safe)
-    for rules, plan in ((Rules(may_narrow_plan={"team": ("small",)}), 1), (Rules(), 0)):
+    names = RequestNames(NAMES.classes, ("team", "small"), NAMES.safe)
+    for rules, plan in (
+        (FailureRules(may_narrow_plan={"team": ("small",)}), 1),
+        (FailureRules(), 0),
+        driver.handle_by_policy = driver.gateway.handle
+    ):
         world = await open_(
             await Authoriser(lambda r: allow(plan="small")).start(), rules=rules, names=names
         )
@@ -340,7 +350,7 @@
 
 @world_test
 async def test_the_fail_mode_goes_by_class_and_plan(open_):
-    rules = Rules(
+    rules = FailureRules(
         "closed", {("read", ""): "open", ("read", "team"): "closed", ("bill", ""): "open"}
     )
     gone = await Authoriser().start()
@@ -360,9 +370,13 @@
         await Authoriser(seed=f"mix{n}", behaviour=Behaviour(dict(mix), (0.0, 0.3))).start()
         for n in (1, 2)
     ]
-    breaker = BreakerFigures(in_a_row=50, share=0.95, open_for=20 * MS)
+    breaker = BreakerSettings(max_consecutive_failures=50, failure_share=0.95, open_us=20 * MS)
     world = await open_(
-        *authorisers, timeout_most=120 * MS, hedge_after=40 * MS, breaker=breaker, coalesce=False
+        *authorisers,
+        max_timeout_us=120 * MS,
+        hedge_after_us=40 * MS,
+        breaker=breaker,
+        coalesce=False,
     )
     callers = [await world.caller() for _ in range(25)]
     for turn in range(12):
@@ -388,7 +402,9 @@
     before, after = await world.caller(), await world.caller()
     before.call(wait=4000, number=b"one")
     await until(lambda: old.asked)
-    world.stage.change(Figures(breaker=PATIENT), Rules("open"), lambda: [Channel(new.address)])
+    world.stage.change(
+        CheckSettings(breaker=PATIENT), FailureRules("open"), lambda: [AuthzChannel(new.address)]
+    )
     after.call(wait=4000, number=b"two")
     assert error((await after.replied())[0]) == "ERR failed"
     assert await before.replied() == [b"ok"]
@@ -403,7 +419,9 @@
     asker = world.stage.asker
     with pytest.raises(OSError, match="none"):
         world.stage.change(
-            Figures(), Rules("open"), lambda: [Channel("127.0.0.1:1", Tls(ca="/none.pem"))]
+            CheckSettings(),
+            FailureRules("open"),
+            lambda: [AuthzChannel("127.0.0.1:1", TlsFiles(ca="/none.pem"))],
         )
     assert world.stage.asker is asker
     assert world.stage.rules.fail == "closed"
@@ -416,8 +434,8 @@
 async def test_an_aborted_change_leaves_the_old_checks_and_closes_the_new_channels(open_):
     world = await open_(await Authoriser().start())
     asker = world.stage.asker
-    channel = Channel("127.0.0.1:1")
-    prepared = world.stage.prepare(Figures(), Rules("open"), lambda: [channel])
+    channel = AuthzChannel("127.0.0.1:1")
+    prepared = world.stage.prepare(CheckSettings(), FailureRules("open"), lambda: [channel])
     prepared.abort()
     await until(lambda: not world.stage.retiring)
     assert world.stage.asker is asker
@@ -467,7 +485,7 @@
         authoriser.ssl = own.server("authoriser.test", own)
         await authoriser.start()
         cert, key = own.issue("gateway.test")
-        tls = Tls(str(own.ca_file), cert, key, "authoriser.test")
+        tls = TlsFiles(str(own.ca_file), cert, key, "authoriser.test")
         world = await open_(authoriser, tls=tls, coalesce=False)
         caller = await world.caller()
         caller.call(wait=4000, number=b"one")
@@ -497,7 +515,7 @@
             authoriser.ssl = context
             await authoriser.start()
             world = await open_(
-                authoriser, tls=Tls(str(own.ca_file), server_name="authoriser.test")
+                authoriser, tls=TlsFiles(str(own.ca_file), server_name="authoriser.test")
             )
             caller = await world.caller()
             caller.call(wait=1000)
--- a/tests/authz/test_server.py
+++ b/tests/authz/test_server.py
@@ -13,7 +13,7 @@
 from grpclib.server import Server
 from test_request_filter import NAMES, World
 
-from saffrongw.authz.attributes import METHOD, Fields
+from saffrongw.authz.attributes import METHOD, ContextExtensionNames
 from saffrongw.authz.server import AuthzServer
 from saffrongw.gateway.extensions import Extensions
 from saffrongw.gateway.filtering_driver import FilteringDriver
@@ -37,7 +37,7 @@
 async def served(in_flight=100, **changes):
     """A gateway that answers checks: the rig, and how to ask."""
     host = await FakeHost("a").listen()
-    server = AuthzServer("127.0.0.1:0", NAMES, Fields(), 2, 1.0, in_flight)
+    server = AuthzServer("127.0.0.1:0", NAMES, ContextExtensionNames(), 2, 1.0, in_flight)
     rig = Rig(
         host,
         driver=lambda *given: FilteringDriver(*given, Extensions((), (), (server,))),
@@ -153,7 +153,7 @@
 @asyncio_test
 async def test_a_port_that_is_taken_is_told_plainly():
     async with served() as (rig, server, _):
-        second = AuthzServer(f"127.0.0.1:{server.port}", NAMES, Fields(), 2, 1.0, 10)
+        second = AuthzServer(f"127.0.0.1:{server.port}", NAMES, ContextExtensionNames(), 2, 1.0, 10)
         with pytest.raises(OSError, match="can't listen on"):
             await second.start(rig.driver)
 
--- a/tests/faults/variants.py
+++ b/tests/faults/variants.py
@@ -261,10 +261,10 @@
 
 @variant
 def ignores_denials() -> None:
-    from saffrongw.authz.request_filter import Asker
+    from saffrongw.authz.request_filter import CheckClient
     from saffrongw.gateway.extensions import Continue
 
-    Asker._verdict = lambda self, request, reply: Continue()
+    CheckClient._verdict = lambda self, request, reply: Continue()
 
 
 @variant
