--- a/saffrongw/authz/attributes.py
+++ b/saffrongw/authz/attributes.py
@@ -14,7 +14,7 @@
 from saffrongw.gateway.extensions import FilteredRequest
 
 from . import check_pb2 as pb
-from .checks import ReplyKind, CheckReply
+from .checks import CheckReply, ReplyKind
 
 METHOD = "/envoy.service.auth.v3.Authorization/Check"
 NAMESPACE = "saffrongw"  # of dynamic metadata that is read
--- a/saffrongw/authz/checks.py
+++ b/saffrongw/authz/checks.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from .breaker import MS, BreakerSettings, AuthoriserEndpoint, choose_endpoint
+from .breaker import MS, AuthoriserEndpoint, BreakerSettings, choose_endpoint
 
 MAX_LIFETIME_US = 3600 * 1_000_000  # us; no answer is believed for longer
 
--- a/saffrongw/authz/request_filter.py
+++ b/saffrongw/authz/request_filter.py
@@ -13,18 +13,18 @@
 from saffrongw.gateway.driver import Driver
 from saffrongw.gateway.extensions import Abort, Continue, Ending, FilteredRequest, Reject, Verdict
 
-from .attributes import InvalidReplyError, RequestNames, encode_check, cache_key, parse_reply
+from .attributes import InvalidReplyError, RequestNames, cache_key, encode_check, parse_reply
 from .channel import AuthzChannel, AuthzChannelError
 from .checks import (
-    SendCheck,
     CancelCheck,
-    CheckScheduler,
     CheckEffect,
-    CheckSettings,
-    ScheduleHedge,
-    ReplyKind,
     CheckReply,
+    CheckScheduler,
+    CheckSettings,
     CompleteRequest,
+    ReplyKind,
+    ScheduleHedge,
+    SendCheck,
 )
 
 log = logging.getLogger(__name__)
--- a/saffrongw/authz/server.py
+++ b/saffrongw/authz/server.py
@@ -18,11 +18,11 @@
 from ..policy.actions import AdmitRequest, RejectRequest
 from .attributes import (
     METHOD,
-    InvalidCheckError,
     ContextExtensionNames,
+    InvalidCheckError,
     RequestNames,
-    parse_check,
     admitted_response,
+    parse_check,
     rejected_response,
 )
 from .channel import MAX_METADATA_BYTES, MAX_REPLY_BYTES, TlsFiles
--- a/tests/authz/test_attributes.py
+++ b/tests/authz/test_attributes.py
@@ -12,18 +12,18 @@
 from hypothesis import strategies as st
 
 from saffrongw.authz.attributes import (
-    InvalidReplyError,
-    InvalidCheckError,
     ContextExtensionNames,
+    InvalidCheckError,
+    InvalidReplyError,
     RequestNames,
-    parse_check,
-    encode_check,
-    cache_key,
     admitted_response,
+    cache_key,
+    encode_check,
+    parse_check,
     parse_reply,
     rejected_response,
 )
-from saffrongw.authz.checks import ReplyKind, CheckReply
+from saffrongw.authz.checks import CheckReply, ReplyKind
 from saffrongw.gateway.extensions import FilteredRequest
 from saffrongw.gateway.request_types import RequestTerms
 from testbed.ext_authz_server.server import allow, deny
--- a/tests/authz/test_checks.py
+++ b/tests/authz/test_checks.py
@@ -8,21 +8,21 @@
 from hypothesis import strategies as st
 
 from saffrongw.authz.breaker import (
+    AuthoriserEndpoint,
     Breaker,
     BreakerSettings,
-    AuthoriserEndpoint,
     BreakerState,
     choose_endpoint,
 )
 from saffrongw.authz.checks import (
-    SendCheck,
     CancelCheck,
+    CheckReply,
     CheckScheduler,
     CheckSettings,
-    ScheduleHedge,
-    ReplyKind,
-    CheckReply,
     CompleteRequest,
+    ReplyKind,
+    ScheduleHedge,
+    SendCheck,
 )
 
 MS, S = 1_000, 1_000_000
--- a/tests/authz/test_request_filter.py
+++ b/tests/authz/test_request_filter.py
@@ -329,7 +329,6 @@
     for rules, plan in (
         (FailureRules(may_narrow_plan={"team": ("small",)}), 1),
         (FailureRules(), 0),
-        driver.handle_by_policy = driver.gateway.handle
     ):
         world = await open_(
             await Authoriser(lambda r: allow(plan="small")).start(), rules=rules, names=names
@@ -339,6 +338,7 @@
         driver = world.rig.driver
         entries = tuple(e.entry for e in driver.gateway.endpoints.by_id.values())
         driver.gateway = Gateway(settings, 1, driver.clock())
+        driver.handle_by_policy = driver.gateway.handle
         complete = EndpointListReceived(EndpointListKind.COMPLETE, 1, entries)
         driver.gateway.handle(driver.clock(), complete)
         caller = await world.caller()
