--- a/tests/authz/test_request_filter.py
+++ b/tests/authz/test_request_filter.py
@@ -339,6 +339,7 @@
         entries = tuple(e.entry for e in driver.gateway.endpoints.by_id.values())
         driver.gateway = Gateway(settings, 1, driver.clock())
         driver.handle_by_policy = driver.gateway.handle
+        driver.filter_chain.plan_count = len(settings.plans)
         complete = EndpointListReceived(EndpointListKind.COMPLETE, 1, entries)
         driver.gateway.handle(driver.clock(), complete)
         caller = await world.caller()
