--- a/tests/certs/acme_rig.py
+++ b/tests/certs/acme_rig.py
@@ -60,7 +60,7 @@
         self.part = CertsComponent(self.table, self.seed, self.clock)
         await self.rig.listen()
         await self.part.start(self.rig.driver)
-        await self.rig.clients.open_fronts((self.part.listener,))
+        await self.rig.clients.open_listeners((self.part.listener,))
         return self
 
     async def stop(self) -> None:
--- a/tests/certs/test_tls_listener.py
+++ b/tests/certs/test_tls_listener.py
@@ -65,7 +65,7 @@
         self.rig = Rig(self.host, lines=[self.host.line(host=n) for n in "abcdef"], **changes)
         await self.rig.clients.listen()
         self.listener.prepare()
-        await self.rig.clients.open_fronts((self.listener,))
+        await self.rig.clients.open_listeners((self.listener,))
         return self
 
     @property
--- a/tests/gateway/test_admission_queue.py
+++ b/tests/gateway/test_admission_queue.py
@@ -100,7 +100,8 @@
     assert await other.replied() == [b"ok"]
     await until(lambda: not rig.clients.open_request_ids and not rig.driver.requests)
     assert (
-        not rig.clients.admission_queue.is_overloaded and not rig.clients.admission_queue.shedder.of
+        not rig.clients.admission_queue.is_overloaded
+        and not rig.clients.admission_queue.shedder.count_by_customer
     )
 
 
--- a/tests/gateway/test_driver.py
+++ b/tests/gateway/test_driver.py
@@ -52,7 +52,12 @@
     caller.call("bill", wait=200)
     assert error((await caller.replied())[0]).startswith("ERR")
     await until(lambda: not endpoint.connections)  # the attempt is cancelled
-    assert rig.driver.requests == rig.driver.gateway.requests == rig.driver.gateway.attempts == {}
+    assert (
+        rig.driver.requests
+        == rig.driver.gateway.lifecycle.requests
+        == rig.driver.gateway.lifecycle.attempts
+        == {}
+    )
 
 
 @asyncio_test
@@ -65,7 +70,7 @@
     await until(lambda: endpoint.commands)
     caller.transport.close()
     await until(lambda: not endpoint.connections)
-    await until(lambda: rig.driver.requests == rig.driver.gateway.requests == {})
+    await until(lambda: rig.driver.requests == rig.driver.gateway.lifecycle.requests == {})
 
 
 @asyncio_test
@@ -81,7 +86,7 @@
     await until(lambda: not rig.driver.requests)
     assert endpoint.connections
     await until(lambda: not endpoint.connections)
-    assert rig.driver.gateway.attempts == {}
+    assert rig.driver.gateway.lifecycle.attempts == {}
 
 
 @asyncio_test
@@ -89,21 +94,21 @@
     endpoint = await FakeEndpoint("a").listen()
     rig = Rig(endpoint)
     caller = await rig.caller()
-    choose = rig.driver.gateway._choose
-    rig.driver.gateway._choose = lambda request: 1 // 0
+    choose = rig.driver.gateway.load_balancer.choose
+    rig.driver.gateway.load_balancer.choose = lambda request: 1 // 0
     caller.call("bill")
     assert error((await caller.replied())[0]).startswith("ERR")
-    rig.driver.gateway._choose = choose
+    rig.driver.gateway.load_balancer.choose = choose
     caller.call("bill")
     assert (await caller.replied(2))[1] == b"ok"
-    assert rig.driver.requests == rig.driver.gateway.requests == {}
+    assert rig.driver.requests == rig.driver.gateway.lifecycle.requests == {}
 
 
 @asyncio_test
 async def test_request_left_unanswered_by_policy_fails_at_deadline():
     rig = Rig(await FakeEndpoint("a").listen())
     caller = await rig.caller()
-    rig.driver.gateway._advance = lambda request: None
+    rig.driver.gateway.lifecycle.advance = lambda request: None
     caller.call(wait=100)
     assert error((await caller.replied())[0]).startswith("ERR")
 
@@ -113,8 +118,8 @@
     rig = Rig(await FakeEndpoint("a").listen())
     caller = await rig.caller()
     for wait, line in ((0, "BUSY"), (1_000, "BUSY 1"), (1_001, "BUSY 2")):
-        rig.driver.gateway._advance = lambda request, wait=wait: rig.driver.gateway.actions.append(
-            RejectRequest(request.event.request, wait)
+        rig.driver.gateway.lifecycle.advance = lambda request, wait=wait: (
+            rig.driver.gateway.context.actions.append(RejectRequest(request.event.request, wait))
         )
         caller.call()
         await until(lambda: caller.replies)
@@ -128,8 +133,8 @@
 
     def turn():
         gossip_times.append(rig.loop.time())
-        rig.driver.gateway.actions.append(SetTimer(1_000, 0))
+        rig.driver.gateway.context.actions.append(SetTimer(1_000, 0))
         raise RuntimeError("made up")
 
-    rig.driver.gateway._turn = turn
+    rig.driver.gateway.quota_broadcast.gossip_turn = turn
     await until(lambda: len(gossip_times) >= 3)
--- a/tests/gateway/test_event_interleavings_over_sockets.py
+++ b/tests/gateway/test_event_interleavings_over_sockets.py
@@ -61,8 +61,8 @@
             self.client.connection_lost(None)
         elif event == "time is up":
             self.call.deadline_us = self.rig.driver.clock()
-            if request := self.rig.driver.gateway.requests.get(self.call.event.request):
-                request.until = self.call.deadline_us
+            if request := self.rig.driver.gateway.lifecycle.requests.get(self.call.event.request):
+                request.deadline_us = self.call.deadline_us
             if not self.call.is_finished:
                 self.rig.driver._deadline_passed(self.call)
         elif event in ("drains", "gone"):
@@ -86,7 +86,9 @@
         """Have the endpoint answer what is in flight; then no state is left anywhere."""
         if not self.first.is_ended:
             self.connection.data_received(self.remainder())
-        await until(lambda: not self.rig.driver.requests and not self.rig.driver.gateway.attempts)
+        await until(
+            lambda: not self.rig.driver.requests and not self.rig.driver.gateway.lifecycle.attempts
+        )
         await until(lambda: not self.rig.cluster.closing and not self.rig.clients.open_request_ids)
         if not self.left:
             self.caller.ask(b"PING")  # after all that is answered
--- a/tests/gateway/test_request_filters.py
+++ b/tests/gateway/test_request_filters.py
@@ -120,7 +120,7 @@
     caller.call(wait=1500)
     await asyncio.sleep(0.05)
     assert len(rig.driver.requests) == 1  # counted and listed before its first filter ended
-    assert rig.driver.gateway.requests == {}
+    assert rig.driver.gateway.lifecycle.requests == {}
     assert await caller.replied() == [b"ok"]
     terms = dict(pair.split(b"=") for pair in endpoint.commands[0][3].split(b","))
     assert int(terms[b"d"]) < 1300
--- a/tests/gateway/test_upstream_interleavings.py
+++ b/tests/gateway/test_upstream_interleavings.py
@@ -143,13 +143,13 @@
     rig.loop.create_connection = connect
     caller = await rig.caller()
     rig.update_endpoints(good.line())
-    rig.driver.gateway._choose, choose = (
-        lambda request: rig.driver.gateway.hosts[b"a" if not request.attempts else b"b"],
-        rig.driver.gateway._choose,
+    rig.driver.gateway.load_balancer.choose, choose = (
+        lambda request: rig.driver.gateway.endpoints.by_id[b"a" if not request.attempts else b"b"],
+        rig.driver.gateway.load_balancer.choose,
     )
     caller.call("bill", wait=20_000)
     assert await caller.replied() == [b"ok"]
-    rig.driver.gateway._choose = choose
+    rig.driver.gateway.load_balancer.choose = choose
     await until(lambda: not late.connections)
     assert (len(late.commands), len(good.commands)) == (0, 1)
     assert rig.cluster.open_connections == len(good.connections) == 1 and not rig.cluster.closing
@@ -249,4 +249,4 @@
     gate.opened.set()
     await until(lambda: len(endpoint.connections) == 3)
     await asyncio.sleep(0.05)
-    assert endpoint.commands == [] and not rig.driver.gateway.attempts
+    assert endpoint.commands == [] and not rig.driver.gateway.lifecycle.attempts
--- a/tests/ledger/test_ledger_request_filter.py
+++ b/tests/ledger/test_ledger_request_filter.py
@@ -126,7 +126,7 @@
         assert (await caller.replied(2 * number + 2))[-1] == b"ok"
     assert [command[2][:1] for command in world.host.commands] == [b"r"] * 3
     # At most the first one took units before the disk failed.
-    assert world.rig.driver.gateway.accounts[7].total <= 3 + 1
+    assert world.rig.driver.gateway.quota_counters.customers[7].spent_units <= 3 + 1
     is_broken.clear()
     await until(lambda: world.ledger.writer.is_open)
     caller.call("bill", number=b"again")
@@ -203,7 +203,7 @@
         assert error(reply) in ("BUSY", "ERR failed")
     assert len(world.host.commands) == 20
     release.set()
-    await until(lambda: not world.rig.driver.calls and not world.ledger.entries)
+    await until(lambda: not world.rig.driver.requests and not world.ledger.entries)
     # What was late is not sent.
     assert len(world.host.commands) == 20
     await world.ledger.stop()
@@ -219,7 +219,7 @@
     caller.call("bill")
     await until(lambda: world.ledger.writer.pending)
     caller.transport.close()
-    await until(lambda: not world.rig.driver.calls)
+    await until(lambda: not world.rig.driver.requests)
     release.set()
     await until(lambda: not world.ledger.writer.pending)
     assert world.host.commands == []
