--- a/tests/leases/test_leader_guard.py
+++ b/tests/leases/test_leader_guard.py
@@ -6,7 +6,6 @@
 from conftest import asyncio_test
 
 from saffrongw.certs.certificate_store import CertificateSite
-from saffrongw.certs.ordering_lease import LostLeaseError, OrderingTerm
 from saffrongw.certs.documents import CertNote
 from saffrongw.certs.lease import LeaseTerms
 from saffrongw.certs.ordering_lease import LostLeaseError, OrderingTerm
