--- a/saffrongw/admin/certs.py
+++ b/saffrongw/admin/certs.py
@@ -17,12 +17,13 @@
 from saffrongw import operator
 from saffrongw.admin import columns, unusable
 from saffrongw.certs import chain, renewal
+from saffrongw.certs.acme_session import Session
+from saffrongw.certs.acme_steps import Flow
 from saffrongw.certs.certificate_status import CertificateRow
 from saffrongw.certs.certificate_store import CertificateSite
 from saffrongw.certs.documents import CertNote, DocumentError
 from saffrongw.certs.jose import AccountKey
 from saffrongw.certs.messages import AcmeError
-from saffrongw.certs.order_flow import Flow, Session
 from saffrongw.certs.renewal_loop import RenewalLoop
 from saffrongw.certs.table import REASONS, AuthorityTable, CertsTable
 from saffrongw.certs.tls_listener import TlsSettings
--- a/saffrongw/certs/__init__.py
+++ b/saffrongw/certs/__init__.py
@@ -2,8 +2,9 @@
 
 Decisions without I/O: ``client_hello`` (what a client asks for), ``handshakes`` (which handshakes
 may begin), ``lease`` (which of many gateways orders), ``renewal`` (when to order, backoff, alarms),
-``messages`` and ``order_flow`` (RFC 8555), ``jose`` (its signatures), ``chain`` (whether a
-certificate may serve), ``documents`` (what is kept between steps).
+``messages``, ``acme_steps``, ``acme_session`` and ``order_flow`` (RFC 8555), ``jose`` (its
+signatures), ``chain`` (whether a certificate may serve), ``documents`` (what is kept between
+steps).
 
 The shared folder: ``shared_folder`` (files and lock), ``ordering_lease``, ``account_store``,
 ``challenge_store``, ``certificate_store``.
--- a/saffrongw/certs/http.py
+++ b/saffrongw/certs/http.py
@@ -14,8 +14,8 @@
 
 from saffrongw import __version__
 
+from .acme_steps import HttpRequest
 from .messages import AcmeError, FailureKind, HttpAnswer, clean, malformed_answer
-from .order_flow import HttpRequest
 
 # For one request, from connecting to the last byte.
 TIMEOUT_S = 30.0
--- a/saffrongw/certs/order_runner.py
+++ b/saffrongw/certs/order_runner.py
@@ -18,6 +18,16 @@
 from typing import Any, Protocol
 
 from . import chain, order_flow, renewal
+from .acme_session import Session
+from .acme_steps import (
+    Flow,
+    HttpRequest,
+    PublishChallenge,
+    SaveNote,
+    Sleep,
+    Step,
+    WithdrawChallenges,
+)
 from .blocking_worker import BlockingWorker
 from .certificate_status import CertificateStatus
 from .certificate_store import CertificateSite
@@ -26,15 +36,6 @@
 from .http import AuthorityClient
 from .jose import AccountKey, external_key
 from .messages import AcmeError, FailureKind, HttpAnswer, RenewalWindow
-from .order_flow import (
-    Flow,
-    HttpRequest,
-    PublishChallenge,
-    SaveNote,
-    Session,
-    Sleep,
-    WithdrawChallenges,
-)
 from .ordering_lease import LostLeaseError, OrderingTerm
 from .table import AuthorityTable, CertTable
 
@@ -326,7 +327,7 @@
 
     async def _perform_step(
         self,
-        step: order_flow.Step,
+        step: Step,
         https: AuthorityClient,
         certificate_id: str,
         term: OrderingTerm | None,
--- a/tests/certs/test_http.py
+++ b/tests/certs/test_http.py
@@ -10,9 +10,9 @@
 import trustme
 from conftest import asyncio_test
 
+from saffrongw.certs.acme_steps import HttpRequest
 from saffrongw.certs.http import MAX_BODY_BYTES, MAX_HEAD_BYTES, AuthorityClient
 from saffrongw.certs.messages import AcmeError, FailureKind
-from saffrongw.certs.order_flow import HttpRequest
 
 CA = trustme.CA()
 GOOD = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n"
--- a/tests/certs/test_order_flow.py
+++ b/tests/certs/test_order_flow.py
@@ -9,17 +9,17 @@
 from cryptography import x509
 
 from saffrongw.certs import chain, order_flow
-from saffrongw.certs.documents import CertNote
-from saffrongw.certs.jose import AccountKey
-from saffrongw.certs.messages import AcmeError, FailureKind, HttpAnswer
-from saffrongw.certs.order_flow import (
+from saffrongw.certs.acme_session import Session
+from saffrongw.certs.acme_steps import (
     HttpRequest,
     PublishChallenge,
     SaveNote,
-    Session,
     Sleep,
     WithdrawChallenges,
 )
+from saffrongw.certs.documents import CertNote
+from saffrongw.certs.jose import AccountKey
+from saffrongw.certs.messages import AcmeError, FailureKind, HttpAnswer
 from testbed.acme_server.model import Authority, Check, Reply, ari_name
 
 BASE = "https://ca.example"
