--- a/saffrongw/admin/certs.py
+++ b/saffrongw/admin/certs.py
@@ -138,8 +138,8 @@
             f"window       {_utc(note.window.start)} to {_utc(note.window.end)}, by the authority"
         )
     if note.order:
-        place = note.order.url or "its answer never came"
-        print(f"order        begun {_utc(note.order.begun)} at {note.order.directory}: {place}")
+        url = note.order.url or "its answer never came"
+        print(f"order        begun {_utc(note.order.begun)} at {note.order.directory}: {url}")
     if note.failures:
         failures = note.failures
         print(
--- a/saffrongw/authz/attributes.py
+++ b/saffrongw/authz/attributes.py
@@ -97,10 +97,10 @@
     if code != OK and which == "ok_response":
         raise InvalidReplyError(f"status {code} with an ok response")
     # Older authorisers put it into the ok response, which is empty where there is none.
-    told = _dynamic_metadata(response.dynamic_metadata) or _dynamic_metadata(
+    metadata = _dynamic_metadata(response.dynamic_metadata) or _dynamic_metadata(
         response.ok_response.dynamic_metadata
     )
-    lifetime, plan = _lifetime(told), told.get("plan", "")
+    lifetime, plan = _lifetime(metadata), metadata.get("plan", "")
     if code == OK:
         named = isinstance(plan, str) and len(plan) <= MAX_TEXT_CHARS
         return CheckReply(ReplyKind.ALLOW, 0, lifetime, plan if named else "")
@@ -126,9 +126,9 @@
     return found
 
 
-def _lifetime(told: Mapping) -> int:
+def _lifetime(metadata: Mapping) -> int:
     """``cache_ms`` in us; 0 where it is no time."""
-    value = told.get("cache_ms", 0)
+    value = metadata.get("cache_ms", 0)
     if not isinstance(value, float | int) or not 0 < value < 1e9:
         return 0
     return int(value * MS)
@@ -194,7 +194,7 @@
     names: RequestNames,
     fields: ContextExtensionNames,
     gateways: int,
-    units_most: float,
+    max_units: float,
 ) -> AdmissionCheck:
     """A check as terms, in the exact forms that a client's command has.
 
@@ -226,7 +226,7 @@
         or units in (".", "")
     ):
         raise InvalidCheckError("units is no number")
-    if not 0 < float(units) <= units_most:
+    if not 0 < float(units) <= max_units:
         raise InvalidCheckError("units is out of range")
     spread, first = extensions.get("spread", str(gateways)), extensions.get("first", "0")
     for name, text in (("spread", spread), ("first", first)):
--- a/saffrongw/authz/breaker.py
+++ b/saffrongw/authz/breaker.py
@@ -45,7 +45,7 @@
     """One authoriser's breaker."""
 
     def __init__(self, figures: BreakerSettings, seed: int) -> None:
-        self.f, self.random = figures, random.Random(seed)
+        self.settings, self.random = figures, random.Random(seed)
         self.state = BreakerState.CLOSED
         self.outcomes: deque[tuple[int, bool]] = (
             deque()
@@ -62,7 +62,7 @@
         if self.state is BreakerState.OPEN and now >= self.until:
             self.state, self.trying, self.good = BreakerState.HALF_OPEN, 0, 0
         if self.state is BreakerState.HALF_OPEN:
-            return self.trying < self.f.trials
+            return self.trying < self.settings.trials
         return self.state is BreakerState.CLOSED
 
     def began(self) -> bool:
@@ -79,12 +79,12 @@
                 return
             self.trying = max(0, self.trying - 1)
             if failed:
-                self.span = min(self.f.max_open_us, 2 * self.span)
+                self.span = min(self.settings.max_open_us, 2 * self.span)
                 self._open(now)
             else:
                 self.good += 1
-                if self.good >= self.f.successes:
-                    self.state, self.span, self.row = BreakerState.CLOSED, self.f.open_us, 0
+                if self.good >= self.settings.successes:
+                    self.state, self.span, self.row = BreakerState.CLOSED, self.settings.open_us, 0
                     self.outcomes.clear()
                     self.failures = 0
             return
@@ -93,11 +93,11 @@
         self.outcomes.append((now, failed))
         self.failures += failed
         self.row = self.row + 1 if failed else 0
-        while self.outcomes[0][0] < now - self.f.window_us or len(self.outcomes) > 1000:
+        while self.outcomes[0][0] < now - self.settings.window_us or len(self.outcomes) > 1000:
             self.failures -= self.outcomes.popleft()[1]
-        enough = len(self.outcomes) >= self.f.min_outcomes
-        if self.row >= self.f.max_consecutive_failures or (
-            enough and self.failures >= self.f.failure_share * len(self.outcomes)
+        enough = len(self.outcomes) >= self.settings.min_outcomes
+        if self.row >= self.settings.max_consecutive_failures or (
+            enough and self.failures >= self.settings.failure_share * len(self.outcomes)
         ):
             self._open(now)
 
@@ -131,10 +131,12 @@
         self.out += 1
         return self.breaker.began()
 
-    def end(self, now: int, took: int, failed: bool, trial: bool) -> None:
+    def end(self, now: int, duration_us: int, failed: bool, trial: bool) -> None:
         """A check has ended."""
         self.out -= 1
-        self.latency += LATENCY_SAMPLE_WEIGHT * (took - self.latency) if self.latency else took
+        self.latency += (
+            LATENCY_SAMPLE_WEIGHT * (duration_us - self.latency) if self.latency else duration_us
+        )
         self.breaker.ended(now, failed, trial)
 
     def abandon(self, trial: bool) -> None:
@@ -146,7 +148,7 @@
 def choose_endpoint(
     endpoints: Iterable[AuthoriserEndpoint],
     now: int,
-    lots: random.Random,
+    generator: random.Random,
     but: AuthoriserEndpoint | None = None,
 ) -> AuthoriserEndpoint | None:
     """The authoriser to ask: of those whose breakers let pass, the one that should answer soonest.
@@ -159,4 +161,4 @@
         return None
     if trials := [e for e in usable if e.breaker.state is BreakerState.HALF_OPEN]:
         return trials[0]
-    return min(usable, key=lambda e: max(MS, e.latency) * (e.out + 1) * lots.uniform(0.9, 1.1))
+    return min(usable, key=lambda e: max(MS, e.latency) * (e.out + 1) * generator.uniform(0.9, 1.1))
--- a/saffrongw/authz/checks.py
+++ b/saffrongw/authz/checks.py
@@ -112,7 +112,7 @@
     """All checks of one gateway."""
 
     def __init__(self, figures: CheckSettings, names: Sequence[str], seed: int) -> None:
-        self.f, self.lots = figures, random.Random(seed)
+        self.settings, self.generator = figures, random.Random(seed)
         self.endpoints = [
             AuthoriserEndpoint(name, figures.breaker, seed + n) for n, name in enumerate(names)
         ]
@@ -132,24 +132,29 @@
         if (cached := self._cached(now, key)) is not None:
             return [self._settle(request, cached, "cached")]
         within = max(
-            self.f.min_timeout_us, min(self.f.max_timeout_us, int(self.f.time_share * left))
+            self.settings.min_timeout_us,
+            min(self.settings.max_timeout_us, int(self.settings.time_share * left)),
         )
-        if self.f.coalesce and (number := self.joinable.get(key)):
+        if self.settings.coalesce and (number := self.joinable.get(key)):
             flight = self.flights[number]
             if flight.due <= now + within:  # what it joins ends within its own time
                 flight.requests[request] = "joined"
                 self.of[request] = number
                 return []
-        if len(self.flights) >= self.f.in_flight:
+        if len(self.flights) >= self.settings.in_flight:
             return [self._settle(request, UNREACHED, "full")]
-        endpoint = choose_endpoint(self.endpoints, now, self.lots)
+        endpoint = choose_endpoint(self.endpoints, now, self.generator)
         if endpoint is None:
             return [self._settle(request, UNREACHED, "open")]
         number = self._launch(now, key, endpoint, within, {request: "asked"})
         self.of[request] = number
         effects: list[CheckEffect] = [SendCheck(number, self.flights[number].endpoint, within)]
-        if self.f.hedge_after_us and self.f.hedge_after_us < within and len(self.endpoints) > 1:
-            effects.append(ScheduleHedge(number, self.f.hedge_after_us))
+        if (
+            self.settings.hedge_after_us
+            and self.settings.hedge_after_us < within
+            and len(self.endpoints) > 1
+        ):
+            effects.append(ScheduleHedge(number, self.settings.hedge_after_us))
         return effects
 
     def leave(self, request: int) -> list[CheckEffect]:
@@ -166,8 +171,8 @@
             return []
         effects: list[CheckEffect] = []
         for each in (number, flight.twin):
-            if gone := self._land(each):
-                self.endpoints[gone.endpoint].abandon(gone.trial)
+            if removed := self._land(each):
+                self.endpoints[removed.endpoint].abandon(removed.trial)
                 effects.append(CancelCheck(each))
         self.counts["called off"] += 1
         return effects
@@ -180,11 +185,13 @@
         if (
             flight is None
             or flight.twin
-            or len(self.flights) >= self.f.in_flight
+            or len(self.flights) >= self.settings.in_flight
             or flight.due <= now
         ):
             return []
-        other = choose_endpoint(self.endpoints, now, self.lots, but=self.endpoints[flight.endpoint])
+        other = choose_endpoint(
+            self.endpoints, now, self.generator, but=self.endpoints[flight.endpoint]
+        )
         if other is None:
             return []
         twin = self._launch(now, flight.key, other, flight.due - now, flight.requests, join=False)
@@ -199,7 +206,7 @@
             self.counts["answer too late"] += 1
             return []
         self.endpoints[flight.endpoint].end(now, now - flight.sent, False, flight.trial)
-        self._keep(now, flight.key, reply)
+        self._store_reply(now, flight.key, reply)
         effects: list[CheckEffect] = []
         if twin := self._land(flight.twin):
             self.endpoints[twin.endpoint].abandon(twin.trial)
@@ -247,9 +254,9 @@
     ) -> int:
         self.last += 1
         trial = endpoint.begin()
-        place = self.endpoints.index(endpoint)
-        self.flights[self.last] = _CheckInFlight(key, place, now, now + within, trial, requests)
-        if join and self.f.coalesce:
+        index = self.endpoints.index(endpoint)
+        self.flights[self.last] = _CheckInFlight(key, index, now, now + within, trial, requests)
+        if join and self.settings.coalesce:
             self.joinable[key] = self.last
         return self.last
 
@@ -276,22 +283,25 @@
         found = self.cache.get(key)
         if found is None:
             return None
-        kept, until, reply = found
+        stored_at_us, until, reply = found
         if now >= until:
             del self.cache[key]
             return None
         self.cache.move_to_end(key)
         if reply.retry_after:  # it told when: what is left of that
             return CheckReply(
-                reply.kind, max(0, kept + reply.retry_after - now), reply.lifetime, reply.plan
+                reply.kind,
+                max(0, stored_at_us + reply.retry_after - now),
+                reply.lifetime,
+                reply.plan,
             )
         return reply
 
-    def _keep(self, now: int, key: Hashable, reply: CheckReply) -> None:
-        lifetime = min(reply.lifetime, self.f.max_cached_us, MAX_LIFETIME_US)
-        if lifetime <= 0 or not self.f.cache_entries:
+    def _store_reply(self, now: int, key: Hashable, reply: CheckReply) -> None:
+        lifetime = min(reply.lifetime, self.settings.max_cached_us, MAX_LIFETIME_US)
+        if lifetime <= 0 or not self.settings.cache_entries:
             return
         self.cache[key] = now, now + lifetime, reply
         self.cache.move_to_end(key)
-        while len(self.cache) > self.f.cache_entries:
+        while len(self.cache) > self.settings.cache_entries:
             self.cache.popitem(last=False)
--- a/saffrongw/authz/request_filter.py
+++ b/saffrongw/authz/request_filter.py
@@ -46,9 +46,9 @@
 
     def mode(self, cls: str, plan: str) -> str:
         """``open`` or ``closed`` where no authoriser was reached: the most exact line counts."""
-        for place in ((cls, plan), (cls, ""), ("", plan)):
-            if place in self.fail_for:
-                return self.fail_for[place]
+        for key in ((cls, plan), (cls, ""), ("", plan)):
+            if key in self.fail_for:
+                return self.fail_for[key]
         return self.fail
 
     def narrows(self, plan: str, to: str) -> bool:
@@ -160,7 +160,7 @@
                 task = self.loop.create_task(self._ask(effect, self.messages[effect.flight]))
                 self.out[effect.flight] = task
             elif isinstance(effect, CancelCheck):
-                self._forget(effect.flight, cancel=True)
+                self._drop_check(effect.flight, cancel=True)
             elif isinstance(effect, ScheduleHedge):
                 self.timers[effect.flight] = self.loop.call_later(
                     effect.after / 1e6, self._hedge, effect.flight
@@ -173,7 +173,7 @@
             self.messages[effect.flight] = message
             self._run([effect])
 
-    def _forget(self, flight: int, cancel: bool = False) -> None:
+    def _drop_check(self, flight: int, cancel: bool = False) -> None:
         self.messages.pop(flight, None)
         task, timer = self.out.pop(flight, None), self.timers.pop(flight, None)
         if task and cancel:
@@ -193,11 +193,11 @@
                 if isinstance(wrong, TimeoutError)
                 else getattr(wrong, "kind", "bad reply")
             )
-            self._forget(ask.flight)
+            self._drop_check(ask.flight)
             self._warn(ask, wrong)
             self._run(self.checks.failed(self._now(), ask.flight, why))
         else:
-            self._forget(ask.flight)
+            self._drop_check(ask.flight)
             self._run(self.checks.answered(self._now(), ask.flight, reply))
 
     def _warn(self, ask: SendCheck, wrong: Exception) -> None:
@@ -228,8 +228,8 @@
         self.names, self.gateway, self.seed = names, gateway, seed
         self.figures, self.rules, self.make = figures, rules, channels
         self.fallback: Verdict = Reject()
-        self.asker: CheckClient | None = None
-        self.askers: dict[int, CheckClient] = {}  # by request that waits
+        self.client: CheckClient | None = None
+        self.clients_by_request: dict[int, CheckClient] = {}  # by request that waits
         self.retiring: set[asyncio.Task] = set()
 
     async def start(self, driver: Driver | None = None) -> None:
@@ -261,7 +261,7 @@
         new = CheckClient(figures, rules, self.names, channels(), self.gateway, self.seed)
 
         def commit() -> None:
-            old, self.asker = self.asker, new
+            old, self.client = self.client, new
             self.figures, self.rules, self.make = figures, rules, channels
             # What holds where this filter itself fails or the filters' share of time is over.
             self.fallback = Continue() if rules.fail == "open" else Reject()
@@ -278,20 +278,20 @@
 
     def on_request(self, request: FilteredRequest) -> Verdict | Awaitable[Verdict]:
         """A verdict at once, or when the check has ended."""
-        asker = self.asker
-        verdict = asker.ask(request)
+        client = self.client
+        verdict = client.ask(request)
         if isinstance(verdict, asyncio.Future):
-            self.askers[request.number] = asker
+            self.clients_by_request[request.number] = client
         return verdict
 
     def on_end(self, request: FilteredRequest, ending: Ending) -> None:
         """The request is over."""
-        if asker := self.askers.pop(request.number, None):
-            asker.leave(request.number)
+        if client := self.clients_by_request.pop(request.number, None):
+            client.leave(request.number)
 
     async def stop(self) -> None:
         """Call off what is out and close the channels."""
         for task in self.retiring:
             task.cancel()
-        if self.asker:
-            await self.asker.close()
+        if self.client:
+            await self.client.close()
--- a/saffrongw/authz/server.py
+++ b/saffrongw/authz/server.py
@@ -50,15 +50,15 @@
         listen: str,
         names: RequestNames,
         fields: ContextExtensionNames,
-        gateways: int,
-        units_most: float,
+        gateway_count: int,
+        max_units: float,
         in_flight: int,
         tls: TlsFiles | None = None,
     ) -> None:
         self.listen, self.names, self.fields = listen, names, fields
-        self.gateways, self.units_most, self.in_flight, self.tls = (
-            gateways,
-            units_most,
+        self.gateway_count, self.max_units, self.in_flight, self.tls = (
+            gateway_count,
+            max_units,
             in_flight,
             tls,
         )
@@ -112,12 +112,12 @@
 
     async def _check(self, body: bytes, context: grpc.aio.ServicerContext) -> bytes:
         try:
-            asked = parse_check(body, self.names, self.fields, self.gateways, self.units_most)
+            check = parse_check(body, self.names, self.fields, self.gateway_count, self.max_units)
         except InvalidCheckError as wrong:
             self.counts["bad"] += 1
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(wrong))
         verdict = self.driver.check_admission(
-            asked.customer, asked.plan, asked.kind, asked.units, asked.first, asked.spread
+            check.customer, check.plan, check.kind, check.units, check.first, check.spread
         )
         if isinstance(verdict, AdmitRequest):
             self.counts["let in"] += 1
--- a/saffrongw/certs/certificate_store.py
+++ b/saffrongw/certs/certificate_store.py
@@ -31,7 +31,7 @@
 from .shared_folder import SharedFolder, StoreError, store_error
 
 # Versions kept of each certificate: the current one and those before it.
-KEPT_VERSIONS = 3
+MAX_VERSIONS = 3
 _ID = re.compile(r"[a-z0-9*_][a-z0-9.\-*_]{0,120}")
 _VERSION = re.compile(r"[0-9a-f]{32}")
 
@@ -239,7 +239,7 @@
         directory, current = self._directory(certificate_id), self.current_version(certificate_id)
         old = [path for path in directory.iterdir() if path.is_dir() and path.name != current]
         old.sort(key=lambda path: path.stat().st_mtime, reverse=True)
-        for version in old[KEPT_VERSIONS - 1 :]:
+        for version in old[MAX_VERSIONS - 1 :]:
             for file in version.iterdir():
                 file.unlink()
             version.rmdir()
--- a/saffrongw/certs/chain.py
+++ b/saffrongw/certs/chain.py
@@ -50,7 +50,7 @@
     chain: int
 
     @property
-    def life(self) -> float:
+    def lifetime_s(self) -> float:
         """Return the length of its validity in seconds."""
         return self.end - self.start
 
--- a/saffrongw/certs/documents.py
+++ b/saffrongw/certs/documents.py
@@ -119,12 +119,14 @@
     window = found.pop("window", None)
     plain = {k: v for k, v in found.items() if k in ("names", "wanted", "imported")}
     note = _make(CertNote, plain, where)
-    kept = _make(Failures, failures, f"{where}.failures") if failures is not None else Failures()
-    if kept.kind and kept.kind not in {kind.value for kind in FailureKind}:
-        raise DocumentError(f"{where}.failures.kind: {kept.kind!r:.40} is unknown")
+    known_failures = (
+        _make(Failures, failures, f"{where}.failures") if failures is not None else Failures()
+    )
+    if known_failures.kind and known_failures.kind not in {kind.value for kind in FailureKind}:
+        raise DocumentError(f"{where}.failures.kind: {known_failures.kind!r:.40} is unknown")
     return replace(
         note,
         order=_make(OrderNote, order, f"{where}.order") if order is not None else None,
-        failures=kept,
+        failures=known_failures,
         window=_make(RenewalWindow, window, f"{where}.window") if window is not None else None,
     )
--- a/saffrongw/certs/lease.py
+++ b/saffrongw/certs/lease.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeepLease:
+class HoldLease:
     """The lease is ours and lasts long enough; check again at this time (Unix seconds)."""
 
     until: float
@@ -55,7 +55,7 @@
     until: float
 
 
-LeaseDecision = TakeLease | KeepLease | WaitForLease
+LeaseDecision = TakeLease | HoldLease | WaitForLease
 
 
 def decide(now: float, holder: str, found: LeaseRecord | None, terms: LeaseTerms) -> LeaseDecision:
@@ -68,7 +68,7 @@
         return TakeLease(LeaseRecord(holder, 1, now + terms.span))
     if found.holder == holder and found.until - terms.skew > now:
         if found.until - now > terms.span / 2:
-            return KeepLease(min(found.until, now + terms.span) - terms.span / 2)
+            return HoldLease(min(found.until, now + terms.span) - terms.span / 2)
         return TakeLease(LeaseRecord(holder, found.term, now + terms.span))
     if found.until + terms.skew <= now:
         return TakeLease(LeaseRecord(holder, found.term + 1, now + terms.span))
--- a/saffrongw/certs/order_runner.py
+++ b/saffrongw/certs/order_runner.py
@@ -153,7 +153,7 @@
         except LostLeaseError as error:
             log.warning("certs: order abandoned: certificate=%s error=%s", entry.id, error.detail)
         except (AcmeError, DocumentError, OSError) as error:
-            await self._keep_failure(entry, authority, error, term)
+            await self._save_failure(entry, authority, error, term)
 
     async def _obtain_and_install(
         self, entry: CertTable, authority: AuthorityTable, term: OrderingTerm
@@ -211,7 +211,7 @@
 
     # -- failures -----------------------------------------------------------------------------
 
-    async def _keep_failure(
+    async def _save_failure(
         self, entry: CertTable, authority: AuthorityTable, error: Exception, term: OrderingTerm
     ) -> None:
         """Keep what failed and when to try again.
@@ -237,8 +237,8 @@
         same_authority = failures.authority == note.failures.authority
         order = note.order if error.kind in _RESUMABLE and same_authority else None
 
-        def amend(kept: CertNote) -> CertNote:
-            return replace(kept, failures=failures, order=order)
+        def amend(current: CertNote) -> CertNote:
+            return replace(current, failures=failures, order=order)
 
         try:
             await self._drop_rejected(entry, authority, error.kind, term)
@@ -288,7 +288,7 @@
             await self.worker.run(
                 self.site.certificates.amend,
                 entry.id,
-                lambda kept: replace(kept, window=window),
+                lambda current: replace(current, window=window),
                 term,
             )
 
@@ -339,7 +339,7 @@
             await self.worker.run(
                 self.site.certificates.amend,
                 certificate_id,
-                lambda kept: replace(kept, order=order),
+                lambda current: replace(current, order=order),
                 term,
             )
         elif isinstance(step, PublishChallenge):
--- a/saffrongw/certs/ordering_lease.py
+++ b/saffrongw/certs/ordering_lease.py
@@ -15,7 +15,7 @@
 
 from saffrongw.gateway.extensions import LeaderGuard
 
-from .lease import KeepLease, LeaseRecord, LeaseTerms, TakeLease, clamp_to_clock, decide, is_held
+from .lease import HoldLease, LeaseRecord, LeaseTerms, TakeLease, clamp_to_clock, decide, is_held
 from .shared_folder import SharedFolder, StoreError
 
 # Precedes the holder's name in the file where a lease of the whole fleet is behind it.
@@ -97,7 +97,7 @@
             if isinstance(decision, TakeLease):
                 self._write(decision.lease)
                 return Acquisition(decision.lease.term, decision.lease.until - self.terms.span / 2)
-            if isinstance(decision, KeepLease):
+            if isinstance(decision, HoldLease):
                 assert found is not None
                 return Acquisition(found.term, decision.until)
             return Acquisition(0, decision.until)
--- a/saffrongw/certs/renewal.py
+++ b/saffrongw/certs/renewal.py
@@ -123,12 +123,12 @@
     """
     if state.wanted or state.start is None or state.end is None:
         return 0.0
-    life = max(0.0, state.end - state.start)
-    rule = state.end - rules.lead * life - RENEWAL_SPREAD * life * state.draw
+    lifetime_s = max(0.0, state.end - state.start)
+    rule = state.end - rules.lead * lifetime_s - RENEWAL_SPREAD * lifetime_s * state.draw
     if state.window is None:
         return rule
     chosen = state.window.start + state.draw * (state.window.end - state.window.start)
-    return min(chosen, state.end - rules.lead * life / 2)
+    return min(chosen, state.end - rules.lead * lifetime_s / 2)
 
 
 def next_attempt_at(now: float, state: CertificateState, rules: RenewalRules) -> float:
@@ -191,10 +191,10 @@
     """Return how urgent a state is, by the share of the lifetime that is left."""
     if state.start is None or state.end is None:
         return Alarm.CRITICAL if state.failures else Alarm.NOTICE
-    left, life = state.end - now, max(1.0, state.end - state.start)
+    left, lifetime_s = state.end - now, max(1.0, state.end - state.start)
     if left <= 0:
         return Alarm.ENDED
-    part = left / life
+    part = left / lifetime_s
     if part <= rules.critical:
         return Alarm.CRITICAL
     if part <= rules.warning:
--- a/saffrongw/certs/table.py
+++ b/saffrongw/certs/table.py
@@ -84,13 +84,15 @@
     )
     client_ca: str = key("", about="the file of authorities that they come from")
     ticket_hours: float = key(
-        12.0, least=0.001, most=168, about="how long keys of session tickets live"
+        12.0, minimum=0.001, maximum=168, about="how long keys of session tickets live"
     )
     half_open: int = key(
-        256, least=4, most=10_000, about="connections without a finished handshake"
+        256, minimum=4, maximum=10_000, about="connections without a finished handshake"
+    )
+    handshake_ms: int = key(5_000, minimum=100, maximum=60_000, about="for a whole handshake")
+    share: float = key(
+        0.25, minimum=0.01, maximum=1.0, about="of the core, for all handshakes together"
     )
-    handshake_ms: int = key(5_000, least=100, most=60_000, about="for a whole handshake")
-    share: float = key(0.25, least=0.01, most=1.0, about="of the core, for all handshakes together")
 
     def __post_init__(self) -> None:
         """Reject client authorities without client certificates, and the reverse."""
@@ -103,14 +105,14 @@
     """``[certs.renewal]``: parts of a certificate's life that are left."""
 
     lead: float = key(
-        1 / 3, least=0.02, most=0.9, about="when it is renewed, without an authority's window"
+        1 / 3, minimum=0.02, maximum=0.9, about="when it is renewed, without an authority's window"
     )
     notice: float = key(
-        0.25, least=0.0, most=1.0, about="alarms, where a renewal has not happened by then"
+        0.25, minimum=0.0, maximum=1.0, about="alarms, where a renewal has not happened by then"
     )
-    warning: float = key(0.12, least=0.0, most=1.0)
-    critical: float = key(0.04, least=0.0, most=1.0)
-    order_minutes: float = key(60.0, least=0.01, most=1_440, about="for a whole order")
+    warning: float = key(0.12, minimum=0.0, maximum=1.0)
+    critical: float = key(0.04, minimum=0.0, maximum=1.0)
+    order_minutes: float = key(60.0, minimum=0.01, maximum=1_440, about="for a whole order")
 
     def __post_init__(self) -> None:
         """Reject shares in the wrong order."""
@@ -129,10 +131,10 @@
     certificate: tuple[CertTable, ...] = key(())
     authority: tuple[AuthorityTable, ...] = key(())
     lease_seconds: float = key(
-        30.0, least=1.0, most=3_600, about="how long one gateway orders unasked"
+        30.0, minimum=1.0, maximum=3_600, about="how long one gateway orders unasked"
     )
     clock_skew: float = key(
-        2.0, least=0.01, most=600, about="by how many seconds gateways' clocks may differ"
+        2.0, minimum=0.01, maximum=600, about="by how many seconds gateways' clocks may differ"
     )
     tls: ClientsTable = key(ClientsTable())
     renewal: RenewalTable = key(RenewalTable())
--- a/saffrongw/leases/table.py
+++ b/saffrongw/leases/table.py
@@ -35,7 +35,7 @@
 class FormerTable:
     """``[[leases.former]]``: a voter set that was in force before; listed until it is sealed."""
 
-    set: int = key(least=1, most=MAX_SET_NUMBER)
+    set: int = key(minimum=1, maximum=MAX_SET_NUMBER)
     voters: tuple[str, ...] = key(
         form=rf"{GATEWAY_NAME_PATTERN}={ADDRESS}", about="NAME=HOST:PORT, all of them"
     )
@@ -56,12 +56,12 @@
     """``[[leases.task]]``: a periodic HTTP call that one gateway of the fleet makes."""
 
     name: str = key(form=TASK_NAME_PATTERN)
-    every_s: float = key(least=0.1, most=31 * 86_400.0, about="a turn in each so many seconds")
+    every_s: float = key(minimum=0.1, maximum=31 * 86_400.0, about="a turn in each so many seconds")
     call: str = key(form=URL_PATTERN, about="where it is posted to")
     once: str = key("at-least", choices=("at-least", "at-most"), about="a turn")
-    needs_s: float = key(5.0, least=0.01, most=3_600, about="how long a call may take")
+    needs_s: float = key(5.0, minimum=0.01, maximum=3_600, about="how long a call may take")
     jitter: float = key(
-        0.1, least=0.0, most=1.0, about="part of every_s over which tasks are spread"
+        0.1, minimum=0.0, maximum=1.0, about="part of every_s over which tasks are spread"
     )
     retry: bool = key(True, about="within its turn, where it is at-least")
     on_loss: str = key(
@@ -91,19 +91,19 @@
     voter: tuple[VoterTable, ...] = key(about="the same on every gateway")
     set: int = key(
         1,
-        least=1,
-        most=MAX_SET_NUMBER,
+        minimum=1,
+        maximum=MAX_SET_NUMBER,
         about="number of this set of voters; higher with each change",
     )
     former: tuple[FormerTable, ...] = key(())
-    span_s: float = key(10.0, least=0.5, most=300, about="how long a lease lasts unrenewed")
+    span_s: float = key(10.0, minimum=0.5, maximum=300, about="how long a lease lasts unrenewed")
     drift: float = key(
-        0.01, least=0.0, most=MAX_CLOCK_DRIFT, about="part by which clocks' rates may be off"
+        0.01, minimum=0.0, maximum=MAX_CLOCK_DRIFT, about="part by which clocks' rates may be off"
     )
-    shards: int = key(16, least=1, most=1_024, about="leases that all tasks are spread over")
+    shards: int = key(16, minimum=1, maximum=1_024, about="leases that all tasks are spread over")
     stand: bool = key(True, about="this gateway does tasks")
     state_dir: str = key("", about="a folder of its own on a disk that lasts; empty: none")
-    in_flight: int = key(16, least=1, most=1_000, about="calls of tasks at once")
+    in_flight: int = key(16, minimum=1, maximum=1_000, about="calls of tasks at once")
     task: tuple[TaskTable, ...] = key(())
 
     def __post_init__(self) -> None:
--- a/saffrongw/operator/file.py
+++ b/saffrongw/operator/file.py
@@ -25,7 +25,7 @@
     """``[stages]``: what holds for all request filters together."""
 
     time_share: float = key(
-        0.4, least=0.01, most=0.9, about="of a request's time, for all stages together"
+        0.4, minimum=0.01, maximum=0.9, about="of a request's time, for all stages together"
     )
 
 
@@ -76,14 +76,14 @@
 class BreakerTable:
     """``[authz.breaker]``: when the circuit breaker of a server opens, and for how long."""
 
-    window_ms: int = key(2000, least=10, most=600_000)
-    least: int = key(10, least=1, most=1000)
-    share: float = key(0.5, least=0.01, most=1)
-    in_a_row: int = key(5, least=1, most=1000)
-    open_ms: int = key(1000, least=10, most=600_000)
-    open_most_ms: int = key(15_000, least=10, most=3_600_000)
-    trials: int = key(1, least=1, most=100)
-    successes: int = key(2, least=1, most=100)
+    window_ms: int = key(2000, minimum=10, maximum=600_000)
+    least: int = key(10, minimum=1, maximum=1000)
+    share: float = key(0.5, minimum=0.01, maximum=1)
+    in_a_row: int = key(5, minimum=1, maximum=1000)
+    open_ms: int = key(1000, minimum=10, maximum=600_000)
+    open_most_ms: int = key(15_000, minimum=10, maximum=3_600_000)
+    trials: int = key(1, minimum=1, maximum=100)
+    successes: int = key(2, minimum=1, maximum=100)
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,22 +95,22 @@
     fail_for: tuple[FailTable, ...] = key(())
     narrow: tuple[NarrowTable, ...] = key(())
     time_share: float = key(
-        0.25, least=0.01, most=0.9, about="of a request's own time that a check may take"
+        0.25, minimum=0.01, maximum=0.9, about="of a request's own time that a check may take"
     )
-    timeout_ms: int = key(500, least=1, most=60_000, about="and never longer")
+    timeout_ms: int = key(500, minimum=1, maximum=60_000, about="and never longer")
     in_flight: int = key(
         256,
-        least=1,
-        most=10_000,
+        minimum=1,
+        maximum=10_000,
         about="checks out at once; beyond it the fail mode counts at once",
     )
-    cache_entries: int = key(10_000, least=0, most=1_000_000)
+    cache_entries: int = key(10_000, minimum=0, maximum=1_000_000)
     cache_most_ms: int = key(
-        60_000, least=0, most=3_600_000, about="of the lifetime that an answer states"
+        60_000, minimum=0, maximum=3_600_000, about="of the lifetime that an answer states"
     )
     coalesce: bool = key(True, about="equal checks that are out together are asked once")
     hedge_ms: int = key(
-        0, least=0, most=60_000, about="after which a second authoriser is asked; 0: never"
+        0, minimum=0, maximum=60_000, about="after which a second authoriser is asked; 0: never"
     )
     tls: TlsTable | None = key(None)
     breaker: BreakerTable = key(BreakerTable())
@@ -128,7 +128,9 @@
     """``[authz_server]``: answer checks of other proxies by this gateway's quotas."""
 
     listen: str = key(form=ADDRESS)
-    in_flight: int = key(1000, least=1, most=100_000, about="checks at once; beyond it UNAVAILABLE")
+    in_flight: int = key(
+        1000, minimum=1, maximum=100_000, about="checks at once; beyond it UNAVAILABLE"
+    )
     customer: str = key(
         "customer", about="the context extension that holds the customer, else source.principal"
     )
--- a/testbed/model/scenario.py
+++ b/testbed/model/scenario.py
@@ -42,15 +42,15 @@
     """One class of requests."""
 
     name: str = key(form="[a-z][a-z0-9-]{0,31}")
-    share: float = key(least=0)
-    work_ms: Span = key((20.0, 60.0), least=0.1, most=60_000)
-    aim_ms: int = key(800, least=1)
-    deadline_ms: int = key(2000, least=10, most=60_000)
-    worth: float = key(3.0, least=0)
-    late_worth: float = key(0.0, least=0, most=1)
+    share: float = key(minimum=0)
+    work_ms: Span = key((20.0, 60.0), minimum=0.1, maximum=60_000)
+    aim_ms: int = key(800, minimum=1)
+    deadline_ms: int = key(2000, minimum=10, maximum=60_000)
+    worth: float = key(3.0, minimum=0)
+    late_worth: float = key(0.0, minimum=0, maximum=1)
     effect: str = key("safe", choices=("safe", "keyed", "unsafe"))
     group: str = key("all", choices=("all", "zone", "cell"))
-    window_ms: int = key(0, least=0)
+    window_ms: int = key(0, minimum=0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,39 +58,39 @@
     """One plan, and how its customers behave."""
 
     name: str = key(form="[a-z][a-z0-9-]{0,31}")
-    customers: int = key(least=0, most=10_000)
-    rate: float = key(least=0.01, about="units a second for each customer")
-    burst: float = key(least=1)
-    price: float = key(1.0, least=0)
-    over_cost: float = key(1.0, least=0)
-    ceiling: float = key(0.0, least=0, about="times rate and burst; 0 = none")
-    spread: tuple[int, int] = key((2, 3), least=1, about="gateways of a customer's set")
-    use: Span = key((0.24, 0.48), least=0, about="of the rate, of most customers")
-    full: float = key(0.15, least=0, most=1, about="share that uses nearly all")
-    heavy: int = key(0, least=0, about="customers that ask heavy_x of their quota")
-    heavy_x: float = key(4.4, least=0)
+    customers: int = key(minimum=0, maximum=10_000)
+    rate: float = key(minimum=0.01, about="units a second for each customer")
+    burst: float = key(minimum=1)
+    price: float = key(1.0, minimum=0)
+    over_cost: float = key(1.0, minimum=0)
+    ceiling: float = key(0.0, minimum=0, about="times rate and burst; 0 = none")
+    spread: tuple[int, int] = key((2, 3), minimum=1, about="gateways of a customer's set")
+    use: Span = key((0.24, 0.48), minimum=0, about="of the rate, of most customers")
+    full: float = key(0.15, minimum=0, maximum=1, about="share that uses nearly all")
+    heavy: int = key(0, minimum=0, about="customers that ask heavy_x of their quota")
+    heavy_x: float = key(4.4, minimum=0)
 
 
 @dataclass(frozen=True, slots=True)
 class Hosts:
     """The fleet."""
 
-    count: int = key(10, least=1, most=500)
-    rack_size: int = key(4, least=1)
-    cores: int = key(2, least=1)
-    speed: Span = key((0.85, 1.1), least=0.01)
-    slots: int = key(8, least=1, about="requests in work at once")
-    queue: int = key(20, least=0)
+    count: int = key(10, minimum=1, maximum=500)
+    rack_size: int = key(4, minimum=1)
+    cores: int = key(2, minimum=1)
+    speed: Span = key((0.85, 1.1), minimum=0.01)
+    slots: int = key(8, minimum=1, about="requests in work at once")
+    queue: int = key(20, minimum=0)
     thrash: float = key(
-        0.1, least=0, about="capacity lost for each request in work beyond two a core"
+        0.1, minimum=0, about="capacity lost for each request in work beyond two a core"
     )
-    cold_from: float = key(0.3, least=0.01, most=1)
-    cold_s: float = key(6.0, least=0)
-    fall_multiple: float = key(3.0, least=1)
-    fall_s: float = key(3.0, least=0.1)
-    report_period_ms: Span = key((160.0, 730.0), least=1)
-    idle_close_s: float = key(30.0, least=0.1)
-    error_share: float = key(0.0005, least=0, most=1)
+    cold_from: float = key(0.3, minimum=0.01, maximum=1)
+    cold_s: float = key(6.0, minimum=0)
+    fall_multiple: float = key(3.0, minimum=1)
+    fall_s: float = key(3.0, minimum=0.1)
+    report_period_ms: Span = key((160.0, 730.0), minimum=1)
+    idle_close_s: float = key(30.0, minimum=0.1)
+    error_share: float = key(0.0005, minimum=0, maximum=1)
     drops_cancelled: bool = key(
         True, about="waiting requests whose connection has ended are dropped"
     )
@@ -100,66 +100,66 @@
 class Network:
     """Datagrams between gateways, and discovery's delays."""
 
-    peer_ms: Span = key((2.5, 18.0), least=0)
-    peer_loss: float = key(0.03, least=0, most=1)
-    peers_per_s: float = key(40.0, least=1)
-    list_late_s: Span = key((0.2, 1.5), least=0, about="from a change to the gateway's agent")
+    peer_ms: Span = key((2.5, 18.0), minimum=0)
+    peer_loss: float = key(0.03, minimum=0, maximum=1)
+    peers_per_s: float = key(40.0, minimum=1)
+    list_late_s: Span = key((0.2, 1.5), minimum=0, about="from a change to the gateway's agent")
 
 
 @dataclass(frozen=True, slots=True)
 class Clients:
     """How callers behave."""
 
-    retries: int = key(2, least=0, most=5)
-    backoff_ms: Span = key((40.0, 320.0), least=1)
-    heed: float = key(0.6, least=0, most=1, about="share of customers that heed -BUSY MS")
-    leave: float = key(0.01, least=0, most=1, about="share of tries whose client leaves early")
+    retries: int = key(2, minimum=0, maximum=5)
+    backoff_ms: Span = key((40.0, 320.0), minimum=1)
+    heed: float = key(0.6, minimum=0, maximum=1, about="share of customers that heed -BUSY MS")
+    leave: float = key(0.01, minimum=0, maximum=1, about="share of tries whose client leaves early")
     patience: Span = key(
-        (0.5, 1.0), least=0.01, most=1, about="of the class's deadline that a try waits"
+        (0.5, 1.0), minimum=0.01, maximum=1, about="of the class's deadline that a try waits"
     )
-    notice_s: Span = key((0.8, 2.0), least=0, about="until the front notices a dead gateway")
-    shift_s: Span = key((12.0, 24.0), least=0.1, about="until a customer's weights change")
-    skew: float = key(0.7, least=0)
+    notice_s: Span = key((0.8, 2.0), minimum=0, about="until the front notices a dead gateway")
+    shift_s: Span = key((12.0, 24.0), minimum=0.1, about="until a customer's weights change")
+    skew: float = key(0.7, minimum=0)
 
 
 @dataclass(frozen=True, slots=True)
 class Authoriser:
     """External authorisers that every gateway asks; count 0: none."""
 
-    count: int = key(0, least=0, most=8)
-    deny: float = key(0.0, least=0, most=1, about="share of the customers that are denied")
+    count: int = key(0, minimum=0, maximum=8)
+    deny: float = key(0.0, minimum=0, maximum=1, about="share of the customers that are denied")
     fail: str = key("closed", choices=("open", "closed"))
-    timeout_ms: int = key(250, least=1)
-    in_flight: int = key(256, least=1, about="checks that a gateway may have out")
-    cache_ms: float = key(0.0, least=0, about="lifetime that its answers state")
-    delay_ms: Span = key((0.0, 4.0), least=0)
-    open_most_ms: int = key(2000, least=10)
+    timeout_ms: int = key(250, minimum=1)
+    in_flight: int = key(256, minimum=1, about="checks that a gateway may have out")
+    cache_ms: float = key(0.0, minimum=0, about="lifetime that its answers state")
+    delay_ms: Span = key((0.0, 4.0), minimum=0)
+    open_most_ms: int = key(2000, minimum=10)
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
     """One entry of the timeline."""
 
-    at: float = key(least=0)
+    at: float = key(minimum=0)
     kind: str = key(choices=tuple(FAULTS))
-    for_s: float = key(0.0, least=0)
-    gateways: tuple[int, ...] = key((), least=0, about="which; empty: share of all")
+    for_s: float = key(0.0, minimum=0)
+    gateways: tuple[int, ...] = key((), minimum=0, about="which; empty: share of all")
     hosts: tuple[int, ...] = key(
-        (), least=0, about="by place in the first list; empty: share of all"
+        (), minimum=0, about="by place in the first list; empty: share of all"
     )
-    rack: int = key(-1, least=-1)
-    share: float = key(0.0, least=0, most=1)
-    batch: float = key(0.15, least=0.01, most=1)
-    drain_s: float = key(2.0, least=0)
-    gap_s: float = key(1.0, least=0)
-    count: int = key(1, least=1, most=20)
-    times: float = key(2.5, least=0, most=20)
+    rack: int = key(-1, minimum=-1)
+    share: float = key(0.0, minimum=0, maximum=1)
+    batch: float = key(0.15, minimum=0.01, maximum=1)
+    drain_s: float = key(2.0, minimum=0)
+    gap_s: float = key(1.0, minimum=0)
+    count: int = key(1, minimum=1, maximum=20)
+    times: float = key(2.5, minimum=0, maximum=20)
     mode: str = key("refuse", choices=MODES)
     one_way: bool = key(False)
     shuffle: bool = key(False)
     stale: bool = key(False, about="gateways come back with the list of the very start")
-    a: tuple[int, ...] = key((), least=0)
-    b: tuple[int, ...] = key((), least=0)
+    a: tuple[int, ...] = key((), minimum=0)
+    b: tuple[int, ...] = key((), minimum=0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -167,10 +167,10 @@
     """What the scenario itself asks for beside the rules."""
 
     service: float = key(
-        0.0, least=0, most=1, about="worth served in time of that offered inside the quotas"
+        0.0, minimum=0, maximum=1, about="worth served in time of that offered inside the quotas"
     )
     quota_slack: float = key(
-        0.15, least=0, about="of burst + rate x time that may be sent on beyond it"
+        0.15, minimum=0, about="of burst + rate x time that may be sent on beyond it"
     )
 
 
@@ -191,10 +191,10 @@
 
     name: str = key(form="[a-z][a-z0-9-]{0,47}")
     about: str = key("")
-    seed: int = key(1, least=0)
-    length_s: float = key(12.0, least=1, most=3600)
-    gateways: int = key(3, least=1, most=32)
-    sockets: int = key(512, least=64)
+    seed: int = key(1, minimum=0)
+    length_s: float = key(12.0, minimum=1, maximum=3600)
+    gateways: int = key(3, minimum=1, maximum=32)
+    sockets: int = key(512, minimum=64)
     ci: bool = key(True, about="belongs to the set that CI runs")
     cls: tuple[Class, ...] = key(CLASSES)
     plan: tuple[Plan, ...] = key(PLANS)
--- a/tests/authz/test_request_filter.py
+++ b/tests/authz/test_request_filter.py
@@ -59,9 +59,9 @@
             authoriser.stop()
 
     def empty(self) -> bool:
-        asker, checks = self.stage.asker, self.stage.asker.checks
+        asker, checks = self.stage.client, self.stage.client.checks
         kept = (checks.flights, checks.of, checks.joinable, asker.waiting, asker.out)
-        kept += (asker.messages, asker.timers, self.stage.askers)
+        kept += (asker.messages, asker.timers, self.stage.clients_by_request)
         return (
             not any(kept) and not self.rig.driver.requests and not self.rig.driver.filter_chain.runs
         )
@@ -173,7 +173,7 @@
     """The guard of the request ends it while its check is out; the late OK must not send it."""
     authoriser = await Authoriser(behaviour=Behaviour({"delay": 1.0}, (0.6, 0.6))).start()
     world = await open_(authoriser, share=0.9, max_timeout_us=5000 * MS)
-    world.stage.asker.checks.f = CheckSettings(
+    world.stage.client.checks.settings = CheckSettings(
         time_share=0.9, min_timeout_us=2000 * MS, max_timeout_us=2000 * MS, breaker=PATIENT
     )
     world.rig.driver.filter_chain.time_share = 5.0  # no share that would end it before
@@ -249,7 +249,7 @@
     callers[5].call(number=b"n5")
     assert await callers[5].replied() == [b"ok"]
     assert len(authoriser.asked) == 1
-    assert dict(world.stage.asker.checks.counts) == {
+    assert dict(world.stage.client.checks.counts) == {
         "asked": 1,
         "joined": 4,
         "cached": 1,
@@ -272,7 +272,7 @@
     for number in range(3):
         caller.call(wait=2000, number=b"n%d" % number)
         await caller.replied(number + 1)
-    assert world.stage.asker.checks.endpoints[0].breaker.state is BreakerState.OPEN
+    assert world.stage.client.checks.endpoints[0].breaker.state is BreakerState.OPEN
     caller.call(wait=2000, number=b"fast")
     await caller.replied(4)
     assert len(authoriser.asked) == 3
@@ -284,7 +284,7 @@
         number += 1
         caller.call(wait=2000, number=b"m%d" % number)
         assert (await caller.replied(number))[-1] == b"ok"
-        return world.stage.asker.checks.endpoints[0].breaker.state
+        return world.stage.client.checks.endpoints[0].breaker.state
 
     async with asyncio.timeout(10):
         while await ask() is not BreakerState.CLOSED:
@@ -298,7 +298,7 @@
     breaker = BreakerSettings(max_consecutive_failures=2, open_us=60_000 * MS)
     world = await open_(here, away, breaker=breaker, coalesce=False)
     caller = await world.caller()
-    endpoints = world.stage.asker.checks.endpoints
+    endpoints = world.stage.client.checks.endpoints
     for number in range(30):
         # How fast a dead one fails is measured by chance: here it is always the one that seems faster.
         endpoints[0].latency, endpoints[1].latency = 1e9, 1.0
@@ -306,7 +306,7 @@
         await caller.replied(number + 1)
     assert [reply == b"ok" for reply in caller.replies] == [False] * 2 + [True] * 28
     assert len(here.asked) == 28
-    assert world.stage.asker.checks.endpoints[1].breaker.state is BreakerState.OPEN
+    assert world.stage.client.checks.endpoints[1].breaker.state is BreakerState.OPEN
 
 
 @world_test
@@ -314,7 +314,7 @@
     slow = await Authoriser(behaviour=Behaviour({"silent": 1.0})).start()
     fast = await Authoriser().start()
     world = await open_(slow, fast, hedge_after_us=30 * MS)
-    world.stage.asker.checks.endpoints[1].latency = 1e9  # the slow one is asked first
+    world.stage.client.checks.endpoints[1].latency = 1e9  # the slow one is asked first
     caller = await world.caller()
     caller.call(wait=4000)
     assert await caller.replied() == [b"ok"]
@@ -417,14 +417,14 @@
 @world_test
 async def test_a_change_that_cannot_be_made_changes_nothing(open_):
     world = await open_(await Authoriser().start())
-    asker = world.stage.asker
+    asker = world.stage.client
     with pytest.raises(OSError, match="none"):
         world.stage.change(
             CheckSettings(),
             FailureRules("open"),
             lambda: [AuthzChannel("127.0.0.1:1", TlsFiles(ca="/none.pem"))],
         )
-    assert world.stage.asker is asker
+    assert world.stage.client is asker
     assert world.stage.rules.fail == "closed"
     caller = await world.caller()
     caller.call()
@@ -434,12 +434,12 @@
 @world_test
 async def test_an_aborted_change_leaves_the_old_checks_and_closes_the_new_channels(open_):
     world = await open_(await Authoriser().start())
-    asker = world.stage.asker
+    asker = world.stage.client
     channel = AuthzChannel("127.0.0.1:1")
     prepared = world.stage.prepare(CheckSettings(), FailureRules("open"), lambda: [channel])
     prepared.abort()
     await until(lambda: not world.stage.retiring)
-    assert world.stage.asker is asker
+    assert world.stage.client is asker
     assert world.stage.rules.fail == "closed"
     caller = await world.caller()
     caller.call()
@@ -492,7 +492,7 @@
         caller.call(wait=4000, number=b"one")
         assert await caller.replied() == [b"ok"]
         own.issue("gateway.test")  # a renewed certificate
-        channel = world.stage.asker.channels[0]
+        channel = world.stage.client.channels[0]
         channel.looked, before = -10.0, channel.channel
         caller.call(wait=4000, number=b"two")
         assert await caller.replied(2) == [b"ok"] * 2
--- a/tests/certs/test_lease.py
+++ b/tests/certs/test_lease.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from saffrongw.certs.lease import (
-    KeepLease,
+    HoldLease,
     LeaseRecord,
     LeaseTerms,
     TakeLease,
@@ -26,7 +26,7 @@
 
 def test_the_holder_keeps_it_and_renews_at_half():
     lease = LeaseRecord("a", 3, 130.0)
-    assert decide(105.0, "a", lease, TERMS) == KeepLease(115.0)
+    assert decide(105.0, "a", lease, TERMS) == HoldLease(115.0)
     assert decide(116.0, "a", lease, TERMS) == TakeLease(LeaseRecord("a", 3, 146.0))
 
 
--- a/tests/toml_schema/test_toml_schema.py
+++ b/tests/toml_schema/test_toml_schema.py
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Inner:
-    size: int = key(3, least=1, most=9)
+    size: int = key(3, minimum=1, maximum=9)
     kind: str = key("a", choices=("a", "b"))
 
 
 @dataclass(frozen=True, slots=True)
 class Outer:
     name: str = key(form="[a-z]+")
-    rate: float = key(1.0, least=0)
+    rate: float = key(1.0, minimum=0)
     on: bool = key(False)
     span: tuple[float, float] = key((0.0, 1.0))
     inner: Inner = key(Inner())
--- a/toml_schema/schema.py
+++ b/toml_schema/schema.py
@@ -37,20 +37,20 @@
 def key(
     default: T | object = dataclasses.MISSING,
     *,
-    least: float | None = None,
-    most: float | None = None,
+    minimum: float | None = None,
+    maximum: float | None = None,
     choices: tuple[object, ...] = (),
     form: str = "",
     about: str = "",
 ) -> T:
     """One key of a schema; without a default it must stand in the file.
 
-    ``least`` and ``most`` are inclusive bounds, ``choices`` the allowed values, ``form`` a regular
-    expression for text.
+    ``minimum`` and ``maximum`` are inclusive bounds, ``choices`` the allowed values, ``form`` a
+    regular expression for text.
     """
     if isinstance(default, list | dict | set):
         raise TypeError("defaults must be immutable")
-    rules = KeyRules(least, most, choices, form, about)
+    rules = KeyRules(minimum, maximum, choices, form, about)
     return cast("T", dataclasses.field(default=default, metadata={_METADATA_NAME: rules}))
 
 
