--- a/saffrongw/admin/certs.py
+++ b/saffrongw/admin/certs.py
@@ -142,9 +142,8 @@
         print(f"order        begun {_utc(note.order.begun)} at {note.order.directory}: {url}")
     if note.failures:
         failures = note.failures
-        print(
-            f"failed       {failures.count} times in a row since {_utc(failures.since)}; last {_utc(failures.at)}"
-        )
+        since, last = _utc(failures.since), _utc(failures.at)
+        print(f"failed       {failures.count} times in a row since {since}; last {last}")
         print(f"             {failures.kind}: {failures.detail}")
     return 0
 
--- a/saffrongw/authz/attributes.py
+++ b/saffrongw/authz/attributes.py
@@ -158,7 +158,7 @@
     return 0
 
 
-# -- the gateway as an authoriser -----------------------------------------------------------------------------------
+# -- the gateway as an authoriser ------------------------------------------------------------------
 
 
 class InvalidCheckError(Exception):
@@ -187,6 +187,8 @@
 
 
 CUSTOMER_BITS = 33
+MAX_UNITS_CHARS = 18
+MAX_REPLICA_DIGITS = 5
 
 
 def parse_check(
@@ -196,54 +198,56 @@
     gateways: int,
     max_units: float,
 ) -> AdmissionCheck:
-    """A check as terms, in the exact forms that a client's command has.
+    """Return a check as terms, in the exact forms that a client's command has.
 
-    ``BadRequest`` names what is not.
+    Raises ``InvalidCheckError`` that names the malformed field.
     """
     message = pb.CheckRequest()
     try:
         message.ParseFromString(body)
-    except DecodeError as wrong:
-        raise InvalidCheckError(f"not a CheckRequest: {wrong}") from None
+    except DecodeError as error:
+        raise InvalidCheckError(f"not a CheckRequest: {error}") from None
     extensions = message.attributes.context_extensions
     customer = extensions.get(fields.customer) or message.attributes.source.principal
-    if (
-        len(customer) != 16
-        or not set(customer) <= set("0123456789abcdef")
-        or int(customer, 16) >> CUSTOMER_BITS
-    ):
-        raise InvalidCheckError(f"{fields.customer} is not 16 hex digits below 2^33")
+    customer_number = _customer_number(customer, fields.customer)
     plan, cls = extensions.get(fields.plan, ""), extensions.get(fields.cls, "")
     if plan not in names.plans:
         raise InvalidCheckError(f"{fields.plan} is no plan")
     if cls not in names.classes:
         raise InvalidCheckError(f"{fields.cls} is no class")
-    units = extensions.get("units", "1")
-    if (
-        len(units) > 18
-        or not set(units) <= set("0123456789.")
-        or units.count(".") > 1
-        or units in (".", "")
-    ):
-        raise InvalidCheckError("units is no number")
-    if not 0 < float(units) <= max_units:
-        raise InvalidCheckError("units is out of range")
-    spread, first = extensions.get("spread", str(gateways)), extensions.get("first", "0")
-    for name, text in (("spread", spread), ("first", first)):
-        if not (text.isascii() and text.isdigit()) or len(text) > 5:
-            raise InvalidCheckError(f"{name} is no number")
-    if not 1 <= int(spread) <= gateways or not int(first) < gateways:
+    units = _units(extensions.get("units", "1"), max_units)
+    spread = _replica_number("spread", extensions.get("spread", str(gateways)))
+    first = _replica_number("first", extensions.get("first", "0"))
+    if not 1 <= spread <= gateways or not first < gateways:
         raise InvalidCheckError("spread and first are out of range")
     return AdmissionCheck(
-        int(customer, 16),
-        names.plans.index(plan),
-        names.classes.index(cls),
-        float(units),
-        int(first),
-        int(spread),
+        customer_number, names.plans.index(plan), names.classes.index(cls), units, first, spread
     )
 
 
+def _customer_number(text: str, key: str) -> int:
+    is_hexadecimal = len(text) == 16 and set(text) <= set("0123456789abcdef")
+    if not is_hexadecimal or int(text, 16) >> CUSTOMER_BITS:
+        raise InvalidCheckError(f"{key} is not 16 hex digits below 2^33")
+    return int(text, 16)
+
+
+def _units(text: str, max_units: float) -> float:
+    is_decimal = set(text) <= set("0123456789.") and text.count(".") <= 1
+    if len(text) > MAX_UNITS_CHARS or not is_decimal or text in (".", ""):
+        raise InvalidCheckError("units is no number")
+    units = float(text)
+    if not 0 < units <= max_units:
+        raise InvalidCheckError("units is out of range")
+    return units
+
+
+def _replica_number(name: str, text: str) -> int:
+    if not (text.isascii() and text.isdigit()) or len(text) > MAX_REPLICA_DIGITS:
+        raise InvalidCheckError(f"{name} is no number")
+    return int(text)
+
+
 def admitted_response() -> bytes:
     """The answer to a check that is let in: never to be kept, as each takes its units."""
     response = pb.CheckResponse()
--- a/saffrongw/authz/breaker.py
+++ b/saffrongw/authz/breaker.py
@@ -45,6 +45,7 @@
     """One authoriser's breaker."""
 
     def __init__(self, figures: BreakerSettings, seed: int) -> None:
+        """Start closed; the seed is for the jitter of reopening."""
         self.settings, self.random = figures, random.Random(seed)
         self.state = BreakerState.CLOSED
         self.outcomes: deque[tuple[int, bool]] = (
@@ -122,6 +123,7 @@
     """One authoriser: its breaker, how many checks are out, how long they take."""
 
     def __init__(self, name: str, figures: BreakerSettings, seed: int) -> None:
+        """Start without checks in flight and with a closed breaker."""
         self.name, self.breaker = name, Breaker(figures, seed)
         self.out = 0
         self.latency = 0.0  # us, smoothed
--- a/saffrongw/authz/channel.py
+++ b/saffrongw/authz/channel.py
@@ -9,7 +9,6 @@
 from __future__ import annotations
 
 import asyncio
-import os
 from dataclasses import dataclass
 from pathlib import Path
 
@@ -42,6 +41,7 @@
     """A check that brought no answer; kind is a short name for counts."""
 
     def __init__(self, kind: str, text: str) -> None:
+        """Keep the kind, a short name for counters."""
         super().__init__(text)
         self.kind = kind
 
@@ -60,7 +60,7 @@
         stamps = []
         for name in (self.ca, self.cert, self.key):
             try:
-                found = os.stat(name) if name else None
+                found = Path(name).stat() if name else None
             except OSError:
                 found = None
             stamps.append(found and (found.st_mtime_ns, found.st_size, found.st_ino))
@@ -78,6 +78,7 @@
     """To one authoriser."""
 
     def __init__(self, address: str, tls: TlsFiles | None = None) -> None:
+        """Open the channel; ``OSError`` if a file of TLS cannot be read."""
         self.name, self.tls = address, tls
         self.stamp: tuple = ()
         self.looked = 0.0
@@ -85,7 +86,7 @@
         self._open()
 
     def _open(self) -> None:
-        options = list(OPTIONS)
+        options: list[tuple[str, int | str]] = list(OPTIONS)
         if self.tls:
             self.stamp = self.tls.stamp()
             ca, cert, key = self.tls.read()
--- a/saffrongw/authz/checks.py
+++ b/saffrongw/authz/checks.py
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendCheck:
-    """Effect: send a check to an authoriser, to be given up after ``within`` us."""
+    """Effect: send a check to an authoriser, to be given up after ``timeout_us``."""
 
     flight: int
     endpoint: int
@@ -112,6 +112,7 @@
     """All checks of one gateway."""
 
     def __init__(self, figures: CheckSettings, names: Sequence[str], seed: int) -> None:
+        """Start without checks; ``names`` are the authorisers' addresses."""
         self.settings, self.generator = figures, random.Random(seed)
         self.endpoints = [
             AuthoriserEndpoint(name, figures.breaker, seed + n) for n, name in enumerate(names)
@@ -125,7 +126,7 @@
         self.last = 0
         self.counts: Counter[str] = Counter()
 
-    # -- requests ---------------------------------------------------------------------------------------------
+    # -- requests ----------------------------------------------------------------------------------
 
     def enter(self, now: int, request: int, key: Hashable, left: int) -> list[CheckEffect]:
         """A request wants to know; left is its own time in us."""
@@ -163,7 +164,9 @@
         A check nobody waits for is called off.
         """
         number = self.of.pop(request, None)
-        flight = self.flights.get(number) if number else None
+        if number is None:
+            return []
+        flight = self.flights.get(number)
         if flight is None:
             return []
         flight.requests.pop(request, None)
@@ -177,7 +180,7 @@
         self.counts["called off"] += 1
         return effects
 
-    # -- checks -----------------------------------------------------------------------------------------------
+    # -- checks ------------------------------------------------------------------------------------
 
     def hedge(self, now: int, number: int) -> list[CheckEffect]:
         """The time for a second check of the same has come; it goes to another authoriser."""
@@ -232,16 +235,16 @@
             return []
         return self._settle_all(flight, UNREACHED)
 
-    def drop(self, now: int) -> list[CheckEffect]:
+    def drop(self) -> list[CheckEffect]:
         """The end, or new figures: all that is out is called off, and what waits is settled."""
         effects: list[CheckEffect] = []
-        for number in list(
-            self.flights
-        ):  # a hedged pair shares its requests: they are settled once
-            effects += [CancelCheck(number), *self._settle_all(self._land(number), UNREACHED)]
+        # A hedged pair shares its requests: they are settled once.
+        for number in list(self.flights):
+            if flight := self._land(number):
+                effects += [CancelCheck(number), *self._settle_all(flight, UNREACHED)]
         return effects
 
-    # -- parts ------------------------------------------------------------------------------------------------
+    # -- parts -------------------------------------------------------------------------------------
 
     def _launch(
         self,
--- a/saffrongw/authz/request_filter.py
+++ b/saffrongw/authz/request_filter.py
@@ -1,4 +1,4 @@
-"""The stage that asks an authoriser about each request, by ``checks.py``, over the channels of ``channel.py``."""
+"""The request filter that asks an external authorisation server about each request."""
 
 from __future__ import annotations
 
@@ -68,6 +68,7 @@
         gateway: str,
         seed: int,
     ) -> None:
+        """Start without checks over these channels."""
         self.rules, self.names, self.gateway, self.channels = rules, names, gateway, channels
         self.loop = asyncio.get_running_loop()
         self.checks = CheckScheduler(figures, [channel.name for channel in channels], seed)
@@ -79,7 +80,7 @@
 
     async def close(self) -> None:
         """Call off what is out and close the channels."""
-        self._run(self.checks.drop(self._now()))
+        self._run(self.checks.drop())
         await asyncio.gather(
             *(channel.close() for channel in self.channels), return_exceptions=True
         )
@@ -96,7 +97,7 @@
     def _now() -> int:
         return time.monotonic_ns() // 1000
 
-    # -- requests -------------------------------------------------------------------------------------------------
+    # -- requests ----------------------------------------------------------------------------------
 
     def ask(self, request: FilteredRequest) -> Verdict | asyncio.Future[Verdict]:
         """Settled at once from the cache or where no check may be sent.
@@ -142,7 +143,7 @@
             else Reject()
         )
 
-    # -- effects --------------------------------------------------------------------------------------------------
+    # -- effects -----------------------------------------------------------------------------------
 
     def _run(self, effects: list[CheckEffect], request: FilteredRequest | None = None) -> None:
         for effect in effects:
@@ -225,6 +226,7 @@
         gateway: str,
         seed: int,
     ) -> None:
+        """Keep the settings; ``start`` opens the channels."""
         self.names, self.gateway, self.seed = names, gateway, seed
         self.figures, self.rules, self.make = figures, rules, channels
         self.fallback: Verdict = Reject()
@@ -232,7 +234,7 @@
         self.clients_by_request: dict[int, CheckClient] = {}  # by request that waits
         self.retiring: set[asyncio.Task] = set()
 
-    async def start(self, driver: Driver | None = None) -> None:
+    async def start(self, _driver: Driver | None = None) -> None:
         """Open the channels; nothing is waited for.
 
         An authoriser may come up later than the gateway.
@@ -284,7 +286,7 @@
             self.clients_by_request[request.number] = client
         return verdict
 
-    def on_end(self, request: FilteredRequest, ending: Ending) -> None:
+    def on_end(self, request: FilteredRequest, _ending: Ending) -> None:
         """The request is over."""
         if client := self.clients_by_request.pop(request.number, None):
             client.leave(request.number)
--- a/saffrongw/authz/server.py
+++ b/saffrongw/authz/server.py
@@ -55,6 +55,7 @@
         in_flight: int,
         tls: TlsFiles | None = None,
     ) -> None:
+        """Keep the address; ``start`` binds it."""
         self.listen, self.names, self.fields = listen, names, fields
         self.gateway_count, self.max_units, self.in_flight, self.tls = (
             gateway_count,
--- a/tests/authz/test_checks.py
+++ b/tests/authz/test_checks.py
@@ -289,7 +289,7 @@
     first = asked(c.enter(0, 1, "k", S))
     c.hedge(10 * MS, first.flight)
     c.enter(0, 2, "j", S)
-    done = c.drop(5)
+    done = c.drop()
     assert sorted(settled(done)) == sorted(
         [(1, ReplyKind.UNREACHED, "asked"), (2, ReplyKind.UNREACHED, "asked")], key=str
     )
