--- a/testbed/checker/rules.py
+++ b/testbed/checker/rules.py
@@ -138,6 +138,20 @@
     }
 
 
+@dataclass(frozen=True, slots=True)
+class Overdraft:
+    """Units sent beyond a ceiling and its slack: the first time, or the first that lateness can't explain.
+
+    The first overdraft is small, so that a machine that held up a gateway at that moment could
+    explain it. A later one is compared with the lateness of the whole run until then.
+    """
+
+    attempt: Attempt
+    units: float
+    sent: float
+    certain: bool
+
+
 class _Spans:
     """Spans of time with an amount each, asked for what falls into another span."""
 
@@ -610,7 +624,7 @@
         top = plan.burst * plan.ceiling
         ceiling, low = top, slack(plan) + CEILING_MORE * plan.rate * plan.ceiling
         lives = sum(max(0, len(self.lives.get(g, ())) - 1) for g in use.gateways)
-        broken = False
+        overdraft: Overdraft | None = None
         for attempt in firsts:
             span, at = max(0, attempt.at - at) / SECOND, max(at, attempt.at)
             store = min(plan.burst, store + plan.rate * span)
@@ -625,18 +639,23 @@
                 use.ceiling_low = (
                     ceiling if use.ceiling_low is None else min(ceiling, use.ceiling_low)
                 )
-                if ceiling < -low - 1e-9 and not broken:
-                    broken = True
-                    late = self.late.within(attempt.at - 5 * SECOND, attempt.at) / SECOND
-                    self._find(
-                        "ceiling",
-                        attempt.at,
-                        f"customer {use.customer}: {-ceiling:.1f} units over the ceiling, {low:.1f} are its slack",
-                        -ceiling - low > plan.rate * plan.ceiling * late,
-                        request=attempt.request,
-                        gateway=attempt.gateway,
-                        evidence=f"{use.sent:.0f} units were sent on in {(attempt.at - self.begin) / SECOND:.1f} s",
-                    )
+                if ceiling < -low - 1e-9 and not (overdraft and overdraft.certain):
+                    since = self.begin if overdraft else attempt.at - 5 * SECOND
+                    late = self.late.within(since, attempt.at) / SECOND
+                    certain = -ceiling - low > plan.rate * plan.ceiling * late
+                    if certain or not overdraft:
+                        overdraft = Overdraft(attempt, -ceiling, use.sent, certain)
+        if overdraft:
+            attempt = overdraft.attempt
+            self._find(
+                "ceiling",
+                attempt.at,
+                f"customer {use.customer}: {overdraft.units:.1f} units over the ceiling, {low:.1f} are its slack",
+                overdraft.certain,
+                request=attempt.request,
+                gateway=attempt.gateway,
+                evidence=f"{overdraft.sent:.0f} units were sent on in {(attempt.at - self.begin) / SECOND:.1f} s",
+            )
         length = (self.end - self.begin) / SECOND
         # Stated: a part of all that the quota holds, a burst for each life that started anew, two requests.
         use.allowed_beyond = (
--- a/tests/testbed/test_checker.py
+++ b/tests/testbed/test_checker.py
@@ -389,6 +389,36 @@
     assert "ceiling" in Day(*use_of(60, gap=S // 4)).judged().rules()
 
 
+def test_lateness_excuses_a_small_overdraft_of_a_ceiling_and_not_a_large_one_after_it():
+    """The first overdraft of an unlimited gateway is small: only later ones exceed what lateness explains."""
+    late = Late(S - 500 * MS, S)
+    small = Day(late, *use_of(12)).judged()
+    assert [(f.rule, f.certain) for f in small.findings if f.rule == "ceiling"] == [
+        ("ceiling", False)
+    ]
+    large = Day(late, *use_of(30)).judged()
+    assert [(f.rule, f.certain) for f in large.findings if f.rule == "ceiling"] == [
+        ("ceiling", True)
+    ]
+
+
+def test_lateness_long_ago_still_excuses_an_overdraft_that_lasts():
+    """The store of a customer at its full rate stays as low as lateness has left it."""
+    late = Late(S - 500 * MS, S)
+    at_its_rate = [
+        record
+        for n in range(1, 25)
+        for record in (
+            sent(S + n * S // 2, f"r{n}", customer=2, plan="bound"),
+            attempt(S + n * S // 2 + 1, f"r{n}", customer=2, plan="bound", conn=100 + n),
+        )
+    ]
+    lasting = Day(late, *use_of(12), *at_its_rate).judged()
+    assert [(f.rule, f.certain) for f in lasting.findings if f.rule == "ceiling"] == [
+        ("ceiling", False)
+    ]
+
+
 def test_further_attempts_take_no_units():
     day = Day(
         *use_of(8),
