--- a/saffrongw/gateway/admin_http/__init__.py
+++ b/saffrongw/gateway/admin_http/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' HTTP address: its server, and the handlers that carry calls out."""
+"""The operators' HTTP address: its server, and the handlers of its calls."""
--- a/saffrongw/gateway/admin_http/handlers.py
+++ b/saffrongw/gateway/admin_http/handlers.py
@@ -1,4 +1,4 @@
-"""What operators can ask of a running gateway, carried out on its parts."""
+"""Carries out the calls of operators to a running gateway."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 )
 from ..metrics import render
 
-# The policy's name for exclusions by this address, and for those that a hot restart passes on.
+# Source that the policy records for operators' exclusions, also those passed on by a hot restart.
 EXCLUSION_SOURCE = "operator"
-# Each excluded endpoint is remembered, whether it is listed or not.
+# Bounds the memory for exclusions, which also hold for endpoints that are not listed any more.
 MAX_EXCLUDED_ENDPOINTS = 4_096
 
 
@@ -36,7 +36,7 @@
     """
 
     def __init__(self, driver: Driver, clients: ClientConnections, config: Config) -> None:
-        """Nothing is served yet."""
+        """Prepare; ``is_serving`` is set once this process can serve."""
         self.driver = driver
         self.clients = clients
         self.config = config
@@ -45,7 +45,7 @@
         # Calls of extensions, by path.
         self.extension_commands: Mapping[bytes, AdminCommand] = {}
         self.draining_listeners: tuple[Callable[[bool], None], ...] = ()
-        # Sends a message to the other process of a hot restart; without one nobody is notified.
+        # Sends a message to the other process of a hot restart; does nothing if there is none.
         self.notify_peer_process: Callable[..., object] = _notify_nobody
 
     def is_healthy(self) -> bool:
@@ -66,7 +66,7 @@
         return render(rows)
 
     def exclude(self, endpoint_id: EndpointId) -> None:
-        """Send nothing more to an endpoint until it is readmitted."""
+        """Send no more attempts to an endpoint until it is readmitted."""
         self._require_known(endpoint_id)
         excluded = self.driver.gateway.exclusions.sources
         if len(excluded) >= MAX_EXCLUDED_ENDPOINTS and endpoint_id not in excluded:
@@ -81,24 +81,24 @@
         self._notify_exclusion(endpoint_id, False)
 
     def quiesce(self) -> None:
-        """Begin draining: take no more clients."""
+        """Start draining: ``PING`` fails, and connections close once idle."""
         self.clients.shutdown.quiesce()
         self.notify_draining(True)
         self.notify_peer_process(MessageKind.QUIESCED, True)
 
     def resume(self) -> None:
-        """End draining: take clients again."""
+        """End draining: serve clients as before."""
         self.clients.shutdown.resume()
         self.notify_draining(False)
         self.notify_peer_process(MessageKind.QUIESCED, False)
 
     def notify_draining(self, is_draining: bool) -> None:
-        """Notify the extensions that draining has begun or was taken back."""
+        """Notify the extensions that draining has started or ended."""
         for notify in self.draining_listeners:
             notify(is_draining)
 
     def apply_from_peer_process(self, message: Message) -> None:
-        """Do here what operators asked of the other process of a hot restart.
+        """Apply an operator's call that the other process of a hot restart received.
 
         Raises ``MalformedMessageError`` for a message of unknown kind.
         """
@@ -129,4 +129,4 @@
 
 
 def _notify_nobody(*_message: object) -> None:
-    """Stand for the other process where there is none."""
+    """Discard a message, as there is no other process."""
--- a/saffrongw/gateway/admin_http/server.py
+++ b/saffrongw/gateway/admin_http/server.py
@@ -1,8 +1,8 @@
-"""The HTTP server of the operators' address: HTTP/1.1, one call a connection.
+"""The HTTP server of the operators' address: HTTP/1.1, one call per connection.
 
-Clients' requests and other operators' calls are protected: a caller that sends an incomplete call
-or nothing holds one of a few connections for a short time. When there are too many, the oldest
-connection without a complete call is closed first.
+Callers that send nothing, or an incomplete call, must not block clients' requests or other
+operators' calls: connections are few and time out soon, and at the limit the oldest one without a
+complete call is closed.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 
 MAX_CONNECTIONS = 32
 LISTEN_BACKLOG = 64
-# How long a caller may take to send its call, and to read the answer.
+# Time for a caller to send its call, and to read the answer.
 CALL_TIMEOUT_S = 2.0
 READ_TIMEOUT_S = 1.0
 MAX_HEAD_BYTES = 4_096
 MAX_BODY_BYTES = 256
-# Of a call to an extension.
+# Limit of the body of a call to an extension.
 MAX_EXTENSION_BODY_BYTES = 1_024
-# Statuses; the standard library's names for them would cost every start an import.
+# HTTP statuses; importing ``http.HTTPStatus`` would slow down every start.
 CONTINUE = 100
 OK = 200
 BAD_REQUEST = 400
@@ -53,7 +53,7 @@
 
 
 class AdminOperations(Protocol):
-    """What operators can ask of a gateway; endpoint ids are those of discovery.
+    """The calls that operators can make; endpoint ids are those of discovery.
 
     Calls that can't be carried out raise ``AdminCallError``.
     """
@@ -67,13 +67,13 @@
         """All metrics as text."""
 
     def exclude(self, endpoint_id: bytes) -> None:
-        """Send nothing more to an endpoint."""
+        """Send no more attempts to an endpoint."""
 
     def readmit(self, endpoint_id: bytes) -> None:
         """Use an excluded endpoint again."""
 
     def quiesce(self) -> None:
-        """Begin draining."""
+        """Start draining."""
 
     def resume(self) -> None:
         """End draining."""
@@ -87,20 +87,20 @@
     timeout: asyncio.TimerHandle
 
     def __init__(self, server: AdminServer) -> None:
-        """Wait for the connection to open."""
+        """Prepare for a connection that is not open yet."""
         self.server = server
         self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.request: h11.Request | None = None
         self.body = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start the time limit of the call."""
+        """Start the timeout of the call."""
         self.transport = cast("asyncio.Transport", transport)
         self.server.opened(self)
         self.timeout = self.server.loop.call_later(CALL_TIMEOUT_S, self.transport.abort)
 
     def data_received(self, data: bytes) -> None:
-        """Read a call or a part of it; what follows a call that is answered is ignored."""
+        """Process a call or a part of it; data after an answered call is ignored."""
         if self.http.our_state is h11.DONE or self.transport.is_closing():
             return
         try:
@@ -112,7 +112,7 @@
             self._respond(AdminResponse(error.error_status_hint, text))
 
     def _handle(self, event: object) -> bool:
-        """Whether the event is handled and another one may be there."""
+        """Handle a parser event; return whether another one may be available."""
         if isinstance(event, h11.Request):
             self.request = event
             return True
@@ -126,7 +126,7 @@
         return False
 
     def _receive_body(self, data: bytes) -> bool:
-        """Whether the body is still within its limit."""
+        """Collect the body; return whether it is still within its limit."""
         assert self.request is not None
         self.body += data
         is_extension = self.request.target in self.server.operations.extension_commands
@@ -137,11 +137,11 @@
         return False
 
     def eof_received(self) -> bool:
-        """Keep the connection if its call is complete: the caller may have closed only its side."""
+        """Keep the connection if its call is complete: the caller may have closed one side only."""
         return self.http.our_state is h11.DONE
 
     def _dispatch(self) -> AdminResponse:
-        """The answer to the call; a fault of the handler is answered at once, not by silence."""
+        """Return the answer to the call, with status 500 if the handler raises an exception."""
         assert self.request is not None
         method, target = self.request.method, self.request.target
         try:
@@ -189,7 +189,7 @@
         """Prepare; ``listen`` binds."""
         self.loop = loop
         self.operations = operations
-        # Without a complete call, the oldest first.
+        # Connections without a complete call, the oldest first.
         self.incomplete: dict[AdminConnection, None] = {}
         self.connections: set[AdminConnection] = set()
         self.acceptor: Acceptor | None = None
@@ -205,7 +205,9 @@
     def listen(self, address: Address) -> None:
         """Answer calls from now on."""
         listener = socket.create_server(address, backlog=LISTEN_BACKLOG, reuse_port=True)
-        self.acceptor = Acceptor(self.loop, listener, self._may_open, lambda: AdminConnection(self))
+        self.acceptor = Acceptor(
+            self.loop, listener, self._ensure_capacity, lambda: AdminConnection(self)
+        )
         self.acceptor.start()
 
     def close(self) -> None:
@@ -213,8 +215,8 @@
         if self.acceptor:
             self.acceptor.close()
 
-    def _may_open(self) -> bool:
-        """Whether one more connection may open; the oldest without a complete call is closed."""
+    def _ensure_capacity(self) -> bool:
+        """Whether one more connection may open; at the limit, closes the oldest incomplete one."""
         assert self.acceptor is not None
         if len(self.connections) + self.acceptor.opening < MAX_CONNECTIONS:
             return True
@@ -232,16 +234,16 @@
         self.incomplete[connection] = None
 
     def answered(self, connection: AdminConnection) -> None:
-        """Note that a connection's call is complete."""
+        """Record that a connection's call is complete."""
         self.incomplete.pop(connection, None)
 
     def closed(self, connection: AdminConnection) -> None:
-        """Forget a connection."""
+        """Remove a closed connection."""
         self.connections.discard(connection)
         self.incomplete.pop(connection, None)
 
     def dispatch(self, method: bytes, target: bytes, body: bytes) -> AdminResponse:
-        """The answer to one call; ``HEAD`` is taken where ``GET`` is."""
+        """Return the answer to one call; ``HEAD`` is accepted where ``GET`` is."""
         path = target.partition(b"?")[0]
         route = self._route(path)
         if route is None:
@@ -282,7 +284,7 @@
 
 
 def _change_endpoint(change: Callable[[bytes], None], body: bytes) -> AdminResponse:
-    """The answer to a call whose body is an endpoint's id."""
+    """Carry out a call whose body is an endpoint's id, and return its answer."""
     endpoint_id = body.strip()
     if not _ENDPOINT_ID.fullmatch(endpoint_id):
         return AdminResponse(BAD_REQUEST, b"the body is no host's id\n")
--- a/saffrongw/gateway/discovery/__init__.py
+++ b/saffrongw/gateway/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Endpoint discovery: when to poll, which watch events count, and the HTTP client."""
+"""Endpoint discovery: the poll schedule, the filter of outdated events, and the HTTP client."""
--- a/saffrongw/gateway/discovery/client.py
+++ b/saffrongw/gateway/discovery/client.py
@@ -1,4 +1,4 @@
-"""The discovery client: one persistent HTTP connection, the next poll at once after each answer."""
+"""The discovery client: one persistent HTTP connection, with a poll right after each answer."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 log = logging.getLogger(__name__)
 
 PATH = "/registry/instances"
-# One answer: some thousand endpoints.
+# Enough for an answer with some thousand endpoints.
 MAX_BODY_BYTES = 1 << 20
 HTTP_OK = 200
 HTTP_UNAVAILABLE = 503
@@ -25,8 +25,8 @@
 MAX_RETRY_AFTER_DIGITS = 6
 MS_PER_S = 1_000
 
-# Whatever an answer, or the listener that applies its list, raises closes the connection: the poll
-# is then repeated on a new one, and an answer that was not applied is fetched again.
+# Errors in parsing an answer, or in the listener that applies its list. They close the connection:
+# the poll is repeated on a new one, so an answer that was not applied is fetched again.
 ANSWER_ERRORS = (
     ValueError,
     LookupError,
@@ -39,11 +39,11 @@
 
 
 class DiscoveryError(ValueError):
-    """An answer of the discovery service can't be used; the message names the cause."""
+    """An answer of the discovery service is unusable; the message names the cause."""
 
 
 def retry_after_seconds(headers: Iterable[tuple[bytes, bytes]]) -> float:
-    """Return ``Retry-After`` in seconds; 0 where there is none, or where it is a date."""
+    """Return ``Retry-After`` in seconds; 0 if it is missing or a date."""
     for name, value in headers:
         digits = value.strip()
         if name == b"retry-after" and digits.isdigit():
@@ -57,7 +57,7 @@
     transport: asyncio.Transport
 
     def __init__(self, client: DiscoveryClient) -> None:
-        """Begin without a transport, which the event loop hands over."""
+        """Prepare for a connection that is not open yet."""
         self.client = client
         self.http = h11.Connection(h11.CLIENT)
         self.status = 0
@@ -75,9 +75,9 @@
         self.transport.write(self.http.send(request) + self.http.send(h11.EndOfMessage()))
 
     def data_received(self, data: bytes) -> None:
-        """Read an answer, or a part of it; empty data is the end of the connection."""
+        """Process an answer, or a part of it; empty data is the end of the connection."""
         if self.client.connection is not self:
-            return  # Given up: what still arrives must not count.
+            return  # Abandoned or replaced: answers on it are ignored.
         try:
             self.http.receive_data(data)
             self._read_events()
@@ -99,7 +99,7 @@
                 return
 
     def _append(self, data: bytes) -> None:
-        """Collect the body; bounded, as an answer without end would use up the memory."""
+        """Collect the body, up to a limit: an endless answer would use up the memory."""
         self.body += data
         if len(self.body) > MAX_BODY_BYTES:
             raise DiscoveryError(f"an answer is longer than {MAX_BODY_BYTES} bytes")
@@ -123,19 +123,19 @@
         return True
 
     def eof_received(self) -> None:
-        """Read the end of the connection: the last answer may have no other end."""
+        """Process the end of the connection: an answer without a length ends with it."""
         self.data_received(b"")
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Report the end of the connection, by the service or by us."""
+        """Report the end of the connection, whichever side closed it."""
         self.client.lost(self)
 
 
 class DiscoveryClient:
-    """Keep the endpoint list up to date for as long as the gateway runs.
+    """Keeps the endpoint list up to date for as long as the gateway runs.
 
-    ``PollSchedule`` says when to connect and what to poll for; lists go to ``notify`` without older
-    watch events.
+    ``PollSchedule`` decides when to connect and what to poll for. Lists go to ``notify`` after
+    ``WatchEventFilter`` has removed outdated events.
     """
 
     def __init__(
@@ -146,7 +146,7 @@
         notify: Callable[[EndpointList], None],
         schedule: PollSchedule,
     ) -> None:
-        """Begin without a connection."""
+        """Prepare; nothing is polled before ``start``."""
         self.loop = loop
         self.address = address
         self.zones = zones
@@ -160,14 +160,14 @@
         self.connect_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to poll."""
+        """Start polling."""
         self.schedule.begin(self.loop.time())
         self._advance()
 
     def move(self, address: Address) -> None:
-        """Connect to another service at once.
+        """Switch to another service at once, as a configuration reload demands.
 
-        A reload named it; what the old one still sends is ignored.
+        What the old one still sends is ignored.
         """
         if address == self.address:
             return
@@ -176,15 +176,14 @@
         self.connection = None
         if previous:
             previous.transport.abort()
-        self._cancel_opening()  # It may be on its way to the old address.
+        self._cancel_opening()  # It may be connecting to the old address.
         self.schedule.change_service(self.loop.time())
         self._advance()
 
-    # -- the schedule
-    # -----------------------------------------------------------------------------------------
+    # -- the schedule -----------------------------------------------------------------------------
 
     def _advance(self) -> None:
-        """Do what is due, and set the timer for what is due next."""
+        """Do what the schedule demands now, and set the timer for its next action."""
         now = self.loop.time()
         action = self.schedule.due(now)
         if action is PollAction.CONNECT:
@@ -213,13 +212,13 @@
             self._connect_failed(connection)
 
     def _connect_failed(self, connection: DiscoveryConnection) -> None:
-        """Give up a connection that was refused or is late.
+        """Abandon a connection that was refused or not established in time.
 
-        Nothing happens where it is established or was given up already.
+        Does nothing if it is established, or abandoned already.
 
-        Guards a connection that is established in this very turn of the event loop: when its task
-        is cancelled then, the loop closes it without a callback, so what is no longer ``opening``
-        never counts as established.
+        It may be established in this very turn of the event loop. If its task is cancelled then,
+        the loop closes it without a callback: so only the connection in ``opening`` may become the
+        current one.
         """
         if self.opening is connection:
             self._cancel_opening()
@@ -232,13 +231,12 @@
             self.connect_task.cancel()
             self.connect_task = None
 
-    # -- what happens on a connection
-    # -------------------------------------------------------------------------
+    # -- events of a connection -------------------------------------------------------------------
 
     def connected(self, connection: DiscoveryConnection) -> None:
         """Send the first poll of a new connection."""
         if connection is not self.opening:
-            # Given up, or opened before a move.
+            # Abandoned, or opened before the switch to another service.
             connection.transport.abort()
             return
         self.connection = connection
@@ -257,15 +255,14 @@
         self._advance()
 
     def parse(self, body: bytes) -> EndpointList:
-        """Return an answer as an endpoint list; raises ``ValueError`` where it is none."""
+        """Parse an answer to an endpoint list; raises ``ValueError`` if it is malformed."""
         return parse_endpoint_list(json.loads(body), self.zones)
 
     def answered(self, listed: EndpointList, connection_closes: bool) -> PollRequest | None:
-        """Pass an answer on, and only then count its version as known.
+        """Apply an answer, and only then report its version to the schedule.
 
-        What could not be applied is polled again.
-
-        Returns the next poll on this connection; None where the connection closes.
+        So a list that could not be applied is polled again. Returns the next poll on this
+        connection, or None if the connection closes.
         """
         if listed.malformed_count:
             log.warning("discovery: entries malformed: count=%d", listed.malformed_count)
@@ -278,11 +275,11 @@
         return request
 
     def rejected(self, retry_after_s: float) -> None:
-        """Take note that the service has no capacity."""
+        """Tell the schedule that the service rejected a poll for lack of capacity."""
         self.schedule.rejected(self.loop.time(), retry_after_s)
 
     def lost(self, connection: DiscoveryConnection) -> None:
-        """Schedule a new connection where the current one is lost."""
+        """Schedule a new connection if the current one is lost."""
         if connection is self.connection:
             self.connection = None
             self.schedule.lost(self.loop.time())
--- a/saffrongw/gateway/discovery/poll_schedule.py
+++ b/saffrongw/gateway/discovery/poll_schedule.py
@@ -1,7 +1,7 @@
 """When a gateway polls discovery, for what, and how long it waits for the answer.
 
-Pure: the caller passes the time and the random numbers; all times and spans are in seconds. Why
-spans are as long as they are stands in ``poll_timing``.
+Pure: the caller passes the time and the random numbers. All times and spans are in seconds; a span
+is the range of a random delay. ``poll_timing`` explains how spans are derived.
 """
 
 from __future__ import annotations
@@ -41,19 +41,19 @@
 
 
 class PollAction(Enum):
-    """What the client is to do now."""
+    """What the client has to do now."""
 
     CONNECT = "connect"
-    # The connection is silent: close it; ``lost`` is to follow.
+    # Close the silent connection; the client then calls ``lost``.
     ABORT = "abort"
 
 
 @dataclass(frozen=True, slots=True)
 class PollRequest:
-    """One poll: for changes since ``version``, or for the complete list where that is None.
+    """One poll: for changes since ``version``, or for the complete list if that is None.
 
-    ``watch_s`` is how long the service may wait for a change (0: it answers at once), ``timeout_s``
-    when the answer is due.
+    ``watch_s`` is how long the service may wait for a change before it answers (0: it answers at
+    once), ``timeout_s`` how long the client waits for the answer.
     """
 
     version: int | None
@@ -63,25 +63,25 @@
 
 @dataclass(eq=False)
 class PollSchedule:
-    """The state of one gateway's polls: what it knows, what is in flight, and when it acts next.
+    """The state of one gateway's polls: the known version, the poll in flight, the next action.
 
-    It is notified of what happens (``connected``, ``answered``, ``rejected``, ``lost``) and says
-    what to do when ``next_at`` has come (``due``).
+    The client reports events (``connected``, ``answered``, ``rejected``, ``lost``), and calls
+    ``due`` at the time ``next_at`` to learn what to do.
     """
 
     gateways: int
-    draw: random.Random
-    # Version of the list that was received last; None: there is none.
+    rng: random.Random
+    # Version of the list that was received last; None if there is none.
     version: int | None = None
-    # From the settings (0: not set); counts where it is shorter than the default.
+    # From the settings (0: not set); applies if it is shorter than the default.
     notification_deadline_s: float = 0.0
-    # Length of a watch (0: by the size of the fleet).
+    # Length of a watch (0: derived from the size of the fleet).
     watch_s: float = 0.0
     answer_timeout_s: float = ANSWER_TIMEOUT_S
     has_clients: Callable[[], bool] = lambda: True
-    # An agent on this machine answers.
+    # Lists are pushed: polls are answered by an agent on this machine.
     pushed: bool = False
-    # From the notification of a drain until it binds.
+    # Time from the notification of a drain until no new request may go to the endpoint.
     drain_grace_s: float = 1.0
 
     load_factor: float = field(init=False, default=1.0)
@@ -90,11 +90,11 @@
     in_flight: PollRequest | None = field(init=False, default=None)
     sent_at: float = field(init=False, default=0.0)
     is_connecting: bool = field(init=False, default=False)
-    # For the next connection, where the service closed the last one behind its answer.
+    # First poll of the next connection, if the service closed the last one after its answer.
     next_request: PollRequest | None = field(init=False, default=None)
-    # The answer in flight is late; it may have been received but not read yet.
+    # The answer is late, and the event loop reads once more, as it may lie unread in the socket.
     is_final_read: bool = field(init=False, default=False)
-    # The connection that is to be lost next was silent.
+    # The current connection is being closed because its answer did not come in time.
     was_silent: bool = field(init=False, default=False)
     connect_at: float | None = field(init=False, default=None)
     # When the poll in flight is abandoned.
@@ -114,7 +114,7 @@
     # -- spans --
 
     def fleet_load(self, cost_s: float) -> float:
-        """Return for how long a poll of every gateway keeps the service busy.
+        """Return how long one poll by every gateway keeps the service busy.
 
         It is 0 for an agent on this machine.
         """
@@ -122,16 +122,16 @@
 
     @property
     def connect_timeout_s(self) -> float:
-        """Seconds in which a connection has to be established."""
+        """The time in which a connection has to be established."""
         if self.pushed:
             return min(CONNECT_TIMEOUT_S, self.drain_grace_s / 2)
         return CONNECT_TIMEOUT_S
 
     def first_poll_span(self) -> float:
-        """Return the span over which the first polls of all gateways are drawn."""
+        """Return the span over which the first polls of all gateways are spread."""
         load_s = self.fleet_load(FULL_FETCH_COST_S if self.version is None else DELTA_COST_S)
         span_s = max(0.0, load_s - MAX_START_QUEUE_S) / TARGET_UTILISATION
-        # With no list known, no request can go to an endpoint that drains: no deadline binds.
+        # Without a list, no request can go to a draining endpoint: the deadline does not matter.
         return span_s if self.version is None else self._bounded(span_s)
 
     def span_after_loss(self) -> float:
@@ -145,11 +145,11 @@
         backoff_s = min(longest_s, shortest_s * 2 ** min(MAX_DOUBLINGS, self.failures))
         factor = 1.0 if self.has_clients() else NO_CLIENTS_FACTOR
         span_s = self._bounded(backoff_s * factor)
-        # A silence has used up most of the time that the deadline leaves.
+        # Waiting for a silent connection has used up most of the time until the deadline.
         return min(span_s, MAX_SPAN_AFTER_SILENCE_S) if self.was_silent else span_s
 
     def span_after_rejection(self, now: float) -> float:
-        """Return the span of the draw when the service has no capacity.
+        """Return the span of the delay after the service rejected a poll for lack of capacity.
 
         It grows with the fleet because a rejection costs the service too.
         """
@@ -162,15 +162,15 @@
         return min(MAX_WATCH_S, max(MIN_WATCH_S, self.fleet_load(DELTA_COST_S) / WATCH_UTILISATION))
 
     def _bounded(self, span_s: float) -> float:
-        """Bound a span between two attempts by what the notification deadline leaves."""
+        """Limit a span between two attempts so that the notification deadline can be met."""
         return min(span_s, self.drain_grace_s / 4 if self.pushed else MAX_RETRY_SPAN_S)
 
     def _answer_timeout(self) -> float:
         """Return the timeout of a poll that does not watch.
 
-        An abandoned poll makes the service's work useless. So the queue of the whole fleet and a
-        slow service are waited for, as far as the notification deadline allows; an agent on this
-        machine has neither.
+        The service's work for an abandoned poll is wasted. So the timeout allows for the queue of
+        the whole fleet and for a slow service, up to the limit set by the notification deadline.
+        For an agent on this machine, neither is needed.
         """
         if self.pushed:
             return min(self.answer_timeout_s, self.drain_grace_s / 2)
@@ -178,12 +178,12 @@
         return min(MAX_ANSWER_TIMEOUT_S, max(slow_s, self.fleet_load(FULL_FETCH_COST_S)))
 
     def _draw(self, span_s: float) -> float:
-        return span_s * (1 - self.draw.random())
+        return span_s * (1 - self.rng.random())
 
-    # -- what to do --
+    # -- next action --
 
     def next_at(self) -> float | None:
-        """Return when ``due`` is to be called, at the latest; None while nothing is awaited."""
+        """Return when ``due`` has to be called at the latest; None if no action is scheduled."""
         times = [at for at in (self.connect_at, self.timeout_at) if at is not None]
         return min(times) if times else None
 
@@ -191,7 +191,8 @@
         """Return what to do now, if anything."""
         if self.timeout_at is not None and now >= self.timeout_at:
             if not self.is_final_read:
-                # Guards an answer that arrived while the process stood still: it is read first.
+                # The process may have been suspended: an answer that arrived meanwhile is read
+                # before the poll is abandoned.
                 self.is_final_read = True
                 self.timeout_at = now + FINAL_READ_S
                 return None
@@ -204,10 +205,10 @@
             return PollAction.CONNECT
         return None
 
-    # -- what happens --
+    # -- events --
 
     def begin(self, now: float, at_once: bool = False) -> None:
-        """Start, or start anew with another service."""
+        """Start polling, or start over with another service."""
         self.failures = 0
         self.load_factor = 1.0
         self.current_at = now
@@ -221,14 +222,15 @@
         self.full_fetch_at = now + FULL_FETCH_DELAY_S + self._draw(full_fetch_span_s)
 
     def change_service(self, now: float) -> None:
-        """Begin anew with another service, at once: versions of the old one mean nothing there."""
+        """Start over with another service at once; versions of the old one mean nothing to it."""
         self.version = None
         self.begin(now, at_once=True)
 
     def connected(self, now: float) -> PollRequest:
         """Return the first poll of a new connection.
 
-        It does not watch, as changes may have been missed.
+        Changes may have been missed, so it asks for an immediate answer rather than a watch, unless
+        the service closed the previous connection right after an answer.
         """
         self.is_connecting = False
         request = self.next_request or PollRequest(self.version, 0.0, self._answer_timeout())
@@ -238,16 +240,16 @@
     def answered(
         self, now: float, version: int, connection_closes: bool = False
     ) -> PollRequest | None:
-        """Take note of an answer that was applied, and return the next poll, to be sent at once.
+        """Record an answer that was applied; return the next poll, which is to be sent at once.
 
-        None where the service closes the connection behind its answer, as HTTP allows: the poll is
-        sent on the next connection, at once, and watches as it would have on this one.
+        Returns None if the service closes the connection after its answer, as HTTP allows: the same
+        poll is then sent on a new connection, which is opened at once.
         """
         if self.in_flight is not None:
             self._update_load_factor(self.in_flight, now - self.sent_at)
         self.failures = 0
         self.current_at = now
-        request = self._following(now, version)
+        request = self._next_poll(now, version)
         if not connection_closes:
             return self._sent(now, request)
         self._clear_in_flight()
@@ -256,7 +258,7 @@
         return None
 
     def rejected(self, now: float, retry_after_s: float = 0.0) -> None:
-        """Take note that the service has no capacity (503); the connection is to be closed."""
+        """Record that the service has no capacity (503); the client closes the connection."""
         self._clear_in_flight()
         self.next_request = None
         span_s = self.span_after_rejection(now)
@@ -264,16 +266,16 @@
         self.connect_at = earliest + self._draw(span_s)
 
     def lost(self, now: float) -> None:
-        """Take note that the connection ended, was never established, or was abandoned."""
+        """Record that the connection ended, could not be established, or was abandoned."""
         if self.connect_at is not None and not self.is_connecting:
-            # Rejected, or closed behind an answer: the next connection is scheduled already.
+            # Rejected, or closed after an answer: the next connection is scheduled already.
             return
         is_watching = self.in_flight is not None and self.in_flight.watch_s > 0
         if is_watching and not self.was_silent:
-            # A watch whose connection was seen to break had delivered all changes up to then.
+            # A watch delivers all changes until its connection breaks, if the break is detected.
             self.current_at = now
         elif self.was_silent and self.in_flight is not None and not is_watching:
-            # Only a poll that does not watch tells of the service's load by its silence.
+            # A silent watch says nothing of the service's load; other polls are answered at once.
             self._raise_load_factor()
         self._clear_in_flight()
         self.next_request = None
@@ -284,12 +286,12 @@
 
     # -- state --
 
-    def _following(self, now: float, version: int) -> PollRequest:
-        """Take over the version that was answered, and return the poll that follows."""
+    def _next_poll(self, now: float, version: int) -> PollRequest:
+        """Record the version of an answer, and return the poll that follows it."""
         was_full_fetch = self.in_flight is None or self.in_flight.version is None
         if was_full_fetch:
             self.full_fetch_at = None
-        # A lower version: the registry counts from the beginning.
+        # A lower version shows that the registry restarted and counts from the beginning.
         has_restarted = not was_full_fetch and version < (self.version or 0)
         self.version = None if has_restarted else version
         full_fetch_is_due = self.full_fetch_at is not None and now >= self.full_fetch_at
--- a/saffrongw/gateway/discovery/watch_events.py
+++ b/saffrongw/gateway/discovery/watch_events.py
@@ -1,11 +1,11 @@
-"""Drop watch events that are older than what was last received of an endpoint.
+"""Drops watch events that are older than the state last received of their endpoint.
 
 Pure: the caller passes the time.
 
-Watch events reach the gateway late and not always in order, and after a reload another discovery
-agent may lag behind the first. An endpoint that was received as draining must not come back through
-an older event that says it serves. What was received counts for ``RETENTION_S``: after that, a
-registry that started anew and counts its versions from the beginning is believed.
+Watch events may arrive late and out of order, and after a reload another discovery agent may lag
+behind the first. An older event that reports an endpoint as ready must not revert a newer one that
+reported it as draining. Received versions are remembered for ``RETENTION_S``: after that, lower
+versions are accepted, as the registry may have restarted and counts from the beginning.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from ...policy.events import EndpointId, EndpointState
 from ..config import DiscoveredEndpoint, EndpointList
 
-# How long a received version outranks older ones.
+# How long older versions are dropped after one was received.
 RETENTION_S = 30.0
 
 
 class ReceivedVersion(NamedTuple):
-    """What was last received of one endpoint; ``endpoint`` is None where it was removed."""
+    """The state last received of one endpoint; ``endpoint`` is None if it was removed."""
 
     version: int
     received_at_s: float
@@ -30,10 +30,10 @@
 
 
 class WatchEventFilter:
-    """The version that was last received of each endpoint, and the filter of what is older."""
+    """Remembers the version last received of each endpoint, and drops older ones."""
 
     def __init__(self) -> None:
-        """Begin with nothing received."""
+        """Start with no versions received."""
         # Ordered by the time of receipt, the oldest first.
         self._received: OrderedDict[EndpointId, ReceivedVersion] = OrderedDict()
 
@@ -42,10 +42,10 @@
         return len(self._received)
 
     def drop_older(self, listed: EndpointList, now_s: float) -> EndpointList:
-        """Return a list, or changes, without what is older than what was received.
+        """Return a complete list, or changes, with outdated states dropped.
 
-        In a complete list, endpoints of which something newer was received stand as they were
-        received. ``now_s`` is the time of any monotonic clock.
+        In a complete list an outdated state is replaced by the newer one received before. ``now_s``
+        is the time of any monotonic clock.
         """
         self._expire(now_s)
         endpoints = [
@@ -65,7 +65,7 @@
     def _newest(
         self, endpoint: DiscoveredEndpoint, listed: EndpointList, now_s: float
     ) -> DiscoveredEndpoint | None:
-        """Return what the list is to say of an endpoint that it names; None to leave it out."""
+        """Return the newest known state of a listed endpoint; None to drop it from the list."""
         endpoint_id = endpoint.entry.endpoint_id
         known = self._received.get(endpoint_id)
         if known is not None and known.version > listed.version:
@@ -77,7 +77,7 @@
     def _newer_than_complete(self, listed: EndpointList, now_s: float) -> list[DiscoveredEndpoint]:
         """Return endpoints that a complete list omits but that were received with a newer version.
 
-        The others that it omits are removed as of its version.
+        The other endpoints that it omits are recorded as removed in its version.
         """
         named = {endpoint.entry.endpoint_id for endpoint in listed.endpoints}
         newer = []
--- a/saffrongw/gateway/downstream/__init__.py
+++ b/saffrongw/gateway/downstream/__init__.py
@@ -1,1 +1,1 @@
-"""The clients' side: listening sockets, client connections, idle eviction and graceful shutdown."""
+"""The client side: listening sockets, client connections, idle eviction and graceful shutdown."""
--- a/saffrongw/gateway/downstream/connection.py
+++ b/saffrongw/gateway/downstream/connection.py
@@ -1,4 +1,4 @@
-"""One client connection: RESP commands in, replies out in the order of the commands."""
+"""One client connection: reads RESP commands and writes their replies in the same order."""
 
 from __future__ import annotations
 
@@ -16,17 +16,18 @@
 if TYPE_CHECKING:
     from .listener import ClientConnections
 
-# Commands of one connection that wait for their replies; more are left unread.
+# Commands of one connection that may wait for their replies; further ones stay unread.
 MAX_PIPELINED_COMMANDS = 128
 
-# Rejections that wait behind a reply while more commands are read only to be rejected.
+# In an overload a connection at the pipeline limit is still read, to reject its commands early,
+# until this many bytes of rejections wait behind its pending replies.
 MAX_PENDING_REJECTION_BYTES = 64 * 1024
 
 
 def _class_and_plan(parts: tuple[bytes, ...]) -> bytes:
-    """Return ``CLASS,t=PLAN`` as ``RequestFormat.skim`` does.
+    """Return ``CLASS,t=PLAN`` of a command in the form that ``RequestFormat.skim`` returns.
 
-    Empty where the terms stand in another order.
+    Empty if the terms are in another order.
     """
     words = parts[3].split(b",")
     if len(words) > 2 and words[0].startswith(b"c="):
@@ -35,7 +36,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client connection: awaiting a command, busy with some, idle, or closing."""
+    """A client connection that awaits a command, has requests in flight, is idle, or is closing."""
 
     transport: asyncio.Transport
 
@@ -44,22 +45,22 @@
         self.clients = clients
         self.shutdown = clients.shutdown
         self.reaper = clients.reaper
-        # What another process has read of it and not processed.
+        # Bytes that the predecessor process read from the connection and did not process.
         self.initial_data = initial_data
         self.reader = CommandReader()
         self.slots: deque[ReplySlot] = deque()
-        # Being written, for the first of the slots.
+        # The reply of the first slot, while it is streamed to the client.
         self.streaming: StreamingReply | None = None
-        # It closes once all is answered.
+        # No more commands are processed; the connection closes after the pending replies.
         self.is_closing = False
         self.is_reading = True
         self.is_writable = True
-        # Within the loop that processes commands.
+        # Set within ``process_commands``, which an immediate reply would reenter by ``flush``.
         self.is_processing = False
         self.is_flush_scheduled = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take up a client's connection."""
+        """Register the connection and process its initial data; in a hand-over, pass it on."""
         self.transport = cast("asyncio.Transport", transport)
         self.clients.opened(self)
         data, self.initial_data = self.initial_data, b""
@@ -69,23 +70,23 @@
     # -- backpressure -----------------------------------------------------------------------------
 
     def pause_writing(self) -> None:
-        """Stop reading: a client that reads no replies must not fill the memory with them."""
+        """Stop reading: replies to a client that reads none must not use up the memory."""
         self.is_writable = False
         self.update_reading()
         if self.streaming:
             self.streaming.set_paused(True)
 
     def resume_writing(self) -> None:
-        """Read again: the client has taken its replies."""
+        """Read again, as the client has read its replies."""
         self.is_writable = True
         self.update_reading()
         if self.streaming:
             self.streaming.set_paused(False)
 
     def update_reading(self) -> None:
-        """Read only while there is capacity for replies.
+        """Read only while further commands can be processed.
 
-        What was read and not processed stays as short as one read.
+        So no more than one read's worth of data is ever unprocessed.
         """
         is_reading = (
             self.is_writable and not self.is_closing and len(self.slots) < MAX_PIPELINED_COMMANDS
@@ -102,22 +103,22 @@
     # -- commands ---------------------------------------------------------------------------------
 
     def data_received(self, data: bytes) -> None:
-        """Process commands, or parts of them."""
+        """Process the commands that are complete with this data."""
         if not self.is_closing:
             self.reader.feed(data)
             self.process_commands()
 
     def process_commands(self) -> None:
-        """Process the commands that are complete, as far as their replies have capacity."""
+        """Process the complete commands, up to the pipeline limit."""
         if self.is_processing:
             return
         self.is_processing = True
         try:
-            # During a hand-over whoever gets the connection processes what is left.
+            # During a hand-over, unprocessed data is left to the process that gets the connection.
             if self.shutdown.give_to_successor is None:
                 self._process_all()
         except MalformedMessageError as error:
-            # Ends the connection: what follows may be anything.
+            # What follows a malformed command can't be interpreted.
             self.close_with_error(str(error))
         self.is_processing = False
         self.update_reading()
@@ -132,8 +133,8 @@
             and len(reader)
             and (len(slots) < MAX_PIPELINED_COMMANDS or self._may_reject_more())
         ):
-            # The cheapest rejection precedes the work: what is certain to be rejected in this turn
-            # is not parsed.
+            # A request that is certain to be rejected in this turn is not parsed, so that a flood
+            # of rejections costs as little as possible.
             if (
                 saturated
                 and (skimmed := request_format.skim(reader.data, reader.position))
@@ -157,7 +158,7 @@
         self.reaper.command_received(self)
 
     def _process_command(self, command: list[bytes]) -> None:
-        """Process a command that is not of the common form of requests."""
+        """Process a command that ``RequestFormat.read`` does not recognise."""
         if command[0] in (b"CALL.GET", b"CALL.POST"):
             self._process_request(*parse_request(command, self.clients.config))
         elif len(command) == 1 and command[0].upper() == b"PING":
@@ -188,7 +189,7 @@
             slot.waiting = queue.enqueue(terms, _class_and_plan(parts), parts[1], slot)
 
     def _may_reject_more(self) -> bool:
-        """Whether commands beyond the limit are read, to be rejected while they are new."""
+        """Whether commands beyond the pipeline limit are read, to be rejected early."""
         last = self.slots[-1].reply
         pending_bytes = len(last) if isinstance(last, bytes) else 0
         return (
@@ -197,14 +198,14 @@
         )
 
     def _reject_request(self, terms: RequestTerms, reply: bytes) -> None:
-        """Reject a request that was read, without even starting it."""
+        """Reject a parsed request without starting it."""
         self.clients.driver.metrics.busy[terms.kind] += 1
         self._append_rejections(reply, 1)
 
     # -- replies ----------------------------------------------------------------------------------
 
     def _append_rejections(self, reply: bytes, count: int) -> None:
-        """Append rejections; those in a row share one slot, so that a flood costs no objects."""
+        """Append rejections; consecutive ones share a slot, so that a flood costs no objects."""
         replies = reply * count
         if self.slots and isinstance(pending := self.slots[-1].reply, bytes):
             self.slots[-1].reply = pending + replies
@@ -217,7 +218,7 @@
         slot.answer(reply)
 
     def close_with_error(self, reason: str) -> None:
-        """Read nothing more, answer what is open, then write an error line and close."""
+        """Stop reading; after the pending replies, write an error line and close."""
         if not self.is_closing:
             self.is_closing = True
             self._append_reply(b"-ERR %b\r\n" % reason.encode())
@@ -229,7 +230,7 @@
             self.clients.loop.call_soon(self.flush)
 
     def flush(self) -> None:
-        """Write the replies whose turn has come."""
+        """Write the replies that are ready, up to the first one that is still pending."""
         self.is_flush_scheduled = False
         slots = self.slots
         while slots and self.streaming is None and (reply := slots[0].reply) is not None:
@@ -247,8 +248,8 @@
 
     def _start_streaming(self, slot: ReplySlot, reply: StreamingReply) -> None:
         if reply.is_broken:
-            # Its end was reported before its turn, so nothing would ever move the replies behind
-            # it.
+            # It broke off before a sink was attached, so it will never call ``streaming_ended``,
+            # and the replies after it would never be written.
             self.clients.open_request_ids.discard(slot.request_id)
             slot.reply = FAILED
         else:
@@ -256,9 +257,9 @@
             reply.attach(self)
 
     def streaming_ended(self, is_complete: bool) -> None:
-        """Go on behind a streaming reply.
+        """Continue with the replies after a streaming reply.
 
-        One that broke off closes the connection, to show that it did.
+        If it broke off, close the connection: only that shows the client that it is incomplete.
         """
         self.streaming = None
         self.clients.open_request_ids.discard(self.slots.popleft().request_id)
@@ -266,14 +267,14 @@
             self.schedule_flush()
         else:
             self._end_requests()
-            # What was written before it still reaches the client.
+            # Not ``abort``: replies that are still in the write buffer must reach the client.
             self.transport.close()
             self.reaper.classify(self)
 
-    # -- the end ----------------------------------------------------------------------------------
+    # -- closing ----------------------------------------------------------------------------------
 
     def settle(self) -> None:
-        """Hand the connection over or close it if it is due, and classify it for the reaper."""
+        """Hand the connection over, or close it, if that is due; classify it for the reaper."""
         if self.transport.is_closing():
             return
         if not self.slots:
@@ -285,20 +286,20 @@
         self.reaper.classify(self)
 
     def _is_idle(self) -> bool:
-        """Whether no command has begun, or is about to.
+        """Whether no command has partly arrived, lies unread, or is expected at once.
 
-        One that lies unread would meet a closed connection.
+        Closing the connection would lose such a command.
         """
         if len(self.reader):
             return False
         if self.shutdown.give_to_successor is not None:
-            # Nothing is read any more.
+            # Reading has stopped: this process will not process what lies unread.
             return True
-        # A new connection is there to send a command.
+        # A client that has just connected is about to send a command.
         return not self.reaper.is_new(self) and not socket_state.is_readable(self)
 
     def _closes_when_idle(self) -> bool:
-        """Whether the gateway drains, or its successor can't take this connection."""
+        """Whether the gateway drains, or this connection can't be handed to its successor."""
         return self.shutdown.is_draining or (
             self.shutdown.give_to_successor is not None and self._is_tls()
         )
@@ -307,7 +308,7 @@
         return self.transport.get_extra_info("sslcontext") is not None
 
     def _hand_over(self) -> bool:
-        """Give the connection to the successor, with what was read of its next command."""
+        """Give the connection, and unprocessed data, to the successor; return whether it worked."""
         # The state of a TLS connection can't leave this process.
         if self.transport.get_write_buffer_size() or self._is_tls():
             return False
@@ -321,15 +322,15 @@
         return True
 
     def eof_received(self) -> None:
-        """End its requests: by the protocol a client that ends its sending has disconnected.
+        """End the requests: by the protocol, a client that stops sending has disconnected.
 
-        The loop closes the connection once all is written, and a client that reads nothing would
-        hold that up.
+        ``connection_lost`` would be too late: the loop calls it only after the write buffer is
+        empty, which never happens if the client reads nothing.
         """
         self._end_requests()
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """End its requests: the client has disconnected."""
+        """End the requests of the client, which has disconnected."""
         self.clients.lost(self)
         self._end_requests()
 
--- a/saffrongw/gateway/downstream/graceful_shutdown.py
+++ b/saffrongw/gateway/downstream/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Ends the service of clients by draining or by a hand-over to a successor process."""
+"""Shuts client connections down, by draining or by a hand-over to a successor process."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 if TYPE_CHECKING:
     from .listener import ClientConnections
 
-# How long a client stuck within a command may hold up the end.
+# How long a connection without a request, such as one with a partial command, may delay the end.
 UNFINISHED_COMMAND_GRACE_S = 1.0
 
-# By the platform's protocol, a process that was told to end may serve what arrives within the first
-# time. It is killed no sooner than the longest deadline of a request after that, or than the second
-# time where that is shorter.
+# By the platform's protocol, requests that arrive within SERVE_AFTER_SIGTERM_S may still be served.
+# The process is killed no earlier than the longest request deadline after that, or
+# MAX_KILL_DELAY_S after it if that is shorter.
 SERVE_AFTER_SIGTERM_S = 0.7
 MAX_KILL_DELAY_S = 3.0
 
-# The part of these times that is not used.
+# Safety margin before the end of each of these two times.
 END_MARGIN_S = 0.15
 
 POLL_INTERVAL_S = 0.01
 
-# Gives a connection's descriptor, and what was read of its next command, to the successor; whether
-# that was possible.
+# Gives a connection's descriptor, and the bytes read of its next command, to the successor; returns
+# whether that was possible.
 GiveToSuccessor = Callable[[int, bytes], bool]
 
 
 class GracefulShutdown:
-    """Whether client connections are draining, handed over, or about to end with the process."""
+    """Drains client connections or hands them over, in the time before the process is killed."""
 
     def __init__(self, clients: ClientConnections) -> None:
         """Start in service: neither draining nor handing over."""
@@ -39,12 +39,12 @@
         self.is_draining = False
         # Set while connections are handed over.
         self.give_to_successor: GiveToSuccessor | None = None
-        # Requests are rejected as they arrive: they could not be finished any more.
+        # New requests are rejected: the process would be killed before they are finished.
         self.rejects_requests = False
         self.started_at_s: float | None = None
 
     def quiesce(self) -> None:
-        """Start draining: connections close as they fall idle, and what arrives is still served."""
+        """Start draining: connections close once idle; requests that arrive are still served."""
         self.is_draining = True
         self._settle_all()
 
@@ -53,7 +53,7 @@
         self.is_draining = False
 
     async def drain(self, accept_for_s: float) -> None:
-        """Drain, accept new connections for a while yet, then finish what is in flight."""
+        """Drain: accept connections for ``accept_for_s`` more, then finish requests in flight."""
         started_at_s = self.start_countdown()
         self.quiesce()
         await asyncio.sleep(started_at_s + accept_for_s - self.loop.time())
@@ -61,7 +61,10 @@
         await self.finish()
 
     async def finish(self) -> None:
-        """Wait until all requests have their replies and all connections are open or closed."""
+        """Wait until all replies are written and no connection is opening.
+
+        Connections without a request are waited for no longer than ``UNFINISHED_COMMAND_GRACE_S``.
+        """
         end_s = self.loop.time() + UNFINISHED_COMMAND_GRACE_S
         while self._is_unfinished(end_s):
             self._settle_all()
@@ -71,16 +74,16 @@
         clients = self.clients
         return bool(
             clients.driver.requests
-            # A streaming reply may still be on its way.
+            # A streaming reply may still be written after its request has ended.
             or any(connection.slots for connection in clients.connections)
             or clients.opening
             or (clients.connections and self.loop.time() < end_s)
         )
 
     def start_countdown(self) -> float:
-        """Start the time that remains until the process is killed, and return its start.
+        """Start the timers that run until the process is killed; return when they started.
 
-        It runs whoever serves the clients meanwhile. A second call changes nothing.
+        They run whether this process drains or hands over. A second call changes nothing.
         """
         if self.started_at_s is None:
             self.started_at_s = self.loop.time()
@@ -93,20 +96,20 @@
         return self.started_at_s
 
     def _reject_requests(self) -> None:
-        """Reject what arrives on connections that never fall idle.
+        """Reject the requests that arrive on connections that never become idle.
 
-        The process would be killed before its reply.
+        The process would be killed before it could answer them.
         """
         self.rejects_requests = True
 
     # -- hand-over --------------------------------------------------------------------------------
 
     def hand_over(self, give_to_successor: GiveToSuccessor) -> None:
-        """Give connections to the successor as they fall idle.
+        """Give connections to the successor as they become idle.
 
-        Nothing more is started, and what is queued is rejected. The successor accepts from the same
-        kernel queue. The listener is kept open, unused: if the successor is lost, the clients in
-        that queue must not be reset.
+        No more requests are started, and queued ones are rejected. The successor accepts from the
+        same kernel queue. The listening socket stays open here, unused: without it, the kernel
+        would reset the clients in that queue if the successor is lost.
         """
         self.give_to_successor = give_to_successor
         self.clients.stop_accepting()
@@ -116,7 +119,7 @@
             connection.settle()
 
     def take_back(self) -> None:
-        """Serve again: the successor is lost, and what it did not get ends here in order."""
+        """Serve the remaining connections again, as the successor is lost."""
         self.give_to_successor = None
         self.clients.resume_accepting()
         for connection in list(self.clients.connections):
--- a/saffrongw/gateway/downstream/listener.py
+++ b/saffrongw/gateway/downstream/listener.py
@@ -15,35 +15,35 @@
 from .idle_reaper import IdleReaper
 from .paused_reads import PausedReads
 
-# Connections that the kernel holds until they are accepted.
+# Connections that the kernel queues until they are accepted.
 LISTEN_BACKLOG = 1024
 
 
 class Listener(Protocol):
-    """Another listener beside the plain one.
+    """An additional listener, such as one for TLS.
 
-    It makes a ``ClientConnection`` of each client that it admits.
+    It creates a ``ClientConnection`` for each client that it admits.
     """
 
     @property
     def opening(self) -> int:
-        """The number of connections that are accepted and not open yet."""
+        """The number of connections that are accepted but not open yet."""
 
     async def open(self, clients: ClientConnections) -> None:
         """Accept clients from now on."""
 
     def close(self) -> None:
-        """Accept no more."""
+        """Stop accepting clients."""
 
 
 class ClientConnections:
-    """All client connections, within the number of descriptors set aside for them.
+    """All client connections, within the number of descriptors reserved for them.
 
-    How they end in service is ``shutdown``'s, and which of them are idle too long is ``reaper``'s.
+    ``shutdown`` drains them or hands them over, ``reaper`` closes those that are idle too long.
     """
 
     def __init__(self, driver: Driver, config: Config, max_connections: int) -> None:
-        """Prepare to serve clients by this driver; nothing is accepted before ``listen``."""
+        """Prepare to serve clients with this driver; nothing is accepted before ``listen``."""
         self.driver = driver
         self.config = config
         self.max_connections = max_connections
@@ -52,7 +52,7 @@
         self.admission_queue = AdmissionQueue(driver, driver.loop)
         driver.is_overloaded = lambda: self.admission_queue.is_overloaded
         self.connections: set[ClientConnection] = set()
-        # The clients' ids of requests without a final reply.
+        # The ids, given by clients, of the requests without a final reply.
         self.open_request_ids: set[bytes | None] = set()
         self.reaper = IdleReaper(self)
         self.paused_reads = PausedReads(self.loop)
@@ -75,13 +75,13 @@
         self.reaper.start()
 
     async def open_listeners(self, listeners: tuple[Listener, ...]) -> None:
-        """Accept clients by these as well."""
+        """Accept clients on these listeners too."""
         self.listeners = listeners
         for listener in listeners:
             await listener.open(self)
 
     def stop_accepting(self) -> None:
-        """Accept no more, but keep the plain listener's socket open."""
+        """Stop accepting clients, but keep the plain listener's socket open."""
         self.acceptor.stop()
         self._close_other_listeners()
 
@@ -90,7 +90,7 @@
         self.acceptor.start()
 
     def close_listeners(self) -> None:
-        """Accept what waits in the kernel's queue, then no more."""
+        """Accept the connections in the kernel's queue, then close the listeners."""
         self.acceptor.close()
         self._close_other_listeners()
 
@@ -99,7 +99,7 @@
             listener.close()
 
     def adopt(self, sock: socket.socket, initial_data: bytes) -> None:
-        """Serve another process's connection, with what that had read of the next command."""
+        """Serve the predecessor's connection, with the bytes it read of the next command."""
         if self.ensure_capacity():
             self.acceptor.adopt(sock, ClientConnection(self, initial_data))
         else:
@@ -112,14 +112,11 @@
 
     @property
     def opening(self) -> int:
-        """The number of connections that are accepted and not open yet, by every listener."""
+        """The number of connections, of all listeners, that are accepted but not open yet."""
         return self.acceptor.opening + sum(listener.opening for listener in self.listeners)
 
     def ensure_capacity(self) -> bool:
-        """Whether one more connection may be accepted.
-
-        At the limit another one may be evicted for it.
-        """
+        """Return whether one more connection may be accepted; at the limit, try to evict one."""
         if len(self.connections) + self.opening < self.max_connections:
             return True
         return self.reaper.evict_one()
@@ -137,7 +134,7 @@
         self.reaper.remove(connection)
 
     def count_shed(self, class_and_plan: bytes) -> None:
-        """Count a request that was rejected before it was parsed; ``CLASS,t=PLAN``."""
+        """Count a request of this ``CLASS,t=PLAN`` that was rejected before it was parsed."""
         kind = self.config.classes.get(class_and_plan.partition(b",")[0])
         if kind is not None:
             self.driver.metrics.busy[kind] += 1
--- a/saffrongw/gateway/downstream/paused_reads.py
+++ b/saffrongw/gateway/downstream/paused_reads.py
@@ -1,4 +1,4 @@
-"""Notices clients that disconnect while their connections are not read from."""
+"""Detects clients that disconnect while reading from their connections is paused."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class PausedReads:
-    """Checks the connections that are not read from.
+    """Polls the connections whose reading is paused.
 
-    The loop would not report that their clients are gone.
-    Without it requests would go on to endpoints for clients that have disconnected.
+    The event loop does not report a disconnect on them. Unnoticed, their requests would still be
+    sent to endpoints.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -27,7 +27,7 @@
         self.is_checking = False
 
     def set_paused(self, connection: ClientConnection, paused: bool) -> None:
-        """Check a connection from now on, or no longer."""
+        """Start or stop polling a connection."""
         if not paused:
             self.connections.discard(connection)
             return
@@ -37,7 +37,7 @@
             self.loop.call_later(CHECK_INTERVAL_S, self._check)
 
     def remove(self, connection: ClientConnection) -> None:
-        """Check a connection no longer: it is closed."""
+        """Stop polling a closed connection."""
         self.connections.discard(connection)
 
     def _check(self) -> None:
--- a/saffrongw/gateway/downstream/reply_slot.py
+++ b/saffrongw/gateway/downstream/reply_slot.py
@@ -14,12 +14,12 @@
 class ReplySlot:
     """The position of one command's reply on its connection.
 
-    A ``PendingRequest`` while its request waits.
+    It is the ``PendingRequest`` of the admission queue while its request is queued.
     """
 
     __slots__ = ("connection", "parts", "reply", "request", "request_id", "terms", "waiting")
 
-    # Set only for a request that waits.
+    # Set only for a request that is queued.
     terms: RequestTerms
     parts: tuple[bytes, ...]
 
@@ -33,7 +33,7 @@
         self.waiting: QueuedRequest | None = None
 
     def start(self) -> None:
-        """Start the request; the time that it waited is taken from its timeout."""
+        """Start the queued request; its timeout is reduced by the time that it waited."""
         waiting, self.waiting = self.waiting, None
         if waiting is None:
             return
@@ -43,9 +43,10 @@
         self.request = driver.request_arrived(terms, self.parts, self.answer)
 
     def reject(self, reply: bytes) -> None:
-        """Reject the request that waits.
+        """Reject the queued request.
 
-        Written with others of this turn, never within another's reading.
+        The reply is written at the end of the turn: the queue may reject this request while the
+        commands of another connection are processed.
         """
         self.reply = reply
         self.waiting = None
@@ -55,9 +56,9 @@
         self.connection.schedule_flush()
 
     def answer(self, reply: FinalReply) -> None:
-        """Take the final reply; it is written once those before it are."""
+        """Store the final reply; it is written after those of earlier commands."""
         self.reply = reply
-        # Else slot and request would hold each other until the garbage collector runs.
+        # Breaks a reference cycle, which would otherwise live until the garbage collector runs.
         self.request = None
         # A streaming reply keeps its request open until it is written.
         if isinstance(reply, bytes):
--- a/saffrongw/gateway/downstream/socket_state.py
+++ b/saffrongw/gateway/downstream/socket_state.py
@@ -1,4 +1,4 @@
-"""Asks the kernel about client connections, without reading from them."""
+"""Polls the sockets of client connections without reading from them."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 def disconnected(connections: Iterable[ClientConnection]) -> list[ClientConnection]:
-    """Return those whose client has disconnected, also where the loop does not read from them."""
+    """Return the connections whose client has disconnected, also where reading is paused."""
     return _polled(connections, _DISCONNECTED)
 
 
 def is_readable(connection: ClientConnection) -> bool:
-    """Whether something lies unread, data or the end of the connection."""
+    """Whether data, or the end of the connection, is unread in the socket."""
     return bool(_polled((connection,), select.POLLIN))
 
 
 def has_unread_data(connection: ClientConnection) -> bool:
-    """Whether data lies unread of a client that has not disconnected."""
+    """Whether data of a client that has not disconnected is unread in the socket."""
     return is_readable(connection) and not disconnected((connection,))
 
 
--- a/saffrongw/gateway/hot_restart/channel.py
+++ b/saffrongw/gateway/hot_restart/channel.py
@@ -1,13 +1,13 @@
 """The channel between the running process and its successor, and how they find each other.
 
-The running process listens on a Unix socket in ``$TMPDIR``. A successor connects and is given at
-once the listening socket (one kernel queue, so that no connection is reset when one of the two
-stops accepting), the gossip socket, the endpoint list and the operators' exclusions. Then it waits.
-On SIGTERM the running process stops accepting, sends its state and the word to take over; idle
-client and upstream connections follow. A successor that is lost before that is forgotten; if the
-running process is lost, its successor serves at once.
-
-The messages are in ``messages.py``. Each packet is one message with its file descriptors.
+The running process listens on a Unix socket in ``$TMPDIR``. A successor connects and receives at
+once the listening socket (both processes share one kernel queue, so that no connection is reset
+when one of them stops accepting), the gossip socket, the endpoint list and the operators'
+exclusions. Then it waits. On SIGTERM the running process stops accepting and sends its state and
+``GO``, then its idle client and upstream connections. If the successor is lost before that, the
+running process goes on without it; if the running process is lost, its successor serves at once.
+
+The messages are defined in ``messages.py``. Each packet is one message with its file descriptors.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 # Packets that wait to be sent.
 MAX_QUEUED_PACKETS = 4_096
-# How long the running process may take to greet its successor, and a stalled one to read.
+# Time for the running process to greet its successor, and for a stalled peer to read.
 ANSWER_TIMEOUT_S = 1.0
 SEND_POLL_INTERVAL_S = 0.002
 LISTEN_BACKLOG = 4
@@ -48,14 +48,14 @@
 
 
 def socket_path(listen: tuple[str, int]) -> Path | None:
-    """The Unix socket of the process that serves an address; None without ``$TMPDIR``."""
+    """Return the path of the Unix socket for a listening address; None without ``$TMPDIR``."""
     folder = os.environ.get("TMPDIR")
     return Path(folder) / f"saffrongw-{listen[0]}-{listen[1]}.sock" if folder else None
 
 
 @contextlib.contextmanager
 def short_address(path: Path) -> Iterator[str]:
-    """A short name for a socket's path: the kernel allows 108 bytes, ``$TMPDIR`` may be longer."""
+    """Yield a short alias of a socket's path: the kernel allows 108 bytes, paths may be longer."""
     folder = os.open(path.parent, os.O_PATH | os.O_DIRECTORY)
     try:
         yield f"/proc/self/fd/{folder}/{path.name}"
@@ -64,7 +64,7 @@
 
 
 def _is_same_user(sock: socket.socket) -> bool:
-    """Whether the peer runs as this user: descriptors and quota counters go to nobody else."""
+    """Whether the peer runs as this user: others must not get descriptors and quota counters."""
     raw = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, _PEER_CREDENTIALS.size)
     _, user_id, _ = _PEER_CREDENTIALS.unpack(raw)
     return user_id == os.geteuid()
@@ -85,8 +85,8 @@
 class HandOverChannel:
     """Sends packets to the other process and receives its packets.
 
-    ``on_message`` owns the sockets it is given unless it raises ``MalformedMessageError``.
-    ``on_lost`` is called once when the other process has gone or can't be reached.
+    ``on_message`` owns the sockets that it receives unless it raises ``MalformedMessageError``.
+    ``on_lost`` is called once, when the other process has ended or can't be reached.
     """
 
     def __init__(
@@ -107,7 +107,7 @@
         loop.add_reader(sock, self._read)
 
     def send(self, *message: object, fds: tuple[int, ...] = ()) -> bool:
-        """Queue one packet; False where it can't arrive. The descriptors stay the caller's."""
+        """Queue one packet; return whether that worked. The caller still owns the descriptors."""
         packet = encode(message)
         is_full = len(self.send_queue) >= MAX_QUEUED_PACKETS
         if not self.is_open or len(packet) > MAX_PACKET_BYTES or is_full:
@@ -189,7 +189,7 @@
             await asyncio.sleep(SEND_POLL_INTERVAL_S)
 
     async def flush(self) -> bool:
-        """Whether all packets were sent in time; a peer that has stopped reading is given up."""
+        """Return whether all packets were sent in time; if not, the channel is aborted."""
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 await self.wait_sent()
@@ -216,13 +216,13 @@
         self.listener: socket.socket | None = None
         self.channel: HandOverChannel | None = None
         self.is_successor_ready = False
-        # Set when a successor had connected and is gone.
+        # Set when a connected successor was lost.
         self.successor_lost = asyncio.Event()
-        # Of the socket's file: another process may have put its own in its place.
+        # Inode of the socket's file: another process may have replaced that file by its own.
         self.inode = 0
 
     def listen(self) -> None:
-        """Let a successor connect; the file that a killed process has left is replaced."""
+        """Let a successor connect; a socket file left by a killed process is replaced."""
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
             self._bind(listener)
@@ -253,17 +253,17 @@
         if not _is_same_user(sock):
             sock.close()
             return
-        # An earlier successor was given up by its supervisor, and must not serve as well.
+        # The supervisor has given up an earlier successor, which must not serve as well.
         if self.channel:
             self.channel.send(MessageKind.REPLACED)
             self.channel.close()
         self.is_successor_ready = False
         self.successor_lost.clear()
-        self.channel = HandOverChannel(self.loop, sock, self._receive, self._lose_successor)
+        self.channel = HandOverChannel(self.loop, sock, self._receive, self._on_successor_lost)
         self.on_connect(self.channel)
 
     def _receive(self, message: Message, sockets: list[socket.socket]) -> None:
-        # A successor has no sockets to give.
+        # A successor sends no sockets.
         for sock in sockets:
             sock.close()
         if message[0] == MessageKind.READY:
@@ -271,13 +271,13 @@
         else:
             self.on_message(message)
 
-    def _lose_successor(self) -> None:
+    def _on_successor_lost(self) -> None:
         self.channel = None
         self.is_successor_ready = False
         self.successor_lost.set()
 
     def stop_listening(self) -> None:
-        """Remove the socket, unless a successor that could not wait has its own there already."""
+        """Remove the socket, unless a successor that did not wait has replaced it by its own."""
         if self.listener is None:
             return
         self.loop.remove_reader(self.listener)
@@ -298,12 +298,12 @@
 async def connect_to_running_process(
     loop: asyncio.AbstractEventLoop, path: Path | None
 ) -> socket.socket | None:
-    """A connection to the process that serves this address; None where none answers in time."""
+    """Connect to the process that listens on this socket; None if none answers in time."""
     if path is None or not path.exists():
         return None
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     sock.setblocking(False)
-    # A process that was killed leaves its file, and the connection is refused.
+    # If a killed process has left its socket file, the connection is refused.
     with contextlib.suppress(OSError):
         async with asyncio.timeout(ANSWER_TIMEOUT_S):
             with short_address(path) as address:
--- a/saffrongw/gateway/hot_restart/messages.py
+++ b/saffrongw/gateway/hot_restart/messages.py
@@ -2,7 +2,7 @@
 
 Two versions of the program speak this protocol with each other, so no name, order or limit in this
 module may change. A packet is a JSON list: the message's kind, then its values. File descriptors
-travel beside it (``SCM_RIGHTS``). State rows are the policy's (``policy/state_transfer.py``).
+are sent along with it (``SCM_RIGHTS``). ``policy/state_transfer.py`` defines the state rows.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 Message = list  # of JSON values, the kind first
 
 MAX_PACKET_BYTES = 32 * 1024
-# Descriptors that travel with one packet.
+# Descriptors that are sent with one packet.
 MAX_PACKET_FDS = 2
-# Rows in one packet, as far as they fit.
+# Rows in one packet, fewer if they are long.
 MAX_PACKET_ROWS = 24
-# What a packet of rows needs besides them: its kind and brackets.
+# Size of a packet of rows without the rows: its kind and brackets.
 ROWS_OVERHEAD_BYTES = 64
-# Bytes of a partial command in one packet: escaped in JSON they can become six times as many.
+# Bytes of a partial command in one packet: escaped in JSON, they can become six times as long.
 PARTIAL_COMMAND_CHUNK_BYTES = 4 * 1024
 
 
 class MessageKind(StrEnum):
-    """The first value of each message, as it stands on the wire."""
+    """The first value of each message, as it is sent on the wire."""
 
     # From the running process: its listener, and its gossip socket if it has one.
     SOCKETS = "sockets"
@@ -42,9 +42,9 @@
     ENDPOINTS = "listed"
     # From the running process: rows of the policy's state.
     STATE_ROWS = "rows"
-    # From the running process: the successor has all that it needs to get ready.
+    # From the running process: all that the successor needs to prepare has been sent.
     GREETED = "greeted"
-    # From the successor: it can serve.
+    # From the successor: it is ready to serve.
     READY = "ready"
     # From the running process: the successor serves from now on.
     GO = "go"
@@ -56,18 +56,18 @@
     PARTIAL_COMMAND = "begun"
     # From the running process: an idle connection to an endpoint.
     UPSTREAM = "host"
-    # From either: an operator has excluded an endpoint or has readmitted it.
+    # From either: an operator has excluded an endpoint or readmitted it.
     EXCLUSION = "exclusion"
-    # From either: an operator has begun draining or has ended it.
+    # From either: an operator has started draining or ended it.
     QUIESCED = "quiesced"
 
 
 class MalformedMessageError(ValueError):
-    """A packet or one of its values that no version of the program sends."""
+    """A packet, or a value in it, that no version of the program sends."""
 
 
 class Exclusion(NamedTuple):
-    """An operator's change of one endpoint."""
+    """An operator's exclusion or readmission of one endpoint."""
 
     endpoint_id: EndpointId
     excluded: bool
@@ -82,7 +82,7 @@
 
 @contextlib.contextmanager
 def _decoding(kind: str) -> Iterator[None]:
-    """Raise ``MalformedMessageError`` with the message's kind where a value can't be converted."""
+    """Raise ``MalformedMessageError`` with the message's kind if a value can't be converted."""
     try:
         yield
     except (ValueError, LookupError, TypeError) as error:
@@ -90,48 +90,48 @@
 
 
 def encode(message: Iterable[object]) -> bytes:
-    """One message as the bytes of its packet."""
+    """Encode one message as a packet."""
     return json.dumps(tuple(message), separators=(",", ":")).encode()
 
 
 def decode(packet: bytes) -> Message:
-    """The message of one packet; ``MalformedMessageError`` where it is no list with a kind."""
+    """Decode a packet; raises ``MalformedMessageError`` if it is no list starting with a kind."""
     try:
         message = json.loads(packet)
     except (ValueError, RecursionError) as error:
         raise MalformedMessageError(f"not JSON: {error!r}") from error
     if not isinstance(message, list) or not message or not isinstance(message[0], str):
-        raise MalformedMessageError("the packet holds no message")
+        raise MalformedMessageError("the packet is not a list that starts with a kind")
     return message
 
 
 def decode_rows(message: Message) -> list[list]:
-    """The rows of a message that carries some."""
+    """Return the rows of a message."""
     with _decoding(message[0]):
         return list(message[1])
 
 
 def decode_length(message: Message) -> int:
-    """How many bytes of a partial command follow a client's connection."""
+    """Return how many bytes of a partial command follow a client's connection."""
     with _decoding(message[0]):
         return int(message[1])
 
 
 def encode_bytes(data: bytes) -> str:
-    """Bytes as text that JSON holds."""
+    """Encode bytes as text, as JSON has no bytes."""
     return data.decode("latin-1")
 
 
 def decode_bytes(message: Message) -> bytes:
-    """The bytes that a message carries as text."""
+    """Decode the bytes that a message carries as text."""
     with _decoding(message[0]):
         if not isinstance(message[1], str):
-            raise TypeError(f"no text: {message[1]!r:.80}")
+            raise TypeError(f"not a text: {message[1]!r:.80}")
         return message[1].encode("latin-1")
 
 
 def decode_upstream(message: Message) -> UpstreamConnectionOffer:
-    """Where a handed-over upstream connection leads."""
+    """Decode the endpoint to which a handed-over upstream connection leads."""
     with _decoding(message[0]):
         return UpstreamConnectionOffer(
             state_transfer.endpoint_id_from_text(message[1]), int(message[2])
@@ -139,21 +139,21 @@
 
 
 def decode_exclusion(message: Message) -> Exclusion:
-    """An operator's change of one endpoint."""
+    """Decode an operator's exclusion or readmission of one endpoint."""
     with _decoding(message[0]):
         if not isinstance(message[1], str):
-            raise TypeError(f"no endpoint id: {message[1]!r:.80}")
+            raise TypeError(f"not an endpoint id: {message[1]!r:.80}")
         return Exclusion(state_transfer.endpoint_id_from_text(message[1]), bool(message[2]))
 
 
 def decode_quiesced(message: Message) -> bool:
-    """Whether the other process drains."""
+    """Decode whether the other process drains."""
     with _decoding(message[0]):
         return bool(message[1])
 
 
 def encode_endpoint(entry: EndpointEntry, started_at_us: int, address: Address) -> list:
-    """One endpoint as a row; ``started_at_us`` is the start of that to which connections lead."""
+    """Encode an endpoint as a row; ``started_at_us`` is that of the incarnation connected to."""
     return [
         state_transfer.endpoint_id_to_text(entry.endpoint_id),
         entry.state.value,
@@ -166,7 +166,7 @@
 
 
 def decode_endpoint(row: list) -> DiscoveredEndpoint:
-    """The endpoint of one row; ``MalformedMessageError`` where the row is none."""
+    """Decode the endpoint of a row; raises ``MalformedMessageError`` if the row is malformed."""
     with _decoding(MessageKind.ENDPOINTS):
         endpoint_id, state, zone, cell, started_at_us, size, host, port = row
         entry = EndpointEntry(
@@ -181,7 +181,7 @@
 
 
 def pack_rows(rows: Iterable[list]) -> list[list[list]]:
-    """Rows grouped so that each group fits a packet; a row that alone is too long is logged."""
+    """Group rows so that each group fits a packet; a row that is too long is logged and omitted."""
     groups: list[list[list]] = []
     group: list[list] = []
     group_bytes = 0
--- a/saffrongw/gateway/hot_restart/predecessor.py
+++ b/saffrongw/gateway/hot_restart/predecessor.py
@@ -1,4 +1,4 @@
-"""The running process's side of a hot restart: what it gives to its successor, and when."""
+"""The running process's side of a hot restart: prepares a successor, then hands over to it."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 log = logging.getLogger(__name__)
 
-# Packets that may wait before the sender of state rows pauses: far less than the queue holds.
+# Queued packets at which the sender of state rows pauses, well below the queue's limit.
 MAX_UNSENT_PACKETS = 256
 
 
@@ -31,43 +31,47 @@
     def __init__(
         self, parts: GatewayParts, gossip: GossipTransport | None, accept_period_s: float
     ) -> None:
-        """``accept_period_s``: how long an ordinary end goes on accepting connections."""
+        """``accept_period_s`` is how long connections are still accepted in a drain."""
         self.parts = parts
         self.gossip = gossip
         self.accept_period_s = accept_period_s
-        self.successors: SuccessorListener | None = None
+        self.successor_listener: SuccessorListener | None = None
         if path := socket_path(parts.clients.config.listen):
-            self.successors = SuccessorListener(
+            self.successor_listener = SuccessorListener(
                 parts.driver.loop, path, self._greet, parts.admin.apply_from_peer_process
             )
 
     def listen(self) -> None:
         """Let a successor connect from now on."""
-        if self.successors:
-            self.successors.listen()
+        if self.successor_listener:
+            self.successor_listener.listen()
             self.parts.admin.notify_peer_process = self._notify
 
     def close(self) -> None:
-        """Let no successor connect any more."""
-        if self.successors:
-            self.successors.close()
+        """Let no successor connect any more, and disconnect the current one."""
+        if self.successor_listener:
+            self.successor_listener.close()
 
     async def stop(self) -> None:
         """End serving: hand over to a successor that is ready, else drain."""
-        if self.successors and self.successors.is_successor_ready and self.successors.channel:
-            await self._hand_over(self.successors, self.successors.channel)
+        if (
+            self.successor_listener
+            and self.successor_listener.is_successor_ready
+            and self.successor_listener.channel
+        ):
+            await self._hand_over(self.successor_listener, self.successor_listener.channel)
         else:
             await self.parts.clients.shutdown.drain(self.accept_period_s)
 
     def _notify(self, *message: object) -> None:
-        if self.successors and self.successors.channel:
-            self.successors.channel.send(*message)
+        if self.successor_listener and self.successor_listener.channel:
+            self.successor_listener.channel.send(*message)
 
     def _greet(self, channel: HandOverChannel) -> None:
-        """Send all that a successor needs to get ready; it does not serve yet."""
+        """Send all that a successor needs to prepare; it does not serve yet."""
         parts = self.parts
         acceptor = parts.clients.acceptor
-        # Successors are let in only once this process listens.
+        # Successors can connect only once this process listens.
         assert acceptor is not None
         fds = [acceptor.listener.fileno()]
         if self.gossip:
@@ -81,26 +85,30 @@
         channel.send(MessageKind.GREETED)
 
     def _endpoint_rows(self) -> Iterator[list]:
-        """The endpoint list as rows: as discovery gave it, and where connections lead."""
+        """Encode the endpoint list: discovery's entries, with address and start from the pools."""
         for endpoint in self.parts.driver.gateway.endpoints.by_id.values():
             if pool := self.parts.cluster.pools.get(endpoint.entry.endpoint_id):
                 yield encode_endpoint(endpoint.entry, pool.started_at_us, pool.address)
 
-    async def _hand_over(self, successors: SuccessorListener, channel: HandOverChannel) -> None:
-        """Let the successor serve, and finish what is in flight here.
+    async def _hand_over(
+        self, successor_listener: SuccessorListener, channel: HandOverChannel
+    ) -> None:
+        """Let the successor serve, and finish the requests in flight here.
 
         If the successor is lost meanwhile, this process drains as it would without one.
         """
         clients, cluster = self.parts.clients, self.parts.cluster
         clients.shutdown.start_countdown()
-        successors.stop_listening()
+        successor_listener.stop_listening()
         if self.gossip:
             self.gossip.close()
         if await self._send_state(channel):
             cluster.hand_over(self._give_upstream)
             clients.shutdown.hand_over(self._give_client)
-            await wait_for_first(clients.shutdown.finish(), successors.successor_lost.wait())
-        if not successors.successor_lost.is_set():
+            await wait_for_first(
+                clients.shutdown.finish(), successor_listener.successor_lost.wait()
+            )
+        if not successor_listener.successor_lost.is_set():
             await channel.flush()
             return
         log.warning("hot_restart: successor lost: action=drain")
@@ -110,7 +118,7 @@
         await clients.shutdown.drain(self.accept_period_s)
 
     async def _send_state(self, channel: HandOverChannel) -> bool:
-        """Send the policy's state and the word to take over; False where the successor is lost."""
+        """Send the policy's state, then ``GO``; return False if the successor is lost."""
         for rows in pack_rows(state_transfer.export(self.parts.driver.gateway)):
             channel.send(MessageKind.STATE_ROWS, rows)
             if len(channel.send_queue) >= MAX_UNSENT_PACKETS and not await channel.flush():
@@ -120,11 +128,11 @@
         return channel.is_open
 
     def _give_client(self, fd: int, partial_command: bytes) -> bool:
-        """Whether a client's idle connection went to the successor, with what was read of it."""
-        channel = self.successors.channel if self.successors else None
+        """Send a client's idle connection and partial command; return whether that worked."""
+        channel = self.successor_listener.channel if self.successor_listener else None
         length = len(partial_command)
         if channel is None or not channel.send(MessageKind.CLIENT, length, fds=(fd,)):
-            # The successor is lost: connections are closed in order, at least.
+            # The successor can't take over, so drain: connections are at least closed in order.
             self.parts.clients.shutdown.is_draining = True
             return False
         for start in range(0, length, PARTIAL_COMMAND_CHUNK_BYTES):
@@ -133,8 +141,8 @@
         return True
 
     def _give_upstream(self, endpoint_id: EndpointId, started_at_us: int, fd: int) -> bool:
-        """Whether an idle connection to an endpoint went to the successor."""
-        channel = self.successors.channel if self.successors else None
+        """Send an idle connection to an endpoint; return whether that worked."""
+        channel = self.successor_listener.channel if self.successor_listener else None
         endpoint = state_transfer.endpoint_id_to_text(endpoint_id)
         return channel is not None and channel.send(
             MessageKind.UPSTREAM, endpoint, started_at_us, fds=(fd,)
--- a/saffrongw/gateway/hot_restart/successor.py
+++ b/saffrongw/gateway/hot_restart/successor.py
@@ -1,4 +1,4 @@
-"""The new process's side of a hot restart: what it takes up from the running process."""
+"""The new process's side of a hot restart: receives sockets, state and connections."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 log = logging.getLogger(__name__)
 
-# Of one partial command: more is no client's.
+# Maximum length of a partial command: no client can have sent a longer one.
 MAX_PARTIAL_COMMAND_BYTES = 8 << 20
 
 
@@ -43,7 +43,7 @@
     """Receives sockets, endpoints, state and connections; knows when this process must serve."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> None:
-        """Receive from now on; what needs the gateway's parts waits for ``attach``."""
+        """Start receiving; messages that need the gateway's parts are kept until ``attach``."""
         self.loop = loop
         self.listener: socket.socket | None = None
         self.gossip_socket: socket.socket | None = None
@@ -56,7 +56,7 @@
         self.is_replaced = False
         self.parts: GatewayParts | None = None
         self.incoming_client: _IncomingClient | None = None
-        # Connections that came before this process listens.
+        # Adoptions of connections that arrived before this process listens.
         self.pending_adoptions: list[Callable[[], None]] = []
         self.is_serving = False
         self._receivers: dict[str, Callable[[Message, list[socket.socket]], None]] = {
@@ -70,13 +70,13 @@
             MessageKind.PARTIAL_COMMAND: self._receive_partial_command,
             MessageKind.UPSTREAM: self._receive_upstream,
         }
-        self.channel = HandOverChannel(loop, sock, self._receive, self._lose_running_process)
+        self.channel = HandOverChannel(loop, sock, self._receive, self._on_running_process_lost)
 
     @classmethod
     async def connect(
         cls, loop: asyncio.AbstractEventLoop, listen: Address
     ) -> SuccessorHandOver | None:
-        """A hand-over from the process that serves an address; None where none answers."""
+        """Connect to the process that serves an address; None if none answers in time."""
         sock = await connect_to_running_process(loop, socket_path(listen))
         if sock is None:
             return None
@@ -93,24 +93,24 @@
             return None
         return hand_over
 
-    def _lose_running_process(self) -> None:
-        """Nobody else serves any more: nothing more is waited for."""
+    def _on_running_process_lost(self) -> None:
+        """Stop all waiting: no other process serves any more."""
         self.is_running_process_lost = True
         self.greeted.set()
         self.take_over.set()
 
     @property
     def must_serve(self) -> bool:
-        """Whether this process is to serve, even if it was told to end: nobody else does."""
+        """Whether this process has to serve, even if asked to stop: no other process does."""
         return self.take_over.is_set() and not self.is_replaced
 
     @property
     def endpoint_list(self) -> EndpointList | None:
-        """The running process's endpoint list; None where it has none."""
+        """The running process's endpoint list; None if it has none."""
         return EndpointList(0, True, tuple(self.endpoints)) if self.endpoints else None
 
     def attach(self, parts: GatewayParts) -> None:
-        """Apply what has arrived to the gateway's parts, and all that follows."""
+        """Apply the messages received so far, and all later ones, to the gateway's parts."""
         self.parts = parts
         rows, self.pending_state_rows = self.pending_state_rows, []
         self._adopt_state(parts, rows)
@@ -120,18 +120,18 @@
         self.channel.send(MessageKind.READY)
 
     async def wait_for_take_over(self, stop: asyncio.Event) -> None:
-        """Wait until this process is to serve, or is told to end."""
+        """Wait until this process has to serve, or is asked to stop."""
         await wait_for_first(self.take_over.wait(), stop.wait())
 
     def serve(self) -> None:
-        """Serve the connections that came before this process listened, and all that follow."""
+        """Serve the connections that arrived before this process listened, and all later ones."""
         self.is_serving = True
         adoptions, self.pending_adoptions = self.pending_adoptions, []
         for adopt in adoptions:
             adopt()
 
     def close(self) -> None:
-        """Receive nothing more; the sockets are closed unless this process serves."""
+        """Close the channel, and the received sockets unless this process serves."""
         self.channel.close()
         for sock in (self.listener, self.gossip_socket):
             if sock and not self.is_serving:
@@ -177,7 +177,7 @@
         self._adopt_complete_client()
 
     def _adopt_complete_client(self) -> None:
-        """Adopt the client's connection once its partial command is here."""
+        """Adopt the client's connection once its partial command has arrived in full."""
         client = self.incoming_client
         if client is None:
             return
@@ -188,22 +188,26 @@
             )
         if len(client.partial_command) >= client.expected_bytes:
             self.incoming_client = None
-            clients = self._attached().clients
-            self._when_serving(partial(clients.adopt, client.sock, bytes(client.partial_command)))
+            clients = self._require_parts().clients
+            self._adopt_when_serving(
+                partial(clients.adopt, client.sock, bytes(client.partial_command))
+            )
 
     def _receive_upstream(self, message: Message, sockets: list[socket.socket]) -> None:
         sock = _one_socket(sockets)
         offer = decode_upstream(message)
-        cluster = self._attached().cluster
-        self._when_serving(partial(cluster.adopt, offer.endpoint_id, offer.started_at_us, sock))
+        cluster = self._require_parts().cluster
+        self._adopt_when_serving(
+            partial(cluster.adopt, offer.endpoint_id, offer.started_at_us, sock)
+        )
 
-    def _attached(self) -> GatewayParts:
+    def _require_parts(self) -> GatewayParts:
         if self.parts is None:
-            raise MalformedMessageError("a connection came before the word to take over")
+            raise MalformedMessageError("a connection arrived before the gateway was attached")
         return self.parts
 
-    def _when_serving(self, adopt: Callable[[], None]) -> None:
-        """Adopt a connection now, or when this process listens."""
+    def _adopt_when_serving(self, adopt: Callable[[], None]) -> None:
+        """Adopt a connection now, or once this process listens."""
         if self.is_serving:
             adopt()
         else:
@@ -211,7 +215,7 @@
 
     @staticmethod
     def _adopt_state(parts: GatewayParts, rows: list[list]) -> None:
-        """Apply state rows; one that makes no sense is logged and left out, the others stand."""
+        """Apply state rows; a malformed one is logged and skipped."""
         gateway = parts.driver.gateway
         for row in rows:
             try:
@@ -221,7 +225,7 @@
 
 
 def _one_socket(sockets: list[socket.socket]) -> socket.socket:
-    """The only socket of a packet."""
+    """Return the only socket of a packet."""
     if len(sockets) != 1:
-        raise MalformedMessageError(f"one socket is needed, not {len(sockets)}")
+        raise MalformedMessageError(f"expected one socket, received {len(sockets)}")
     return sockets[0]
--- a/saffrongw/gateway/hot_restart/waiting.py
+++ b/saffrongw/gateway/hot_restart/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for whichever of several things happens first."""
+"""Waits for the first of several coroutines to end."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 async def wait_for_first(*coroutines: Coroutine[Any, Any, object]) -> None:
-    """Run all until the first has ended and cancel the others; raises its error if it failed."""
+    """Run all until the first one ends, and cancel the others; raises its error if it failed."""
     tasks = [asyncio.ensure_future(coroutine) for coroutine in coroutines]
     done, pending = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
     for task in pending:
--- a/saffrongw/gateway/upstream/__init__.py
+++ b/saffrongw/gateway/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoints' side: connections, pools of them, and the cluster of all endpoints."""
+"""The upstream side: connections to endpoints, their pools, and the cluster of all endpoints."""
--- a/saffrongw/gateway/upstream/cluster.py
+++ b/saffrongw/gateway/upstream/cluster.py
@@ -1,4 +1,4 @@
-"""All endpoints that discovery has named, and the attempts in flight at them."""
+"""The connection pools of all listed endpoints, and the dispatch of attempts to them."""
 
 from __future__ import annotations
 
@@ -13,23 +13,24 @@
 from .connection import UpstreamConnection
 from .pool import ConnectionPool
 
-# The part of the endpoints' idle limit after which connections are closed: clearly earlier, so that
-# no request meets a connection that its endpoint is closing.
+# Idle connections are closed after this share of the endpoints' idle limit, so early that no
+# request is sent on a connection that its endpoint is closing.
 IDLE_TIMEOUT_SHARE = 0.6
 
-# Checks for idle connections in that time.
+# Checks for idle connections during that time.
 IDLE_CHECKS = 10
 
-# Connections that may be closing in one turn of the loop: their descriptors are not free yet.
+# Aborted connections that still hold their descriptors until the event loop closes them; beyond
+# this no new connection is opened.
 MAX_CLOSING = 24
 
-# Gives an endpoint's id and start, and the descriptor of an idle connection to it, to the successor
-# process; returns whether that was possible.
+# Gives an endpoint's id and start time, and the descriptor of an idle connection to it, to the
+# successor process; returns whether that was possible.
 GiveToSuccessor = Callable[[EndpointId, int, int], bool]
 
 
 class UpstreamCluster:
-    """The pools of all endpoints, within the number of descriptors set aside for them."""
+    """The pools of all endpoints, within the number of descriptors reserved for them."""
 
     def __init__(
         self,
@@ -46,7 +47,7 @@
         self.max_connections = max_connections
         self.connect_timeout_s = connect_timeout_s
         self.idle_timeout_s = IDLE_TIMEOUT_SHARE * endpoint_idle_limit_s
-        # Open or opening.
+        # Counts the connections that are open or being opened.
         self.open_connections = 0
         self.closing: set[UpstreamConnection] = set()
         self.pools: dict[EndpointId, ConnectionPool] = {}
@@ -57,13 +58,13 @@
     # -- hot restart ------------------------------------------------------------------------------
 
     def hand_over(self, give_to_successor: GiveToSuccessor) -> None:
-        """Give connections to the successor as they fall idle."""
+        """Give connections to the successor as they become idle."""
         self.give_to_successor = give_to_successor
         for pool in self.pools.values():
             pool.hand_over()
 
     def adopt(self, endpoint_id: EndpointId, started_at_us: int, sock: socket.socket) -> None:
-        """Use another process's connection, if it still leads to the same incarnation."""
+        """Use the predecessor's connection if the endpoint is still the same incarnation."""
         pool = self.pools.get(endpoint_id)
         if (
             pool is None
@@ -78,9 +79,9 @@
     # -- endpoints --------------------------------------------------------------------------------
 
     def update_endpoints(self, endpoints: EndpointList) -> list[UpstreamAttempt]:
-        """Follow a new endpoint list; return the attempts that can't be started any more.
+        """Apply a new endpoint list; return the attempts that can't be started any more.
 
-        They waited for a connection to an endpoint that is removed or drains.
+        They waited for a connection to an endpoint that was removed or drains now.
         """
         stranded: list[UpstreamAttempt] = []
         if endpoints.is_complete:
@@ -114,10 +115,7 @@
         return stranded
 
     def close_idle_connections(self, endpoint_id: EndpointId) -> list[UpstreamAttempt]:
-        """Close an excluded endpoint's idle connections.
-
-        Return the attempts that waited for one.
-        """
+        """Close an excluded endpoint's idle connections; return the attempts that waited."""
         pool = self.pools.get(endpoint_id)
         return pool.close_and_withdraw() if pool else []
 
@@ -131,7 +129,7 @@
             self.driver.attempt_ended(attempt, AttemptOutcome.CONNECT_FAILED)
 
     def cancel(self, attempt: UpstreamAttempt) -> None:
-        """Stop waiting for an attempt; closing its connection tells the endpoint."""
+        """Cancel an attempt; the endpoint learns of it when its connection closes."""
         if isinstance(attempt.carrier, UpstreamConnection):
             attempt.carrier.update_fully_sent()
             attempt.carrier.abort()
@@ -139,7 +137,7 @@
             self.withdraw(attempt)
 
     def withdraw(self, attempt: UpstreamAttempt) -> bool:
-        """Withdraw an attempt that waits for a connection; return whether it was one."""
+        """Withdraw an attempt if it still waits for a connection; return whether it did."""
         pool = attempt.carrier
         if not isinstance(pool, ConnectionPool) or attempt not in pool.waiting:
             return False
@@ -149,10 +147,7 @@
     # -- connections ------------------------------------------------------------------------------
 
     def ensure_capacity(self) -> bool:
-        """Whether one more connection may be opened.
-
-        At the limit the one idle longest is closed for it.
-        """
+        """Whether one more connection may be opened; at the limit, the longest idle is closed."""
         if self.open_connections >= self.max_connections:
             longest_idle = min(
                 (pool for pool in self.pools.values() if pool.idle),
@@ -165,7 +160,7 @@
         return has_capacity and len(self.closing) < MAX_CLOSING
 
     def _close_idle(self) -> None:
-        """Close connections before a request could meet their endpoints closing them as idle."""
+        """Close idle connections before their endpoints do, and schedule the next check."""
         for pool in self.pools.values():
             pool.close_idle(self.loop.time() - self.idle_timeout_s)
         self.loop.call_later(self.idle_timeout_s / IDLE_CHECKS, self._close_idle)
--- a/saffrongw/gateway/upstream/codec.py
+++ b/saffrongw/gateway/upstream/codec.py
@@ -13,32 +13,32 @@
 # Texts of load reports whose decoded form is cached.
 MAX_CACHED_REPORTS = 256
 
-# The error lines that mean something.
+# The outcomes of the error lines that endpoints may reply with.
 _OUTCOME_BY_LINE = {b"-ERR failed": AttemptOutcome.ERROR, b"-BUSY": AttemptOutcome.OVERLOADED}
 
 _FIELD = rb"[a-z0-9_]{1,32}=[0-9]{1,12}(\.[0-9]{1,9})?"
 _REPORT = re.compile(_FIELD + rb"(," + _FIELD + rb"){0,15}")
 
 # An attempt's outcome, the reply for the client if it was served, and the load report's fields. A
-# bare tuple: one is made for each attempt.
+# plain tuple is the cheapest, and one is made for each attempt.
 DecodedReply = tuple[AttemptOutcome, bytes | None, tuple[float, ...]]
 
 
 def pack_request(attempt: UpstreamAttempt, now_us: int) -> bytes:
-    """Encode the client's command as it came, but for the time that the gateway will wait."""
+    """Encode the client's command, with the attempt's remaining time as its timeout."""
     command, customer, request_id, before, after, *body = attempt.request.parts
     timeout_ms = max(1, (attempt.deadline_us - now_us) // US_PER_MS)
     terms = before + b"%d" % timeout_ms + after
     words = (command, customer, request_id, terms, *body)
-    # The stubs of hiredis take it for a tuple of one.
+    # The type stubs of hiredis declare a tuple of one element.
     return hiredis.pack_command(words)  # type: ignore[arg-type]
 
 
 def parse_report(text: bytes | None, field_names: tuple[bytes, ...]) -> tuple[float, ...]:
-    """Decode ``inflight=7,util=0.61`` in the order of the settings' names.
+    """Decode a load report such as ``inflight=7,util=0.61`` to values in the order of the names.
 
-    Empty where it is no such report.
-    Only plain numbers are accepted: ``float()`` would take ``nan``, ``inf``, ``1_0`` and blanks.
+    Empty if it is malformed or lacks a field. Only plain numbers are accepted: ``float()`` would
+    also take ``nan``, ``inf``, ``1_0`` and blanks.
     """
     if not text or not field_names or not _REPORT.fullmatch(text):
         return ()
@@ -49,7 +49,7 @@
 
 
 class ReplyDecoder:
-    """Decodes replies; load reports whose text came lately are not decoded again.
+    """Decodes replies, with a cache of decoded load reports.
 
     Endpoints refresh their reports a few times a second, and send the same text with every reply
     until then.
@@ -61,10 +61,7 @@
         self.reports: dict[bytes | None, tuple[float, ...]] = {}
 
     def decode(self, reply: Reply) -> DecodedReply:
-        """Decode a reply.
-
-        Only the exact forms are accepted, others raise ``MalformedMessageError``.
-        """
+        """Decode a reply; any that deviates from the protocol raises ``MalformedMessageError``."""
         if (line := reply.line) is None:
             value, report = reply.value, self._report(reply.report)
             return AttemptOutcome.SERVED, b"$%d\r\n%b\r\n" % (len(value), value), report
--- a/saffrongw/gateway/upstream/connection.py
+++ b/saffrongw/gateway/upstream/connection.py
@@ -1,8 +1,8 @@
 """One connection to an endpoint, with one attempt at a time on it.
 
-The outcome decides whether a request may be retried: what failed before its last byte was sent has
-never run (CONNECT_FAILED), what failed after it may have (CONNECTION_LOST). Nothing is ever sent
-again from here.
+The outcome of an attempt decides whether its request may be retried. An attempt that failed before
+its last byte was sent has never run (CONNECT_FAILED); one that failed later may have run
+(CONNECTION_LOST). This module never sends a request twice.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 log = logging.getLogger(__name__)
 
-# For the rest of a reply that has begun.
+# Time for the rest of a reply that has arrived in part.
 REPLY_REMAINDER_TIMEOUT_S = 0.5
 
 
@@ -38,23 +38,23 @@
         self.cluster = pool.cluster
         self.reader = ReplyReader()
         self.attempt: UpstreamAttempt | None = None
-        # On its way from the endpoint to a client.
+        # The value that is being streamed from the endpoint to a client.
         self.streaming: StreamingReply | None = None
         self.is_connected = False
-        # It did not come up in time, and must not be used if it still does.
+        # Connecting failed or timed out; if the connection opens after all, it must not be used.
         self.is_abandoned = False
         # Counted among the cluster's open connections.
         self.is_counted = False
         self.is_paused = False
         self.idle_since_s = 0.0
         self.poll = select.poll()
-        # Ends an attempt whose reply has begun and does not go on.
+        # Ends an attempt whose reply has arrived only in part.
         self.remainder_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take up a connection.
+        """Pass the open connection to its pool.
 
-        With a high-water mark of 0 the loop reports when the last byte was sent.
+        With a high-water mark of 0, the loop calls ``resume_writing`` when the last byte was sent.
         """
         transport = cast("asyncio.Transport", transport)
         if self.is_abandoned:
@@ -80,18 +80,18 @@
         self.cluster.driver.metrics.attempts += attempt.is_fully_sent
 
     def pause_writing(self) -> None:
-        """Wait: the socket takes no more for now."""
+        """Do nothing: ``resume_writing`` follows when the socket has taken all bytes."""
 
     def resume_writing(self) -> None:
-        """Note that the socket has taken all that was written."""
+        """Mark the attempt as fully sent: the socket has taken all bytes."""
         if self.attempt and not self.attempt.is_fully_sent:
             self.attempt.is_fully_sent = True
             self.cluster.driver.metrics.attempts += 1
 
     def update_fully_sent(self) -> None:
-        """Note whether the last byte was sent: the loop reports that only in its next turn.
+        """Check whether the last byte was sent, which the loop reports only in its next turn.
 
-        An attempt that is taken for not sent may be retried though it runs.
+        An attempt that wrongly counts as not sent would be retried although the endpoint runs it.
         """
         if not self.transport.get_write_buffer_size():
             self.resume_writing()
@@ -99,14 +99,14 @@
     # -- receiving --------------------------------------------------------------------------------
 
     def data_received(self, data: bytes) -> None:
-        """Take a reply, or a part of it."""
+        """Process a reply, or a part of it."""
         attempt = self.attempt
         if self.streaming:
             self.reader.feed(data)
             self._continue_streaming(self.streaming)
             return
         if attempt is None:
-            # A reply to nothing: which request it belongs to is lost.
+            # No attempt is in flight, so the data can't be matched to a request.
             self.abort()
             return
         self.reader.feed(data)
@@ -124,7 +124,7 @@
             return
         self._stop_remainder_timer()
         if len(self.reader) or not attempt.is_fully_sent:
-            # More than belongs to the attempt, or a reply before the end of its request.
+            # There is data after the reply, or the reply came before the request was fully sent.
             self.abort()
         else:
             self.attempt = None
@@ -143,7 +143,7 @@
             self.remainder_timer = None
 
     def _reply_malformed(self, error: str) -> None:
-        """End an attempt that may have run, and a connection of no further use."""
+        """End an attempt that may have run, and close its connection, which can't be reused."""
         attempt = self.attempt
         self.abort()
         if attempt:
@@ -157,7 +157,7 @@
     # -- streamed values --------------------------------------------------------------------------
 
     def _start_streaming(self, attempt: UpstreamAttempt, length: int) -> None:
-        """Answer the attempt's request with a value whose bytes follow as they arrive."""
+        """Answer the attempt's request with a long value that is passed on as it arrives."""
         self._stop_remainder_timer()
         self.attempt = None
         value = self.streaming = StreamingReply(self.cluster.loop, self, length)
@@ -165,11 +165,11 @@
         if value.is_final_reply:
             self._continue_streaming(value)
         else:
-            # Nobody waits for it any more.
+            # The request is finished already, so the value has no client to go to.
             value.abandon()
 
     def _continue_streaming(self, value: StreamingReply) -> None:
-        """Pass on what has arrived of a streamed value; behind it the connection is free again."""
+        """Pass on what has arrived of a streamed value; release the connection after its end."""
         if value.bytes_left and (data := self.reader.take_bytes(value.bytes_left)):
             value.feed(data)
         if value.bytes_left or self.streaming is None:
@@ -200,7 +200,7 @@
             self.pool.release(self)
 
     def set_paused(self, paused: bool) -> None:
-        """Stop reading a streamed value whose client is slow, or go on."""
+        """Pause reading a streamed value while its client is slow, or resume it."""
         if paused is not self.is_paused and not self.transport.is_closing():
             self.is_paused = paused
             if paused:
@@ -209,19 +209,19 @@
                 self.transport.resume_reading()
 
     def abandon(self) -> None:
-        """Close: nobody wants the streamed value any more."""
+        """Close the connection: its streamed value is not needed any more."""
         self.streaming = None
         self.abort()
 
-    # -- the end ----------------------------------------------------------------------------------
+    # -- closing ----------------------------------------------------------------------------------
 
     def is_quiet(self) -> bool:
-        """Whether nothing has arrived that the loop has not reported yet: data, or the end."""
+        """Whether the socket has nothing unread: neither data nor the end of the connection."""
         return not self.poll.poll(0)
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """End what is on the connection: the endpoint closed it, or the network broke it."""
-        self._count_out()
+        """End the attempt or streamed value on a connection that the endpoint or network closed."""
+        self._count_as_closed()
         self._stop_remainder_timer()
         self.cluster.closing.discard(self)
         value, self.streaming = self.streaming, None
@@ -229,26 +229,26 @@
             value.source_lost()
         attempt, self.attempt = self.attempt, None
         if attempt:
-            # A reset may come after the endpoint ran the request, unless the last byte was never
-            # sent.
+            # The endpoint may have run the request before the connection ended, unless the last
+            # byte was never sent.
             is_sent = attempt.is_fully_sent
             outcome = AttemptOutcome.CONNECTION_LOST if is_sent else AttemptOutcome.CONNECT_FAILED
             self.cluster.driver.attempt_ended(attempt, outcome)
 
     def abort(self) -> None:
-        """Close at once; whoever gives up the attempt on it reports its outcome."""
+        """Close at once; the caller reports the outcome of the attempt on it."""
         self.attempt = None
         value, self.streaming = self.streaming, None
         if value:
             value.source_lost()
         self._stop_remainder_timer()
-        self._count_out()
+        self._count_as_closed()
         if not self.transport.is_closing():
             # Its descriptor is free only once the loop has closed it.
             self.cluster.closing.add(self)
         self.transport.abort()
 
-    def _count_out(self) -> None:
+    def _count_as_closed(self) -> None:
         if self.is_counted:
             self.is_counted = False
             self.cluster.open_connections -= 1
--- a/saffrongw/gateway/upstream/pool.py
+++ b/saffrongw/gateway/upstream/pool.py
@@ -15,15 +15,15 @@
 if TYPE_CHECKING:
     from .cluster import UpstreamCluster
 
-# Before a connection is used again: what an endpoint sends behind its reply by mistake arrives in
-# this time.
+# Rest of a connection between a reply and the next request: what an endpoint wrongly sends after
+# the reply, such as a duplicate, arrives in this time.
 REUSE_DELAY_S = 0.02
 
 
 class ConnectionPool:
     """The connections to one endpoint.
 
-    The one used last is used first, so that surplus ones grow idle.
+    The most recently used one is reused first, so that surplus ones reach the idle timeout.
     """
 
     def __init__(
@@ -38,26 +38,26 @@
         self.endpoint_id = endpoint_id
         self.address = address
         self.started_at_us = started_at_us
-        # The one idle longest comes first.
+        # The longest idle one comes first.
         self.idle: list[UpstreamConnection] = []
         self.opening: set[asyncio.Task[None]] = set()
         self.waiting: deque[UpstreamAttempt] = deque()
-        # The endpoint drains: nothing is started there any more.
+        # The endpoint drains: no attempt is started there.
         self.is_draining = False
-        # The endpoint is gone, or has restarted.
+        # The endpoint was removed, has restarted, or has another address.
         self.is_removed = False
 
     def send(self, attempt: UpstreamAttempt) -> None:
-        """Start an attempt on an idle connection, or open one for it.
+        """Start an attempt on an idle connection, or open a connection for it.
 
-        If an endpoint sent a reply twice, the second one could arrive when its connection carries
-        the next request, and nothing would tell it apart. So a connection rests after a reply, and
-        must be quiet when it is used. (A command with a reply of its own in between would be safer,
-        but endpoints close after it.)
+        If an endpoint sent a reply twice, the duplicate could be taken for the reply to the next
+        request on its connection. So a connection rests after a reply, and is reused only if its
+        socket has nothing unread. (A command with a distinct reply in between would be safer, but
+        endpoints close the connection after it.)
         """
         cluster = self.cluster
         if self.is_draining:
-            # It was decided before the endpoint list came, and something delayed it since.
+            # The endpoint was chosen before it began to drain, and the attempt was delayed since.
             cluster.driver.attempt_ended(attempt, AttemptOutcome.CONNECT_FAILED)
             return
         rested_since_s = cluster.loop.time() - REUSE_DELAY_S
@@ -75,21 +75,22 @@
             return
         self.waiting.append(attempt)
         attempt.carrier = self
-        # Counted here, not in the task: a burst of attempts comes before any of the tasks runs.
+        # Counted here, not in the task: a burst of attempts, sent before any of their tasks runs,
+        # would exceed the limit.
         cluster.open_connections += 1
-        self._own(cluster.loop.create_task(self._open()))
+        self._track_opening(cluster.loop.create_task(self._open()))
 
     def adopt(self, sock: socket.socket) -> None:
-        """Use a connection that another process has opened; the caller has ensured capacity."""
+        """Use a connection of the predecessor process; the caller has ensured capacity."""
         self.cluster.open_connections += 1
-        self._own(self.cluster.loop.create_task(self._adopt(sock)))
+        self._track_opening(self.cluster.loop.create_task(self._adopt(sock)))
 
-    def _own(self, task: asyncio.Task[None]) -> None:
+    def _track_opening(self, task: asyncio.Task[None]) -> None:
         self.opening.add(task)
         task.add_done_callback(self.opening.discard)
 
     async def _open(self) -> None:
-        """Open a connection; if it does not come up, the attempt that waits longest never ran."""
+        """Open a connection; if that fails, the longest waiting attempt ends as never run."""
         connection, loop = UpstreamConnection(self), self.cluster.loop
         task = asyncio.current_task()
         timer = loop.call_later(self.cluster.connect_timeout_s, self._timed_out, connection, task)
@@ -109,10 +110,10 @@
             sock.close()
 
     def _timed_out(self, connection: UpstreamConnection, task: asyncio.Task[None] | None) -> None:
-        """Cancel a connection that did not come up in time, unless it has in this very turn.
+        """Cancel a connection that did not open in time, unless it opened in this very turn.
 
-        Cancelled then, the loop would close it without a word: its attempt would never end, and its
-        descriptor and its entry among those that are closing would be counted for ever.
+        Cancelled then, it would be closed by the loop without a callback: its attempt would never
+        end, and it would count as open, and as closing, for ever.
         """
         if not connection.is_connected:
             self._connect_failed(connection)
@@ -128,14 +129,14 @@
                 self.cluster.driver.attempt_ended(attempt, AttemptOutcome.CONNECT_FAILED)
 
     def connected(self, connection: UpstreamConnection) -> None:
-        """Start the attempt that waits longest on a connection that has come up."""
+        """Start the longest waiting attempt on a connection that has opened."""
         if self.waiting:
             connection.start(self.waiting.popleft(), self.cluster.driver.clock())
         else:
             self.release(connection)
 
     def release(self, connection: UpstreamConnection) -> None:
-        """Take back a connection whose attempt has ended."""
+        """Keep a connection whose attempt has ended for reuse, or hand it over, or close it."""
         if (
             self.is_draining
             or self.is_removed
@@ -147,12 +148,12 @@
             self.idle.append(connection)
 
     def discard_idle(self, connection: UpstreamConnection) -> None:
-        """Remove a connection that closes from the idle ones."""
+        """Remove a connection that is closing from the idle ones."""
         if connection in self.idle:
             self.idle.remove(connection)
 
     def _hand_over(self, connection: UpstreamConnection) -> bool:
-        """Give an idle connection, all of whose data was read, to the successor."""
+        """Give an idle connection without unread data to the successor, if that is possible."""
         give = self.cluster.give_to_successor
         descriptor = connection.transport.get_extra_info("socket").fileno()
         return give is not None and give(self.endpoint_id, self.started_at_us, descriptor)
@@ -165,25 +166,24 @@
             connection.abort()
 
     def close_idle(self, idle_since_s: float) -> None:
-        """Close the connections that are idle since this time or longer."""
+        """Close the connections that became idle at this time or earlier."""
         while self.idle and self.idle[0].idle_since_s <= idle_since_s:
             self.idle[0].abort()
 
     def remove(self) -> list[UpstreamAttempt]:
-        """Send nothing more here, and return the attempts that wait; those in flight may end.
+        """Start no more attempts, and return those that wait; those in flight may finish.
 
-        Another endpoint may take over the address, or a restarted one the id: what was meant for
-        the old incarnation must not reach the new one.
+        Another endpoint may get the address, or a restarted one the id: attempts that were meant
+        for the old incarnation must not reach the new one.
         """
         self.is_removed = True
         return self.close_and_withdraw()
 
     def drain(self) -> list[UpstreamAttempt]:
-        """Start nothing more here until the endpoint is ready again.
+        """Start no attempts until the endpoint is ready again; return those that wait.
 
-        Return the attempts that wait.
-        A connection may come up long after the list came, and what counts is the first byte of its
-        request.
+        Their connections may open long after the endpoint list arrived, and the drain grace limits
+        when the first byte of a request may be sent.
         """
         self.is_draining = True
         return self.close_and_withdraw()
