--- a/saffrongw/channel/__init__.py
+++ b/saffrongw/channel/__init__.py
@@ -1,5 +1,5 @@
-"""Signed datagrams between gateways, beside the platform's gossip address; shared by subsystems.
+"""Signed datagrams between gateways, on an address separate from gossip, for several subsystems.
 
-``signed_datagram`` does no I/O; ``socket`` binds; ``component`` is what ``[channel]`` of the
-operator file switches on.
+``signed_datagram`` does no I/O; ``socket`` is the UDP socket; ``component`` is what ``[channel]``
+of the operator file switches on.
 """
--- a/saffrongw/channel/build.py
+++ b/saffrongw/channel/build.py
@@ -9,7 +9,7 @@
 
 
 def build(table: ChannelTable, _context: BuildContext) -> Component:
-    """The signed-datagram channel; ``ComponentError`` names a key file that can't be used."""
+    """Build the datagram channel; raise ``ComponentError`` naming a key file that can't be used."""
     try:
         channel = ChannelComponent(table)
     except ValueError as error:
@@ -17,6 +17,6 @@
     return Component(
         channel,
         services=(channel,),
-        metrics=(channel.figures,),
-        prepare=lambda new: PreparedReload(channel.change(new)),
+        metrics=(channel.metrics,),
+        prepare=lambda new: PreparedReload(channel.prepare_reload(new)),
     )
--- a/saffrongw/channel/component.py
+++ b/saffrongw/channel/component.py
@@ -14,7 +14,7 @@
 from .socket import DatagramChannel
 from .table import ChannelTable
 
-# A key file of at least so many characters may be written in hexadecimal.
+# A key file is read as hexadecimal only if it has at least this many characters.
 MIN_HEX_CHARACTERS = 32
 INCARNATION_BITS = 62
 # Keys of [channel] that a reload can't change.
@@ -37,7 +37,7 @@
 
 
 def _read_key(path: str) -> SharedKey:
-    """Read a key: hexadecimal text of 32 or more digits, or bytes as they are."""
+    """Read a key: hexadecimal text of at least 32 digits, or raw bytes."""
     file = Path(path)
     try:
         mode = file.stat().st_mode
@@ -60,22 +60,25 @@
     """Starts and stops the datagram channel, and reloads its keys."""
 
     def __init__(self, table: ChannelTable) -> None:
-        """Read the keys; raise ``ChannelTableError`` where one can't be used."""
+        """Read the keys; raise ``ChannelTableError`` if one can't be used."""
         self.table = table
         self.incarnation = secrets.randbits(INCARNATION_BITS) + 1
         codec = DatagramCodec(table.name, self.incarnation, read_keys(table.keys))
         self.channel = DatagramChannel(codec, parse_address(table.listen))
 
     async def start(self, driver: Driver) -> None:
-        """Bind the socket; raise ``OSError`` naming the address where that fails."""
+        """Bind the socket; raise ``OSError`` naming the address if that fails."""
         await self.channel.open(driver.is_successor)
 
     async def stop(self) -> None:
         """Close the socket."""
         await self.channel.close()
 
-    def change(self, new: ChannelTable) -> Callable[[], None]:
-        """Prepare a reload of the keys; raise ``ChannelTableError`` for what needs a restart."""
+    def prepare_reload(self, new: ChannelTable) -> Callable[[], None]:
+        """Check a reload of the keys, and return the function that applies it.
+
+        Raise ``ChannelTableError`` for a change that needs a restart.
+        """
         for name in FIXED_KEYS:
             if getattr(new, name) != getattr(self.table, name):
                 raise ChannelTableError(f"channel.{name} can't change in service")
@@ -87,8 +90,8 @@
 
         return commit
 
-    def figures(self) -> list[tuple[str, int]]:
-        """Return the metrics for /admin/stats: counters since the start, and the known gateways."""
+    def metrics(self) -> list[tuple[str, int]]:
+        """Return the metrics for /admin/stats: counters since the start, and known gateways."""
         channel = self.channel
         return [
             *((f"channel.{name}", count) for name, count in channel.counters.items()),
--- a/saffrongw/channel/signed_datagram.py
+++ b/saffrongw/channel/signed_datagram.py
@@ -1,13 +1,14 @@
-"""The one form of all datagrams of the channel: who sent it, and proof of that. No I/O.
+"""The wire format of the channel's datagrams, which authenticates their senders. No I/O.
 
     2 bytes "sg", 1 byte version, 4 bytes key id, a MessagePack array,
     16 bytes HMAC-SHA256 of all before
 
 The array: sender, its incarnation, receiver, its incarnation, a sequence number, kind, payload. An
-incarnation is drawn at random at each start. A datagram that names an earlier incarnation of the
-receiver, or none, is not accepted: its sender is sent the present one, and sends again. So nothing
-recorded before a start is accepted after it, and within an incarnation each sequence number is
-accepted once. A datagram that is not authenticated changes no state but a counter.
+incarnation is a random number, drawn at each start. A datagram for another incarnation of the
+receiver, or for none, is not accepted; the receiver answers with its current incarnation, and the
+sender sends again. So no datagram recorded before a start is accepted after it, and within an
+incarnation each sequence number is accepted once. A datagram that is not authenticated changes no
+state but a counter.
 """
 
 from __future__ import annotations
@@ -29,16 +30,16 @@
 MAX_PAYLOAD_BYTES = MAX_DATAGRAM_BYTES - 512
 MAX_NAME_CHARACTERS = 64
 MIN_KEY_BYTES = 16
-# Senders' incarnations whose sequence numbers are remembered.
+# Incarnations of senders whose sequence numbers are remembered.
 MAX_INCARNATIONS = 4_096
-# How far below the highest one a sequence number may still arrive.
+# Sequence numbers this far below the highest one, or further, are rejected.
 REPLAY_WINDOW = 256
-# The kind that only tells the sender's incarnation.
+# The kind of a datagram that only announces the sender's incarnation.
 HELLO_KIND = 0
 
 
 class Datagram(msgspec.Struct, frozen=True, array_like=True):
-    """What is signed; the order of the fields is the wire format."""
+    """The signed content of a datagram; the order of the fields is the wire format."""
 
     sender: str
     incarnation: int
@@ -70,7 +71,7 @@
 
     @property
     def key_id(self) -> bytes:
-        """Return the bytes by which a receiver finds the key."""
+        """Return the id by which a receiver finds the key."""
         return hashlib.sha256(b"id" + self.secret).digest()[:KEY_ID_BYTES]
 
     def sign(self, data: bytes) -> bytes:
@@ -87,7 +88,7 @@
     arrived: int = 0
 
     def accept(self, sequence_number: int) -> bool:
-        """Return whether this number is new; it is not from then on."""
+        """Return whether this number is new, and mark it as arrived."""
         ahead = sequence_number - self.highest
         if ahead > 0:
             mask = (1 << REPLAY_WINDOW) - 1
@@ -102,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """An authenticated datagram for this incarnation that is new."""
+    """An authenticated datagram for this incarnation that is not a replay."""
 
     datagram: Datagram
 
@@ -111,7 +112,7 @@
 class OtherIncarnation:
     """An authenticated datagram for another incarnation.
 
-    Its sender has to learn the present one.
+    Its sender has to be sent the current one.
     """
 
     datagram: Datagram
@@ -122,10 +123,10 @@
 
 
 class DatagramCodec:
-    """Packs and opens the datagrams of one incarnation of one gateway."""
+    """Packs and authenticates the datagrams of one incarnation of a gateway."""
 
     def __init__(self, name: str, incarnation: int, keys: Sequence[SharedKey]) -> None:
-        """Pack and open for this name and incarnation; see ``rotate_keys``."""
+        """Set the gateway's name and incarnation; ``rotate_keys`` explains the keys."""
         if not 0 < len(name) <= MAX_NAME_CHARACTERS:
             raise DatagramError(f"a name has 1 to {MAX_NAME_CHARACTERS} characters")
         self.name = name
@@ -143,14 +144,14 @@
         self.rotate_keys(keys)
 
     def rotate_keys(self, keys: Sequence[SharedKey]) -> None:
-        """Change the keys: the first signs, all are believed."""
+        """Replace the keys: the first one signs, and signatures by any of them are accepted."""
         if not keys:
             raise InvalidKeyError("there is no key")
         self.signing_key = keys[0]
         self.keys_by_id = {key.key_id: key for key in keys}
 
     def pack(self, receiver: str, receiver_incarnation: int, kind: int, payload: bytes) -> bytes:
-        """Return a datagram; raise ``DatagramError`` where the payload is too long."""
+        """Return a signed datagram; raise ``DatagramError`` if the payload is too long."""
         if len(payload) > MAX_PAYLOAD_BYTES:
             raise DatagramError(
                 f"a payload of {len(payload)} bytes for {receiver}; {MAX_PAYLOAD_BYTES} at most"
@@ -171,7 +172,7 @@
         return signed + self.signing_key.sign(signed)
 
     def open(self, data: bytes) -> Accepted | OtherIncarnation | None:
-        """Return what a datagram says; None where it is not to be believed."""
+        """Authenticate and decode a datagram; return None if it is rejected."""
         datagram = self._authenticated(data)
         if datagram is None:
             return None
--- a/saffrongw/channel/socket.py
+++ b/saffrongw/channel/socket.py
@@ -1,6 +1,6 @@
 """The channel's UDP socket.
 
-It knows the addresses and incarnations of other gateways, and the handler of each kind of datagram.
+It stores the addresses and incarnations of other gateways, and the handler for each datagram kind.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 # Gateways whose address or incarnation is remembered.
 MAX_GATEWAYS = 4_096
 RECEIVE_BUFFER_BYTES = 1 << 20
-# Between two hellos to one sender.
+# Minimum time between two hellos to the same sender.
 HELLO_INTERVAL_S = 0.05
-# While the process before us still has the address.
+# Between attempts to bind in a hot restart, while the previous process still has the address.
 BIND_RETRY_S = 0.1
 
 # Called with the sender, its incarnation and the payload.
@@ -41,16 +41,16 @@
 
 
 class DatagramChannel(asyncio.DatagramProtocol):
-    """Sends to gateways by name, and receives.
+    """Sends datagrams to gateways by name, and receives datagrams.
 
-    What is authenticated and new goes to the handler of its kind.
+    Each authenticated datagram that is not a replay goes to the handler for its kind.
     """
 
     def __init__(self, codec: DatagramCodec, listen: Address) -> None:
         """Prepare a channel on an address; ``open`` binds it."""
         self.codec = codec
         self.listen = listen
-        # Addresses from the operator file, and those that datagrams came from.
+        # Addresses from the operator file, and source addresses of accepted datagrams.
         self.configured: dict[str, Address] = {}
         self.learned: OrderedDict[str, Address] = OrderedDict()
         self.incarnations: OrderedDict[str, int] = OrderedDict()
@@ -65,9 +65,9 @@
 
     # -- opening and closing -----------------------------------------------------------------------
 
-    async def open(self, succeeds: bool) -> None:
-        """Bind; as a successor, as soon as the process before us has closed the address."""
-        if succeeds:
+    async def open(self, is_successor: bool) -> None:
+        """Bind the socket; in a hot restart, once the previous process has closed its own."""
+        if is_successor:
             self.bind_task = asyncio.get_running_loop().create_task(self._bind_when_free())
         else:
             await self._bind()
@@ -94,7 +94,7 @@
             await asyncio.sleep(BIND_RETRY_S)
 
     async def close(self) -> None:
-        """Send and receive nothing more."""
+        """Stop sending and receiving."""
         if self.bind_task:
             self.bind_task.cancel()
             await asyncio.gather(self.bind_task, return_exceptions=True)
@@ -104,7 +104,7 @@
     # -- addresses ---------------------------------------------------------------------------------
 
     def set_addresses(self, addresses: Mapping[str, Address]) -> None:
-        """Use these addresses of the operator file; none of them is learned from a datagram."""
+        """Use these addresses from the operator file; they override those of received datagrams."""
         self.configured = dict(addresses)
 
     @staticmethod
@@ -117,7 +117,7 @@
     # -- sending -----------------------------------------------------------------------------------
 
     def send(self, receiver: str, kind: int, payload: bytes) -> None:
-        """Send to a gateway by name; lost, like any datagram, where its address is not known."""
+        """Send to a gateway by name; without a known address the payload is counted and lost."""
         address = self.configured.get(receiver) or self.learned.get(receiver)
         if address is None or self.transport is None or self.transport.is_closing():
             self.counters["nowhere"] += 1
@@ -140,11 +140,11 @@
     # -- receiving ---------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport, as asyncio has bound the socket."""
+        """Store the transport of the bound socket."""
         self.transport = transport  # type: ignore[assignment]
 
     def datagram_received(self, data: bytes, source: Address) -> None:
-        """Handle one datagram, from anybody."""
+        """Handle a received datagram, whose sender is not authenticated yet."""
         opened = self.codec.open(data)
         if isinstance(opened, OtherIncarnation):
             self._send_hello(opened.datagram, source)
@@ -163,9 +163,9 @@
             handler(datagram.sender, datagram.incarnation, datagram.payload)
 
     def _send_hello(self, datagram: Datagram, source: Address) -> None:
-        """Tell a sender our incarnation, to the one it named as its own.
+        """Send a hello with our incarnation to the sender of a datagram.
 
-        Only that incarnation accepts the hello.
+        It is addressed to the incarnation that the sender named; no other one accepts it.
         """
         now_s = asyncio.get_running_loop().time()
         if now_s - self.hello_sent_s.get(datagram.sender, -1.0) < HELLO_INTERVAL_S:
@@ -175,4 +175,4 @@
         self._write(source, hello)
 
     def error_received(self, error: Exception) -> None:
-        """Ignore the error of an earlier datagram: its receiver is down."""
+        """Ignore the error of an earlier datagram, whose receiver is down."""
--- a/saffrongw/leases/acceptor.py
+++ b/saffrongw/leases/acceptor.py
@@ -1,16 +1,17 @@
-"""The acceptor of one voter: what it has promised and granted.
+"""The acceptor of one voter: its promises, and the leases that it has granted.
 
-No I/O: time and messages in, messages out. It stores nothing on a disk. Time alone makes that safe:
-a grant expires on the acceptor's own clock, and an acceptor that starts, and so may have forgotten
-grants, is silent until all of them have expired (``timing.py``).
+No I/O: callers pass in the time and messages, and get messages back. Nothing is stored on disk. A
+restart is safe all the same: grants expire on the acceptor's own clock, and an acceptor that
+starts, and so may have forgotten grants, is silent until all of them have expired (``timing.py``).
 
-An acceptor grants a lease to one holder at a time, and to nobody else before that grant has expired
-or was released. Any two majorities share an acceptor: that alone is why no two gateways hold a
-lease. Promises only keep competing proposers from splitting the votes.
+An acceptor grants a lease to one holder at a time, and to no other gateway before that grant has
+expired or was released. Any two majorities share an acceptor, so no two gateways hold a lease at
+once. Mutual exclusion rests on this alone; promises only keep competing proposers from splitting
+the votes.
 
-``now`` is us of this voter's monotonic clock. ``wall`` is Unix us and is used for two things only:
-where fencing tokens begin after a loss of memory, and since when this memory is complete. Mutual
-exclusion needs neither.
+``now`` is this voter's monotonic clock in us. ``wall`` is Unix time in us, used for two things
+only: the first fencing token after a loss of memory, and the time since when the memory is
+complete. Mutual exclusion depends on neither.
 """
 
 from __future__ import annotations
@@ -44,9 +45,9 @@
 
 # Candidates to whom a free lease is offered at the same time.
 OFFERS_AT_ONCE = 2
-# Announcements that a voter accepts, of all gateways together.
+# Announcements from all candidates together; the more candidates, the longer the announce interval.
 MAX_ANNOUNCEMENTS_PER_S = 4
-# Leases that one gateway is asked at once to give up for another.
+# Leases that one reply asks a gateway to release for a preferred candidate.
 MAX_RECALLS_AT_ONCE = 4
 
 
@@ -65,18 +66,19 @@
     ) -> None:
         """Start silent, with empty memory.
 
-        No token up to ``token_floor``, or above the ``reserved_token`` of a disk, is granted.
+        A new holder gets a fencing token above ``token_floor``. No token above ``reserved_token``,
+        the highest one reserved on disk, is granted.
         """
         self.name = name
         self.timing = timing
         self.candidates = candidates
         self.suspensions = suspensions
         self.silent_until_us = now + timing.silence_us
-        # Unix us since when the memory is complete; 0 while silent.
+        # Since when the memory is complete, in Unix us; 0 while silent.
         self.memory_since_us = 0
         self.token_floor = token_floor
         self.reserved_token = reserved_token
-        # The highest fencing token met anywhere.
+        # The highest fencing token seen in any message.
         self.highest_token = token_floor
         self.records: dict[str, LeaseRecord] = {}
         self.last_sweep_us = now
@@ -94,9 +96,9 @@
     # -- time ------------------------------------------------------------------------------------
 
     def silent(self, now: int, wall: int) -> bool:
-        """Return whether it must not answer yet.
+        """Return whether the acceptor must not answer yet.
 
-        When the silence ends, tokens begin at wall clock ms.
+        The call that ends the silence also raises the token floor to Unix time in ms.
         """
         if not self.memory_since_us:
             if now < self.silent_until_us:
@@ -104,18 +106,19 @@
             self.memory_since_us = wall
             self.token_floor = max(self.token_floor, self.highest_token, wall // MILLISECOND_US)
             for record in self.records.values():
-                # Voters that started together end their silence together.
+                # Voters that started together end their silence at about the same time: wait for
+                # the others before the first offer.
                 record.next_offer_us = now + self.timing.offer_interval_us
         return False
 
     def silent_for_us(self, now: int) -> int:
-        """Return for how long it stays silent."""
+        """Return how much longer the acceptor stays silent."""
         return 0 if self.memory_since_us else max(0, self.silent_until_us - now)
 
     def restart_silence(self, now: int) -> None:
         """Forget all grants and be silent as after a start.
 
-        A former voter set may have granted others.
+        Called when the voter set changes: the former set may have granted the same leases.
         """
         self.token_floor = self.highest_granted_token()
         self.records.clear()
@@ -123,12 +126,12 @@
         self._sweep(now)
 
     def highest_granted_token(self) -> int:
-        """Return the highest token that was granted or that tokens begin above."""
+        """Return the highest token granted so far, at least the token floor."""
         tokens = [record.highest_token for record in self.records.values()]
         return max([self.token_floor, *tokens])
 
     def next_at(self) -> int:
-        """Return when ``due`` has something to do, at the latest."""
+        """Return when ``due`` has to be called next."""
         if not self.memory_since_us:
             return self.silent_until_us
         earliest = self.last_sweep_us + self.timing.duration_us
@@ -138,7 +141,7 @@
         return earliest
 
     def due(self, now: int, wall: int) -> list[Outgoing]:
-        """Expire grants, and return offers of what nobody holds."""
+        """Expire grants, and return offers of free leases."""
         if self.silent(now, wall):
             return []
         outgoing: list[Outgoing] = []
@@ -151,9 +154,9 @@
         return outgoing
 
     def _expire_if_over(self, now: int, record: LeaseRecord) -> None:
-        """Expire a grant that was not renewed.
+        """Expire a grant that was not renewed in time.
 
-        Its holder is suspect until it announces itself again.
+        Its holder counts as suspect until its next announcement.
         """
         if not record.expires_us or record.expires_us > now:
             return
@@ -166,7 +169,7 @@
     def _offer(self, now: int, wall: int, lease: str, record: LeaseRecord) -> list[Outgoing]:
         """Offer a free lease to the next candidates in its order.
 
-        Each time that none of them took it the offer goes further down the order.
+        Each further offer goes to the candidates that follow in the order.
         """
         record.next_offer_us = now + self.timing.offer_interval_us
         if self.suspensions.active(lease, wall):
@@ -184,7 +187,10 @@
         ]
 
     def _sweep(self, now: int) -> None:
-        """Add records of new leases; drop unknown ones, as at a start only after the silence."""
+        """Add records of new leases, and drop those of leases that no longer exist.
+
+        Dropping a record forgets it as a restart does, so it must be unused for ``silence_us``.
+        """
         self.last_sweep_us = now
         self.candidates.expire(now)
         max_records = len(self.candidates.shard_names) + 2 * MAX_NAMED_LEASES_TOTAL
@@ -233,15 +239,16 @@
         return [Outgoing(sender.name, answer)]
 
     def _observe_token(self, token: int) -> None:
-        """Remember the highest token that any message names.
+        """Track the highest fencing token that any message carries.
 
-        Done in silence too: a gateway that remembers makes tokens grow where clocks were set back.
+        This is done while silent too: if clocks were set back, tokens still grow above those that
+        some gateway remembers.
         """
         if token < NUMBER_LIMIT // 2:
             self.highest_token = max(self.highest_token, token)
 
     def _reject_any(self, wall: int, request: Prepare | Propose, sender: GatewayId) -> Nack | None:
-        """Reject a foreign ballot, an unknown lease and a suspended one, in both phases."""
+        """Reject what neither phase accepts: foreign ballots, unknown and suspended leases."""
         if rejected := reject_foreign_ballot(request, sender):
             return rejected
         if not self.candidates.known(request.lease):
@@ -254,8 +261,8 @@
         if rejected := self._reject_any(wall, request, sender):
             return rejected
         record = self._record(now, request.lease)
-        # A held lease gets not even a promise: it would only be in the way of the holder's next
-        # round.
+        # Promise nothing for a lease that another gateway holds: the promise would only obstruct
+        # the holder's next round.
         self._expire_if_over(now, record)
         if rejected := reject_held(request, sender, record, now):
             return rejected
@@ -276,8 +283,8 @@
         if not 0 < request.fencing_token <= self.reserved_token:
             return nack(request, NackReason.TOKEN)
         record = self._record(now, request.lease)
-        # Each acceptor has one holder at a time, whatever it promised: two majorities share an
-        # acceptor, so there are no two holders even where an acceptor has forgotten a promise.
+        # Grant to one holder at a time, whatever was promised. Any two majorities share an
+        # acceptor, so there are no two holders even if an acceptor has forgotten a promise.
         self._expire_if_over(now, record)
         if rejected := reject_held(request, sender, record, now):
             return rejected
@@ -285,7 +292,7 @@
             return rejected
         record.last_used_us = now
         if record.is_duplicate(now, request):
-            # It must not extend the grant.
+            # A delayed duplicate must not extend the grant.
             return Accept(request.lease, request.ballot, request.round)
         self.counters["granted"] += 1
         return record.grant(now, request, self.timing.duration_us)
@@ -317,7 +324,8 @@
     ) -> list[Outgoing]:
         silent = self.silent(now, wall)
         if message.shard_count != self.candidates.shard_count:
-            # Another number of shards means other leases for the same tasks: none is granted here.
+            # With another shard count the same tasks run under other leases: the sender is no
+            # candidate here.
             reply = AnnounceReply(
                 self.timing.announce_interval_us,
                 (),
@@ -387,6 +395,6 @@
     # -- state -----------------------------------------------------------------------------------
 
     def rows(self, now: int) -> Iterable[GrantRow]:
-        """Return all leases for operators."""
+        """Return all leases as rows for /admin/leases."""
         for lease, record in self.records.items():
             yield record.row(now, lease)
--- a/saffrongw/leases/admin_commands.py
+++ b/saffrongw/leases/admin_commands.py
@@ -1,4 +1,4 @@
-"""What operators do to leases over the admin HTTP server: release one, or suspend one."""
+"""Admin HTTP commands on leases: list them, release one, suspend one."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from .suspensions import SuspensionError
 from .timing import SECOND_US
 
-# Above any span that can be meant.
+# Upper bound of ``for_s``, longer than any meaningful suspension.
 MAX_SPAN_S = 1e9
 
 HttpAnswer = tuple[int, bytes]
@@ -35,7 +35,7 @@
 
     @classmethod
     def parse(cls, body: bytes) -> SuspendRequest:
-        """Parse a JSON body; raise ``AdminRequestError`` where it is malformed."""
+        """Parse a JSON body; raise ``AdminRequestError`` if it is malformed."""
         try:
             fields = json.loads(body)
             name, for_s = str(fields["lease"]), float(fields["for_s"])
@@ -48,7 +48,7 @@
 
 
 class LeaseAdminCommands:
-    """The handlers of /admin/leases; ``state`` returns the present state as a JSON object."""
+    """The handlers of /admin/leases; ``state`` returns the current state as a JSON object."""
 
     def __init__(
         self,
@@ -70,7 +70,7 @@
         }
 
     def _lease_named(self, name: str) -> str | None:
-        """Return the lease that an operator names, by its own name or by a task's."""
+        """Return the lease with this name, or that of the task with this name; None if neither."""
         driver = self.driver()
         node = driver.node
         if name in driver.runner.tasks:
--- a/saffrongw/leases/build.py
+++ b/saffrongw/leases/build.py
@@ -10,14 +10,14 @@
 
 
 def build(table: LeasesTable, context: BuildContext) -> Component:
-    """The gateway's part in the fleet's leases, over the component of ``[channel]``."""
+    """Build the leases component, which uses the component of ``[channel]``."""
     leases = LeasesComponent(table, context.instance("channel", ChannelComponent))
     return Component(
         leases,
         services=(leases,),
-        metrics=(leases.figures,),
-        admin_commands=leases.calls(),
+        metrics=(leases.metrics,),
+        admin_commands=leases.admin_commands(),
         on_drain=(leases.drain,),
         leader_guard=leases.leader_guard,
-        prepare=lambda new: PreparedReload(leases.change(new)),
+        prepare=lambda new: PreparedReload(leases.prepare_reload(new)),
     )
--- a/saffrongw/leases/candidates.py
+++ b/saffrongw/leases/candidates.py
@@ -1,8 +1,8 @@
-"""The candidates for leases, as one voter knows them, and in which order they are offered a lease.
+"""The candidates for leases that one voter knows, and the order in which they get offers.
 
-Each lease has an order of its own over all candidates, by rendezvous hashing: a candidate that
-joins or leaves moves only the leases for which it is first, one in N. Candidates that are
-overloaded or suspect come last. No I/O; times are us of the voter's clock.
+Each lease has its own order of all candidates, by rendezvous hashing: a candidate that joins or
+leaves moves only the leases for which it comes first, one in N. Overloaded and suspect candidates
+come last. No I/O; times are us of the voter's clock.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 from .gateway_id import GatewayId
 
 MAX_CANDIDATES = 1_024
-# Leases beside the shards, named by all candidates together.
+# Leases besides the shards that all candidates together name.
 MAX_NAMED_LEASES_TOTAL = 256
 
 
 @lru_cache(maxsize=65_536)
 def rendezvous_weight(lease: str, name: str) -> int:
-    """Return the weight of a gateway in the order of a lease: the highest is first."""
+    """Return the weight of a gateway in the order of a lease: the highest comes first."""
     return int.from_bytes(hashlib.blake2b(f"{lease}\0{name}".encode(), digest_size=8).digest())
 
 
 def shard_of(task: str, shard_count: int) -> str:
-    """Return the lease under which a task runs. The number of shards is part of its name."""
+    """Return the lease under which a task runs; the shard count is part of its name."""
     best = max(range(shard_count), key=lambda shard: rendezvous_weight(task, f"shard {shard}"))
     return shard_name(best, shard_count)
 
@@ -45,12 +45,12 @@
     expires_us: int
     named_leases: frozenset[str]
     overloaded: bool = False
-    # A lease of it expired, or it does not receive this voter's answers.
+    # It has let a lease expire, or it does not receive this voter's answers.
     suspect: bool = False
 
 
 class Candidates:
-    """All candidates, bounded in number; those that do not announce themselves again expire."""
+    """A bounded set of candidates, which expire unless they announce themselves again."""
 
     def __init__(self, shard_count: int) -> None:
         """Start without candidates, for this number of shards."""
@@ -70,9 +70,9 @@
         expires_us: int,
         receives_answers: bool = True,
     ) -> bool:
-        """Add or refresh a candidate; return False where there is no capacity for a new one.
+        """Add or refresh a candidate; return False if there are too many for a new one.
 
-        A candidate that does not receive our answers would take no lease, so it is suspect.
+        A candidate that does not receive our answers could acquire no lease, so it is suspect.
         """
         previous = self.by_name.get(gateway.name)
         if previous is None and len(self.by_name) >= MAX_CANDIDATES:
@@ -104,9 +104,9 @@
 
     @property
     def named_leases(self) -> frozenset[str]:
-        """Return the leases beside the shards that candidates name.
+        """Return the leases besides the shards that candidates name.
 
-        Where there are too many, the first ones by name are taken.
+        Beyond ``MAX_NAMED_LEASES_TOTAL`` the last ones in the order of names are ignored.
         """
         if self._named_leases is None:
             names = sorted({lease for one in self.by_name.values() for lease in one.named_leases})
@@ -122,7 +122,7 @@
         return [*self.shard_names, *sorted(self.named_leases)]
 
     def order(self, lease: str) -> list[str]:
-        """Return the candidates for a lease, the preferred one first."""
+        """Return the candidates for a lease, the most preferred first."""
         eligible: Iterable[str] = self.by_name
         if lease not in self._shard_set:
             eligible = [name for name, one in self.by_name.items() if lease in one.named_leases]
@@ -138,10 +138,10 @@
     def misplaced(
         self, now: int, name: str, held: Iterable[str], settled_us: int
     ) -> tuple[str, ...]:
-        """Return which of the leases that a gateway holds should migrate to another candidate.
+        """Return which of the leases that a gateway holds should move to a preferred candidate.
 
-        The other one must have been a candidate for ``settled_us``: a holder gives way only to one
-        that stays.
+        That candidate must have been known for ``settled_us``, so that no lease moves to a gateway
+        that soon leaves again.
         """
         return tuple(
             lease
--- a/saffrongw/leases/claim.py
+++ b/saffrongw/leases/claim.py
@@ -1,4 +1,4 @@
-"""Claims: the leases that a gateway holds or proposes for, and the tokens that tasks act under."""
+"""Claims: the leases that a gateway holds or proposes for, and their fencing tokens."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 class ClaimStage(Enum):
     """What a claim waits for."""
 
-    # For its time to prepare.
+    # For the time of its next prepare.
     WAITING = "waiting"
     PREPARING = "preparing"
     PROPOSING = "proposing"
@@ -25,8 +25,8 @@
 class LeaseGained:
     """This gateway holds a lease.
 
-    ``progress`` is what a majority knows of its tasks, complete since ``memory_since_us`` (Unix
-    us).
+    ``progress`` is the progress of its tasks that a majority has stored; it is complete since
+    ``memory_since_us`` (Unix us).
     """
 
     lease: str
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRecalled:
-    """A lease should be given back as soon as no task is in the middle of a turn under it."""
+    """A lease should be released as soon as no task under it is in the middle of a turn."""
 
     lease: str
 
@@ -63,21 +63,21 @@
     next_step_us: int = 0
     ballot: Ballot = NO_BALLOT
     round: int = 0
-    # When the first request of this round left, and when the round is abandoned.
+    # When the first request of this round was sent, and when the round is abandoned.
     round_started_us: int = 0
     round_deadline_us: int = 0
     agreeing: set[str] = field(default_factory=set)
     rejecting: set[str] = field(default_factory=set)
     highest_ballot_number: int = 0
-    # A higher ballot is in the way of ours.
+    # An acceptor has seen a higher ballot, or a prepare failed: prepare again before a proposal.
     outbid: bool = False
     highest_token: int = 0
     memory_since_us: int = 0
     progress: dict[bytes, TaskProgress] = field(default_factory=dict)
     attempts: int = 0
-    # Under which it is held, or is being proposed.
+    # The token under which the lease is held or proposed.
     fencing_token: int = 0
-    # 0: not held.
+    # 0: the lease is not held.
     held_until_us: int = 0
 
     def merge_progress(self, received: Iterable[TaskProgress]) -> None:
@@ -88,16 +88,16 @@
 
 
 class Claims(Protocol):
-    """Where a token looks up its claim."""
+    """The proposer's claims, where a fencing token looks up its own."""
 
     claims: dict[str, Claim]
 
 
 @dataclass(frozen=True, slots=True)
 class FencingToken:
-    """What a task acts under.
+    """The fencing token of a held lease, under which a task acts.
 
-    Call ``valid`` just before each effect: a token means nothing once it returns False.
+    Call ``valid`` just before each external effect: once it returns False, the task must stop.
     """
 
     lease: str
@@ -110,7 +110,7 @@
         return self.remaining_us() > min_remaining_us
 
     def remaining_us(self) -> int:
-        """Return for how long the lease is still held under this token; 0: it is over."""
+        """Return how much longer the lease is held under this token; 0 once it is not."""
         claim = self.proposer.claims.get(self.lease)
         if claim is None or claim.fencing_token != self.number or not claim.held_until_us:
             return 0
--- a/saffrongw/leases/clock_drift.py
+++ b/saffrongw/leases/clock_drift.py
@@ -1,10 +1,10 @@
-"""Estimates of how fast each voter's clock runs by ours.
+"""Estimates of the rate of each voter's clock relative to ours.
 
-Bounded clock rates are the one assumption that safety rests on, so they are watched. A reading of
-another clock that came in an answer was taken between our question and its arrival. Two readings
-with enough time between them bound the rate from both sides. Where even the bound lies outside what
-two correct clocks can do, one of the two is wrong; if most voters disagree with ours, it is ours.
-No I/O; times are microseconds.
+Bounded clock drift is the only assumption behind mutual exclusion, so it is monitored. A voter's
+clock reading in an answer was taken between the sending of our request and the arrival of the
+answer. Two readings far enough apart bound the rate from both sides. If even these bounds lie
+outside what two correct clocks can show, one of the two is wrong; if most voters' clocks disagree
+with ours, it is ours. No I/O; times are microseconds.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from .gateway_id import GatewayId
 from .timing import Timing
 
-# A first reading older than this is replaced: rates change with temperature and hosts.
+# A baseline older than this is replaced: clock rates change with the temperature and the host.
 MAX_BASELINE_AGE_US = 600_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """A voter's clock, read between two moments of ours."""
+    """A voter's clock reading, taken between ``after`` and ``before`` on our clock."""
 
     their_clock: int
     after: int
@@ -36,17 +36,17 @@
 
 
 def rate_bounds(first: Reading, last: Reading) -> tuple[float, float] | None:
-    """Return the lowest and highest rate at which their clock may have run by ours.
+    """Return the lowest and highest possible rate of their clock relative to ours.
 
-    None if nothing is known.
+    None if their clock went backwards.
     """
-    theirs = last.their_clock - first.their_clock
-    shortest, longest = last.after - first.before, last.before - first.after
-    if theirs < 0:
+    their_elapsed = last.their_clock - first.their_clock
+    min_elapsed, max_elapsed = last.after - first.before, last.before - first.after
+    if their_elapsed < 0:
         return None
-    if shortest <= 0:
-        return theirs / longest if longest > 0 else 0.0, float("inf")
-    return theirs / longest, theirs / shortest
+    if min_elapsed <= 0:
+        return their_elapsed / max_elapsed if max_elapsed > 0 else 0.0, float("inf")
+    return their_elapsed / max_elapsed, their_elapsed / min_elapsed
 
 
 class ClockDriftEstimates:
@@ -57,7 +57,7 @@
         self.timing = timing
         self.baselines: dict[str, Baseline] = {}
         self.rates: dict[str, tuple[float, float]] = {}
-        # Voters whose clock rate can't be right, if ours is.
+        # Voters whose clock rate can't be right if ours is.
         self.wrong: set[str] = set()
 
     def add(self, voter: GatewayId, reading: Reading) -> None:
@@ -91,5 +91,5 @@
         self.wrong &= set(voters)
 
     def own_clock_is_wrong(self, majority: int) -> bool:
-        """Return whether so many voters' clocks disagree with ours that ours must be wrong."""
+        """Return whether a majority of the voters' clocks disagrees with ours: ours is wrong."""
         return len(self.wrong) >= majority
--- a/saffrongw/leases/component.py
+++ b/saffrongw/leases/component.py
@@ -1,6 +1,6 @@
 """The component that ``[leases]`` switches on.
 
-It joins a lease node to the channel, with its tasks and its admin commands.
+It connects a lease node to the channel, and adds the tasks and the admin commands.
 """
 
 from __future__ import annotations
@@ -33,21 +33,21 @@
 
 
 class LeasesTableError(ValueError):
-    """A changed ``[leases]`` table can't take effect in service; the message names the key."""
+    """A changed ``[leases]`` table can't be applied by a reload; the message names the key."""
 
 
 class LeasesComponent:
-    """Starts and stops the lease node; its node driver exists from the start on."""
+    """Starts and stops the lease node; ``node_driver`` is None before ``start``."""
 
     def __init__(self, table: LeasesTable, channel: ChannelComponent) -> None:
-        """Prepare the component; the lease set is joined at the start."""
+        """Prepare the component; ``start`` joins the lease set."""
         self.table = table
         self.channel = channel
         self.clock = LeaseClock()
         self.store = LeaseStore(Path(table.state_dir)) if table.state_dir else None
         self.loop: asyncio.AbstractEventLoop | None = None
         self.node_driver: NodeDriver | None = None
-        # Leases beside the shards, one for each leader guard.
+        # Leases besides the shards, one for each leader guard.
         self.named_leases: list[str] = []
         self.commands = LeaseAdminCommands(self._started, self.state, self.named_leases)
 
@@ -57,14 +57,14 @@
         return self.node_driver
 
     def leader_guard(self, lease: str) -> LeaseLeaderGuard:
-        """Return the guard of a leadership under a lease of this name; call it before the start."""
+        """Return a leader guard under a lease of this name; call it before ``start``."""
         self.named_leases.append(lease)
         return LeaseLeaderGuard(self, lease)
 
     # -- service -----------------------------------------------------------------------------------
 
     async def start(self, driver: Driver) -> None:
-        """Join the lease set; raise ``LeaseStoreError`` where the store can't be used."""
+        """Join the lease set; raise ``LeaseStoreError`` if the store can't be used."""
         self.loop = driver.loop
         token_floor, reserved_token, reservation = 0, NUMBER_LIMIT, None
         if self.store:
@@ -101,7 +101,7 @@
         self.channel.channel.set_addresses(addresses)
 
     async def stop(self) -> None:
-        """Release all leases, end calls, close the store."""
+        """Release all leases, end all calls, and close the store."""
         if self.node_driver:
             await self.node_driver.close()
         if self.store and self.loop:
@@ -109,14 +109,14 @@
             self.store.pool.shutdown(wait=False)
 
     def drain(self, draining: bool) -> None:
-        """Release all leases when draining begins, and take part again when it is undone."""
+        """Release all leases when draining begins; become a candidate again when it is undone."""
         if self.node_driver:
             self.node_driver.drain(draining)
 
-    def change(self, new: LeasesTable) -> Callable[[], None]:
-        """Prepare a reload: voters, tasks, candidacy.
+    def prepare_reload(self, new: LeasesTable) -> Callable[[], None]:
+        """Check a reload of voters, tasks and candidacy, and return the function that applies it.
 
-        Raise ``LeasesTableError`` for what must restart.
+        Raise ``LeasesTableError`` for a change that needs a restart.
         """
         old = self.table
         for name in FIXED_KEYS:
@@ -140,23 +140,23 @@
     # -- leases ------------------------------------------------------------------------------------
 
     def token(self, lease: str) -> FencingToken | None:
-        """Return the token that a task or a leader acts under; None: the lease is not held."""
+        """Return the fencing token of a held lease; None if it is not held."""
         return self.node_driver.token(lease) if self.node_driver else None
 
     def fenced_off(self, lease: str, seen_token: int) -> None:
-        """Release a lease and get it again, above a token that a receiver has seen."""
+        """Release a lease, and acquire it again under a token above one a receiver has seen."""
         self._started().fenced_off(lease, seen_token)
 
     # -- operators ---------------------------------------------------------------------------------
 
-    def figures(self) -> list[tuple[str, int]]:
+    def metrics(self) -> list[tuple[str, int]]:
         """Return the metrics for /admin/stats."""
         return metrics_of(self._started())
 
     def state(self) -> JsonObject:
-        """Return all that this gateway knows, as the JSON object of /admin/leases."""
+        """Return this gateway's view of leases and tasks, the JSON object of /admin/leases."""
         return state_of(self._started(), self.table.by_lease())
 
-    def calls(self) -> dict[bytes, AdminCommand]:
+    def admin_commands(self) -> dict[bytes, AdminCommand]:
         """Return the admin commands by HTTP path."""
         return self.commands.by_path()
--- a/saffrongw/leases/condition_log.py
+++ b/saffrongw/leases/condition_log.py
@@ -1,4 +1,4 @@
-"""Log lines for conditions that an operator has to repair, bounded in rate and number."""
+"""Rate-limited warnings about conditions that an operator has to repair."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 log = logging.getLogger(__name__)
 
-# Between two lines about one condition.
+# Minimum time between two lines about the same condition.
 LOG_INTERVAL_US = 60 * SECOND_US
 MAX_CONDITIONS = 64
 
 
 class ConditionLog:
-    """Warns about wrong clocks, old files and a failing disk.
+    """Warns about wrong clocks, outdated operator files and failed token reservations.
 
     It logs at most one line a minute about each condition.
     """
 
     def __init__(self) -> None:
         """Start with nothing logged."""
-        # By condition: when it was last logged.
+        # When each condition was last logged.
         self._logged_us: dict[str, int] = {}
 
     def check(self, now: int, node: LeaseNode, reservation_error: str) -> None:
-        """Log what is wrong now."""
+        """Log the conditions that hold now."""
         if reason := node.proposer.stop_reason:
             self._warn(now, "clock", f'own_clock_wrong: reason="{reason}"')
         for voter in sorted(node.clock_drift.wrong):
--- a/saffrongw/leases/gateway_id.py
+++ b/saffrongw/leases/gateway_id.py
@@ -1,4 +1,7 @@
-"""The identity of a running gateway. Loaded with every operator file: no optional library here."""
+"""The identity of a running gateway.
+
+Imported with every operator file, so it must not import an optional library.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +9,7 @@
 
 
 class GatewayId(NamedTuple):
-    """One incarnation of one gateway."""
+    """A gateway's name and its incarnation, which differs at each start."""
 
     name: str
     incarnation: int
--- a/saffrongw/leases/leader_guard.py
+++ b/saffrongw/leases/leader_guard.py
@@ -1,4 +1,4 @@
-"""The guard of a leadership: what only the holder of a lease of its own name may do."""
+"""A leader guard under a lease: the holder of the lease is the leader."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class LeaseHolder(Protocol):
-    """What a guard needs of the leases component."""
+    """What a leader guard needs from the leases component."""
 
     loop: asyncio.AbstractEventLoop | None
 
     def token(self, lease: str) -> FencingToken | None:
-        """Return the token of a lease; None: it is not held."""
+        """Return the fencing token of a held lease; None if it is not held."""
 
     def fenced_off(self, lease: str, seen_token: int) -> None:
-        """Release a lease and get it again, above a token that a receiver has seen."""
+        """Release a lease, and acquire it again under a token above one a receiver has seen."""
 
 
 class LeaseLeaderGuard:
@@ -27,12 +27,12 @@
     """
 
     def __init__(self, holder: LeaseHolder, lease: str) -> None:
-        """Guard what the holder of a lease may do."""
+        """Guard the leadership that the lease stands for."""
         self.holder = holder
         self.lease = lease
 
     def number(self) -> int:
-        """Return the fencing token under which this gateway is the leader; 0: it is not."""
+        """Return the fencing token under which this gateway is the leader; 0 if it is not."""
         token = self.holder.token(self.lease)
         return token.number if token and token.valid() else 0
 
@@ -41,6 +41,6 @@
         return number > 0 and self.number() == number
 
     def above(self, number: int) -> None:
-        """Give the lease back and get it under a token above one that a receiver has seen."""
+        """Release the lease, and acquire it again under a token above one a receiver has seen."""
         if self.holder.loop:
             self.holder.loop.call_soon_threadsafe(self.holder.fenced_off, self.lease, number)
--- a/saffrongw/leases/messages.py
+++ b/saffrongw/leases/messages.py
@@ -1,4 +1,4 @@
-"""Messages between the gateways of a lease set, and their form on the wire.
+"""Messages between the gateways of a lease set, and their wire format.
 
 Proposers and acceptors exchange ``Packet`` values, which ``saffrongw.channel`` signs and sends as
 MessagePack arrays. The tag of a message and the order of its fields are the wire format and must
@@ -16,17 +16,14 @@
 from .gateway_id import GatewayId
 
 MAX_SUSPENSIONS = 64
-# Leases that one gateway is a candidate for, beside the shards.
+# Leases besides the shards for which one gateway may be a candidate.
 MAX_NAMED_LEASES = 16
-# Above every ballot number, fencing token and voter set number.
+# Exclusive upper bound of ballot numbers, fencing tokens and voter set numbers.
 NUMBER_LIMIT = 1 << 62
 
 
 class Ballot(NamedTuple):
-    """The ballot of one prepare.
-
-    No two proposers, and no two incarnations of one, ever use the same.
-    """
+    """The ballot of one prepare, unique among all proposers and their incarnations."""
 
     number: int
     proposer: str
@@ -46,7 +43,7 @@
 
     # Another proposer holds the lease, for ``remaining_us`` at most.
     HELD = 1
-    # The acceptor has promised or granted a higher ballot, ``ballot_number``.
+    # The acceptor has promised, granted or seen released a higher ballot, ``ballot_number``.
     OUTBID = 2
     # An operator has suspended the lease.
     SUSPENDED = 3
@@ -59,7 +56,7 @@
 
 
 class TurnState(IntEnum):
-    """How far a turn of a task has come."""
+    """How far a turn of a task has progressed."""
 
     STARTED = 1
     FAILED = 2
@@ -67,7 +64,7 @@
 
 
 class TaskProgress(msgspec.Struct, frozen=True, array_like=True):
-    """The last known turn of a task, the fencing token it ran under, and how far it came."""
+    """The last known turn of a task, the fencing token that it ran under, and its state."""
 
     task_id: bytes
     turn: int
@@ -75,7 +72,7 @@
     state: int
 
     def supersedes(self, other: TaskProgress | None) -> bool:
-        """Return whether this is later knowledge than ``other``."""
+        """Return whether this is more recent than ``other``."""
         return other is None or (self.turn, self.state, self.fencing_token) > (
             other.turn,
             other.state,
@@ -84,10 +81,10 @@
 
 
 class Suspension(msgspec.Struct, frozen=True, array_like=True):
-    """An operator's order that nobody gets a lease before ``until_s``.
+    """An operator's order that a lease is granted to no gateway before ``until_s``.
 
-    Times are Unix seconds. Of two for one lease the later ``set_at_s`` wins; ``until_s`` 0 ends the
-    suspension.
+    Times are Unix seconds. Of two suspensions of a lease, the one with the later ``set_at_s`` wins;
+    ``until_s`` 0 ends the suspension.
     """
 
     lease: str
@@ -100,8 +97,8 @@
 class Prepare(msgspec.Struct, frozen=True, array_like=True, tag=1):
     """A proposer asks for a promise (phase 1).
 
-    ``initial`` says that it does not hold the lease yet and wants the progress of its tasks;
-    ``highest_token`` is the highest fencing token that it has met anywhere.
+    ``initial`` says that it does not hold the lease yet and needs the progress of its tasks;
+    ``highest_token`` is the highest fencing token that it has seen anywhere.
     """
 
     lease: str
@@ -111,7 +108,7 @@
 
 
 class Propose(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """A proposer takes or renews the lease (phase 2) under a fencing token.
+    """A proposer acquires or renews the lease (phase 2) under a fencing token.
 
     Each renewal is another ``round``.
     """
@@ -125,14 +122,14 @@
 
 
 class Release(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """A proposer gives up the lease, and this ballot."""
+    """A proposer releases the lease, and abandons this ballot."""
 
     lease: str
     ballot: Ballot
 
 
 class ReportProgress(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """The holder reports the progress of tasks; ``request_id`` comes back in the answer."""
+    """The holder reports the progress of tasks; the answer carries the same ``request_id``."""
 
     lease: str
     request_id: int
@@ -142,8 +139,8 @@
 class Announce(msgspec.Struct, frozen=True, array_like=True, tag=5):
     """A gateway announces itself as a candidate for the shards and for the leases that it names.
 
-    ``sent_at_us`` is read from its own clock and comes back in the answer; ``voter_clock_us`` is
-    the voter's clock as it was last received, 0 where it never was.
+    ``sent_at_us`` is its own clock, which the answer repeats; ``voter_clock_us`` is the last clock
+    reading that it received from the voter, or 0.
     """
 
     shard_count: int
@@ -159,8 +156,8 @@
 class Promise(msgspec.Struct, frozen=True, array_like=True, tag=6):
     """An acceptor's answer to a prepare: the proposer may propose.
 
-    ``highest_token`` is the highest fencing token seen; ``memory_since_us`` (Unix us) says since
-    when the acceptor's memory is complete.
+    ``highest_token`` is the highest fencing token that the acceptor knows for the lease; its memory
+    is complete since ``memory_since_us`` (Unix us).
     """
 
     lease: str
@@ -184,7 +181,7 @@
 class Nack(msgspec.Struct, frozen=True, array_like=True, tag=8):
     """An acceptor's rejection.
 
-    ``round`` is 0 where it answers a prepare, ``reason`` a ``NackReason``.
+    ``round`` is 0 if it answers a prepare; ``reason`` is a ``NackReason``.
     """
 
     lease: str
@@ -217,8 +214,8 @@
 class AnnounceReply(msgspec.Struct, frozen=True, array_like=True, tag=11):
     """An acceptor's answer to an announcement.
 
-    It says when to announce again, which leases the candidate should give back, what is suspended,
-    and for how long the acceptor is still silent after its start.
+    It says when to announce again, which leases the candidate should release, which leases are
+    suspended, and how much longer the acceptor is silent after its start.
     """
 
     next_announce_us: int
@@ -231,13 +228,13 @@
 
 
 class SealQuery(msgspec.Struct, frozen=True, array_like=True, tag=12):
-    """A voter asks another whether its operator file has reached this voter set."""
+    """A voter asks a voter of a former set whether its file has reached this voter set."""
 
     voter_set_number: int
 
 
 class SealReply(msgspec.Struct, frozen=True, array_like=True, tag=13):
-    """The sender's file has reached this voter set: it answers no older set any more."""
+    """The sender's operator file has reached this voter set: it no longer answers older sets."""
 
     voter_set_number: int
 
@@ -259,7 +256,7 @@
 )
 
 
-# What is handled by an acceptor; all else is for the proposer, or about voter sets.
+# Messages to an acceptor; all others are for a proposer or about voter sets.
 AcceptorMessage = Prepare | Propose | Release | ReportProgress | Announce
 VoterAnswer = Promise | Accept | Nack
 
@@ -267,7 +264,7 @@
 class Packet(msgspec.Struct, frozen=True, array_like=True):
     """Messages to one receiver.
 
-    ``sender_clock_us`` is the clock of a voter, and 0 from anybody else.
+    ``sender_clock_us`` is the sender's clock if it is a voter, otherwise 0.
     """
 
     voter_set_number: int
--- a/saffrongw/leases/node.py
+++ b/saffrongw/leases/node.py
@@ -1,8 +1,9 @@
-"""One gateway's part in a lease set: proposer, acceptor if it is a voter, and what binds both.
+"""The lease node of one gateway: its proposer, and its acceptor if the gateway is a voter.
 
-No I/O. Packets come in with the name and incarnation of the gateway that signed them, and go out by
-name. Time is passed in as ``now`` (us of a clock that goes on while the machine sleeps) and
-``wall`` (Unix us, which never steps). What happened to leases is read from ``events``.
+No I/O. Received packets are passed in with the name and incarnation of the gateway that signed
+them; packets to send are returned with the receiver's name. Time is passed in as ``now`` (us of a
+clock that runs while the machine sleeps) and ``wall`` (Unix us, which never steps). ``events``
+collects what happened to leases.
 """
 
 from __future__ import annotations
@@ -47,7 +48,7 @@
 MAX_AVOIDED_LEASES = 256
 MAX_FIRST_ANNOUNCE_DELAY_US = 1_000_000
 MAX_ANNOUNCE_INTERVAL_US = 600_000_000
-# The reason that operators see when this gateway's own clock is not believed.
+# Shown to operators while this gateway's own clock is considered wrong.
 CLOCK_STOP_REASON = "our clock runs at another rate than most voters' clocks"
 
 NodeEvent = LeaseEvent | ProgressConfirmed
@@ -55,18 +56,18 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """What does not change while a node runs; ``Acceptor`` explains the tokens."""
+    """Settings that are fixed while a node runs; ``Acceptor`` explains the tokens."""
 
     timing: Timing
     shard_count: int
-    # Leases beside the shards that this gateway is a candidate for.
+    # Leases besides the shards for which this gateway is a candidate.
     named_leases: tuple[str, ...] = ()
     token_floor: int = 0
     reserved_token: int = NUMBER_LIMIT
 
 
 class LeaseNode:
-    """One incarnation of one gateway."""
+    """The lease protocol of one incarnation of a gateway."""
 
     def __init__(
         self,
@@ -97,9 +98,9 @@
         self.reports = ProgressReports(timing)
         self.contacts: dict[str, VoterContact] = {}
         self.recall_votes = RecallVotes()
-        # Leases that are not proposed for until a time.
+        # By lease: the time before which it is not proposed for again.
         self.avoided_until_us: dict[str, int] = {}
-        # What others named that differs from ours; 0: none.
+        # The highest other voter set number and the last other shard count received; 0: none.
         self.foreign_set_number = self.foreign_shard_count = 0
         # The keys are names in /admin/stats.
         self.counters = {"from_other_sets": 0, "strange": 0}
@@ -112,7 +113,7 @@
     def change_voter_set(
         self, now: int, voter_set: VoterSet, former_sets: tuple[VoterSet, ...]
     ) -> None:
-        """Change to another voter set, or to the first one."""
+        """Apply a voter set: the first one, or a change to another."""
         if voter_set == self.voter_set:
             self.transition.former = former_sets
             return
@@ -142,24 +143,24 @@
         self.transition.record_reply(self.name, voter_set.number)
 
     def announce_now(self, now: int) -> None:
-        """Announce to all voters at once, as something about us has changed."""
+        """Make an announcement to every voter due now, as this gateway's state has changed."""
         for contact in self.contacts.values():
             contact.next_announce_us = now
 
     # -- leases ------------------------------------------------------------------------------------
 
     def token(self, lease: str, clock: Callable[[], int]) -> FencingToken | None:
-        """Return the token for a task under this lease; None: it is not held."""
+        """Return the fencing token for a task under this lease; None if it is not held."""
         return self.proposer.token(lease, clock)
 
     def report_progress(self, now: int, lease: str, progress: tuple[TaskProgress, ...]) -> None:
-        """Have the voters store progress; ``ProgressConfirmed`` comes when a majority has."""
+        """Have the voters store progress; a ``ProgressConfirmed`` event follows from a majority."""
         self.reports.add(now, lease, progress)
 
     def release(
         self, now: int, wall: int, lease: str, reason: str, avoid_us: int = 0
     ) -> list[OutgoingPacket]:
-        """Give a lease back, and propose for it again only after ``avoid_us``."""
+        """Release a lease, and propose for it again only after ``avoid_us``."""
         if avoid_us:
             self.avoided_until_us[lease] = now + avoid_us
             while len(self.avoided_until_us) > MAX_AVOIDED_LEASES:
@@ -168,10 +169,10 @@
         return self._send(now, wall, self.proposer.release(lease, reason))
 
     def drain(self, now: int, wall: int) -> list[OutgoingPacket]:
-        """Be no candidate any more and release all leases: others take over at once."""
+        """Stop being a candidate and release all leases, so that others take over at once."""
         self.draining = True
         releases = self.proposer.release_all("we drain")
-        # The announcements go first, so that we are not offered the leases again.
+        # Announcements before releases: otherwise the voters would offer the leases to us again.
         announce = self._announcement(now, wall, 0)
         announcements = [Outgoing(voter, announce) for voter in self.voter_set.voters]
         return self._send(now, wall, announcements + releases)
@@ -179,7 +180,7 @@
     # -- time --------------------------------------------------------------------------------------
 
     def next_at(self) -> int:
-        """Return when ``due`` has something to do, at the latest."""
+        """Return when ``due`` has to be called next."""
         times = self.reports.next_times()
         if self.is_candidate and not self.draining:
             times += [contact.next_announce_us for contact in self.contacts.values()]
@@ -192,7 +193,7 @@
         return min(times, default=NUMBER_LIMIT)
 
     def due(self, now: int, wall: int) -> list[OutgoingPacket]:
-        """Do all whose time has come."""
+        """Do what is due, and return the packets to send."""
         outgoing = self.proposer.due(now)
         if self.is_candidate and not self.draining:
             outgoing += self._due_announcements(now, wall)
@@ -262,7 +263,7 @@
         self.counters["from_other_sets"] += 1
         self.foreign_set_number = max(self.foreign_set_number, min(set_number, NUMBER_LIMIT))
         if set_number < self.voter_set.number and isinstance(message, AcceptorMessage):
-            # Tells the sender that its file is old.
+            # Tells the sender that its operator file is outdated.
             return [Outgoing(sender, SealReply(self.voter_set.number))]
         return []
 
@@ -311,7 +312,7 @@
     def _answers_current_round(claim: Claim, message: VoterAnswer) -> bool:
         """Return whether this answers the request in flight.
 
-        Only then is it certain that the voter's clock was read after the request left.
+        Only such an answer certainly has a clock reading from after the request was sent.
         """
         if claim.ballot != message.ballot:
             return False
@@ -321,9 +322,9 @@
         return claim.stage is ClaimStage.PROPOSING and answered_round == claim.round
 
     def _read_clock(self, now: int, voter: GatewayId, clock: int, requested_us: int) -> None:
-        """Estimate a voter's clock rate.
+        """Update the estimate of a voter's clock rate.
 
-        Where most voters' clocks disagree with ours, ours is wrong, and we must hold nothing.
+        If most voters' clocks disagree with ours, ours is wrong: this gateway must hold no lease.
         """
         if not clock or voter == self.gateway:
             return
@@ -339,7 +340,7 @@
         if self.avoided_until_us.get(lease, 0) > now:
             return
         self.avoided_until_us.pop(lease, None)
-        # Not a name that we made no use of.
+        # Ignore leases for which this gateway is no candidate.
         if lease in self.named_leases or lease in self.shard_names:
             spread_us = int(self.draw() * self.timing.stagger_us / 4)
             delay_us = min(max(0, offer.delay_us), self.timing.duration_us) + spread_us
@@ -363,7 +364,7 @@
     # -- sending -----------------------------------------------------------------------------------
 
     def _send(self, now: int, wall: int, outgoing: Iterable[Outgoing]) -> list[OutgoingPacket]:
-        """Group messages by receiver; those to ourselves are handled at once."""
+        """Group messages by receiver; handle those to this gateway itself at once."""
         by_receiver: dict[str, list[Message]] = {}
         waiting = list(outgoing)
         while waiting:
@@ -388,5 +389,5 @@
     # -- state -------------------------------------------------------------------------------------
 
     def since_majority_us(self, now: int) -> int | None:
-        """Return for how long no majority of the voters has answered; None: it never has."""
+        """Return the time since a majority of the voters last answered; None if it never has."""
         return since_majority_us(self.contacts.values(), self.voter_set.majority, now)
--- a/saffrongw/leases/node_driver.py
+++ b/saffrongw/leases/node_driver.py
@@ -34,7 +34,7 @@
 DATAGRAM_KIND = 1
 # Leases for which a receiver's higher token is remembered.
 MAX_FENCED_LEASES = 1_024
-# The timer fires this much later, so that what is due is due.
+# Added to each timer delay, so that the timer does not fire just before the next step is due.
 TIMER_SLACK_S = 0.000_5
 
 _encode = msgspec.msgpack.Encoder().encode
@@ -53,7 +53,7 @@
         overloaded: Callable[[], bool],
         reservation: TokenReservation | None,
     ) -> None:
-        """Bind a node to its channel, clock and loop; ``start`` takes part."""
+        """Connect a node to its channel, clock and event loop; ``start`` makes it active."""
         self.node = node
         self.channel = channel
         self.clock = clock
@@ -67,14 +67,14 @@
         self.table: LeasesTable | None = None
         self.malformed_count = 0
         self.closing = False
-        # Leases to give back as soon as no task is in the middle of a turn.
+        # Leases to release as soon as no task is in the middle of a turn.
         self._recalled: set[str] = set()
-        # By lease: when a receiver last had a higher token.
+        # By lease: when a receiver last reported a higher token.
         self._fenced_us: dict[str, int] = {}
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self, table: LeasesTable) -> None:
-        """Receive packets and take part."""
+        """Start to receive packets and to take part in the lease set."""
         self._configure(table)
         self.channel.handlers[DATAGRAM_KIND] = self.receive
         self.wake()
@@ -92,7 +92,7 @@
         await self.runner.close()
 
     def drain(self, draining: bool) -> None:
-        """Release all leases at once, or take part again."""
+        """Release all leases at once, or become a candidate again."""
         if self.node.draining == draining:
             return
         now = self.clock.now()
@@ -105,13 +105,13 @@
             self.wake()
 
     def reconfigure(self, table: LeasesTable) -> None:
-        """Change to another table: voters, tasks, and whether this gateway is a candidate."""
+        """Apply a reloaded table: voters, tasks, and whether this gateway is a candidate."""
         now = self.clock.now()
         self._configure(table)
         self.node.is_candidate = table.stand
         self.node.change_voter_set(now, table.voter_set, table.former_sets)
         self._carry_out(self.schedule.replace_specs(now, table.by_lease()))
-        # A task that is new under a lease that we hold begins with what is known of it: nothing.
+        # Tasks that are new under a held lease start without any known progress.
         for claim in self.node.proposer.held(now):
             specs = [
                 spec
@@ -136,20 +136,20 @@
             self.malformed_count += 1
             return
         now = self.clock.now()
-        # An overloaded gateway accepts no offer, and announces that.
+        # An overloaded gateway accepts no offers, and announces that it is overloaded.
         self.node.overloaded = self.overloaded()
         self.process(
             self.node.receive(now, self.clock.wall(now), GatewayId(sender, incarnation), packet)
         )
 
     def wake(self) -> None:
-        """Do all whose time has come, and set the timer."""
+        """Do what is due, and set the timer."""
         now = self.clock.now()
         self.node.overloaded = self.overloaded()
         self.process(self.node.due(now, self.clock.wall(now)))
 
     def process(self, packets: list[OutgoingPacket]) -> None:
-        """Send packets, handle what happened to leases, and set the timer."""
+        """Send packets, handle the node's events, run the schedule, and set the timer."""
         while True:
             for receiver, packet in packets:
                 self.channel.send(receiver, DATAGRAM_KIND, _encode(packet))
@@ -211,11 +211,11 @@
     # -- leases and tasks --------------------------------------------------------------------------
 
     def token(self, lease: str) -> FencingToken | None:
-        """Return the token that a task acts under; None: the lease is not held."""
+        """Return the fencing token of a held lease; None if it is not held."""
         return self.node.token(lease, self.clock.now)
 
     def remaining_us(self, lease: str) -> int:
-        """Return for how long a lease is still held."""
+        """Return how much longer a lease is held; 0 if it is not held."""
         token = self.token(lease)
         return token.remaining_us() if token else 0
 
@@ -225,19 +225,19 @@
         return any(claim.lease == lease for claim in held)
 
     def release(self, lease: str, reason: str, avoid_us: int) -> None:
-        """Give a lease back at once, and propose for it again only after ``avoid_us``."""
+        """Release a lease at once, and propose for it again only after ``avoid_us``."""
         now = self.clock.now()
         self.process(self.node.release(now, self.clock.wall(now), lease, reason, avoid_us))
 
     def recall(self, lease: str) -> None:
-        """Give a lease back as soon as no task is in the middle of a turn."""
+        """Release a lease as soon as no task is in the middle of a turn."""
         self._recalled.add(lease)
 
     def fenced_off(self, lease: str, seen_token: int) -> None:
-        """Release a lease and get it again, above a token that a receiver has seen.
+        """Release a lease, and acquire it again under a token above one a receiver has seen.
 
-        If that happens again so soon, the receiver does not tell its token or rejects everything:
-        the lease is left to other gateways for its duration.
+        If that happens again within two lease durations, the receiver does not name its token or
+        rejects all tokens: the lease is left to other gateways for one duration.
         """
         self.node.proposer.require_token_above(lease, seen_token)
         now, duration_us = self.clock.now(), self.node.timing.duration_us
--- a/saffrongw/leases/progress_reports.py
+++ b/saffrongw/leases/progress_reports.py
@@ -23,21 +23,21 @@
 
 @dataclass(slots=True)
 class PendingReport:
-    """The progress of one lease's tasks that not enough voters have stored yet."""
+    """The progress of one lease's tasks that no majority of the voters has stored yet."""
 
     request_id: int
     progress: tuple[TaskProgress, ...]
     next_send_us: int
     deadline_us: int
     stored_by: set[str] = field(default_factory=set)
-    # Reported meanwhile: sent after this one.
+    # Progress reported in the meantime, to be sent after this report.
     queued: tuple[TaskProgress, ...] = ()
 
 
 class ProgressReports:
-    """One pending report for each lease.
+    """At most one pending report for each lease.
 
-    It is sent again until a majority has stored it or time is up.
+    A report is sent again until a majority has stored it or its deadline has passed.
     """
 
     def __init__(self, timing: Timing) -> None:
@@ -47,7 +47,7 @@
         self.last_request_id = 0
 
     def add(self, now: int, lease: str, progress: tuple[TaskProgress, ...]) -> None:
-        """Report progress, after the report of this lease that is pending."""
+        """Report progress; while another report of this lease is pending, queue it."""
         report = self.pending.get(lease)
         if report is not None:
             report.queued = (*report.queued, *progress)[-MAX_TASKS_PER_LEASE:]
@@ -58,11 +58,11 @@
         )
 
     def next_times(self) -> list[int]:
-        """Return when ``due`` has something to do, for each report."""
+        """Return when ``due`` has to be called next, for each report."""
         return [report.next_send_us for report in self.pending.values()]
 
     def due(self, now: int, voters: Iterable[str]) -> list[Outgoing]:
-        """Send reports whose time has come, and drop those that are too old."""
+        """Send the reports that are due, and drop those past their deadline."""
         outgoing: list[Outgoing] = []
         for lease, report in list(self.pending.items()):
             if report.next_send_us > now:
--- a/saffrongw/leases/proposer.py
+++ b/saffrongw/leases/proposer.py
@@ -1,8 +1,8 @@
 """The proposer of one gateway: it prepares, proposes, holds, renews and releases leases.
 
-No I/O: time and messages in, messages out. All times are us of this gateway's own clock, counted
-from before a request left: an answer that comes late leaves less time, and one that comes after the
-lease's duration is void.
+No I/O: callers pass in the time and messages, and get messages back. All times are us of this
+gateway's own clock. A lease counts from before its request was sent, so a late answer leaves less
+time, and an answer after the lease's duration is void.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 )
 from .timing import MILLISECOND_US, Timing
 
-# Rounds before a contended lease is left until it is offered again.
+# Failed rounds after which a contended lease is left alone until it is offered again.
 MAX_ATTEMPTS = 4
 MAX_CLAIMS = 1_024
 
@@ -59,15 +59,15 @@
         self.voters = tuple(voters)
         self.claims: dict[str, Claim] = {}
         self.events: list[LeaseEvent] = []
-        # A ballot is never used again, or an answer to an earlier use of it would count.
+        # Ballot numbers are never reused: an answer to the earlier use would count for the later.
         self.last_ballot_number = 0
-        # The highest fencing token met anywhere.
+        # The highest fencing token seen anywhere.
         self.highest_token = 0
         # By lease: tokens that receivers have already seen.
         self.token_floors: dict[str, int] = {}
-        # Voters whose clocks are not believed.
+        # Voters whose answers are ignored, as their clocks run at a wrong rate.
         self.distrusted: frozenset[str] = frozenset()
-        # Why nothing is proposed; empty: proposals are made.
+        # Why this gateway proposes nothing; empty while it does.
         self.stop_reason = ""
         # The keys, with underscores, are names in /admin/stats.
         self.counters = {
@@ -88,9 +88,10 @@
     # -- commands ----------------------------------------------------------------------------------
 
     def propose(self, now: int, lease: str, delay_us: int = 0, ballot_number: int = 0) -> None:
-        """Prepare for a lease in ``delay_us``, unless that is under way.
+        """Prepare for a lease after ``delay_us``, with a ballot above ``ballot_number``.
 
-        The ballot will be above ``ballot_number``.
+        Do nothing if the lease is already claimed, there are too many claims, or proposing has
+        stopped.
         """
         if self.stop_reason or lease in self.claims or len(self.claims) >= MAX_CLAIMS:
             return
@@ -98,7 +99,7 @@
         self.claims[lease] = Claim(lease, next_step_us=now + delay_us, highest_ballot_number=above)
 
     def release(self, lease: str, reason: str) -> list[Outgoing]:
-        """Stop using a lease and release it at the voters, so that another may hold it at once."""
+        """Stop using a lease, and release it so that another gateway can acquire it at once."""
         claim = self.claims.pop(lease, None)
         if claim is None:
             return []
@@ -122,14 +123,14 @@
                 del self.token_floors[next(iter(self.token_floors))]
 
     def observe_token(self, token: int) -> None:
-        """Remember the highest token that anybody has named."""
+        """Track the highest fencing token seen anywhere."""
         if token < NUMBER_LIMIT // 2:
             self.highest_token = max(self.highest_token, token)
 
     def replace_voters(self, now: int, voters: Iterable[str]) -> None:
         """Change to another voter set.
 
-        What is held stays ours until its end, and is not renewed.
+        Held leases stay valid until they expire, and are not renewed.
         """
         self.voters = tuple(voters)
         for claim in list(self.claims.values()):
@@ -143,7 +144,7 @@
         return [claim for claim in self.claims.values() if claim.held_until_us > now]
 
     def token(self, lease: str, clock: Callable[[], int]) -> FencingToken | None:
-        """Return the token for a task under this lease; None: it is not held."""
+        """Return the fencing token for a task under this lease; None if it is not held."""
         claim = self.claims.get(lease)
         if claim is None or claim.held_until_us <= clock():
             return None
@@ -152,7 +153,7 @@
     # -- time --------------------------------------------------------------------------------------
 
     def next_at(self) -> int | None:
-        """Return when ``due`` has something to do."""
+        """Return when ``due`` has to be called next; None if there are no claims."""
         earliest = None
         for claim in self.claims.values():
             at = claim.next_step_us
@@ -179,9 +180,9 @@
         return outgoing
 
     def _renew_early(self, now: int) -> list[Outgoing]:
-        """Send renewals that are nearly due in the same datagrams.
+        """Renew leases that are nearly due in the same datagrams as those that are due.
 
-        They stay together from then on.
+        Their later renewals fall together too.
         """
         outgoing: list[Outgoing] = []
         soon = now + self.timing.renew_after_us // 4
@@ -257,7 +258,7 @@
         """Retry a round without a majority, after a backoff where the lease is not held."""
         claim.attempts += 1
         if claim.held_until_us:
-            # There is time left: the next round, but not faster than answers can be expected.
+            # The lease is still held: start the next round, but leave time for answers.
             claim.outbid = claim.outbid or claim.stage is ClaimStage.PREPARING
             claim.stage = ClaimStage.RESTING
             claim.next_step_us = max(now, claim.round_started_us + self.timing.resend_after_us // 2)
@@ -265,9 +266,9 @@
         if claim.attempts >= MAX_ATTEMPTS or self.stop_reason:
             self._drop(now, claim, "")
             return self._release_round(claim)
-        # Two proposers in step would outbid each other for ever: each waits a random part of a
-        # backoff that doubles. After the first round nothing says yet that there are two: its
-        # ballot may just have been too low.
+        # Two proposers in step would outbid each other forever, so each waits a random part of a
+        # backoff that doubles. After the first round the wait is short: there may be no competitor,
+        # only a ballot that was too low.
         max_wait_us = min(
             self.timing.resend_after_us * 2**claim.attempts, self.timing.duration_us // 2
         )
@@ -278,7 +279,7 @@
         return self._release_round(claim)
 
     def _release_round(self, claim: Claim) -> list[Outgoing]:
-        """Release what a few voters may have granted in a failed round.
+        """Release what a minority of the voters may have granted in a failed round.
 
         Promises need no release.
         """
@@ -316,7 +317,7 @@
 
     def _on_promise(self, now: int, voter: str, claim: Claim, promise: Promise) -> list[Outgoing]:
         if now >= claim.round_deadline_us:
-            # This process stood still: what was promised then may be forgotten by now.
+            # This process was paused: the acceptors may have forgotten their promises by now.
             return self._round_failed(now, claim)
         claim.agreeing.add(voter)
         claim.highest_token = max(
@@ -328,7 +329,7 @@
         if len(claim.agreeing) < self.majority:
             return []
         if not claim.held_until_us:
-            # A held lease keeps its token: nobody else can have held it under a higher one.
+            # A held lease keeps its token: no other gateway can have held it under a higher one.
             floor = self.token_floors.get(claim.lease, 0)
             claim.fencing_token = max(claim.highest_token, self.highest_token, floor) + 1
             self.observe_token(claim.fencing_token)
@@ -345,8 +346,8 @@
         claim.attempts = 0
         renew_after_us = self.timing.renew_after_us
         if claim.rejecting and not claim.held_until_us:
-            # A voter that rejected the first round is won soon: until then it offers the lease to
-            # others.
+            # Renew soon to win the voters that rejected the first round: until then they offer the
+            # lease to others.
             renew_after_us = self.timing.resend_after_us
         claim.stage = ClaimStage.RESTING
         claim.next_step_us = claim.round_started_us + renew_after_us
@@ -380,7 +381,7 @@
         return self._rejected_by_majority(now, claim, nack)
 
     def _rejected_by_majority(self, now: int, claim: Claim, nack: Nack) -> list[Outgoing]:
-        """Leave a lease that is not held until it is offered; use a held one to its end."""
+        """Abandon a lease that is not held until its next offer; keep a held one to its expiry."""
         if not claim.held_until_us:
             self._drop(now, claim, "")
             return self._release_round(claim)
--- a/saffrongw/leases/recall_votes.py
+++ b/saffrongw/leases/recall_votes.py
@@ -1,4 +1,4 @@
-"""Counts the voters that recall a lease, so that another gateway may hold it."""
+"""Counts the voters that recall a lease from its holder, for another gateway to hold it."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class RecallVotes:
-    """The voters that recall each lease, by their last answers."""
+    """The voters that recall each lease, according to their last answers."""
 
     def __init__(self) -> None:
         """Start without votes."""
         self._voters: dict[str, set[str]] = {}
 
     def clear(self) -> None:
-        """Forget all votes, as the voters have changed."""
+        """Forget all votes; called when the voter set changes."""
         self._voters.clear()
 
     def discard(self, lease: str) -> None:
-        """Forget the votes on a lease, as it is given back."""
+        """Forget the votes on a lease; called when it is released."""
         self._voters.pop(lease, None)
 
     def count(
--- a/saffrongw/leases/rejections.py
+++ b/saffrongw/leases/rejections.py
@@ -1,6 +1,6 @@
-"""The reasons for which an acceptor rejects a prepare or a proposal.
+"""The checks by which an acceptor rejects a prepare or a proposal.
 
-The functions are pure and return None where there is no objection.
+The functions are pure and return None if there is no reason to reject.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
     remaining_us: int = 0,
     holder: str = "",
 ) -> Nack:
-    """Return the rejection of a request; the round is 0 where the request is a prepare."""
+    """Return the rejection of a request; its round is 0 if the request is a prepare."""
     rejected_round = request.round if isinstance(request, Propose) else 0
     return Nack(
         request.lease, request.ballot, rejected_round, reason, ballot_number, remaining_us, holder
@@ -47,7 +47,7 @@
 def reject_held(request: Request, sender: GatewayId, record: LeaseRecord, now: int) -> Nack | None:
     """Reject a request for a lease that is granted to another gateway.
 
-    The grant must not be over.
+    The caller must have ended an expired grant first.
     """
     if record.holder in (None, sender):
         return None
@@ -56,14 +56,15 @@
 
 
 def reject_outdated(request: Propose, record: LeaseRecord, token_floor: int) -> Nack | None:
-    """Reject late copies, ballots below a promise, and fencing tokens that do not grow."""
+    """Reject delayed duplicates, ballots below a promise, and fencing tokens that do not grow."""
     ballot = request.ballot
     if ballot.owner == record.granted.owner and ballot < record.granted:
-        # A late copy from before its holder lost or released the lease and got it again. Were it
-        # granted, the release of that time, later still, would free what is held now.
+        # A delayed duplicate from before the holder lost or released the lease and acquired it
+        # again. If it were granted, a release under the same old ballot that arrives even later
+        # would free the lease that is held now.
         return nack(request, NackReason.OUTBID, record.granted.number)
     if ballot.owner == record.released.owner and ballot <= record.released:
-        # A late copy of what was released.
+        # A delayed duplicate under a ballot that was released.
         return nack(request, NackReason.OUTBID, record.released.number)
     if not request.initial:
         return None
--- a/saffrongw/leases/spec.py
+++ b/saffrongw/leases/spec.py
@@ -1,6 +1,6 @@
 """The specification of a task that runs under a lease, and when its turns are due.
 
-Loaded with every operator file, so it must not import an optional library.
+Imported with every operator file, so it must not import an optional library.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskSpec:
-    """A periodic task; its turns are numbered since the Unix epoch, alike on every gateway."""
+    """A periodic task; its turns have the same numbers, from the Unix epoch, on every gateway."""
 
     name: str
     period_us: int
-    # "at-least" or "at-most", once in each turn.
+    # "at-least" or "at-most": how often a turn runs, at least once or at most once.
     delivery: str = "at-least"
-    # How long a call may take: so much must be left of the lease when it begins.
+    # The longest a call may take; it starts only if the lease is held for longer.
     max_call_us: int = SECOND_US
     # Fraction of the period over which tasks are spread.
     jitter: float = 0.1
--- a/saffrongw/leases/state_report.py
+++ b/saffrongw/leases/state_report.py
@@ -1,8 +1,7 @@
-"""What operators see of leases: the state for /admin/leases and the metrics for /admin/stats.
+"""The state of leases for /admin/leases, and their metrics for /admin/stats.
 
-Keys and names are an interface of their own and must not change with names in the code: this
-module, with the counters' keys and the values of ``CallOutcome`` and ``TaskPhase``, is where they
-are mapped.
+The keys and metric names are a public interface and must not follow renames in the code. They come
+from this module, the counters' keys, and the values of ``CallOutcome`` and ``TaskPhase``.
 """
 
 from __future__ import annotations
@@ -18,14 +17,14 @@
 
 JsonObject = dict[str, Any]
 
-# Shown where there is nothing to tell.
+# Shown for the time since something that has not happened.
 NEVER_MS = -1
 
 
 def metrics_of(driver: NodeDriver) -> list[tuple[str, int]]:
-    """Return counters since the start and present values, by their names in /admin/stats.
+    """Return counters since the start and current values, by their names in /admin/stats.
 
-    Spans are ms.
+    Durations are in ms.
     """
     node, now = driver.node, driver.clock.now()
     rows = _node_metrics(driver, now)
@@ -83,7 +82,7 @@
 
 
 def state_of(driver: NodeDriver, specs_by_lease: dict[str, list[TaskSpec]]) -> JsonObject:
-    """Return all that this gateway knows, as the JSON object of /admin/leases."""
+    """Return this gateway's view of leases and tasks, the JSON object of /admin/leases."""
     node, now = driver.node, driver.clock.now()
     wall = driver.clock.wall(now)
     acceptor = node.acceptor
@@ -125,7 +124,7 @@
 def _lease_rows(
     node: LeaseNode, specs_by_lease: dict[str, list[TaskSpec]], now: int, wall: int
 ) -> dict[str, JsonObject]:
-    """Return the leases that this gateway holds, and on a voter all others too."""
+    """Return the leases that this gateway holds; on a voter, all leases."""
     rows: dict[str, JsonObject] = {}
     for grant in node.acceptor.rows(now) if node.acceptor else ():
         rows[grant.lease] = {
--- a/saffrongw/leases/store.py
+++ b/saffrongw/leases/store.py
@@ -1,7 +1,7 @@
-"""The store of reserved fencing tokens, for installs with a disk that lasts.
+"""The store of reserved fencing tokens, for gateways with a persistent disk.
 
-One row is written well ahead: ``reserved`` says that any token up to it may have been given. After
-a start tokens begin above it. An acceptor grants no token beyond what the disk has confirmed.
+Its one row is written well ahead of use: any token up to ``reserved`` may have been granted, so
+tokens begin above it after a start. An acceptor grants no token above the value on disk.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 SCHEMA_VERSION = 1
-# Tokens reserved at once: an hour of them, as they begin at the milliseconds of Unix time.
+# Tokens reserved by one write: an hour of them, as tokens begin at Unix time in milliseconds.
 RESERVED_TOKENS_PER_BLOCK = 3_600_000
 
 
@@ -23,17 +23,17 @@
     """The SQLite database in ``state_dir``. Its methods must run on its own thread, ``pool``."""
 
     def __init__(self, folder: Path) -> None:
-        """Name the folder of the database; ``open`` creates both."""
+        """Set the folder of the database; ``open`` creates both."""
         self.path = folder / "leases.sqlite"
         self.folder = folder
         self.pool = ThreadPoolExecutor(1, "leases")
         self.db: sqlite3.Connection | None = None
 
     def open(self) -> int:
-        """Open or create the database, and return what was reserved before, 0 for nothing.
+        """Open or create the database, and return the highest reserved token, or 0.
 
-        Raises ``LeaseStoreError`` for a damaged file or an unknown schema, ``OSError`` for a folder
-        that is not usable.
+        Raises ``LeaseStoreError`` for a corrupt file or an unknown schema, ``OSError`` for an
+        unusable folder.
         """
         try:
             self.folder.mkdir(mode=0o700, parents=True, exist_ok=True)
@@ -60,7 +60,7 @@
             )
 
     def reserve(self, up_to: int) -> int:
-        """Write that tokens up to ``up_to`` may be given, and return it.
+        """Store that tokens up to ``up_to`` may be granted, and return ``up_to``.
 
         Raise ``LeaseStoreError`` on failure.
         """
--- a/saffrongw/leases/suspensions.py
+++ b/saffrongw/leases/suspensions.py
@@ -1,8 +1,8 @@
-"""Leases that operators have suspended: nobody gets them until a given time.
+"""Leases that operators have suspended: they are granted to no gateway until a given time.
 
-Every gateway and voter stores all suspensions and sends them along with its announcements, so a
-voter that restarts learns them again. Of two for one lease the later one wins, on every gateway
-alike. No I/O; times of a suspension are Unix seconds, ``wall`` is Unix us.
+Every gateway stores all suspensions and sends them with its announcements, so a voter that restarts
+learns them again. Of two suspensions of a lease, every gateway keeps the one that was set later. No
+I/O; times of a suspension are Unix seconds, ``wall`` is Unix us.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 MAX_SUSPENSION_S = 7 * 86_400.0
 DAY_S = 86_400
 MAX_TEXT_CHARACTERS = 120
-# The end of a suspension is stored for at least this long after it was set.
+# How long the end of a suspension is stored, at the least, after it was set.
 MIN_STORED_S = 3_600
 
 
 class SuspensionError(ValueError):
-    """A suspension that an operator asked for can't be accepted."""
+    """A suspension that an operator requested is out of bounds; the message says why."""
 
 
 class Suspensions:
-    """All known suspensions, bounded in number; each ends by itself."""
+    """All known suspensions, bounded in number; each ends at its own time."""
 
     def __init__(self) -> None:
         """Start with none."""
@@ -35,7 +35,7 @@
     ) -> Suspension:
         """Suspend a lease, or end its suspension with ``until_s`` 0.
 
-        Raise ``SuspensionError`` out of bounds.
+        Raise ``SuspensionError`` for a time or a text out of bounds, or too many suspensions.
         """
         if until_s and not now_s < until_s <= now_s + MAX_SUSPENSION_S:
             raise SuspensionError(f"a hold ends within {MAX_SUSPENSION_S / DAY_S:.0f} days")
@@ -53,16 +53,16 @@
         return suspension
 
     def merge(self, received: Iterable[Suspension], wall: float) -> None:
-        """Merge what another gateway knows.
+        """Merge the suspensions that another gateway has sent.
 
-        An ended suspension stays as long as its start may still be sent.
+        An ended suspension is stored for as long as other gateways may still send its start.
         """
         latest_s = wall / SECOND_US + MAX_SUSPENSION_S
         for suspension in received:
             previous = self._by_lease.get(suspension.lease)
             if previous is not None and previous.set_at_s >= suspension.set_at_s:
                 continue
-            # Such a time comes from a wrong clock.
+            # Such a time was set by a wrong clock.
             if suspension.until_s > latest_s or suspension.set_at_s > latest_s:
                 continue
             if previous is None and len(self._by_lease) >= 2 * MAX_SUSPENSIONS:
@@ -81,9 +81,9 @@
         return suspension if suspension and suspension.until_s > wall / SECOND_US else None
 
     def all(self, wall: float) -> tuple[Suspension, ...]:
-        """Return what is sent to others.
+        """Return the suspensions to send to other gateways.
 
-        The suspensions in force come first, then those that an operator ended.
+        Those in force come first, then those that an operator has ended.
         """
         self._expire(wall)
         latest_first = sorted(self._by_lease.values(), key=lambda one: -one.until_s)
--- a/saffrongw/leases/table.py
+++ b/saffrongw/leases/table.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VoterTable:
-    """``[[leases.voter]]``: one gateway that votes."""
+    """``[[leases.voter]]``: a gateway that is a voter."""
 
     name: str = key(form=GATEWAY_NAME_PATTERN)
     address: str = key(form=ADDRESS, about="HOST:PORT of its channel")
@@ -43,7 +43,7 @@
     def __post_init__(self) -> None:
         """Check the bounds; raise ``ValueError`` naming what is wrong."""
         if not self.voters or len(self.addresses) < len(self.voters):
-            raise ValueError("voters is empty, or one stands twice")
+            raise ValueError("voters is empty, or lists a voter twice")
 
     @property
     def addresses(self) -> dict[str, str]:
@@ -117,7 +117,7 @@
             raise ValueError("there are 1, 3, 5 or 7 voters")
         addresses = {one.address for one in self.voter}
         if min(len(names), len(addresses)) < len(self.voter):
-            raise ValueError("a voter's name or address stands twice")
+            raise ValueError("two voters have the same name or address")
         if any(one.set >= self.set for one in self.former):
             raise ValueError("a former set has a lower number than this one")
         if self.set > 1 and not self.former:
@@ -129,18 +129,18 @@
         if len(self.task) > MAX_TASKS:
             raise ValueError(f"{MAX_TASKS} tasks at most")
         if len({one.name for one in self.task}) < len(self.task):
-            raise ValueError("a task stands twice")
+            raise ValueError("two tasks have the same name")
         held_s = self.timing.holder_duration_us / SECOND_US
         for one in self.task:
             if one.needs_s >= held_s * 2 / 3:
                 raise ValueError(
-                    f"task {one.name}: needs_s is {one.needs_s}; of a lease of {self.span_s} s "
-                    f"{held_s * 2 / 3:.2f} s are left for sure"
+                    f"task {one.name}: needs_s is {one.needs_s}, but a lease of {self.span_s} s "
+                    f"guarantees a call only {held_s * 2 / 3:.2f} s"
                 )
-        fullest = max((len(some) for some in self.by_lease().values()), default=0)
-        if fullest > MAX_TASKS_PER_LEASE:
+        largest = max((len(specs) for specs in self.by_lease().values()), default=0)
+        if largest > MAX_TASKS_PER_LEASE:
             raise ValueError(
-                f"one shard has {fullest} tasks, {MAX_TASKS_PER_LEASE} at most: raise shards"
+                f"one shard has {largest} tasks, the limit is {MAX_TASKS_PER_LEASE}: raise shards"
             )
 
     @property
@@ -160,8 +160,8 @@
 
     @property
     def addresses(self) -> dict[str, str]:
-        """Return the addresses of all voters, also of former sets."""
-        former = {name: at for one in self.former for name, at in one.addresses.items()}
+        """Return the addresses of all voters, including those of former sets."""
+        former = {name: address for one in self.former for name, address in one.addresses.items()}
         return former | {one.name: one.address for one in self.voter}
 
     def by_lease(self) -> dict[str, list[TaskSpec]]:
@@ -171,7 +171,10 @@
 
 @lru_cache(maxsize=4)
 def _specs_by_lease(tasks: tuple[TaskTable, ...], shards: int) -> dict[str, list[TaskSpec]]:
-    """Computed once for each table: thousands of tasks over hundreds of shards take a while."""
+    """Return the tasks by lease.
+
+    Cached, as hashing thousands of tasks over hundreds of shards is slow.
+    """
     by_lease: dict[str, list[TaskSpec]] = {}
     for task in tasks:
         by_lease.setdefault(shard_of(task.name, shards), []).append(task.spec)
--- a/saffrongw/leases/task_client.py
+++ b/saffrongw/leases/task_client.py
@@ -1,6 +1,6 @@
 """The HTTP call of a task.
 
-It is one POST by h11; the token is checked just before its first byte leaves.
+It is one POST over h11; the fencing token is checked just before the first byte is sent.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 MAX_RESPONSE_BYTES = 64 * 1024
 READ_BYTES = 4_096
 MAX_TOKEN_DIGITS = 19
-# The statuses by which a receiver rejects a fencing token below one that it has seen.
+# The statuses with which a receiver rejects a fencing token below one that it has seen.
 FENCED_OFF_STATUSES = (409, 412)
 
 
@@ -35,9 +35,10 @@
 async def post(
     url: str, call: TaskCall, holder: str, token: FencingToken, timeout_s: float
 ) -> CallResult:
-    """Make one call; whether it had an effect is UNKNOWN from its first byte to a complete answer.
+    """Make one call.
 
-    Ake one call; whether it had an effect is UNKNOWN from its first byte to a complete answer.
+    A call that ends after its first byte was sent and before a complete answer arrived is UNKNOWN:
+    it may have had an effect.
     """
     parts = urlsplit(url)
     sent = False
@@ -48,7 +49,7 @@
             http = h11.Connection(h11.CLIENT)
             data = _request_bytes(http, parts, call, holder)
             if not token.valid():
-                # Connecting may have taken long, and this process may have stood still.
+                # The lease may have expired while connecting, or while this process was paused.
                 detail = "the lease ran out before the call was sent"
                 return CallResult(CallOutcome.LATE, detail=detail)
             sent = True
@@ -114,10 +115,7 @@
 
 
 def _seen_token(response: h11.Response | None) -> int:
-    """Return the token that the receiver names in its answer.
-
-    It is 0 where that is malformed or too high.
-    """
+    """Return the token that the receiver names in its answer; 0 if malformed or out of range."""
     text = dict(response.headers).get(b"fencing-token", b"") if response is not None else b""
     token = int(text) if text.isdigit() and len(text) <= MAX_TOKEN_DIGITS else 0
     return token if token < NUMBER_LIMIT else 0
--- a/saffrongw/leases/task_runner.py
+++ b/saffrongw/leases/task_runner.py
@@ -1,4 +1,4 @@
-"""Runs the calls of tasks, a bounded number at once, and remembers how the last of each ended."""
+"""Runs the calls of tasks, a bounded number at once, and stores the last result of each task."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 log = logging.getLogger(__name__)
 
-# Calls that wait for a running one to end before they are counted as too many.
+# Queue length from which further calls are counted in ``leases.queue_full``; they are still queued.
 MAX_QUEUED_CALLS = 4_096
 MAX_RESULTS = 4_096
 
@@ -31,7 +31,7 @@
 
 
 class TaskRunner:
-    """The running and the queued calls; ``on_end`` gets None as the result of a cancelled call."""
+    """The running and the queued calls; ``on_end`` gets None for a cancelled call's result."""
 
     def __init__(
         self,
@@ -40,9 +40,9 @@
         token: Callable[[str], FencingToken | None],
         on_end: Callable[[TaskCall, CallResult | None], None],
     ) -> None:
-        """Run calls on a loop; ``configure`` names the tasks."""
+        """Run calls on an event loop; ``configure`` sets the tasks."""
         self.loop = loop
-        # Name and incarnation of this gateway, as receivers see them.
+        # Name and incarnation of this gateway, which receivers see in a header of each call.
         self.holder = holder
         self.token = token
         self.on_end = on_end
@@ -54,12 +54,12 @@
         self.queue_full_count = 0
 
     def configure(self, tasks: Iterable[TaskTable], max_in_flight: int) -> None:
-        """Change the tasks and the bound of running calls."""
+        """Set the tasks and the maximum number of running calls."""
         self.tasks = {task.name: task for task in tasks}
         self.max_in_flight = max_in_flight
 
     def enqueue(self, call: TaskCall) -> None:
-        """Queue a call; calls beyond the bound are counted."""
+        """Queue a call; calls beyond ``MAX_QUEUED_CALLS`` are also counted."""
         if len(self.queue) >= MAX_QUEUED_CALLS:
             self.queue_full_count += 1
         self.queue.append(call)
@@ -78,7 +78,7 @@
                 running.cancel()
 
     async def close(self) -> None:
-        """Cancel all running calls and wait for their ends."""
+        """Cancel all running calls and wait until they have ended."""
         for running in self.running.values():
             running.cancel()
         await asyncio.gather(*self.running.values(), return_exceptions=True)
--- a/saffrongw/leases/task_schedule.py
+++ b/saffrongw/leases/task_schedule.py
@@ -1,16 +1,17 @@
-"""When the tasks of held leases run, and how often.
+"""The schedule of the tasks under held leases: when and how often each one runs.
 
-No I/O: time is passed in, actions are returned. A task has turns: turn ``k`` is due at Unix time
-``k * period + offset``, alike on every gateway. The progress of the last turn is reported to the
-voters and comes with the next grant. Two guarantees:
+No I/O: time is passed in, actions are returned. A task runs in turns: turn ``k`` is due at Unix
+time ``k * period + offset``, the same on every gateway. The holder reports the progress of the last
+turn to the voters, and the next holder receives it with its grant. A task has one of two
+guarantees:
 
-``at-least``: a turn that nobody is known to have finished is run, so one whose end was not reported
-runs again. ``at-most``: a turn starts only after a majority of the voters has stored that it does,
-and never twice. Where the memory of a voter that was asked is younger than the turn, the turn may
-have started and been forgotten: it is left out.
+``at-least``: a turn runs unless its end is known, so a turn whose end was not reported runs again.
+``at-most``: a turn starts only after a majority of the voters has stored its start, and never
+twice. If a voter of the majority that granted the lease has complete memory only since after the
+turn was due, the turn may have started and been forgotten, so it is skipped.
 
-The wall clock says which turn it is and nothing else. On a gateway whose clock is behind the last
-known turn, turns go on from there by its own clock.
+The wall clock only says which turn is due. If a gateway's wall clock is behind the last known turn,
+the gateway continues from that turn and counts periods on its monotonic clock.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 from .spec import TaskSpec
 from .timing import SECOND_US
 
-# By how much wall clocks may differ without harm to ``at-most``.
+# Difference between gateways' wall clocks up to which ``at-most`` is guaranteed.
 MAX_WALL_CLOCK_SKEW_US = 2 * SECOND_US
 MIN_RETRY_WAIT_US = SECOND_US // 2
 MAX_RETRY_WAIT_US = 60 * SECOND_US
@@ -33,13 +34,13 @@
     """How a task's call ended; the values are names in /admin/leases and /admin/stats."""
 
     DONE = "done"
-    # Rejected or malformed: it had no effect, or the receiver says so.
+    # It was not sent, or the receiver answered that it failed: it had no effect.
     FAILED = "failed"
     # It may have had an effect.
     UNKNOWN = "unknown"
     # The receiver has seen a higher fencing token.
     FENCED_OFF = "outrun"
-    # Too little was left of the lease when it was to begin.
+    # Too little of the lease was left to start it.
     LATE = "late"
 
 
@@ -75,7 +76,7 @@
     """What a task under a held lease waits for; the values are shown by /admin/leases."""
 
     WAITING = "waiting"
-    # For a majority to store that a turn starts.
+    # For a majority to store the start of a turn.
     RECORDING_START = "noting"
     RUNNING = "running"
     # For a majority to store how a turn ended.
@@ -89,7 +90,8 @@
     spec: TaskSpec
     lease: str
     fencing_token: int
-    # Unix us since when the voters' memory is complete; 0 once a turn has passed under this grant.
+    # Since when the voters' memory is complete, in Unix us; 0 once a turn has ended under this
+    # grant.
     memory_since_us: int
     last_progress: TaskProgress | None
     phase: TaskPhase = TaskPhase.WAITING
@@ -107,7 +109,7 @@
     def __init__(self) -> None:
         """Start without tasks."""
         self.tasks: dict[str, ScheduledTask] = {}
-        # Tasks whose call may finish though their lease is lost.
+        # Tasks whose running call may finish after their lease was lost.
         self.finishing: dict[str, ScheduledTask] = {}
         # Names in /admin/stats.
         names = (
@@ -160,9 +162,14 @@
         return actions
 
     def replace_specs(self, now: int, specs: dict[str, list[TaskSpec]]) -> list[ScheduleAction]:
-        """Change to other tasks, by lease; a running call ends under its former specification."""
+        """Replace the tasks, given by lease.
+
+        A running call ends under its former specification.
+        """
         actions: list[ScheduleAction] = []
-        new_specs = {spec.name: (lease, spec) for lease, some in specs.items() for spec in some}
+        new_specs = {
+            spec.name: (lease, spec) for lease, lease_specs in specs.items() for spec in lease_specs
+        }
         for name, task in list(self.tasks.items()):
             lease, spec = new_specs.get(name, (None, task.spec))
             if lease != task.lease:
@@ -176,7 +183,7 @@
         return actions
 
     def idle(self, lease: str) -> bool:
-        """Return whether no task is in the middle of a turn: the lease may be given back."""
+        """Return whether no task is in the middle of a turn, so that the lease may be released."""
         return all(
             task.phase is TaskPhase.WAITING for task in self.tasks.values() if task.lease == lease
         )
@@ -184,14 +191,14 @@
     # -- time --------------------------------------------------------------------------------------
 
     def next_at(self) -> int | None:
-        """Return when ``due`` has something to do."""
+        """Return when ``due`` has to be called next; None if no task is waiting."""
         waiting = (
             task.next_check_us for task in self.tasks.values() if task.phase is TaskPhase.WAITING
         )
         return min(waiting, default=None)
 
     def due(self, now: int, wall: int, remaining_us: Callable[[str], int]) -> list[ScheduleAction]:
-        """Start the turns that are due; ``remaining_us`` returns how long a lease is still held."""
+        """Start the due turns; ``remaining_us`` returns how much longer a lease is held."""
         actions: list[ScheduleAction] = []
         for task in self.tasks.values():
             if task.phase is TaskPhase.WAITING and task.next_check_us <= now:
@@ -232,11 +239,11 @@
             return turn
         if last.turn == turn:
             if spec.delivery == "at-least" and last.state == TurnState.STARTED:
-                # It started, and its end is not known.
+                # The turn has started, and its end is not known.
                 return turn
             task.next_check_us = now + max(1, spec.due_at(turn + 1) - wall)
             return None
-        # Our clock is behind that of the gateway which ran the last turn: go on from there.
+        # Our clock is behind that of the gateway that ran the last turn: continue from that turn.
         task.clock_behind = True
         self.counters["clock_behind"] += 1
         if task.turn != last.turn + 1:
@@ -273,7 +280,7 @@
         confirmed: Iterable[TaskProgress],
         remaining_us: Callable[[str], int],
     ) -> list[ScheduleAction]:
-        """Go on with the tasks whose progress a majority has stored."""
+        """Continue the tasks whose progress a majority has stored."""
         actions: list[ScheduleAction] = []
         stored = set(confirmed)
         for task in self.tasks.values():
@@ -284,7 +291,7 @@
                 if remaining_us(lease) > task.spec.max_call_us:
                     actions.append(self._run(task))
                     continue
-                # Stored as started and not run: at most once.
+                # The start is stored, so an at-most turn is not tried again.
                 self.counters["late"] += 1
             task.phase, task.next_check_us = TaskPhase.WAITING, now
         return actions
@@ -292,7 +299,7 @@
     def call_finished(
         self, now: int, wall: int, name: str, turn: int, outcome: CallOutcome
     ) -> list[ScheduleAction]:
-        """Retry a call that has ended, or report how the turn ended."""
+        """Handle the end of a call: schedule a retry, or report how the turn ended."""
         self.counters[outcome.value] += 1
         task = self.tasks.get(name)
         if task is None or task.phase is not TaskPhase.RUNNING or task.turn != turn:
@@ -309,7 +316,7 @@
     def _finished_without_lease(
         self, name: str, turn: int, outcome: CallOutcome
     ) -> list[ScheduleAction]:
-        """Report a call that finished after its lease was lost: the new holder may learn of it."""
+        """Report a call that finished after its lease was lost, for the new holder to learn of."""
         task = self.finishing.pop(name, None)
         if task is None or outcome is not CallOutcome.DONE:
             return []
--- a/saffrongw/leases/token_reservation.py
+++ b/saffrongw/leases/token_reservation.py
@@ -1,4 +1,4 @@
-"""Reserves fencing tokens on the disk, well before an acceptor needs them."""
+"""Reserves fencing tokens on disk, well before the acceptor grants them."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 
 class TokenReservation:
-    """Writes on the store's own thread; one write at a time."""
+    """Reserves tokens on the store's own thread, by one write at a time."""
 
     def __init__(
         self, store: LeaseStore, loop: asyncio.AbstractEventLoop, clock: LeaseClock
     ) -> None:
-        """Reserve in a store that is open."""
+        """Reserve tokens in a store that is already open."""
         self.store = store
         self.loop = loop
         self.clock = clock
-        # The cause, when the last write failed.
+        # Why the last write failed; empty if it succeeded.
         self.error = ""
         self._writing = False
 
     def reserve_ahead(self, acceptor: Acceptor | None) -> None:
-        """Begin to reserve another block where less than half a block is left."""
+        """Start to reserve another block if less than half a block is left."""
         if acceptor is None or self._writing:
             return
         used = max(acceptor.highest_granted_token(), self.clock.wall_ms())
--- a/saffrongw/leases/voter_set.py
+++ b/saffrongw/leases/voter_set.py
@@ -1,14 +1,15 @@
-"""Which voter set is in force, while one replaces another.
-
-Sets are numbered by the operator file. An answer counts only between two gateways that are at the
-same set, so a quorum is always of one set. A voter of a new set first makes sure that no quorum of
-any former set can form again: for each former set that its file lists, a majority of that set's
-voters have replied that *their* files are at this set or a later one (on their disks, so a restart
-does not undo it). Then it is silent for one lease duration, as after a start: what the former sets
-granted has expired by then. So two sets may have no member in common, files may be changed in any
-order, and a gateway that never gets the new file is granted nothing any more. The price is a pause
-of about one duration in which an expired lease is not granted again. No I/O; times are
-microseconds.
+"""The replacement of one voter set by another.
+
+The operator file numbers the sets. Messages count only between two gateways at the same set, so a
+quorum never mixes sets. A voter of a new set first makes sure that no quorum of a former set can
+form again: for each former set that its file lists, it waits until a majority of that set's voters
+have replied that their own files are at this set or a later one. Those files are on disk, so a
+restart does not undo this. The voter is then silent for one lease duration, as after a start, until
+all grants of the former sets have expired.
+
+So two sets need no common member, files may be changed in any order, and a gateway that never gets
+the new file is granted nothing any more. The cost is a pause of about one duration in which an
+expired lease is not granted again. No I/O; times are microseconds.
 """
 
 from __future__ import annotations
@@ -33,11 +34,11 @@
 
 @dataclass(slots=True)
 class VoterSetTransition:
-    """What one voter knows of the change from former voter sets to its own."""
+    """One voter's progress in the change from former voter sets to its own."""
 
     own: VoterSet
     former: tuple[VoterSet, ...] = ()
-    # By number of a former set: its voters that have left it.
+    # The voters that have left each former set, by the set's number.
     sealed: dict[int, set[str]] = field(default_factory=dict)
     next_query_us: int = 0
 
@@ -45,7 +46,7 @@
         return len(self.sealed.get(former.number, ())) >= former.majority
 
     def complete(self) -> bool:
-        """Return whether no former set can grant anything any more."""
+        """Return whether no former set can grant a lease any more."""
         return all(self._is_sealed(one) for one in self.former)
 
     def due(self, now: int) -> list[str]:
--- a/tests/channel/test_channel_socket.py
+++ b/tests/channel/test_channel_socket.py
@@ -1,4 +1,4 @@
-"""The datagram channel over sockets: binding, a first payload to an unknown incarnation, closing."""
+"""The datagram channel over UDP sockets: binding, closing, receivers of unknown incarnation."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def channel(name: str, incarnation: int) -> DatagramChannel:
-    """A channel on a free port of this machine."""
+    """Return a channel on a free port of this machine."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
         probe.bind(("127.0.0.1", 0))
         address = probe.getsockname()
--- a/tests/channel/test_signed_datagram.py
+++ b/tests/channel/test_signed_datagram.py
@@ -1,4 +1,4 @@
-"""Signed datagrams: forged, foreign, replayed, for another incarnation; key rotation; bounds."""
+"""Signed datagrams: forged, malformed, replayed, for another incarnation; key rotation; bounds."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
             assert b.open((head + draw.randbytes(size))[:size]) is None
 
 
-def test_an_authenticated_datagram_of_another_form_is_rejected():
+def test_an_authenticated_datagram_with_malformed_content_is_rejected():
     import hmac
 
     _, b = pair()
@@ -128,7 +128,7 @@
 
 
 def test_a_datagram_has_the_bytes_of_released_versions_both_ways():
-    """The bytes were packed by version 7ab00fb."""
+    """The bytes come from version 7ab00fb."""
     packed = bytes.fromhex(
         "736701dd7654f097a1610ba162160101c40568656c6c6f0e8344aafbbc28d67eaa707b7e50afbb"
     )
--- a/tests/leases/consensus_rig.py
+++ b/tests/leases/consensus_rig.py
@@ -1,4 +1,4 @@
-"""A few acceptors and proposers of one lease, with messages that arrive when the test says so."""
+"""Acceptors and proposers of one lease, whose messages are delivered by the test."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ConsensusRig:
-    """Three voters and as many proposers as are named; messages arrive when the test says so."""
+    """Three voters, and one proposer for each name; the test delivers their messages."""
 
     def __init__(self, *proposers: str, silent: bool = False) -> None:
         self.now = 100 * SECOND_US
@@ -36,7 +36,8 @@
     def wall(self) -> int:
         return WALL + self.now
 
-    def to(self, voter: str, sender: str, message, incarnation: int = 1) -> list:
+    def send_to(self, voter: str, sender: str, message, incarnation: int = 1) -> list:
+        """Deliver a message to a voter, and return its answers."""
         return [
             m
             for _, m in self.acceptors[voter].handle(
@@ -44,30 +45,31 @@
             )
         ]
 
-    def pass_on(self, sender: str, out, to=NAMES) -> None:
-        """Deliver what a proposer sent, and the answers, until nothing is left."""
+    def deliver(self, sender: str, out, reachable=NAMES) -> None:
+        """Deliver a proposer's messages to the reachable voters, and all answers to it."""
         proposer, waiting = self.proposers[sender], list(out)
         while waiting:
             voter, message = waiting.pop(0)
-            if voter in to:
-                for answer in self.to(voter, sender, message):
+            if voter in reachable:
+                for answer in self.send_to(voter, sender, message):
                     waiting += proposer.handle(self.now, voter, answer)
 
-    def acquire(self, name: str, to=NAMES) -> int:
-        """Acquire the lease; return the token it is held under, 0 where it is not."""
+    def acquire(self, name: str, reachable=NAMES) -> int:
+        """Try to acquire the lease; return the token that it is held under, or 0."""
         proposer = self.proposers[name]
         promised = [e.promised.number for v in self.acceptors.values() for e in v.records.values()]
         proposer.propose(
             self.now, LEASE, ballot_number=max(promised, default=0)
-        )  # as the offer of a voter says
-        self.pass_on(name, proposer.due(self.now), to)
+        )  # the ballot number that a voter's offer would name
+        self.deliver(name, proposer.due(self.now), reachable)
         return self.token(name)
 
     def token(self, name: str) -> int:
         held = self.proposers[name].held(self.now)
         return held[0].fencing_token if held else 0
 
-    def wait(self, span: int) -> None:
+    def advance(self, span: int) -> None:
+        """Advance the clock, and expire the acceptors' grants."""
         self.now += span
         for acceptor in self.acceptors.values():
             acceptor.due(self.now, self.wall)
--- a/tests/leases/fleet_rig.py
+++ b/tests/leases/fleet_rig.py
@@ -1,4 +1,4 @@
-"""Simulated fleets that have settled: every lease has its holder."""
+"""Runs simulated fleets until their leases are held."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 LEASE = shard_name(0, 1)
 
 
-def settled(field: SimulatedFleet, until: int = 30 * SECOND_US) -> SimulatedFleet:
-    """Run a fleet until a time in us of the virtual clock."""
-    field.fleet.run(until)
-    return field
+def settled(simulation: SimulatedFleet, until: int = 30 * SECOND_US) -> SimulatedFleet:
+    """Run a fleet until a time of the virtual clock in us, and return it."""
+    simulation.fleet.run(until)
+    return simulation
--- a/tests/leases/test_clock_drift.py
+++ b/tests/leases/test_clock_drift.py
@@ -1,4 +1,4 @@
-"""Estimates of clock rates."""
+"""Estimates of clock rates: the bounds hold for any network delay."""
 
 from __future__ import annotations
 
@@ -22,6 +22,7 @@
         assert lowest - 1e-4 <= rate <= highest + 1e-4
     rates = ClockDriftEstimates(Timing(SECOND_US, 0.01))
     rates.add(GatewayId("v0", 1), Reading(0, 0, 10))
-    rates.add(GatewayId("v0", 2), Reading(9**9, 100, 110))  # another incarnation: another clock
+    # Another incarnation starts a new baseline, as its clock may be another one.
+    rates.add(GatewayId("v0", 2), Reading(9**9, 100, 110))
     assert not rates.wrong
     assert "v0" not in rates.rates
--- a/tests/leases/test_interleavings.py
+++ b/tests/leases/test_interleavings.py
@@ -1,4 +1,7 @@
-"""Every interleaving of small cases: no breach, and each planted fault is found with its story."""
+"""Explores every interleaving of small cases.
+
+No lease ever has two holders, and each planted fault is found with a shortest sequence of steps.
+"""
 
 from __future__ import annotations
 
@@ -33,7 +36,7 @@
     "a grant on top of another's": {"acceptor": planted.DoubleGrantAcceptor, "first_leads": True},
     "clocks beyond the bound": {"rates": (2.0, 0.5), "ticks": 2, "first_leads": True},
 }
-TRUE = {
+CORRECT = {
     "two propose": {"ticks": 2},
     "one restarts": {"ticks": 3, "restarts": 1, "first_leads": True},
     "one message is doubled": {"ticks": 2, "duplicates": 1, "first_leads": True},
@@ -42,25 +45,25 @@
 }
 
 
-@pytest.mark.parametrize("name", TRUE)
+@pytest.mark.parametrize("name", CORRECT)
 def test_no_state_has_two_holders_and_a_free_lease_can_be_acquired(name):
-    found = Explorer(LeaseCase(**TRUE[name], regain=True)).run()
+    found = Explorer(LeaseCase(**CORRECT[name], regain=True)).run()
     assert found.whole, found.text()
     assert not found.breach, found.text()
     assert found.states > 500
 
 
 @pytest.mark.parametrize("name", PLANTED)
-def test_each_planted_fault_is_found_with_its_shortest_story(name):
+def test_each_planted_fault_is_found_with_a_short_sequence_of_steps(name):
     found = Explorer(LeaseCase(**PLANTED[name])).run()
     assert found.breach, found.text()
     assert "hold" in found.breach
     assert 5 <= len(found.story) <= 25
     assert found.story[0].endswith("asks")
     # The same case without the fault has no breach within as many states.
-    plain = {
+    without_fault = {
         k: v
         for k, v in PLANTED[name].items()
         if k not in ("acceptor", "proposer", "timing", "rates")
     }
-    assert not Explorer(LeaseCase(**plain), found.states).run().breach
+    assert not Explorer(LeaseCase(**without_fault), found.states).run().breach
--- a/tests/leases/test_leader_guard.py
+++ b/tests/leases/test_leader_guard.py
@@ -1,4 +1,4 @@
-"""Certificates ordered under a lease: the shared folder rejects writes under older tokens."""
+"""Certificate orders under a lease: the shared folder rejects writes under an older token."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class FakeLeaderGuard:
-    """A leader guard whose lease the test gives and takes."""
+    """A leader guard whose fencing token the test sets; 0: it is not the leader."""
 
     def __init__(self) -> None:
         self.now, self.required_above = 0, 0
@@ -34,7 +34,7 @@
 
 
 class Folder:
-    """Two gateways under leases, one by the folder's own lease."""
+    """A shared folder of two gateways with leader guards and one with the folder's own lease."""
 
     def __init__(self, tmp_path) -> None:
         self.now = 1_700_000_000.0
@@ -70,13 +70,13 @@
         folder.write("b", 700)
 
 
-def test_a_stopped_leader_writes_nothing_once_its_lease_or_token_is_over(folder):
+def test_a_paused_leader_writes_nothing_once_its_lease_or_token_is_over(folder):
     folder.hold("a", 700)
     folder.guards["a"].now = 0
     with pytest.raises(LostLeaseError):
         folder.write("a", 700)
-    # It still believes in its lease, as after a stop between its check and the write: the folder
-    # has seen a newer one.
+    # A leader that was paused between its check and the write still believes in its lease: the
+    # folder rejects it, as it has seen a higher token.
     folder.hold("b", 701)
     folder.guards["a"].now = 700
     with pytest.raises(LostLeaseError):
@@ -91,9 +91,9 @@
     assert folder.hold("b", 701) == 701
 
 
-def test_beside_gateways_with_the_file_lease_alone_one_orders(folder):
+def test_leader_guards_and_the_folders_own_lease_exclude_each_other(folder):
     assert folder.plain.lease.acquire("p") == (1, folder.now + 15)
-    assert folder.hold("a", 700) == 0  # it waits for the file's own lease to end
+    assert folder.hold("a", 700) == 0  # the folder's own lease is still held
     folder.now += 32.5
     assert folder.hold("a", 700) == 700
     assert folder.plain.lease.acquire("p")[0] == 0
@@ -101,16 +101,15 @@
         folder.plain.certificates.amend(NAME, lambda _: CertNote(), OrderingTerm("p", 1))
     folder.now += 10
     folder.stores["a"].lease.release("a")
-    assert (
-        folder.plain.lease.acquire("p")[0] == 701
-    )  # and the next one under a lease has to be above it
+    # The folder's own lease gets the next number, and a later leader's token must be above it.
+    assert folder.plain.lease.acquire("p")[0] == 701
     folder.now += 40
     assert folder.hold("b", 700) == 0
     assert folder.guards["b"].required_above == 701
 
 
 class CertWorld(LeaseWorld):
-    """Gateways with [leases] and [certs] that share a folder."""
+    """Gateways with [leases] and [certs] that share a certificate folder."""
 
     def __init__(self, *given) -> None:
         super().__init__(*given)
--- a/tests/leases/test_lease_candidates.py
+++ b/tests/leases/test_lease_candidates.py
@@ -1,4 +1,4 @@
-"""Candidates: the order in which they are offered leases."""
+"""The order in which candidates are offered leases."""
 
 from __future__ import annotations
 
@@ -19,5 +19,5 @@
     assert 0 < len(moved) <= 2.5 * shards / 11
     candidates.remove("g10")
     assert {lease: candidates.order(lease)[0] for lease in candidates.leases()} == before
-    few = {shard_of(f"t{n}", 16) for n in range(500)}
-    assert len(few) == 16
+    shards_with_tasks = {shard_of(f"t{n}", 16) for n in range(500)}
+    assert len(shards_with_tasks) == 16
--- a/tests/leases/test_lease_messages.py
+++ b/tests/leases/test_lease_messages.py
@@ -1,4 +1,4 @@
-"""Bytes of lease messages, as released versions send them."""
+"""The wire format of lease messages: the bytes that released versions send and accept."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 PROGRESS = (bytes(range(1, 9)), 28333333, 1700000000123, 3)
 SUSPENSION = ("s0/1", 1700003600.5, "night shift", "wrong table", 1700000000.25)
 
-# Bytes of a packet of voter set 2, clock 5,000,000, with one message: taken from version 7ab00fb.
+# A packet of voter set 2 and clock 5,000,000 with one message, as encoded by version 7ab00fb.
 ON_THE_WIRE = {
     1: "9302ce004c4b40919501a473302f319307a467772d31cf0000011f71fb04cbc329",
     2: "9302ce004c4b40919702a473302f319307a467772d31cf0000011f71fb04cb03ce009896802ac2",
@@ -33,7 +33,7 @@
 
 
 def message_of(tag: int) -> messages.Message:
-    """The message of a kind whose bytes are pinned above."""
+    """Return the message whose bytes are pinned above."""
     ballot = messages.Ballot(*BALLOT)
     progress = (messages.TaskProgress(*PROGRESS),)
     suspensions = (messages.Suspension(*SUSPENSION),)
--- a/tests/leases/test_lease_store.py
+++ b/tests/leases/test_lease_store.py
@@ -1,4 +1,4 @@
-"""The store of reserved tokens: released versions read it, and it reads theirs."""
+"""The store of reserved tokens: released versions can read its file, and it reads theirs."""
 
 from __future__ import annotations
 
--- a/tests/leases/test_lease_suspensions.py
+++ b/tests/leases/test_lease_suspensions.py
@@ -1,4 +1,4 @@
-"""Suspensions: which of two wins, and bounds."""
+"""Suspensions: the later of two wins, and bounds."""
 
 from __future__ import annotations
 
--- a/tests/leases/test_lease_timing.py
+++ b/tests/leases/test_lease_timing.py
@@ -1,4 +1,4 @@
-"""Durations of a lease: the inequality over clock rates, and bounds."""
+"""Durations of a lease: the inequality of ``timing.py`` over clock rates, and bounds."""
 
 from __future__ import annotations
 
--- a/tests/leases/test_progress_reports.py
+++ b/tests/leases/test_progress_reports.py
@@ -1,4 +1,4 @@
-"""Reports of task progress: sent again until a majority has stored them, one after the other."""
+"""Reports of task progress: one at a time, each sent again until a majority has stored it."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     assert not reports.pending
 
 
-def test_progress_reported_meanwhile_is_sent_next():
+def test_progress_reported_while_a_report_is_pending_is_sent_next():
     reports = ProgressReports(TIMING)
     reports.add(0, LEASE, (FIRST,))
     reports.add(0, LEASE, (SECOND,))
--- a/tests/leases/test_recall_votes.py
+++ b/tests/leases/test_recall_votes.py
@@ -1,4 +1,4 @@
-"""Votes of voters to recall a lease from its holder."""
+"""The voters' votes to recall a lease from its holder."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     assert votes.count("v1", ("s0/2",), HELD, 2) == []
 
 
-def test_votes_on_a_lease_that_is_not_held_or_was_given_back_do_not_count():
+def test_votes_on_a_lease_that_is_not_held_or_was_released_do_not_count():
     votes = RecallVotes()
     votes.count("v0", ("s0/2", "s9/9"), HELD, 2)
     votes.discard("s0/2")
--- a/tests/leases/test_service.py
+++ b/tests/leases/test_service.py
@@ -1,4 +1,4 @@
-"""Leases in service: what operators do over real gateways, forged datagrams, what is loaded."""
+"""Leases of real gateway processes: operator commands, forged datagrams, invalid operator files."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def command(world: LeaseWorld, number: int, *words: str) -> tuple[int, str]:
-    """The command line against a gateway."""
+    """Run a command of the admin CLI against a gateway; return its status and output."""
     where = ["-m", "saffrongw.admin.cli", "leases", "--admin", text_of(world.admins[number])]
     done = subprocess.run(
         [sys.executable, *where, *words], cwd=ROOT, capture_output=True, text=True, timeout=30
@@ -32,22 +32,24 @@
     return done.returncode, done.stdout + done.stderr
 
 
-async def figure(world: LeaseWorld, number: int, name: str) -> int:
+async def metric(world: LeaseWorld, number: int, name: str) -> int:
+    """Return a metric of a gateway."""
     text = (await world.call(number, "GET", "/admin/stats")).decode()
     return next(
         int(line.partition("=")[2]) for line in text.splitlines() if line.startswith(f"svc.{name}=")
     )
 
 
-async def when(condition, within: float = 20.0) -> None:
-    async with asyncio.timeout(within):
+async def wait_until(condition, timeout_s: float = 20.0) -> None:
+    """Wait until the condition holds; raise ``TimeoutError`` if it does not in time."""
+    async with asyncio.timeout(timeout_s):
         while not await condition():
             await asyncio.sleep(0.05)
 
 
-async def holder_of(world: LeaseWorld, task: str, among=range(9)) -> int | None:
-    """By each gateway's own word right now."""
-    for number in among:
+async def holder_of(world: LeaseWorld, task: str, numbers=range(9)) -> int | None:
+    """Return the gateway that reports to hold a task's lease now."""
+    for number in numbers:
         if number < world.day.gateways:
             state = await world.state(number)
             lease = next(t["lease"] for t in state["tasks"] if t["task"] == task)
@@ -56,8 +58,8 @@
     return None
 
 
-def rewrite(world: LeaseWorld, change) -> None:
-    """Another operator file for every gateway, and SIGHUP."""
+def reload_all(world: LeaseWorld, change) -> None:
+    """Rewrite the operator file of every gateway, and send SIGHUP."""
     for gateway in world.gateways:
         path = world.folder / f"n{gateway.number}.toml"
         path.write_text(change(gateway.number, path.read_text()))
@@ -65,7 +67,7 @@
 
 
 async def is_held(world: LeaseWorld) -> bool:
-    """Whether some gateway holds the lease of the first task."""
+    """Return whether some gateway holds the lease of the first task."""
     return await holder_of(world, "task0") is not None
 
 
@@ -76,13 +78,13 @@
 
 
 async def release_first_task(world: LeaseWorld) -> None:
-    """Release the first task's lease at its holder: another gateway takes it."""
+    """Release the first task's lease at its holder: another gateway acquires it."""
     status, text = await asyncio.to_thread(command, world, 0, "list")
     assert status == 0
     assert "task0" in text
     assert "a majority was heard" in text
     status, text = 2, ""
-    while status:  # in the first seconds leases still move to where they belong
+    while status:  # in the first seconds leases still move to their preferred candidates
         assert not text or "not by this gateway" in text
         first = await holder_of(world, "task0")
         status, text = await asyncio.to_thread(command, world, first or 0, "release", "task0")
@@ -94,19 +96,19 @@
     async def moved() -> bool:
         return await holder_of(world, "task0") not in (None, first)
 
-    await when(moved)
+    await wait_until(moved)
     assert (await asyncio.to_thread(command, world, first, "release", "task0"))[0] == 2
 
 
 async def suspend_first_task(world: LeaseWorld) -> None:
-    """Suspend the first task's lease: nobody holds it until that is ended."""
+    """Suspend the first task's lease: no gateway holds it until the suspension ends."""
     suspend = ("hold", "task0", "--for", "1h", "--who", "night shift", "--why", "wrong table")
     assert (await asyncio.to_thread(command, world, 4, *suspend))[0] == 0
 
-    async def nobody() -> bool:
+    async def is_free() -> bool:
         return await holder_of(world, "task0") is None
 
-    await when(nobody)
+    await wait_until(is_free)
     _, text = await asyncio.to_thread(command, world, 1, "list")
     assert "night shift" in text
     assert "wrong table" in text
@@ -117,14 +119,14 @@
     async def restarted_voter_knows() -> bool:
         return bool((await world.state(1))["holds"])
 
-    await when(restarted_voter_knows)
+    await wait_until(restarted_voter_knows)
     calls = len(world.receiver.calls)
     assert (await asyncio.to_thread(command, world, 3, "hold", "task0", "--for", "0"))[0] == 0
 
     async def called_after_the_end() -> bool:
         return await is_held(world) and len(world.receiver.calls) > calls
 
-    await when(called_after_the_end)
+    await wait_until(called_after_the_end)
     for words in (
         ("show", "none"),
         ("hold", "none", "--for", "1m"),
@@ -134,38 +136,38 @@
 
 
 async def rotate_keys(world: LeaseWorld) -> None:
-    """Replace the shared key in three steps, with nothing forged in between."""
+    """Replace the shared key in three steps; no datagram counts as forged in between."""
     new = world.folder / "new"
     new.write_text(secrets.token_hex(32))
     new.chmod(0o600)
     old = f'keys = ["{world.folder / "key"}"]'
-    both, turned, only = (
+    both, swapped, only = (
         f"keys = [{', '.join(f'{str(p)!r}' for p in some)}]"
         for some in ((world.folder / "key", new), (new, world.folder / "key"), (new,))
     )
-    for before, after in ((old, both), (both, turned), (turned, only)):
-        rewrite(world, lambda _, text, before=before, after=after: text.replace(before, after))
+    for before, after in ((old, both), (both, swapped), (swapped, only)):
+        reload_all(world, lambda _, text, before=before, after=after: text.replace(before, after))
         await asyncio.sleep(0.5)
-        await when(lambda: is_held(world))
+        await wait_until(lambda: is_held(world))
     world.keys = only
-    assert [await figure(world, n, "channel.forged") for n in range(5)] == [0] * 5
+    assert [await metric(world, n, "channel.forged") for n in range(5)] == [0] * 5
 
 
 async def change_voters(world: LeaseWorld) -> None:
-    """Replace two of three voters, by a new set that names the former one."""
+    """Replace two of three voters by a new voter set that lists the former one."""
     # An invalid file is logged, and the old one stays in force.
-    rewrite(world, lambda _, text: text.replace('name = "n2"\naddress', 'name = "n3"\naddress'))
+    reload_all(world, lambda _, text: text.replace('name = "n2"\naddress', 'name = "n3"\naddress'))
     await asyncio.sleep(0.3)
     assert (await world.state(0))["voters"] == ["n0", "n1", "n2"]
     assert "give the new ones a higher leases.set" in (world.folder / "n0.log").read_text()
 
-    def second(number: int, text: str) -> str:
-        at = {v: text_of(world.relay.address(number, v)) for v in range(5)}
+    def second_set(number: int, text: str) -> str:
+        addresses = {v: text_of(world.relay.address(number, v)) for v in range(5)}
         head = world.operator_text(number).partition("[[leases.voter]]")[0]
         tasks = "[[leases.task]]" + text.partition("[[leases.task]]")[2]
-        former = ", ".join(f'"n{v}={at[v]}"' for v in (0, 1, 2))
+        former = ", ".join(f'"n{v}={addresses[v]}"' for v in (0, 1, 2))
         voters = "".join(
-            f'[[leases.voter]]\nname = "n{v}"\naddress = "{at[v]}"\n' for v in (2, 3, 4)
+            f'[[leases.voter]]\nname = "n{v}"\naddress = "{addresses[v]}"\n' for v in (2, 3, 4)
         )
         old = f'keys = ["{world.folder / "key"}"]'
         return (
@@ -173,7 +175,7 @@
             + f"[[leases.former]]\nset = 1\nvoters = [{former}]\n{voters}{tasks}"
         )
 
-    rewrite(world, second)
+    reload_all(world, second_set)
 
     async def sealed() -> bool:
         states = [await world.state(n) for n in range(5)]
@@ -181,8 +183,8 @@
             s["sealed"] for s in states[2:]
         )
 
-    await when(sealed)
-    await when(lambda: is_held(world))
+    await wait_until(sealed)
+    await wait_until(lambda: is_held(world))
 
 
 def test_operators_suspend_release_rotate_keys_and_change_voters_in_service(tmp_path):
@@ -191,7 +193,7 @@
         world = LeaseWorld(LeaseDay(31, 5, 3, tasks=2), tmp_path)
         try:
             await world.open()
-            await when(lambda: is_held(world))
+            await wait_until(lambda: is_held(world))
             await release_and_suspend(world)
             await rotate_keys(world)
             await change_voters(world)
@@ -209,10 +211,10 @@
         try:
             await world.open()
             world.receiver.highest["task0"] = 1 << 50  # as if another fleet had called it
-            await when(lambda: _accepted(world))
+            await wait_until(lambda: _accepted(world))
             first = next(call for call in world.receiver.calls if call.accepted)
             assert first.number > 1 << 50
-            world.receiver.highest["task0"] = 1 << 61  # beyond what numbers go to
+            world.receiver.highest["task0"] = 1 << 61  # above every fencing token
             before = len(world.receiver.calls)
             await asyncio.sleep(3)
             assert len(world.receiver.calls) - before < 30
@@ -233,7 +235,7 @@
         try:
             await world.open()
             await asyncio.sleep(2.5)
-            before = [await figure(world, 0, name) for name in ("channel.known", "voter.standing")]
+            before = [await metric(world, 0, name) for name in ("channel.known", "voter.standing")]
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
                 for n in range(10_000):
                     sock.sendto(b"sg\x01" + os.urandom(4 + n % 1_000), world.channels[0])
@@ -241,11 +243,11 @@
                         await asyncio.sleep(0.001)
 
             async def noticed() -> bool:
-                return await figure(world, 0, "channel.forged") > 1_000
+                return await metric(world, 0, "channel.forged") > 1_000
 
-            await when(noticed)
+            await wait_until(noticed)
             assert [
-                await figure(world, 0, name) for name in ("channel.known", "voter.standing")
+                await metric(world, 0, name) for name in ("channel.known", "voter.standing")
             ] == before
             assert await holder_of(world, "task0") is not None
         finally:
@@ -262,13 +264,13 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "why"),
+    ("text", "cause"),
     [
         ("[leases]\n" + VOTER, "leases needs a [channel]"),
         (HEAD + "[leases]\n" + VOTER + VOTER.replace('"a"', '"b"'), "1, 3, 5 or 7 voters"),
         (HEAD + "[leases]\nset = 2\n" + VOTER, "name the sets before"),
         (HEAD + "[leases]\nspan_s = 2\n" + VOTER + TASK, "needs_s"),
-        (HEAD + "[leases]\n" + VOTER + TASK + TASK, "a task stands twice"),
+        (HEAD + "[leases]\n" + VOTER + TASK + TASK, "two tasks have the same name"),
         (HEAD + "[leases]\ndrift = 0.9\n" + VOTER, "drift"),
         (HEAD + "[leases]\n" + VOTER + TASK.replace("http://", "https://"), "call"),
         (
@@ -281,16 +283,16 @@
         (HEAD.replace('"a"', '"a b"'), "name"),
     ],
 )
-def test_an_invalid_operator_file_is_rejected_with_its_cause(text, why, tmp_path, capsys):
+def test_an_invalid_operator_file_is_rejected_with_its_cause(text, cause, tmp_path, capsys):
     path = tmp_path / "o.toml"
     path.write_text(text)
     assert cli.main(["check", str(path)]) == 2
-    said = capsys.readouterr().err
-    assert why in said
-    assert "Traceback" not in said
+    stderr = capsys.readouterr().err
+    assert cause in stderr
+    assert "Traceback" not in stderr
 
 
-def test_without_its_tables_no_lease_module_is_loaded(tmp_path):
+def test_without_their_tables_no_module_of_leases_or_channel_is_imported(tmp_path):
     path = tmp_path / "o.toml"
     path.write_text("[stages]\ntime_share = 0.3\n")
     code = (
--- a/tests/leases/test_state_report.py
+++ b/tests/leases/test_state_report.py
@@ -1,4 +1,7 @@
-"""Names that operators see of leases: metrics, fields, answers of commands. They must not change."""
+"""The public names of leases: metrics, state fields and replies of admin commands.
+
+Operators' tools match them, so they must not change.
+"""
 
 from __future__ import annotations
 
@@ -30,7 +33,7 @@
 
 
 class FakeChannel:
-    """A channel that loses everything."""
+    """A channel that loses every datagram."""
 
     def __init__(self) -> None:
         self.handlers: dict[int, Callable[[str, int, bytes], None]] = {}
@@ -67,7 +70,7 @@
 
 def test_metrics_have_the_names_of_released_versions_in_their_order():
     names = [f"{part}.{name}" for part, text in METRICS.items() for name in text.split()]
-    with_component(lambda component: _equal([name for name, _ in component.figures()], names))
+    with_component(lambda component: _equal([name for name, _ in component.metrics()], names))
 
 
 def test_the_state_has_the_fields_of_released_versions():
@@ -76,7 +79,7 @@
         assert list(state) == STATE.split()
         assert list(state["leases"][0]) == LEASE_ROW.split()
         assert list(state["tasks"][0]) == TASK_ROW.split()
-        _, get = component.calls()[b"/admin/leases"]
+        _, get = component.admin_commands()[b"/admin/leases"]
         assert list(json.loads(get(b"")[1])) == STATE.split()
 
     with_component(check)
@@ -109,7 +112,7 @@
     status, line = answer
 
     def check(component: LeasesComponent) -> None:
-        _, command = component.calls()[f"/admin/leases/{path}".encode()]
+        _, command = component.admin_commands()[f"/admin/leases/{path}".encode()]
         assert command(text.encode()) == (status, f"{line}\n".encode())
 
     with_component(check)
--- a/tests/leases/test_task_schedule.py
+++ b/tests/leases/test_task_schedule.py
@@ -1,4 +1,4 @@
-"""When turns of tasks run, how often, and what a new holder does with the reported progress."""
+"""When and how often turns of tasks run, and how a new holder uses the reported progress."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 )
 
 WALL = 1_700_000_000 * SECOND_US
-ONCE_OR_MORE = TaskSpec("t", 10 * SECOND_US, "at-least", SECOND_US, 0.0)
-ONCE_AT_MAX = TaskSpec("t", 10 * SECOND_US, "at-most", SECOND_US, 0.0)
+AT_LEAST_ONCE = TaskSpec("t", 10 * SECOND_US, "at-least", SECOND_US, 0.0)
+AT_MOST_ONCE = TaskSpec("t", 10 * SECOND_US, "at-most", SECOND_US, 0.0)
 TURN = WALL // (10 * SECOND_US)
 
 
 class Holder:
-    """One holder of a lease with one task."""
+    """The schedule of a gateway that holds a lease with one task."""
 
     def __init__(
         self,
@@ -59,32 +59,32 @@
         return self.schedule.call_finished(self.now, self.wall, "t", turn, outcome)
 
 
-def note(turn: int, state: TurnState) -> TaskProgress:
-    return TaskProgress(ONCE_OR_MORE.task_id, turn, 4, int(state))
+def progress_at(turn: int, state: TurnState) -> TaskProgress:
+    return TaskProgress(AT_LEAST_ONCE.task_id, turn, 4, int(state))
 
 
 @pytest.mark.parametrize(
-    ("spec", "last", "does"),
+    ("spec", "last", "expected_action"),
     [
-        (ONCE_OR_MORE, None, TaskCall),
-        (ONCE_OR_MORE, note(TURN - 1, TurnState.DONE), TaskCall),
-        (ONCE_OR_MORE, note(TURN, TurnState.STARTED), TaskCall),
-        (ONCE_OR_MORE, note(TURN, TurnState.DONE), None),
-        (ONCE_OR_MORE, note(TURN, TurnState.FAILED), None),
-        (ONCE_AT_MAX, note(TURN - 1, TurnState.DONE), SendReport),
-        (ONCE_AT_MAX, note(TURN, TurnState.STARTED), None),
-        (ONCE_AT_MAX, note(TURN, TurnState.DONE), None),
+        (AT_LEAST_ONCE, None, TaskCall),
+        (AT_LEAST_ONCE, progress_at(TURN - 1, TurnState.DONE), TaskCall),
+        (AT_LEAST_ONCE, progress_at(TURN, TurnState.STARTED), TaskCall),
+        (AT_LEAST_ONCE, progress_at(TURN, TurnState.DONE), None),
+        (AT_LEAST_ONCE, progress_at(TURN, TurnState.FAILED), None),
+        (AT_MOST_ONCE, progress_at(TURN - 1, TurnState.DONE), SendReport),
+        (AT_MOST_ONCE, progress_at(TURN, TurnState.STARTED), None),
+        (AT_MOST_ONCE, progress_at(TURN, TurnState.DONE), None),
     ],
 )
-def test_a_new_holder_runs_the_turn_unless_its_end_is_known(spec, last, does):
-    todo = Holder(spec, last).due()
-    assert [type(one) for one in todo] == ([does] if does else [])
-    if does is TaskCall:
-        assert todo == [TaskCall("t", "s0/1", TURN, 5)]
+def test_a_new_holder_runs_the_turn_unless_its_end_is_known(spec, last, expected_action):
+    actions = Holder(spec, last).due()
+    assert [type(one) for one in actions] == ([expected_action] if expected_action else [])
+    if expected_action is TaskCall:
+        assert actions == [TaskCall("t", "s0/1", TURN, 5)]
 
 
-def test_an_at_max_once_turn_starts_after_a_majority_has_stored_its_start():
-    holder = Holder(ONCE_AT_MAX)
+def test_an_at_most_once_turn_starts_after_a_majority_has_stored_its_start():
+    holder = Holder(AT_MOST_ONCE)
     (report,) = holder.due()
     assert report.progress[0].state == TurnState.STARTED
     assert holder.wait(SECOND_US) == []
@@ -96,8 +96,8 @@
     assert [type(one) for one in holder.wait(10 * SECOND_US)] == [SendReport]
 
 
-def test_an_at_max_once_turn_does_not_start_when_too_little_of_the_lease_remains():
-    holder = Holder(ONCE_AT_MAX)
+def test_an_at_most_once_turn_does_not_start_when_too_little_of_the_lease_remains():
+    holder = Holder(AT_MOST_ONCE)
     (report,) = holder.due()
     holder.remaining_us = SECOND_US // 2
     assert holder.confirm(report) == []
@@ -105,18 +105,18 @@
     assert holder.schedule.counters["late"] == 1
 
 
-def test_a_turn_from_before_the_memory_of_the_voters_is_left_out_if_it_must_not_repeat():
-    holder = Holder(ONCE_AT_MAX, memory_since_us=WALL - SECOND_US)
+def test_an_at_most_once_turn_from_before_the_voters_memory_is_skipped():
+    holder = Holder(AT_MOST_ONCE, memory_since_us=WALL - SECOND_US)
     assert holder.due() == []
     assert holder.schedule.counters["left_out"] == 1
     assert [type(one) for one in holder.wait(10 * SECOND_US)] == [SendReport]
-    assert [type(one) for one in Holder(ONCE_OR_MORE, memory_since_us=WALL - SECOND_US).due()] == [
+    assert [type(one) for one in Holder(AT_LEAST_ONCE, memory_since_us=WALL - SECOND_US).due()] == [
         TaskCall
     ]
 
 
 def test_a_failed_call_is_retried_within_its_turn_and_then_reported():
-    holder = Holder(ONCE_OR_MORE)
+    holder = Holder(AT_LEAST_ONCE)
     holder.due()
     assert holder.end(CallOutcome.FAILED) == []
     assert holder.due() == []
@@ -129,14 +129,14 @@
     assert holder.due() == [TaskCall("t", "s0/1", TURN + 1, 5)]
 
 
-def test_each_missed_turn_is_counted_and_only_the_last_one_runs():
-    holder = Holder(ONCE_OR_MORE, note(TURN - 4, TurnState.DONE))
+def test_missed_turns_are_counted_and_only_the_latest_turn_runs():
+    holder = Holder(AT_LEAST_ONCE, progress_at(TURN - 4, TurnState.DONE))
     assert holder.due() == [TaskCall("t", "s0/1", TURN, 5)]
     assert holder.schedule.counters["missed"] == 3
 
 
 def test_a_call_longer_than_the_rest_of_the_lease_does_not_start():
-    holder = Holder(ONCE_OR_MORE)
+    holder = Holder(AT_LEAST_ONCE)
     holder.remaining_us = SECOND_US
     assert holder.due() == []
     assert holder.schedule.counters["late"] == 1
@@ -144,24 +144,24 @@
     assert holder.wait(MIN_RETRY_WAIT_US) == [TaskCall("t", "s0/1", TURN, 5)]
 
 
-@pytest.mark.parametrize(("on_loss", "todo"), [("abandon", [CancelCall("t")]), ("finish", [])])
-def test_a_running_call_is_cancelled_or_finishes_when_its_lease_is_lost(on_loss, todo):
+@pytest.mark.parametrize(("on_loss", "actions"), [("abandon", [CancelCall("t")]), ("finish", [])])
+def test_a_running_call_is_cancelled_or_finishes_when_its_lease_is_lost(on_loss, actions):
     spec = TaskSpec("t", 10 * SECOND_US, "at-least", SECOND_US, 0.0, on_loss=on_loss)
     holder = Holder(spec)
     holder.due()
-    assert holder.schedule.lease_lost("s0/1") == todo
+    assert holder.schedule.lease_lost("s0/1") == actions
     report = holder.end(CallOutcome.DONE)
     assert [type(one) for one in report] == ([SendReport] if on_loss == "finish" else [])
     assert holder.wait(30 * SECOND_US) == []
 
 
 def test_a_clock_an_hour_behind_neither_repeats_nor_stops_the_schedule():
-    holder = Holder(ONCE_OR_MORE, note(TURN, TurnState.DONE), wall=WALL - 3_600 * SECOND_US)
+    holder = Holder(AT_LEAST_ONCE, progress_at(TURN, TurnState.DONE), wall=WALL - 3_600 * SECOND_US)
     assert holder.due() == []
     assert holder.schedule.counters["clock_behind"] == 1
     for number in range(1, 4):
-        todo = holder.wait(10 * SECOND_US)
-        assert todo == [TaskCall("t", "s0/1", TURN + number, 5)]
+        actions = holder.wait(10 * SECOND_US)
+        assert actions == [TaskCall("t", "s0/1", TURN + number, 5)]
         (report,) = holder.end(CallOutcome.DONE, TURN + number)
         holder.confirm(report)
         assert holder.due() == []
--- a/tests/leases/test_voter_set.py
+++ b/tests/leases/test_voter_set.py
@@ -1,4 +1,4 @@
-"""Changes of the voter set, on the virtual clock: any order of files, former sets that remain."""
+"""Changes of the voter set on the virtual clock, with operator files reloaded in any order."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class FleetWithFiles(SimulatedFleet):
-    """Every gateway has a file; it takes effect when it is told to, and at each start."""
+    """Every gateway has an operator file, which takes effect at a reload and at each start."""
 
     def __init__(self, seed: str) -> None:
         super().__init__(seed, 0, 0, timing=Timing(3 * SECOND_US))
@@ -37,7 +37,7 @@
     def file(self, name: str) -> tuple[VoterSet, tuple[VoterSet, ...]]:
         return self.files.get(name, (ONE, ()))
 
-    def hup(self, name: str, own: VoterSet, *former: VoterSet) -> None:
+    def reload(self, name: str, own: VoterSet, *former: VoterSet) -> None:
         self.files[name] = own, former
 
         def change(node, now):
@@ -49,55 +49,60 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_voter_sets_change_in_any_order_of_files_without_two_holders(seed):
-    field = FleetWithFiles(f"sets {seed}")
+    simulation = FleetWithFiles(f"sets {seed}")
     draw = random.Random(seed)
-    deaf = draw.choice("abgh")  # never hears of it
+    # This gateway never gets a new file.
+    outdated = draw.choice("abgh")
     for step, (own, former) in enumerate(((TWO, (ONE,)), (THREE, (ONE, TWO))), 1):
-        for name in field.names:
-            if name != deaf:
+        for name in simulation.names:
+            if name != outdated:
                 at = step * 20 * SECOND_US + draw.randrange(8 * SECOND_US)
-                field.fleet.at(
-                    at, lambda name=name, own=own, former=former: field.hup(name, own, *former)
+                simulation.fleet.at(
+                    at,
+                    lambda name=name, own=own, former=former: simulation.reload(name, own, *former),
                 )
-        killed = draw.choice(field.names)
-        field.fleet.at(step * 22 * SECOND_US, lambda killed=killed: field.fleet.kill(killed))
-        field.fleet.at(
-            step * 22 * SECOND_US + SECOND_US, lambda killed=killed: field.fleet.start(killed)
+        killed = draw.choice(simulation.names)
+        simulation.fleet.at(
+            step * 22 * SECOND_US, lambda killed=killed: simulation.fleet.kill(killed)
         )
-    field.fleet.run(80 * SECOND_US)
-    assert field.breaches == [], field.fleet.story()
-    assert field.holder(LEASE) not in (None, deaf)
-    assert field.fleet.nodes[deaf].machine.node.foreign_set_number == 3
+        simulation.fleet.at(
+            step * 22 * SECOND_US + SECOND_US, lambda killed=killed: simulation.fleet.start(killed)
+        )
+    simulation.fleet.run(80 * SECOND_US)
+    assert simulation.breaches == [], simulation.fleet.story()
+    assert simulation.holder(LEASE) not in (None, outdated)
+    assert simulation.fleet.nodes[outdated].machine.node.foreign_set_number == 3
     for name in "def":
-        assert field.fleet.nodes[name].machine.node.transition.complete()
+        assert simulation.fleet.nodes[name].machine.node.transition.complete()
 
 
 def test_a_set_grants_nothing_until_a_majority_of_each_former_set_has_left():
-    field = FleetWithFiles("unsealed")
-    settled(field, 20 * SECOND_US)
+    simulation = FleetWithFiles("unsealed")
+    settled(simulation, 20 * SECOND_US)
     for name in "defgh":
-        field.hup(name, THREE, ONE, TWO)
-    field.fleet.run(60 * SECOND_US)
-    assert field.holder(LEASE) in ("a", "b", "c")
-    assert field.breaches == []
-    field.hup("a", THREE, ONE, TWO)
-    field.fleet.run(80 * SECOND_US)
-    assert field.holder(LEASE) in (
+        simulation.reload(name, THREE, ONE, TWO)
+    simulation.fleet.run(60 * SECOND_US)
+    assert simulation.holder(LEASE) in ("a", "b", "c")
+    assert simulation.breaches == []
+    simulation.reload("a", THREE, ONE, TWO)
+    simulation.fleet.run(80 * SECOND_US)
+    # Two voters of set 1 have not left it, and are still a majority.
+    assert simulation.holder(LEASE) in (
         "b",
         "c",
         None,
-    )  # of set 1 two are left, which still is a majority
-    field.hup("b", THREE, ONE, TWO)
-    field.hup("c", THREE, ONE, TWO)
-    field.fleet.run(110 * SECOND_US)
-    assert field.holder(LEASE)
-    assert field.breaches == []
+    )
+    simulation.reload("b", THREE, ONE, TWO)
+    simulation.reload("c", THREE, ONE, TWO)
+    simulation.fleet.run(110 * SECOND_US)
+    assert simulation.holder(LEASE)
+    assert simulation.breaches == []
 
 
-def test_a_set_that_skips_former_sets_leads_to_two_holders_that_are_found():
-    field = FleetWithFiles("planted")
-    settled(field, 20 * SECOND_US)
+def test_a_set_that_does_not_list_former_sets_leads_to_two_holders():
+    simulation = FleetWithFiles("planted")
+    settled(simulation, 20 * SECOND_US)
     for name in "defgh":
-        field.hup(name, THREE)  # no [[leases.former]]
-    field.fleet.run(60 * SECOND_US)
-    assert field.breaches
+        simulation.reload(name, THREE)  # no [[leases.former]]
+    simulation.fleet.run(60 * SECOND_US)
+    assert simulation.breaches
