--- a/saffrongw/authz/attributes.py
+++ b/saffrongw/authz/attributes.py
@@ -1,6 +1,7 @@
-"""A request's terms as the protocol's published attributes, and replies as verdicts. Pure.
+"""Encodes checks and parses replies as messages of Envoy's authorisation protocol. Pure.
 
-``docs/operate/authz.md`` has the table. Names of classes and plans are the settings'.
+``docs/operate/authz.md`` has the table of attributes. Class and plan names are those of the
+gateway's configuration.
 """
 
 from __future__ import annotations
@@ -17,32 +18,35 @@
 from .checks import CheckReply, ReplyKind
 
 METHOD = "/envoy.service.auth.v3.Authorization/Check"
-NAMESPACE = "saffrongw"  # of dynamic metadata that is read
-MAX_TEXT_CHARS = 256  # characters of any text that is read
+NAMESPACE = "saffrongw"  # of the dynamic metadata that is read
+MAX_TEXT_CHARS = 256  # of a plan name in dynamic metadata
 RETRY_INFO = "type.googleapis.com/google.rpc.RetryInfo"
 OK, INVALID_ARGUMENT, EXHAUSTED, UNAVAILABLE = 0, 3, 8, 14  # codes of google.rpc.Status
-MS, SECOND = 1_000, 1_000_000
-MAX_RETRY_AFTER_US = 3600 * SECOND
-RETRYABLE_STATUSES = {429, 503}  # HTTP statuses after which trying again is of use
+US_PER_MS, US_PER_S = 1_000, 1_000_000
+MAX_RETRY_AFTER_US = 3600 * US_PER_S
+RETRYABLE_STATUSES = {429, 503}  # HTTP statuses of denials after which a retry may be allowed
 
 
 class InvalidReplyError(Exception):
-    """What came is no usable answer; it says why."""
+    """A reply can't be used; the message says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestNames:
-    """Classes and plans by number, and which classes are safe to ask with GET."""
+    """Names of classes and plans by their numbers, and which classes are idempotent.
+
+    Checks for idempotent classes have the HTTP method GET, others POST.
+    """
 
     classes: tuple[str, ...]
     plans: tuple[str, ...]
-    safe: tuple[bool, ...]
+    idempotent: tuple[bool, ...]
 
 
 def cache_key(request: FilteredRequest) -> Hashable:
-    """What the answer may hang on.
+    """Return what the authoriser's reply may depend on.
 
-    All that the authoriser is shown but the id, the time and the wait.
+    This is every attribute of the check except the request's id, the time and the timeout.
     """
     terms = request.terms
     return (
@@ -57,18 +61,20 @@
     )
 
 
-def encode_check(request: FilteredRequest, names: RequestNames, gateway: str, at: int) -> bytes:
-    """The message that asks; at in us of Unix time."""
+def encode_check(
+    request: FilteredRequest, names: RequestNames, gateway: str, unix_us: int
+) -> bytes:
+    """Encode a check, with the Unix time in microseconds at which it is sent."""
     terms = request.terms
     message = pb.CheckRequest()
     attributes = message.attributes
     attributes.source.principal = f"{terms.customer:016x}"
     attributes.destination.service = gateway
-    attributes.request.time.seconds, rest = divmod(at, SECOND)
+    attributes.request.time.seconds, rest = divmod(unix_us, US_PER_S)
     attributes.request.time.nanos = rest * 1000
     http = attributes.request.http
     http.id = request.client_id.decode("ascii", "replace")
-    http.method = "GET" if names.safe[terms.kind] else "POST"
+    http.method = "GET" if names.idempotent[terms.kind] else "POST"
     http.path = "/" + names.classes[terms.kind]
     http.host, http.scheme, http.protocol = gateway, "resp", "RESP2"
     http.size = request.body_bytes
@@ -79,40 +85,41 @@
     extensions["units"] = f"{terms.units:g}"
     extensions["spread"] = str(terms.replica_set_size)
     extensions["first"] = str(terms.replica_set_first)
-    extensions["wait_ms"] = str(terms.timeout_us // MS)
+    extensions["wait_ms"] = str(terms.timeout_us // US_PER_MS)
     extensions["retry"] = "1" if terms.is_retry else "0"
     return message.SerializeToString()
 
 
 def parse_reply(body: bytes) -> CheckReply:
-    """An answer as a reply; ``BadReply`` where it contradicts itself or can't be read."""
+    """Parse a reply; raise ``InvalidReplyError`` where it contradicts itself or can't be read."""
     response = pb.CheckResponse()
     try:
         response.ParseFromString(body)
-    except DecodeError as wrong:
-        raise InvalidReplyError(f"not a CheckResponse: {wrong}") from None
+    except DecodeError as error:
+        raise InvalidReplyError(f"not a CheckResponse: {error}") from None
     code, which = response.status.code, response.WhichOneof("http_response")
     if code == OK and which == "denied_response":
         raise InvalidReplyError("status OK with a denied response")
     if code != OK and which == "ok_response":
         raise InvalidReplyError(f"status {code} with an ok response")
-    # Older authorisers put it into the ok response, which is empty where there is none.
+    # Older authorisers put the metadata into the ok response; a response without one reads as an
+    # empty one.
     metadata = _dynamic_metadata(response.dynamic_metadata) or _dynamic_metadata(
         response.ok_response.dynamic_metadata
     )
-    lifetime, plan = _lifetime(metadata), metadata.get("plan", "")
+    lifetime_us, plan = _lifetime_us(metadata), metadata.get("plan", "")
     if code == OK:
-        named = isinstance(plan, str) and len(plan) <= MAX_TEXT_CHARS
-        return CheckReply(ReplyKind.ALLOW, 0, lifetime, plan if named else "")
+        is_valid_plan = isinstance(plan, str) and len(plan) <= MAX_TEXT_CHARS
+        return CheckReply(ReplyKind.ALLOW, 0, lifetime_us, plan if is_valid_plan else "")
     status = response.denied_response.status.code if which else 0
-    retry = _retry_after(response)
+    retry_after_us = _retry_after_us(response)
     if status in RETRYABLE_STATUSES or (not status and code in (EXHAUSTED, UNAVAILABLE)):
-        return CheckReply(ReplyKind.LATER, retry, lifetime)
-    return CheckReply(ReplyKind.DENY, 0, lifetime)
+        return CheckReply(ReplyKind.RETRY_LATER, retry_after_us, lifetime_us)
+    return CheckReply(ReplyKind.DENY, 0, lifetime_us)
 
 
 def _dynamic_metadata(metadata: Struct) -> dict:
-    """Our part of the dynamic metadata, if there is one."""
+    """Return the numbers and strings of our namespace in the dynamic metadata."""
     field = metadata.fields.get(NAMESPACE)
     if field is None or field.WhichOneof("kind") != "struct_value":
         return {}
@@ -126,18 +133,18 @@
     return found
 
 
-def _lifetime(metadata: Mapping) -> int:
-    """``cache_ms`` in us; 0 where it is no time."""
+def _lifetime_us(metadata: Mapping) -> int:
+    """Return ``cache_ms`` in microseconds; 0 where it is missing, no number or out of range."""
     value = metadata.get("cache_ms", 0)
     if not isinstance(value, float | int) or not 0 < value < 1e9:
         return 0
-    return int(value * MS)
+    return int(value * US_PER_MS)
 
 
-def _retry_after(response: pb.CheckResponse) -> int:
-    """When to come back, by RetryInfo or a ``retry-after`` header in seconds.
+def _retry_after_us(response: pb.CheckResponse) -> int:
+    """Return the retry-after time, from RetryInfo or else a ``retry-after`` header in seconds.
 
-    0 where it does not say.
+    0 where neither states one.
     """
     for detail in response.status.details[:16]:
         if detail.type_url == RETRY_INFO:
@@ -148,13 +155,13 @@
                 continue
             return min(
                 MAX_RETRY_AFTER_US,
-                max(0, info.retry_delay.seconds * SECOND + info.retry_delay.nanos // 1000),
+                max(0, info.retry_delay.seconds * US_PER_S + info.retry_delay.nanos // 1000),
             )
     for option in response.denied_response.headers[:64]:
         if option.header.key.lower() == "retry-after":
             text = option.header.value or option.header.raw_value.decode("ascii", "replace")
             if text.isascii() and text.isdigit() and len(text) <= 9:
-                return min(MAX_RETRY_AFTER_US, int(text) * SECOND)
+                return min(MAX_RETRY_AFTER_US, int(text) * US_PER_S)
     return 0
 
 
@@ -162,28 +169,28 @@
 
 
 class InvalidCheckError(Exception):
-    """A check that can't be decided; it says what is wrong with it."""
+    """A check can't be decided; the message names the malformed field."""
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionCheck:
-    """What another proxy asks."""
+    """A check that another proxy sent, with plan and class by their numbers."""
 
     customer: int
     plan: int
     kind: int
     units: float
-    first: int
-    spread: int
+    replica_set_first: int
+    replica_set_size: int
 
 
 @dataclass(frozen=True, slots=True)
 class ContextExtensionNames:
-    """Which context extensions hold what."""
+    """Names of the context extensions that hold customer, plan and class."""
 
     customer: str = "customer"
     plan: str = "plan"
-    cls: str = "class"
+    request_class: str = "class"
 
 
 CUSTOMER_BITS = 33
@@ -194,11 +201,11 @@
 def parse_check(
     body: bytes,
     names: RequestNames,
-    fields: ContextExtensionNames,
-    gateways: int,
+    extension_names: ContextExtensionNames,
+    gateway_count: int,
     max_units: float,
 ) -> AdmissionCheck:
-    """Return a check as terms, in the exact forms that a client's command has.
+    """Parse a check, whose values must have the same format as in a client's command.
 
     Raises ``InvalidCheckError`` that names the malformed field.
     """
@@ -208,20 +215,28 @@
     except DecodeError as error:
         raise InvalidCheckError(f"not a CheckRequest: {error}") from None
     extensions = message.attributes.context_extensions
-    customer = extensions.get(fields.customer) or message.attributes.source.principal
-    customer_number = _customer_number(customer, fields.customer)
-    plan, cls = extensions.get(fields.plan, ""), extensions.get(fields.cls, "")
+    customer = extensions.get(extension_names.customer) or message.attributes.source.principal
+    customer_number = _customer_number(customer, extension_names.customer)
+    plan, cls = (
+        extensions.get(extension_names.plan, ""),
+        extensions.get(extension_names.request_class, ""),
+    )
     if plan not in names.plans:
-        raise InvalidCheckError(f"{fields.plan} is no plan")
+        raise InvalidCheckError(f"{extension_names.plan} is no plan")
     if cls not in names.classes:
-        raise InvalidCheckError(f"{fields.cls} is no class")
+        raise InvalidCheckError(f"{extension_names.request_class} is no class")
     units = _units(extensions.get("units", "1"), max_units)
-    spread = _replica_number("spread", extensions.get("spread", str(gateways)))
-    first = _replica_number("first", extensions.get("first", "0"))
-    if not 1 <= spread <= gateways or not first < gateways:
+    replica_set_size = _replica_number("spread", extensions.get("spread", str(gateway_count)))
+    replica_set_first = _replica_number("first", extensions.get("first", "0"))
+    if not 1 <= replica_set_size <= gateway_count or not replica_set_first < gateway_count:
         raise InvalidCheckError("spread and first are out of range")
     return AdmissionCheck(
-        customer_number, names.plans.index(plan), names.classes.index(cls), units, first, spread
+        customer_number,
+        names.plans.index(plan),
+        names.classes.index(cls),
+        units,
+        replica_set_first,
+        replica_set_size,
     )
 
 
@@ -249,25 +264,28 @@
 
 
 def admitted_response() -> bytes:
-    """The answer to a check that is let in: never to be kept, as each takes its units."""
+    """Encode the response to an admitted check.
+
+    It states no cache lifetime: each admission takes units from the quota, so each needs a check.
+    """
     response = pb.CheckResponse()
     response.status.code = OK
     response.ok_response.SetInParent()
     return response.SerializeToString()
 
 
-def rejected_response(retry_after: int) -> bytes:
-    """The answer to one that is not; retry_after in us, 0 says nothing."""
+def rejected_response(retry_after_us: int) -> bytes:
+    """Encode the response to a rejected check; 0 leaves the retry-after time out."""
     response = pb.CheckResponse()
     response.status.code = EXHAUSTED
     response.status.message = "over quota"
     response.denied_response.status.code = 429
-    if retry_after:
+    if retry_after_us:
         info = pb.RetryInfo()
-        info.retry_delay.seconds, rest = divmod(retry_after, SECOND)
+        info.retry_delay.seconds, rest = divmod(retry_after_us, US_PER_S)
         info.retry_delay.nanos = rest * 1000
         detail = response.status.details.add()
         detail.type_url, detail.value = RETRY_INFO, info.SerializeToString()
         header = response.denied_response.headers.add().header
-        header.key, header.value = "retry-after", str(-(-retry_after // SECOND))
+        header.key, header.value = "retry-after", str(-(-retry_after_us // US_PER_S))
     return response.SerializeToString()
--- a/saffrongw/authz/channel.py
+++ b/saffrongw/authz/channel.py
@@ -1,9 +1,7 @@
-"""One authoriser's gRPC channel.
+"""The gRPC channel to one authoriser.
 
-Checks as bytes, errors with a kind, TLS from files that may change in service.
-
-grpcio's core does HTTP/2, keepalive and reconnecting with back-off and jitter; the figures are set
-here.
+Checks and replies are bytes here. TLS files that change are read again in service. grpcio's core
+does HTTP/2, keepalive and reconnects with backoff and jitter; ``OPTIONS`` has their parameters.
 """
 
 from __future__ import annotations
@@ -16,10 +14,10 @@
 
 from .attributes import METHOD
 
-MAX_REPLY_BYTES = 64 * 1024  # bytes of an answer
-MAX_METADATA_BYTES = 16 * 1024  # bytes of headers or trailers
-TLS_FILES_POLL_S = 1.0  # seconds between two looks at the files of TLS
-CLOSE_TIMEOUT_S = 0.2  # seconds for checks that are out on a channel that is replaced
+MAX_REPLY_BYTES = 64 * 1024
+MAX_METADATA_BYTES = 16 * 1024  # of headers or trailers
+TLS_FILES_POLL_S = 1.0  # least time between two looks whether the TLS files have changed
+CLOSE_TIMEOUT_S = 0.2  # for checks in flight on a channel that new TLS files replace
 OPTIONS = (
     ("grpc.max_receive_message_length", MAX_REPLY_BYTES),
     ("grpc.max_metadata_size", MAX_METADATA_BYTES),
@@ -31,14 +29,14 @@
     ("grpc.initial_reconnect_backoff_ms", 100),
     ("grpc.min_reconnect_backoff_ms", 100),
     ("grpc.max_reconnect_backoff_ms", 3_000),
-    ("grpc.enable_retries", 0),  # what is asked again is for the pure part to say
+    ("grpc.enable_retries", 0),  # CheckScheduler alone decides what is sent again
     ("grpc.use_local_subchannel_pool", 1),
     ("grpc.enable_http_proxy", 0),
 )
 
 
 class AuthzChannelError(Exception):
-    """A check that brought no answer; kind is a short name for counts."""
+    """A check failed without a reply."""
 
     def __init__(self, kind: str, text: str) -> None:
         """Keep the kind, a short name for counters."""
@@ -48,26 +46,32 @@
 
 @dataclass(frozen=True, slots=True)
 class TlsFiles:
-    """Files in PEM; empty names say nothing."""
+    """Names of PEM files, and the name that the server's certificate must have.
+
+    An empty string leaves the setting to gRPC's default.
+    """
 
     ca: str = ""
     cert: str = ""
     key: str = ""
     server_name: str = ""
 
-    def stamp(self) -> tuple:
-        """What changes when a file does; a file that is gone has none."""
-        stamps = []
+    def file_stats(self) -> tuple:
+        """Return times, sizes and inodes, which differ once a file has changed.
+
+        None stands for a missing file.
+        """
+        stats = []
         for name in (self.ca, self.cert, self.key):
             try:
                 found = Path(name).stat() if name else None
             except OSError:
                 found = None
-            stamps.append(found and (found.st_mtime_ns, found.st_size, found.st_ino))
-        return tuple(stamps)
+            stats.append(found and (found.st_mtime_ns, found.st_size, found.st_ino))
+        return tuple(stats)
 
     def read(self) -> tuple[bytes | None, bytes | None, bytes | None]:
-        """The files' contents; ``OSError`` where one can't be read."""
+        """Return the files' contents; raise ``OSError`` where one can't be read."""
         ca, cert, key = (
             Path(name).read_bytes() if name else None for name in (self.ca, self.cert, self.key)
         )
@@ -75,39 +79,39 @@
 
 
 class AuthzChannel:
-    """To one authoriser."""
+    """A channel to one authoriser, opened anew when its TLS files change."""
 
     def __init__(self, address: str, tls: TlsFiles | None = None) -> None:
-        """Open the channel; ``OSError`` if a file of TLS cannot be read."""
-        self.name, self.tls = address, tls
-        self.stamp: tuple = ()
-        self.looked = 0.0
-        self.closing: set[asyncio.Task] = set()
+        """Open the channel; raise ``OSError`` if a TLS file can't be read."""
+        self.address, self.tls = address, tls
+        self.tls_file_stats: tuple = ()
+        self.tls_files_checked_s = 0.0
+        self.closing_tasks: set[asyncio.Task] = set()
         self._open()
 
     def _open(self) -> None:
         options: list[tuple[str, int | str]] = list(OPTIONS)
         if self.tls:
-            self.stamp = self.tls.stamp()
+            self.tls_file_stats = self.tls.file_stats()
             ca, cert, key = self.tls.read()
             credentials = grpc.ssl_channel_credentials(ca, key, cert)
             if self.tls.server_name:
                 options.append(("grpc.ssl_target_name_override", self.tls.server_name))
-            self.channel = grpc.aio.secure_channel(self.name, credentials, options)
+            self.channel = grpc.aio.secure_channel(self.address, credentials, options)
         else:
-            self.channel = grpc.aio.insecure_channel(self.name, options)
+            self.channel = grpc.aio.insecure_channel(self.address, options)
         self.method = self.channel.unary_unary(METHOD)
 
-    def _refresh(self) -> None:
-        """New connections by new files; the old channel ends what is out on it.
+    def _reload_changed_tls_files(self) -> None:
+        """Open a new channel where TLS files have changed; the old one finishes its checks.
 
-        A file that can't be read changes nothing: the channel that there is goes on.
+        While a file can't be read, the old channel stays in use.
         """
         now = asyncio.get_running_loop().time()
-        if not self.tls or now - self.looked < TLS_FILES_POLL_S:
+        if not self.tls or now - self.tls_files_checked_s < TLS_FILES_POLL_S:
             return
-        self.looked = now
-        if self.tls.stamp() == self.stamp:
+        self.tls_files_checked_s = now
+        if self.tls.file_stats() == self.tls_file_stats:
             return
         old = self.channel
         try:
@@ -115,19 +119,19 @@
         except OSError:
             return
         task = asyncio.get_running_loop().create_task(old.close(CLOSE_TIMEOUT_S))
-        self.closing.add(task)
-        task.add_done_callback(self.closing.discard)
+        self.closing_tasks.add(task)
+        task.add_done_callback(self.closing_tasks.discard)
 
-    async def check(self, message: bytes, within: float) -> bytes:
-        """One Check, its answer's bytes; within in seconds. ``ChannelError`` where none comes."""
-        self._refresh()
+    async def check(self, message: bytes, timeout_s: float) -> bytes:
+        """Send one check and return the reply; raise ``AuthzChannelError`` where none arrives."""
+        self._reload_changed_tls_files()
         try:
-            return await self.method(message, timeout=within)
-        except grpc.aio.AioRpcError as wrong:
-            raise AuthzChannelError(wrong.code().name.lower(), wrong.details() or "") from None
-        except grpc.aio.UsageError as wrong:  # the channel was closed under it
-            raise AuthzChannelError("closed", str(wrong)) from None
+            return await self.method(message, timeout=timeout_s)
+        except grpc.aio.AioRpcError as error:
+            raise AuthzChannelError(error.code().name.lower(), error.details() or "") from None
+        except grpc.aio.UsageError as error:  # the channel was closed during the call
+            raise AuthzChannelError("closed", str(error)) from None
 
     async def close(self) -> None:
-        """End what is out."""
+        """Close the channel; the checks in flight fail."""
         await self.channel.close(0)
--- a/saffrongw/authz/component.py
+++ b/saffrongw/authz/component.py
@@ -1,4 +1,4 @@
-"""The component that ``[authz]`` switches on: built from its table, changed in service."""
+"""The component that ``[authz]`` switches on: built from its table, and reloadable."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from .request_filter import AuthzFilter, FailureRules
 
 US_PER_MS = 1_000
-# A check is given at least this, or the whole timeout where that is less.
+# Least timeout of a check, unless the configured timeout is shorter.
 MIN_TIMEOUT_MS = 5
-# How this program names itself to authorisation servers.
+# The service name that checks carry.
 GATEWAY_NAME = "saffrongw"
 
 
-def names_of(config: Config) -> RequestNames:
-    """The configuration's classes and plans, and which classes are idempotent."""
+def request_names(config: Config) -> RequestNames:
+    """Return the configuration's classes and plans, and which classes are idempotent."""
     idempotent = [
         request_class.idempotency is Idempotency.IDEMPOTENT
         for request_class in config.settings.classes
@@ -32,36 +32,42 @@
     return RequestNames(config.class_names, config.plan_names, tuple(idempotent))
 
 
-def tls_of(options: TlsOptions | None) -> TlsFiles | None:
-    """The files of TLS; None for connections without it."""
+def tls_files(options: TlsOptions | None) -> TlsFiles | None:
+    """Return the TLS files of a table; None for connections without TLS."""
     if options is None:
         return None
     return TlsFiles(options.ca, options.cert, options.key, options.server_name)
 
 
 class AuthzComponent:
-    """The request filter of external authorisation and the table that it follows."""
+    """The request filter of external authorisation, and the table that is in force."""
 
     def __init__(self, options: AuthzOptions, config: Config) -> None:
-        """``ComponentError`` where the table names a class or plan that the configuration lacks."""
+        """Build the filter.
+
+        Raises ``ComponentError`` where the table names a class or plan that the configuration does
+        not have.
+        """
         self.options = options
-        self.names = names_of(config)
+        self.names = request_names(config)
         _check_names(options, self.names)
         self.filter = AuthzFilter(
-            _figures(options),
-            _rules(options),
+            _check_settings(options),
+            _failure_rules(options),
             self.names,
-            _channels(options),
+            _channel_factory(options),
             GATEWAY_NAME,
             config.seed,
         )
 
     def prepare(self, new: AuthzOptions) -> PreparedReload:
-        """Prepare another table; ``OSError`` where a file of TLS can't be read."""
+        """Prepare a change to another table; raise ``OSError`` where a TLS file can't be read."""
         _check_names(new, self.names)
         if new == self.options:
             return PreparedReload()
-        prepared = self.filter.prepare(_figures(new), _rules(new), _channels(new))
+        prepared = self.filter.prepare(
+            _check_settings(new), _failure_rules(new), _channel_factory(new)
+        )
         return PreparedReload(partial(self._commit, new, prepared), prepared.abort)
 
     def _commit(self, new: AuthzOptions, prepared: PreparedReload) -> None:
@@ -86,7 +92,7 @@
         raise ComponentError(f"{key}: {plan!r} is no plan of the configuration")
 
 
-def _breaker_figures(options: BreakerOptions) -> BreakerSettings:
+def _breaker_settings(options: BreakerOptions) -> BreakerSettings:
     return BreakerSettings(
         options.window_ms * US_PER_MS,
         options.least,
@@ -99,7 +105,7 @@
     )
 
 
-def _figures(options: AuthzOptions) -> CheckSettings:
+def _check_settings(options: AuthzOptions) -> CheckSettings:
     return CheckSettings(
         options.time_share,
         options.timeout_ms * US_PER_MS,
@@ -109,11 +115,11 @@
         options.cache_most_ms * US_PER_MS,
         options.coalesce,
         options.hedge_ms * US_PER_MS,
-        _breaker_figures(options.breaker),
+        _breaker_settings(options.breaker),
     )
 
 
-def _rules(options: AuthzOptions) -> FailureRules:
+def _failure_rules(options: AuthzOptions) -> FailureRules:
     return FailureRules(
         options.fail,
         {(line.class_, line.plan): line.mode for line in options.fail_for},
@@ -121,7 +127,7 @@
     )
 
 
-def _channels(options: AuthzOptions) -> Callable[[], list[AuthzChannel]]:
-    """A factory of channels to the servers; it reads the files of TLS."""
-    tls = tls_of(options.tls)
+def _channel_factory(options: AuthzOptions) -> Callable[[], list[AuthzChannel]]:
+    """Return a function that opens a channel to each server, for which it reads the TLS files."""
+    tls = tls_files(options.tls)
     return lambda: [AuthzChannel(address, tls) for address in options.authorisers]
--- a/saffrongw/authz/options.py
+++ b/saffrongw/authz/options.py
@@ -1,7 +1,7 @@
 """The keys of ``[authz]`` and ``[authz_server]`` that this package reads.
 
-The tables themselves are in ``saffrongw.operator``, which this package does not know: it reads
-them by attribute and writes none. ``tests/authz/test_options.py`` compares the two.
+The tables themselves are in ``saffrongw.operator``, which this package must not import: it reads
+their attributes through these protocols. ``tests/authz/test_options.py`` compares the two.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class TlsOptions(Protocol):
-    """Files of TLS in PEM form; an empty name means none."""
+    """TLS files in PEM format; an empty name means none."""
 
     ca: str
     cert: str
@@ -19,7 +19,7 @@
 
 
 class FailOptions(Protocol):
-    """Another fail mode for a class, a plan, or both."""
+    """The fail mode for a class, a plan, or both, in place of the default."""
 
     mode: str
     class_: str
@@ -27,7 +27,7 @@
 
 
 class NarrowOptions(Protocol):
-    """The plans under which a server may put requests of one plan."""
+    """The plans that an authorisation server may put requests of one plan under."""
 
     plan: str
     to: tuple[str, ...]
--- a/saffrongw/authz/request_filter.py
+++ b/saffrongw/authz/request_filter.py
@@ -29,39 +29,43 @@
 
 log = logging.getLogger(__name__)
 
-RETIRE_TIMEOUT_S = 10.0  # seconds for checks that are out when figures change
-RETIRE_POLL_S = 0.05  # seconds between two looks at them
+RETIRE_TIMEOUT_S = 10.0  # for checks in flight when a reload replaces their client
+RETIRE_POLL_S = 0.05  # between two looks whether those checks have ended
 
 
 @dataclass(frozen=True, slots=True)
 class FailureRules:
-    """What the operators say of replies: fail modes by (class, plan), "" for all.
+    """The operators' rules for requests without a usable reply, and for changes of the plan.
 
-    What may be narrowed.
+    ``modes`` maps (class, plan) to a fail mode, with "" for all; ``allowed_plans`` maps a plan to
+    those that an authoriser may put its requests under.
     """
 
-    fail: str = "closed"
-    fail_for: Mapping[tuple[str, str], str] = field(default_factory=dict)
-    may_narrow_plan: Mapping[str, tuple[str, ...]] = field(default_factory=dict)
+    default_mode: str = "closed"
+    modes: Mapping[tuple[str, str], str] = field(default_factory=dict)
+    allowed_plans: Mapping[str, tuple[str, ...]] = field(default_factory=dict)
 
-    def mode(self, cls: str, plan: str) -> str:
-        """``open`` or ``closed`` where no authoriser was reached: the most exact line counts."""
+    def fail_mode(self, cls: str, plan: str) -> str:
+        """Return ``open`` or ``closed`` for a request without a usable reply.
+
+        The most specific rule wins: class and plan, then class, then plan.
+        """
         for key in ((cls, plan), (cls, ""), ("", plan)):
-            if key in self.fail_for:
-                return self.fail_for[key]
-        return self.fail
+            if key in self.modes:
+                return self.modes[key]
+        return self.default_mode
 
-    def narrows(self, plan: str, to: str) -> bool:
-        """Whether an authoriser may put a request of one plan under another."""
-        return to in self.may_narrow_plan.get(plan, ())
+    def allows_plan(self, plan: str, to: str) -> bool:
+        """Return whether an authoriser may put a request of one plan under another."""
+        return to in self.allowed_plans.get(plan, ())
 
 
 class CheckClient:
-    """Checks by one set of figures over one set of channels."""
+    """Carries out checks, by one set of settings and rules and over one set of channels."""
 
     def __init__(
         self,
-        figures: CheckSettings,
+        settings: CheckSettings,
         rules: FailureRules,
         names: RequestNames,
         channels: list[AuthzChannel],
@@ -71,24 +75,24 @@
         """Start without checks over these channels."""
         self.rules, self.names, self.gateway, self.channels = rules, names, gateway, channels
         self.loop = asyncio.get_running_loop()
-        self.checks = CheckScheduler(figures, [channel.name for channel in channels], seed)
-        self.waiting: dict[int, tuple[FilteredRequest, asyncio.Future[Verdict]]] = {}
-        self.out: dict[int, asyncio.Task] = {}  # by flight
-        self.messages: dict[int, bytes] = {}  # by flight, for hedges
-        self.timers: dict[int, asyncio.TimerHandle] = {}
-        self.warned = 0.0
+        self.checks = CheckScheduler(settings, [channel.address for channel in channels], seed)
+        self.pending_requests: dict[int, tuple[FilteredRequest, asyncio.Future[Verdict]]] = {}
+        self.check_tasks: dict[int, asyncio.Task] = {}  # by check id
+        self.messages: dict[int, bytes] = {}  # by check id; a hedge sends the same one
+        self.hedge_timers: dict[int, asyncio.TimerHandle] = {}
+        self.last_warning_s = 0.0
 
     async def close(self) -> None:
-        """Call off what is out and close the channels."""
-        self._run(self.checks.drop())
+        """Cancel the checks in flight and close the channels."""
+        self._carry_out(self.checks.cancel_all())
         await asyncio.gather(
             *(channel.close() for channel in self.channels), return_exceptions=True
         )
 
     async def retire(self) -> None:
-        """Let what is out end by its own deadlines, then close."""
+        """Close once the checks in flight have ended, at the latest after ``RETIRE_TIMEOUT_S``."""
         for _ in range(int(RETIRE_TIMEOUT_S / RETIRE_POLL_S)):
-            if not self.checks.flights:
+            if not self.checks.checks_in_flight:
                 break
             await asyncio.sleep(RETIRE_POLL_S)
         await self.close()
@@ -99,201 +103,202 @@
 
     # -- requests ----------------------------------------------------------------------------------
 
-    def ask(self, request: FilteredRequest) -> Verdict | asyncio.Future[Verdict]:
-        """Settled at once from the cache or where no check may be sent.
-
-        Else when the check has ended.
-        """
+    def check(self, request: FilteredRequest) -> Verdict | asyncio.Future[Verdict]:
+        """Return the verdict where the cache or the limits give it, else a future of it."""
         number = request.number
-        left = request.terms.timeout_us
-        effects = self.checks.enter(self._now(), number, cache_key(request), left)
+        remaining_us = request.terms.timeout_us
+        effects = self.checks.request_arrived(self._now(), number, cache_key(request), remaining_us)
         if len(effects) == 1 and isinstance(effects[0], CompleteRequest):
             return self._verdict(request, effects[0].reply)
         future: asyncio.Future[Verdict] = self.loop.create_future()
-        self.waiting[number] = request, future
-        self._run(effects, request)
+        self.pending_requests[number] = request, future
+        self._carry_out(effects, request)
         return future
 
-    def leave(self, number: int) -> None:
-        """The request is over.
-
-        A check that nobody waits for is called off, and what it would say is not heard.
-        """
-        if self.waiting.pop(number, None):
-            self._run(self.checks.leave(number))
+    def request_ended(self, number: int) -> None:
+        """Stop waiting for a request's verdict; cancel its check unless other requests share it."""
+        if self.pending_requests.pop(number, None):
+            self._carry_out(self.checks.request_ended(number))
 
     def _verdict(self, request: FilteredRequest, reply: CheckReply) -> Verdict:
-        """By the rules: a denial is a refusal only if trying again is harmless and useful.
+        """Return the verdict of a reply by the rules.
 
-        Nothing was sent yet, so it is harmless; the authoriser says whether it is of use.
+        Nothing was sent upstream yet, so a retry is harmless in any case. A denial is a ``Reject``
+        only where the authoriser says that a retry may succeed, else an ``Abort``.
         """
         terms = request.terms
         plan = self.names.plans[terms.plan]
         if reply.kind is ReplyKind.ALLOW:
-            if reply.plan and reply.plan != plan and self.rules.narrows(plan, reply.plan):
+            if reply.plan and reply.plan != plan and self.rules.allows_plan(plan, reply.plan):
                 return Continue({"plan": self.names.plans.index(reply.plan)})
             return Continue()
-        if reply.kind is ReplyKind.LATER:
-            return Reject(reply.retry_after)
+        if reply.kind is ReplyKind.RETRY_LATER:
+            return Reject(reply.retry_after_us)
         if reply.kind is ReplyKind.DENY:
             return Abort()
         return (
             Continue()
-            if self.rules.mode(self.names.classes[terms.kind], plan) == "open"
+            if self.rules.fail_mode(self.names.classes[terms.kind], plan) == "open"
             else Reject()
         )
 
     # -- effects -----------------------------------------------------------------------------------
 
-    def _run(self, effects: list[CheckEffect], request: FilteredRequest | None = None) -> None:
+    def _carry_out(
+        self, effects: list[CheckEffect], request: FilteredRequest | None = None
+    ) -> None:
         for effect in effects:
             if isinstance(effect, CompleteRequest):
-                if waits := self.waiting.pop(effect.request, None):
-                    of, future = waits
+                if pending := self.pending_requests.pop(effect.request, None):
+                    pending_request, future = pending
                     if not future.done():
-                        future.set_result(self._verdict(of, effect.reply))
+                        future.set_result(self._verdict(pending_request, effect.reply))
             elif isinstance(effect, SendCheck):
                 if request is not None:
-                    at = time.time_ns() // 1000
-                    self.messages[effect.flight] = encode_check(
-                        request, self.names, self.gateway, at
+                    unix_us = time.time_ns() // 1000
+                    self.messages[effect.check_id] = encode_check(
+                        request, self.names, self.gateway, unix_us
                     )
-                task = self.loop.create_task(self._ask(effect, self.messages[effect.flight]))
-                self.out[effect.flight] = task
+                task = self.loop.create_task(
+                    self._run_check(effect, self.messages[effect.check_id])
+                )
+                self.check_tasks[effect.check_id] = task
             elif isinstance(effect, CancelCheck):
-                self._drop_check(effect.flight, cancel=True)
+                self._drop_check(effect.check_id, cancel=True)
             elif isinstance(effect, ScheduleHedge):
-                self.timers[effect.flight] = self.loop.call_later(
-                    effect.after / 1e6, self._hedge, effect.flight
+                self.hedge_timers[effect.check_id] = self.loop.call_later(
+                    effect.delay_us / 1e6, self._send_hedge, effect.check_id
                 )
 
-    def _hedge(self, flight: int) -> None:
-        self.timers.pop(flight, None)
-        message = self.messages.get(flight)
-        for effect in self.checks.hedge(self._now(), flight):
-            self.messages[effect.flight] = message
-            self._run([effect])
+    def _send_hedge(self, check_id: int) -> None:
+        self.hedge_timers.pop(check_id, None)
+        message = self.messages.get(check_id)
+        for effect in self.checks.send_hedge(self._now(), check_id):
+            self.messages[effect.check_id] = message
+            self._carry_out([effect])
 
-    def _drop_check(self, flight: int, cancel: bool = False) -> None:
-        self.messages.pop(flight, None)
-        task, timer = self.out.pop(flight, None), self.timers.pop(flight, None)
+    def _drop_check(self, check_id: int, cancel: bool = False) -> None:
+        self.messages.pop(check_id, None)
+        task, timer = self.check_tasks.pop(check_id, None), self.hedge_timers.pop(check_id, None)
         if task and cancel:
             task.cancel()
         if timer:
             timer.cancel()
 
-    async def _ask(self, ask: SendCheck, message: bytes) -> None:
-        """One check, from its first byte to its one end."""
+    async def _run_check(self, check: SendCheck, message: bytes) -> None:
+        """Send a check and pass its reply or its failure to the scheduler."""
         try:
-            async with asyncio.timeout(ask.timeout_us / 1e6):
-                body = await self.channels[ask.endpoint].check(message, ask.timeout_us / 1e6)
+            async with asyncio.timeout(check.timeout_us / 1e6):
+                body = await self.channels[check.endpoint_index].check(
+                    message, check.timeout_us / 1e6
+                )
             reply = parse_reply(body)
-        except (AuthzChannelError, InvalidReplyError, TimeoutError) as wrong:
-            why = (
+        except (AuthzChannelError, InvalidReplyError, TimeoutError) as error:
+            reason = (
                 "deadline"
-                if isinstance(wrong, TimeoutError)
-                else getattr(wrong, "kind", "bad reply")
+                if isinstance(error, TimeoutError)
+                else getattr(error, "kind", "bad reply")
             )
-            self._drop_check(ask.flight)
-            self._warn(ask, wrong)
-            self._run(self.checks.failed(self._now(), ask.flight, why))
+            self._drop_check(check.check_id)
+            self._log_failure(check, error)
+            self._carry_out(self.checks.check_failed(self._now(), check.check_id, reason))
         else:
-            self._drop_check(ask.flight)
-            self._run(self.checks.answered(self._now(), ask.flight, reply))
+            self._drop_check(check.check_id)
+            self._carry_out(self.checks.reply_received(self._now(), check.check_id, reply))
 
-    def _warn(self, ask: SendCheck, wrong: Exception) -> None:
-        """One line a second at most: an authoriser that is away fails every check."""
-        if self.loop.time() - self.warned >= 1:
-            self.warned = self.loop.time()
-            name = self.channels[ask.endpoint].name
-            log.warning("authz: no answer of %s: %.200s", name, str(wrong) or type(wrong).__name__)
+    def _log_failure(self, check: SendCheck, error: Exception) -> None:
+        """Log a failed check, at most one a second: without an authoriser every check fails."""
+        if self.loop.time() - self.last_warning_s >= 1:
+            self.last_warning_s = self.loop.time()
+            name = self.channels[check.endpoint_index].address
+            log.warning("authz: no answer of %s: %.200s", name, str(error) or type(error).__name__)
 
 
 class AuthzFilter:
-    """The stage of one gateway, and a service of its process.
+    """The request filter of one gateway, and a service that opens and closes its channels.
 
-    Figures, rules and channels can change in service: what is out ends by the old ones.
+    Settings, rules and channels can change in service: checks in flight end by the old ones.
     """
 
     name = "authz"
 
     def __init__(
         self,
-        figures: CheckSettings,
+        settings: CheckSettings,
         rules: FailureRules,
         names: RequestNames,
-        channels: Callable[[], list[AuthzChannel]],
+        open_channels: Callable[[], list[AuthzChannel]],
         gateway: str,
         seed: int,
     ) -> None:
         """Keep the settings; ``start`` opens the channels."""
         self.names, self.gateway, self.seed = names, gateway, seed
-        self.figures, self.rules, self.make = figures, rules, channels
+        self.settings, self.rules, self.open_channels = settings, rules, open_channels
         self.fallback: Verdict = Reject()
         self.client: CheckClient | None = None
-        self.clients_by_request: dict[int, CheckClient] = {}  # by request that waits
-        self.retiring: set[asyncio.Task] = set()
+        self.clients_by_request: dict[int, CheckClient] = {}  # of requests that wait for a check
+        self.background_tasks: set[asyncio.Task] = set()
 
     async def start(self, _driver: Driver | None = None) -> None:
-        """Open the channels; nothing is waited for.
+        """Open the channels without waiting for connections.
 
-        An authoriser may come up later than the gateway.
+        An authoriser may start later than the gateway.
         """
-        self.change(self.figures, self.rules, self.make)
+        self.reconfigure(self.settings, self.rules, self.open_channels)
 
-    def change(
+    def reconfigure(
         self,
-        figures: CheckSettings,
+        settings: CheckSettings,
         rules: FailureRules,
-        channels: Callable[[], list[AuthzChannel]],
+        open_channels: Callable[[], list[AuthzChannel]],
     ) -> None:
-        """From now on by these.
+        """Use other settings, rules and channels for the requests that follow.
 
-        ``OSError`` where a file of TLS can't be read, and then nothing has changed.
+        Raises ``OSError`` where a TLS file can't be read; nothing has changed then.
         """
-        self.prepare(figures, rules, channels).commit()
+        self.prepare(settings, rules, open_channels).commit()
 
     def prepare(
         self,
-        figures: CheckSettings,
+        settings: CheckSettings,
         rules: FailureRules,
-        channels: Callable[[], list[AuthzChannel]],
+        open_channels: Callable[[], list[AuthzChannel]],
     ) -> PreparedReload:
-        """Open channels for a change; ``OSError`` where a file of TLS can't be read."""
-        new = CheckClient(figures, rules, self.names, channels(), self.gateway, self.seed)
+        """Open channels for a change; raise ``OSError`` where a TLS file can't be read."""
+        new = CheckClient(settings, rules, self.names, open_channels(), self.gateway, self.seed)
 
         def commit() -> None:
             old, self.client = self.client, new
-            self.figures, self.rules, self.make = figures, rules, channels
-            # What holds where this filter itself fails or the filters' share of time is over.
-            self.fallback = Continue() if rules.fail == "open" else Reject()
+            self.settings, self.rules, self.open_channels = settings, rules, open_channels
+            # The verdict where this filter raises or all filters together exceed their time share.
+            self.fallback = Continue() if rules.default_mode == "open" else Reject()
             if old:
-                self._end(old.retire())
+                self._run_in_background(old.retire())
 
-        return PreparedReload(commit, lambda: self._end(new.close()))
+        return PreparedReload(commit, lambda: self._run_in_background(new.close()))
 
-    def _end(self, ending: Coroutine[Any, Any, None]) -> None:
-        """End an earlier or unused set of checks beside the requests."""
-        task = asyncio.get_running_loop().create_task(ending)
-        self.retiring.add(task)
-        task.add_done_callback(self.retiring.discard)
+    def _run_in_background(self, closing: Coroutine[Any, Any, None]) -> None:
+        """Close a replaced or unused client while requests go on."""
+        task = asyncio.get_running_loop().create_task(closing)
+        self.background_tasks.add(task)
+        task.add_done_callback(self.background_tasks.discard)
 
     def on_request(self, request: FilteredRequest) -> Verdict | Awaitable[Verdict]:
-        """A verdict at once, or when the check has ended."""
+        """Return the verdict, or a future of it where the request waits for a check."""
         client = self.client
-        verdict = client.ask(request)
+        verdict = client.check(request)
         if isinstance(verdict, asyncio.Future):
             self.clients_by_request[request.number] = client
         return verdict
 
     def on_end(self, request: FilteredRequest, _ending: Ending) -> None:
-        """The request is over."""
+        """Cancel the check of a request that has ended, unless other requests share it."""
         if client := self.clients_by_request.pop(request.number, None):
-            client.leave(request.number)
+            client.request_ended(request.number)
 
     async def stop(self) -> None:
-        """Call off what is out and close the channels."""
-        for task in self.retiring:
+        """Cancel the checks in flight and close the channels."""
+        for task in self.background_tasks:
             task.cancel()
         if self.client:
             await self.client.close()
--- a/saffrongw/authz/server.py
+++ b/saffrongw/authz/server.py
@@ -1,9 +1,7 @@
-"""The gateway as an authoriser.
+"""The gateway as an authoriser: it answers checks of other proxies by its policy's quotas.
 
-Check answered by the decision module's quotas and ceilings, for other proxies.
-
-A check that is let in takes its units exactly as a first send does, on the same counts: both ways
-in together keep the quota. A check decides at once and holds nothing.
+An admitted check takes its units from the same counters as the first attempt of a request, so the
+quota holds for both together. A check is decided at once and leaves no state besides its units.
 """
 
 from __future__ import annotations
@@ -29,19 +27,19 @@
 
 log = logging.getLogger(__name__)
 
-STOP_TIMEOUT_S = 0.5  # seconds for checks that are being answered at the end
+STOP_TIMEOUT_S = 0.5  # for checks in progress when the server stops
 OPTIONS = (
     ("grpc.max_receive_message_length", MAX_REPLY_BYTES),
     ("grpc.max_metadata_size", MAX_METADATA_BYTES),
     ("grpc.max_concurrent_streams", 1000),
-    ("grpc.so_reuseport", 0),  # guards against two processes that share the port unseen
+    ("grpc.so_reuseport", 0),  # else a second process could listen on the port without an error
     ("grpc.keepalive_time_ms", 30_000),
     ("grpc.http2.min_ping_interval_without_data_ms", 5_000),
 )
 
 
 class AuthzServer:
-    """Listens from ``start`` to ``stop``."""
+    """A gRPC server of the authorisation protocol, which listens from ``start`` to ``stop``."""
 
     name = "authz_server"
 
@@ -49,29 +47,29 @@
         self,
         listen: str,
         names: RequestNames,
-        fields: ContextExtensionNames,
+        extension_names: ContextExtensionNames,
         gateway_count: int,
         max_units: float,
-        in_flight: int,
+        max_in_flight: int,
         tls: TlsFiles | None = None,
     ) -> None:
         """Keep the address; ``start`` binds it."""
-        self.listen, self.names, self.fields = listen, names, fields
-        self.gateway_count, self.max_units, self.in_flight, self.tls = (
+        self.listen, self.names, self.extension_names = listen, names, extension_names
+        self.gateway_count, self.max_units, self.max_in_flight, self.tls = (
             gateway_count,
             max_units,
-            in_flight,
+            max_in_flight,
             tls,
         )
         self.counts: Counter[str] = Counter()
         self.server: grpc.aio.Server | None = None
         self.port = 0
-        self.stamp: tuple = ()
+        self.tls_file_stats: tuple = ()
 
     async def start(self, driver: FilteringDriver) -> None:
-        """Listen; ``OSError`` where that is not possible."""
+        """Listen; raise ``OSError`` where that is not possible."""
         self.driver = driver
-        self.server = grpc.aio.server(options=OPTIONS, maximum_concurrent_rpcs=self.in_flight)
+        self.server = grpc.aio.server(options=OPTIONS, maximum_concurrent_rpcs=self.max_in_flight)
         service, name = METHOD.strip("/").split("/")
         handler = grpc.unary_unary_rpc_method_handler(self._check)
         self.server.add_generic_rpc_handlers(
@@ -79,8 +77,8 @@
         )
         try:
             self.port = self._bind()
-        except RuntimeError as wrong:
-            raise OSError(f"authz_server can't listen on {self.listen}: {wrong}") from None
+        except RuntimeError as error:
+            raise OSError(f"authz_server can't listen on {self.listen}: {error}") from None
         if not self.port:
             raise OSError(f"authz_server can't listen on {self.listen}")
         await self.server.start()
@@ -89,48 +87,57 @@
         if not self.tls:
             return self.server.add_insecure_port(self.listen)
         credentials = grpc.dynamic_ssl_server_credentials(
-            self._certificates(), self._changed, require_client_authentication=bool(self.tls.ca)
+            self._read_certificates(),
+            self._changed_certificates,
+            require_client_authentication=bool(self.tls.ca),
         )
         return self.server.add_secure_port(self.listen, credentials)
 
-    def _certificates(self) -> grpc.ServerCertificateConfiguration:
-        self.stamp = self.tls.stamp()
+    def _read_certificates(self) -> grpc.ServerCertificateConfiguration:
+        self.tls_file_stats = self.tls.file_stats()
         ca, cert, key = self.tls.read()
         return grpc.ssl_server_certificate_configuration([(key, cert)], ca)
 
-    def _changed(self) -> grpc.ServerCertificateConfiguration | None:
-        """Asked at each handshake.
+    def _changed_certificates(self) -> grpc.ServerCertificateConfiguration | None:
+        """Return the certificates where the files have changed; called at each TLS handshake.
 
-        New files serve new connections, what can't be read changes nothing.
+        None keeps the old ones: the files are the same, or one can't be read.
         """
-        if self.tls.stamp() == self.stamp:
+        if self.tls.file_stats() == self.tls_file_stats:
             return None
         try:
-            return self._certificates()
-        except OSError as wrong:
-            log.warning("authz_server: the old certificate stays: %s", wrong)
+            return self._read_certificates()
+        except OSError as error:
+            log.warning("authz_server: the old certificate stays: %s", error)
             return None
 
     async def _check(self, body: bytes, context: grpc.aio.ServicerContext) -> bytes:
         try:
-            check = parse_check(body, self.names, self.fields, self.gateway_count, self.max_units)
-        except InvalidCheckError as wrong:
+            check = parse_check(
+                body, self.names, self.extension_names, self.gateway_count, self.max_units
+            )
+        except InvalidCheckError as error:
             self.counts["bad"] += 1
-            await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(wrong))
+            await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
         verdict = self.driver.check_admission(
-            check.customer, check.plan, check.kind, check.units, check.first, check.spread
+            check.customer,
+            check.plan,
+            check.kind,
+            check.units,
+            check.replica_set_first,
+            check.replica_set_size,
         )
         if isinstance(verdict, AdmitRequest):
-            self.counts["let in"] += 1
+            self.counts["admitted"] += 1
             return admitted_response()
         if isinstance(verdict, RejectRequest):
-            self.counts["turned away"] += 1
+            self.counts["rejected"] += 1
             return rejected_response(verdict.retry_after_us)
         self.counts["undecided"] += 1
         await context.abort(grpc.StatusCode.UNAVAILABLE, "not decided")
         raise AssertionError("abort raises")
 
     async def stop(self) -> None:
-        """Take no more, end what is being answered."""
+        """Accept no more checks, and finish those in progress."""
         if self.server:
             await self.server.stop(STOP_TIMEOUT_S)
--- a/tests/authz/test_attributes.py
+++ b/tests/authz/test_attributes.py
@@ -1,4 +1,4 @@
-"""Replies and questions as bytes: every form that the page names, and rubbish, which is an error and never a yes."""
+"""Checks and replies as bytes: every documented form, and malformed ones, which never allow a request."""
 
 from __future__ import annotations
 
@@ -48,13 +48,13 @@
         (allow(cache_ms=250, plan="small"), CheckReply(ReplyKind.ALLOW, 0, 250_000, "small")),
         (deny(), CheckReply(ReplyKind.DENY)),
         (deny(cache_ms=1000), CheckReply(ReplyKind.DENY, 0, S)),
-        (deny(429), CheckReply(ReplyKind.LATER)),
-        (deny(429, retry_after=3), CheckReply(ReplyKind.LATER, 3 * S)),
-        (deny(503, retry_after=3), CheckReply(ReplyKind.LATER, 3 * S)),
+        (deny(429), CheckReply(ReplyKind.RETRY_LATER)),
+        (deny(429, retry_after=3), CheckReply(ReplyKind.RETRY_LATER, 3 * S)),
+        (deny(503, retry_after=3), CheckReply(ReplyKind.RETRY_LATER, 3 * S)),
         (deny(403, retry_after=3), CheckReply(ReplyKind.DENY)),
         (response(7), CheckReply(ReplyKind.DENY)),
-        (response(8), CheckReply(ReplyKind.LATER)),
-        (response(14), CheckReply(ReplyKind.LATER)),
+        (response(8), CheckReply(ReplyKind.RETRY_LATER)),
+        (response(14), CheckReply(ReplyKind.RETRY_LATER)),
         (response(16), CheckReply(ReplyKind.DENY)),
         (response(9999), CheckReply(ReplyKind.DENY)),
         (allow(cache_ms=-5), CheckReply(ReplyKind.ALLOW)),
@@ -62,50 +62,50 @@
         (allow(cache_ms=1e300), CheckReply(ReplyKind.ALLOW)),
     ],
 )
-def test_answers_mean_what_the_page_says(answer, reply):
+def test_each_documented_form_of_a_reply_is_parsed(answer, reply):
     assert parse_reply(answer.SerializeToString()) == reply
 
 
-def test_retry_info_goes_before_the_header_and_is_bounded():
+def test_retry_info_takes_precedence_over_the_header_and_is_bounded():
     answer = deny(429, retry_after=3)
     info = error_details_pb2.RetryInfo()
     info.retry_delay.seconds, info.retry_delay.nanos = 1, 500_000_000
     detail = any_pb2.Any()
     detail.Pack(info)
     answer.status.details.append(detail)
-    assert parse_reply(answer.SerializeToString()).retry_after == 1_500_000
+    assert parse_reply(answer.SerializeToString()).retry_after_us == 1_500_000
     info.retry_delay.seconds = 10**9
     answer.status.details[0].Pack(info)
-    assert parse_reply(answer.SerializeToString()).retry_after == 3600 * S
+    assert parse_reply(answer.SerializeToString()).retry_after_us == 3600 * S
     answer.status.details[0].value = b"\xff\xff"
-    assert parse_reply(answer.SerializeToString()).retry_after == 3 * S
+    assert parse_reply(answer.SerializeToString()).retry_after_us == 3 * S
 
 
 @pytest.mark.parametrize("text", ["", "-1", "1.5", "soon", "9" * 30, "\u0663"])
-def test_a_header_that_is_no_time_says_nothing(text):
+def test_a_malformed_retry_after_header_is_ignored(text):
     answer = deny(429, retry_after=1)
     answer.denied_response.headers[0].header.value = text
-    assert parse_reply(answer.SerializeToString()) == CheckReply(ReplyKind.LATER)
+    assert parse_reply(answer.SerializeToString()) == CheckReply(ReplyKind.RETRY_LATER)
 
 
-def test_an_answer_that_contradicts_itself_is_none():
-    lie = deny()
-    lie.status.code = 0
-    other = allow()
-    other.status.code = 7
-    for answer in (lie, other):
+def test_a_reply_that_contradicts_itself_is_invalid():
+    denied_with_ok_status = deny()
+    denied_with_ok_status.status.code = 0
+    allowed_with_error_status = allow()
+    allowed_with_error_status.status.code = 7
+    for answer in (denied_with_ok_status, allowed_with_error_status):
         with pytest.raises(InvalidReplyError):
             parse_reply(answer.SerializeToString())
 
 
 @given(st.binary(max_size=300))
-def test_no_bytes_give_anything_but_a_reply_or_a_bad_reply(body):
+def test_any_bytes_give_a_reply_or_an_invalid_reply_error(body):
     with contextlib.suppress(InvalidReplyError):
         assert isinstance(parse_reply(body), CheckReply)
 
 
 @given(st.binary(max_size=300))
-def test_no_bytes_give_anything_but_a_question_or_a_bad_request(body):
+def test_any_bytes_give_a_check_or_an_invalid_check_error(body):
     with contextlib.suppress(InvalidCheckError):
         parse_check(body, NAMES, ContextExtensionNames(), 3, 1.0)
 
@@ -118,25 +118,25 @@
         st.sampled_from(["customer", "plan", "class", "units", "spread", "first"]), TEXT
     )
 )
-def test_no_texts_give_anything_but_a_question_or_a_bad_request(extensions):
+def test_any_texts_give_a_valid_check_or_an_invalid_check_error(extensions):
     request = published.CheckRequest()
     for name, value in (
         {"customer": "0" * 16, "plan": "team", "class": "read"} | extensions
     ).items():
         request.attributes.context_extensions[name] = value
     try:
-        asked = parse_check(request.SerializeToString(), NAMES, ContextExtensionNames(), 3, 1.0)
+        check = parse_check(request.SerializeToString(), NAMES, ContextExtensionNames(), 3, 1.0)
     except InvalidCheckError:
         return
-    assert 0 < asked.units <= 1
-    assert 1 <= asked.spread <= 3
-    assert 0 <= asked.first < 3
+    assert 0 < check.units <= 1
+    assert 1 <= check.replica_set_size <= 3
+    assert 0 <= check.replica_set_first < 3
 
 
-def test_what_is_asked_is_read_by_the_published_message():
-    read = published.CheckRequest()
-    read.ParseFromString(encode_check(REQUEST, NAMES, "gw", 1_700_000_000_250_000))
-    http = read.attributes.request.http
+def test_an_encoded_check_is_parsed_by_the_published_message():
+    parsed = published.CheckRequest()
+    parsed.ParseFromString(encode_check(REQUEST, NAMES, "gw", 1_700_000_000_250_000))
+    http = parsed.attributes.request.http
     assert (http.id, http.method, http.path, http.size, http.protocol) == (
         "id-1",
         "POST",
@@ -144,34 +144,34 @@
         12,
         "RESP2",
     )
-    assert (read.attributes.request.time.seconds, read.attributes.request.time.nanos) == (
+    assert (parsed.attributes.request.time.seconds, parsed.attributes.request.time.nanos) == (
         1_700_000_000,
         250_000_000,
     )
-    assert dict(read.attributes.context_extensions)["retry"] == "1"
+    assert dict(parsed.attributes.context_extensions)["retry"] == "1"
 
 
-def test_a_gateways_question_is_one_that_a_gateway_can_answer():
-    asked = parse_check(
+def test_a_gateway_parses_the_check_of_another_gateway():
+    check = parse_check(
         encode_check(REQUEST, NAMES, "gw", 0), NAMES, ContextExtensionNames(), 3, 1.0
     )
-    assert (asked.customer, asked.plan, asked.kind, asked.units, asked.first, asked.spread) == (
-        7,
-        0,
-        1,
-        1.0,
-        1,
-        2,
-    )
+    assert (
+        check.customer,
+        check.plan,
+        check.kind,
+        check.units,
+        check.replica_set_first,
+        check.replica_set_size,
+    ) == (7, 0, 1, 1.0, 1, 2)
 
 
-def test_what_a_gateway_answers_is_what_a_gateway_reads():
+def test_a_gateway_parses_the_reply_of_another_gateway():
     assert parse_reply(admitted_response()) == CheckReply(ReplyKind.ALLOW)
-    assert parse_reply(rejected_response(1_500_000)) == CheckReply(ReplyKind.LATER, 1_500_000)
-    assert parse_reply(rejected_response(0)) == CheckReply(ReplyKind.LATER)
+    assert parse_reply(rejected_response(1_500_000)) == CheckReply(ReplyKind.RETRY_LATER, 1_500_000)
+    assert parse_reply(rejected_response(0)) == CheckReply(ReplyKind.RETRY_LATER)
 
 
-def test_the_key_is_all_that_is_shown_but_id_time_and_wait():
+def test_the_cache_key_is_every_attribute_except_id_time_and_timeout():
     from dataclasses import replace
 
     base = cache_key(REQUEST)
--- a/tests/authz/test_request_filter.py
+++ b/tests/authz/test_request_filter.py
@@ -1,4 +1,7 @@
-"""The gateway with an authoriser that misbehaves below the level of gRPC: one answer each, no send after a denial."""
+"""The gateway with an authoriser that fails below the level of gRPC.
+
+Every request gets exactly one reply, and none is sent upstream after a denial.
+"""
 
 from __future__ import annotations
 
@@ -24,51 +27,66 @@
 
 NAMES = RequestNames(("read", "put", "bill"), ("team",), (True, False, False))
 MS = 1_000
-PATIENT = BreakerSettings(
+NEVER_OPENING = BreakerSettings(
     max_consecutive_failures=1000, min_outcomes=1000
-)  # a breaker that does not open in these tests
+)  # a breaker that never opens in these tests
 
 
 class World:
-    """A gateway, a host and authorisers."""
+    """A gateway with the filter, one endpoint and authorisers."""
 
     async def open(
-        self, *authorisers: Authoriser, rules=None, tls=None, share=0.6, names=NAMES, **figures
+        self, *authorisers: Authoriser, rules=None, tls=None, share=0.6, names=NAMES, **settings
     ) -> World:
         self.authorisers, self.host = authorisers, await FakeHost("a").listen()
-        figures = {"breaker": PATIENT, "time_share": 0.5, "max_timeout_us": 2000 * MS} | figures
-        self.stage = AuthzFilter(
-            CheckSettings(**figures),
+        settings = {
+            "breaker": NEVER_OPENING,
+            "time_share": 0.5,
+            "max_timeout_us": 2000 * MS,
+        } | settings
+        self.filter = AuthzFilter(
+            CheckSettings(**settings),
             rules or FailureRules(),
             names,
             lambda: [AuthzChannel(a.address, tls) for a in authorisers],
             "saffrongw",
             1,
         )
-        plugs = Extensions((self.stage,), (), (self.stage,), share)
-        self.rig = Rig(self.host, driver=lambda *given: FilteringDriver(*given, plugs), sockets=600)
-        await self.stage.start(self.rig.driver)
+        extensions = Extensions((self.filter,), (), (self.filter,), share)
+        self.rig = Rig(
+            self.host, driver=lambda *given: FilteringDriver(*given, extensions), sockets=600
+        )
+        await self.filter.start(self.rig.driver)
         return self
 
     async def caller(self) -> Caller:
         return await self.rig.caller()
 
     async def close(self) -> None:
-        await self.stage.stop()
+        await self.filter.stop()
         for authoriser in self.authorisers:
             authoriser.stop()
 
-    def empty(self) -> bool:
-        asker, checks = self.stage.client, self.stage.client.checks
-        kept = (checks.flights, checks.of, checks.joinable, asker.waiting, asker.out)
-        kept += (asker.messages, asker.timers, self.stage.clients_by_request)
+    def is_idle(self) -> bool:
+        """Return whether no state of any request or check is left."""
+        client, checks = self.filter.client, self.filter.client.checks
+        state = (
+            checks.checks_in_flight,
+            checks.check_ids_by_request,
+            checks.check_ids_by_key,
+            client.pending_requests,
+            client.check_tasks,
+        )
+        state += (client.messages, client.hedge_timers, self.filter.clients_by_request)
         return (
-            not any(kept) and not self.rig.driver.requests and not self.rig.driver.filter_chain.runs
+            not any(state)
+            and not self.rig.driver.requests
+            and not self.rig.driver.filter_chain.runs
         )
 
 
 def world_test(function):
-    """A test that gets ``open`` and whose worlds are closed."""
+    """Decorate a test that gets a function to open worlds, which are closed at its end."""
 
     async def run() -> None:
         worlds: list[World] = []
@@ -88,7 +106,7 @@
 
 
 @world_test
-async def test_a_request_that_is_allowed_is_served_and_the_authoriser_was_told_its_terms(open_):
+async def test_an_allowed_request_is_served_and_its_check_carries_its_terms(open_):
     authoriser = await Authoriser().start()
     world = await open_(authoriser)
     caller = await world.caller()
@@ -96,17 +114,17 @@
     assert await caller.replied() == [b"ok"]
     (asked,) = authoriser.asked
     attributes = asked.request.attributes
-    http, more = attributes.request.http, dict(attributes.context_extensions)
+    http, extensions = attributes.request.http, dict(attributes.context_extensions)
     assert (http.id, http.method, http.path, http.size) == ("id7", "POST", "/put", 4)
-    assert attributes.source.principal == more["customer"] == "0000000000000007"
-    assert (more["class"], more["plan"], more["units"], more["wait_ms"]) == (
-        "put",
-        "team",
-        "1",
-        "1500",
-    )
+    assert attributes.source.principal == extensions["customer"] == "0000000000000007"
+    assert (
+        extensions["class"],
+        extensions["plan"],
+        extensions["units"],
+        extensions["wait_ms"],
+    ) == ("put", "team", "1", "1500")
     assert attributes.request.time.seconds > 1_600_000_000
-    await until(world.empty)
+    await until(world.is_idle)
 
 
 @pytest.mark.parametrize(
@@ -119,14 +137,14 @@
         (deny(503, retry_after=7), "BUSY 1000"),  # the settings allow a second at most
     ],
 )
-def test_a_denial_leaves_no_trace_at_hosts_and_takes_no_units(answer, reply):
+def test_a_denied_request_reaches_no_endpoint_and_takes_no_units(answer, reply):
     @world_test
     async def check(open_):
         world = await open_(await Authoriser(lambda request: answer).start())
         caller = await world.caller()
         caller.call("bill")
         assert error((await caller.replied())[0]) == reply
-        await until(world.empty)
+        await until(world.is_idle)
         assert world.host.commands == []
         assert world.rig.driver.gateway.quota_counters.customers == {}
 
@@ -135,7 +153,7 @@
 
 @pytest.mark.parametrize("mode", [mode for mode in MODES if mode not in ("answer", "delay")])
 @pytest.mark.parametrize("fail", ["open", "closed"])
-def test_each_fault_of_an_authoriser_gives_one_answer_by_the_fail_mode(mode, fail):
+def test_each_fault_of_an_authoriser_gives_one_reply_by_the_fail_mode(mode, fail):
     @world_test
     async def check(open_):
         authoriser = await Authoriser(behaviour=Behaviour({mode: 1.0})).start()
@@ -145,7 +163,7 @@
         (answer,) = await caller.replied()
         if fail == "open":
             assert answer == b"ok"
-        elif answer != b"ok":  # a library may take the first of two messages
+        elif answer != b"ok":  # in mode "twice" gRPC may accept the first of two messages
             assert error(answer) == "BUSY"
             assert world.host.commands == []
         else:
@@ -153,41 +171,41 @@
         await asyncio.sleep(0.1)
         assert len(caller.replies) == 1
         assert len(world.host.commands) <= 1
-        await until(world.empty)
+        await until(world.is_idle)
 
     check()
 
 
 @world_test
-async def test_a_window_that_is_never_opened_ends_by_the_checks_deadline(open_):
+async def test_a_check_times_out_when_the_authoriser_never_opens_the_flow_control_window(open_):
     authoriser = await Authoriser(behaviour=Behaviour(window_shut=True)).start()
     world = await open_(authoriser, max_timeout_us=150 * MS)
     caller = await world.caller()
     caller.call(wait=3000)
     assert error((await caller.replied())[0]) == "BUSY"
-    await until(world.empty)
+    await until(world.is_idle)
 
 
 @world_test
-async def test_an_answer_after_the_requests_own_end_sends_nothing(open_):
-    """The guard of the request ends it while its check is out; the late OK must not send it."""
+async def test_a_reply_after_the_requests_own_deadline_sends_nothing(open_):
+    """The request's deadline passes while its check is in flight; the late OK must not send it."""
     authoriser = await Authoriser(behaviour=Behaviour({"delay": 1.0}, (0.6, 0.6))).start()
     world = await open_(authoriser, share=0.9, max_timeout_us=5000 * MS)
-    world.stage.client.checks.settings = CheckSettings(
-        time_share=0.9, min_timeout_us=2000 * MS, max_timeout_us=2000 * MS, breaker=PATIENT
+    world.filter.client.checks.settings = CheckSettings(
+        time_share=0.9, min_timeout_us=2000 * MS, max_timeout_us=2000 * MS, breaker=NEVER_OPENING
     )
-    world.rig.driver.filter_chain.time_share = 5.0  # no share that would end it before
+    world.rig.driver.filter_chain.time_share = 5.0  # so that the filters' timeout is not first
     caller = await world.caller()
     caller.call("bill", wait=300)
     assert error((await caller.replied())[0]) == "ERR failed"
     await asyncio.sleep(0.6)
     assert world.host.commands == []
     assert len(caller.replies) == 1
-    await until(world.empty)
+    await until(world.is_idle)
 
 
 @world_test
-async def test_a_client_that_leaves_calls_its_check_off(open_):
+async def test_a_client_that_disconnects_cancels_its_check(open_):
     authoriser = await Authoriser(behaviour=Behaviour({"silent": 1.0})).start()
     world = await open_(authoriser)
     caller = await world.caller()
@@ -195,14 +213,14 @@
     await until(lambda: authoriser.asked)
     caller.transport.close()
     await until(lambda: authoriser.called_off == 1)
-    await until(world.empty)
+    await until(world.is_idle)
     assert world.host.commands == []
 
 
 @world_test
-async def test_a_restart_with_hundreds_of_checks_out_answers_each_request_once(open_):
+async def test_an_authoriser_restart_with_200_checks_in_flight_gives_each_request_one_reply(open_):
     authoriser = await Authoriser(behaviour=Behaviour({"delay": 1.0}, (0.3, 0.5))).start()
-    world = await open_(authoriser, coalesce=False, in_flight=500)
+    world = await open_(authoriser, coalesce=False, max_in_flight=500)
     callers = [await world.caller() for _ in range(200)]
     for number, caller in enumerate(callers):
         caller.call(wait=4000, number=b"n%d" % number)
@@ -210,7 +228,7 @@
     await authoriser.restart(0.2)
     for caller in callers:
         await caller.replied()
-    await until(world.empty)
+    await until(world.is_idle)
     assert all(len(caller.replies) == 1 for caller in callers)
     authoriser.behaviour.chances.clear()
 
@@ -225,7 +243,7 @@
 
 
 @world_test
-async def test_draining_with_checks_out_answers_them(open_):
+async def test_draining_waits_for_checks_in_flight(open_):
     authoriser = await Authoriser(behaviour=Behaviour({"delay": 1.0}, (0.3, 0.3))).start()
     world = await open_(authoriser)
     caller = await world.caller()
@@ -236,7 +254,7 @@
 
 
 @world_test
-async def test_equal_checks_are_asked_once_and_kept_as_long_as_the_answer_says(open_):
+async def test_requests_with_equal_keys_share_a_check_and_its_reply_is_cached(open_):
     authoriser = await Authoriser(
         lambda r: allow(cache_ms=60_000), behaviour=Behaviour({"delay": 1.0})
     ).start()
@@ -249,7 +267,7 @@
     callers[5].call(number=b"n5")
     assert await callers[5].replied() == [b"ok"]
     assert len(authoriser.asked) == 1
-    assert dict(world.stage.client.checks.counts) == {
+    assert dict(world.filter.client.checks.counts) == {
         "asked": 1,
         "joined": 4,
         "cached": 1,
@@ -258,9 +276,9 @@
 
 
 @world_test
-async def test_an_open_breaker_costs_no_time_and_closes_when_the_authoriser_is_back(open_):
+async def test_an_open_breaker_sends_no_checks_and_closes_when_the_authoriser_recovers(open_):
     authoriser = await Authoriser(behaviour=Behaviour({"silent": 1.0})).start()
-    breaker = BreakerSettings(max_consecutive_failures=3, open_us=200 * MS, successes=1)
+    breaker = BreakerSettings(max_consecutive_failures=3, open_us=200 * MS, successes_to_close=1)
     world = await open_(
         authoriser,
         rules=FailureRules("open"),
@@ -272,7 +290,7 @@
     for number in range(3):
         caller.call(wait=2000, number=b"n%d" % number)
         await caller.replied(number + 1)
-    assert world.stage.client.checks.endpoints[0].breaker.state is BreakerState.OPEN
+    assert world.filter.client.checks.endpoints[0].breaker.state is BreakerState.OPEN
     caller.call(wait=2000, number=b"fast")
     await caller.replied(4)
     assert len(authoriser.asked) == 3
@@ -284,7 +302,7 @@
         number += 1
         caller.call(wait=2000, number=b"m%d" % number)
         assert (await caller.replied(number))[-1] == b"ok"
-        return world.stage.client.checks.endpoints[0].breaker.state
+        return world.filter.client.checks.endpoints[0].breaker.state
 
     async with asyncio.timeout(10):
         while await ask() is not BreakerState.CLOSED:
@@ -292,21 +310,21 @@
 
 
 @world_test
-async def test_one_of_two_authorisers_that_is_away_is_left_alone(open_):
-    here, away = await Authoriser().start(), await Authoriser().start()
-    away.stop()
+async def test_a_stopped_authoriser_gets_no_checks_once_its_breaker_is_open(open_):
+    running, stopped = await Authoriser().start(), await Authoriser().start()
+    stopped.stop()
     breaker = BreakerSettings(max_consecutive_failures=2, open_us=60_000 * MS)
-    world = await open_(here, away, breaker=breaker, coalesce=False)
+    world = await open_(running, stopped, breaker=breaker, coalesce=False)
     caller = await world.caller()
-    endpoints = world.stage.client.checks.endpoints
+    endpoints = world.filter.client.checks.endpoints
     for number in range(30):
-        # How fast a dead one fails is measured by chance: here it is always the one that seems faster.
-        endpoints[0].latency, endpoints[1].latency = 1e9, 1.0
+        # How fast the stopped one fails varies; here it always appears to be the faster one.
+        endpoints[0].latency_us, endpoints[1].latency_us = 1e9, 1.0
         caller.call(wait=2000, number=b"n%d" % number)
         await caller.replied(number + 1)
     assert [reply == b"ok" for reply in caller.replies] == [False] * 2 + [True] * 28
-    assert len(here.asked) == 28
-    assert world.stage.client.checks.endpoints[1].breaker.state is BreakerState.OPEN
+    assert len(running.asked) == 28
+    assert world.filter.client.checks.endpoints[1].breaker.state is BreakerState.OPEN
 
 
 @world_test
@@ -314,27 +332,27 @@
     slow = await Authoriser(behaviour=Behaviour({"silent": 1.0})).start()
     fast = await Authoriser().start()
     world = await open_(slow, fast, hedge_after_us=30 * MS)
-    world.stage.client.checks.endpoints[1].latency = 1e9  # the slow one is asked first
+    world.filter.client.checks.endpoints[1].latency_us = 1e9  # so that the slow one is chosen first
     caller = await world.caller()
     caller.call(wait=4000)
     assert await caller.replied() == [b"ok"]
     assert (len(slow.asked), len(fast.asked)) == (1, 1)
     await until(lambda: slow.called_off == 1)
-    await until(world.empty)
+    await until(world.is_idle)
 
 
 @world_test
-async def test_an_authoriser_narrows_a_plan_only_where_it_may(open_):
-    names = RequestNames(NAMES.classes, ("team", "small"), NAMES.safe)
+async def test_an_authoriser_changes_a_plan_only_where_the_rules_allow_it(open_):
+    names = RequestNames(NAMES.classes, ("team", "small"), NAMES.idempotent)
     for rules, plan in (
-        (FailureRules(may_narrow_plan={"team": ("small",)}), 1),
+        (FailureRules(allowed_plans={"team": ("small",)}), 1),
         (FailureRules(), 0),
     ):
         world = await open_(
             await Authoriser(lambda r: allow(plan="small")).start(), rules=rules, names=names
         )
-        package = world.rig.config.settings.plans
-        settings = dataclasses.replace(world.rig.config.settings, plans=(*package, *package))
+        plans = world.rig.config.settings.plans
+        settings = dataclasses.replace(world.rig.config.settings, plans=(*plans, *plans))
         driver = world.rig.driver
         entries = tuple(e.entry for e in driver.gateway.endpoints.by_id.values())
         driver.gateway = Gateway(settings, 1, driver.clock())
@@ -354,9 +372,9 @@
     rules = FailureRules(
         "closed", {("read", ""): "open", ("read", "team"): "closed", ("bill", ""): "open"}
     )
-    gone = await Authoriser().start()
-    gone.stop()
-    world = await open_(gone, rules=rules)
+    stopped = await Authoriser().start()
+    stopped.stop()
+    world = await open_(stopped, rules=rules)
     for kind, answer in (("read", "BUSY"), ("bill", b"ok"), ("put", "BUSY")):
         caller = await world.caller()
         caller.call(kind, number=b"x" + kind.encode())
@@ -365,7 +383,7 @@
 
 
 @world_test
-async def test_any_mix_of_faults_leaves_one_answer_each_and_nothing_behind(open_):
+async def test_any_mix_of_faults_gives_each_request_one_reply_and_leaves_no_state(open_):
     mix = {mode: 0.06 for mode in MODES if mode != "answer"}
     authorisers = [
         await Authoriser(seed=f"mix{n}", behaviour=Behaviour(dict(mix), (0.0, 0.3))).start()
@@ -388,13 +406,13 @@
     await asyncio.sleep(0.3)
     assert all(len(caller.replies) == 12 for caller in callers)
     served = sum(reply == b"ok" for caller in callers for reply in caller.replies)
-    assert served == len(world.host.commands)  # no send without its answer, none twice
+    assert served == len(world.host.commands)  # each served request reached the endpoint once
     assert 0 < served < 300
-    await until(world.empty)
+    await until(world.is_idle)
 
 
 @world_test
-async def test_figures_and_authorisers_change_in_service_and_what_is_out_ends_by_the_old_ones(
+async def test_settings_and_authorisers_change_in_service_and_checks_in_flight_use_the_old_ones(
     open_,
 ):
     old = await Authoriser(behaviour=Behaviour({"delay": 1.0}, (0.3, 0.3))).start()
@@ -403,8 +421,10 @@
     before, after = await world.caller(), await world.caller()
     before.call(wait=4000, number=b"one")
     await until(lambda: old.asked)
-    world.stage.change(
-        CheckSettings(breaker=PATIENT), FailureRules("open"), lambda: [AuthzChannel(new.address)]
+    world.filter.reconfigure(
+        CheckSettings(breaker=NEVER_OPENING),
+        FailureRules("open"),
+        lambda: [AuthzChannel(new.address)],
     )
     after.call(wait=4000, number=b"two")
     assert error((await after.replied())[0]) == "ERR failed"
@@ -415,32 +435,32 @@
 
 
 @world_test
-async def test_a_change_that_cannot_be_made_changes_nothing(open_):
+async def test_a_change_with_an_unreadable_tls_file_has_no_effect(open_):
     world = await open_(await Authoriser().start())
-    asker = world.stage.client
+    client = world.filter.client
     with pytest.raises(OSError, match="none"):
-        world.stage.change(
+        world.filter.reconfigure(
             CheckSettings(),
             FailureRules("open"),
             lambda: [AuthzChannel("127.0.0.1:1", TlsFiles(ca="/none.pem"))],
         )
-    assert world.stage.client is asker
-    assert world.stage.rules.fail == "closed"
+    assert world.filter.client is client
+    assert world.filter.rules.default_mode == "closed"
     caller = await world.caller()
     caller.call()
     assert await caller.replied() == [b"ok"]
 
 
 @world_test
-async def test_an_aborted_change_leaves_the_old_checks_and_closes_the_new_channels(open_):
+async def test_an_aborted_change_keeps_the_old_client_and_closes_the_new_channels(open_):
     world = await open_(await Authoriser().start())
-    asker = world.stage.client
+    client = world.filter.client
     channel = AuthzChannel("127.0.0.1:1")
-    prepared = world.stage.prepare(CheckSettings(), FailureRules("open"), lambda: [channel])
+    prepared = world.filter.prepare(CheckSettings(), FailureRules("open"), lambda: [channel])
     prepared.abort()
-    await until(lambda: not world.stage.retiring)
-    assert world.stage.client is asker
-    assert world.stage.rules.fail == "closed"
+    await until(lambda: not world.filter.background_tasks)
+    assert world.filter.client is client
+    assert world.filter.rules.default_mode == "closed"
     caller = await world.caller()
     caller.call()
     assert await caller.replied() == [b"ok"]
@@ -450,7 +470,7 @@
 
 
 class Authority:
-    """A certificate authority and the files that it wrote."""
+    """A certificate authority and the folder of its files."""
 
     def __init__(self, folder: Path) -> None:
         self.ca, self.folder = trustme.CA(), folder
@@ -458,7 +478,7 @@
         self.ca.cert_pem.write_to_path(self.ca_file)
 
     def issue(self, name: str) -> tuple[str, str]:
-        """Certificate and key for a name, in place of older ones, whole or not at all."""
+        """Issue certificate and key for a name; the files are replaced atomically."""
         issued = self.ca.issue_cert(name)
         cert, key = self.folder / f"{name}.pem", self.folder / f"{name}.key"
         issued.cert_chain_pems[0].write_to_path(cert.with_suffix(".new"))
@@ -468,7 +488,7 @@
         return str(cert), str(key)
 
     def server(self, name: str, clients: Authority | None = None) -> ssl.SSLContext:
-        """A server's context that asks clients for certificates."""
+        """Return a server's TLS context; with ``clients`` it requires their certificates."""
         context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
         context.load_cert_chain(*self.issue(name))
         context.set_alpn_protocols(["h2"])
@@ -478,7 +498,7 @@
         return context
 
 
-def test_mutual_tls_and_files_that_change_in_service(tmp_path):
+def test_mutual_tls_with_files_that_change_in_service(tmp_path):
     @world_test
     async def check(open_):
         own = Authority(tmp_path)
@@ -492,13 +512,13 @@
         caller.call(wait=4000, number=b"one")
         assert await caller.replied() == [b"ok"]
         own.issue("gateway.test")  # a renewed certificate
-        channel = world.stage.client.channels[0]
-        channel.looked, before = -10.0, channel.channel
+        channel = world.filter.client.channels[0]
+        channel.tls_files_checked_s, before = -10.0, channel.channel
         caller.call(wait=4000, number=b"two")
         assert await caller.replied(2) == [b"ok"] * 2
         assert channel.channel is not before
-        Path(cert).unlink()  # a file that is gone changes nothing
-        channel.looked, before = -10.0, channel.channel
+        Path(cert).unlink()  # a missing file keeps the old channel
+        channel.tls_files_checked_s, before = -10.0, channel.channel
         caller.call(wait=4000, number=b"three")
         assert await caller.replied(3) == [b"ok"] * 3
         assert channel.channel is before
@@ -506,7 +526,7 @@
     check()
 
 
-def test_an_authoriser_that_cannot_prove_its_name_is_not_believed(tmp_path):
+def test_an_authoriser_without_a_valid_certificate_for_its_name_gets_no_checks(tmp_path):
     @world_test
     async def check(open_):
         (tmp_path / "own").mkdir(), (tmp_path / "other").mkdir()
--- a/tests/authz/test_server.py
+++ b/tests/authz/test_server.py
@@ -1,4 +1,4 @@
-"""The gateway as an authoriser, asked by an independent library with the published messages."""
+"""The gateway as an authoriser, checked with another gRPC library and the published messages."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 @contextlib.asynccontextmanager
 async def served(in_flight=100, **changes):
-    """A gateway that answers checks: the rig, and how to ask."""
+    """Run a gateway that answers checks; yield its rig, the server and a function to send a check."""
     host = await FakeHost("a").listen()
     server = AuthzServer("127.0.0.1:0", NAMES, ContextExtensionNames(), 2, 1.0, in_flight)
     rig = Rig(
@@ -67,28 +67,28 @@
 
 
 @asyncio_test
-async def test_checks_are_let_in_up_to_the_quota_and_then_told_when_to_come_back():
+async def test_checks_are_admitted_up_to_the_quota_and_then_rejected():
     async with served(**plan(0.5, 4.0)) as (_, server, ask):
         answers = [await ask() for _ in range(6)]
         assert [a.status.code for a in answers] == [0, 0, 0, 0, 8, 8]
         assert answers[0].WhichOneof("http_response") == "ok_response"
         assert answers[4].denied_response.status.code == 429
-        assert dict(server.counts) == {"let in": 4, "turned away": 2}
+        assert dict(server.counts) == {"admitted": 4, "rejected": 2}
 
 
 @asyncio_test
-async def test_a_refusal_says_when_if_that_is_within_what_the_settings_allow():
+async def test_a_rejection_states_a_retry_after_time_within_the_settings_limit():
     async with served(**plan(4.0, 2.0)) as (_, _, ask):
         answers = [await ask() for _ in range(4)]
-        late = [a for a in answers if a.status.code == 8]
-        assert late
-        headers = {o.header.key: o.header.value for o in late[0].denied_response.headers}
+        rejected = [a for a in answers if a.status.code == 8]
+        assert rejected
+        headers = {o.header.key: o.header.value for o in rejected[0].denied_response.headers}
         assert headers == {"retry-after": "1"}
-        assert late[0].status.details[0].type_url.endswith("google.rpc.RetryInfo")
+        assert rejected[0].status.details[0].type_url.endswith("google.rpc.RetryInfo")
 
 
 @asyncio_test
-async def test_both_ways_in_share_one_quota():
+async def test_clients_and_other_proxies_share_one_quota():
     async with served(**plan(0.01, 6.0)) as (rig, _, ask):
         caller = await rig.caller()
         for number in range(3):
@@ -102,7 +102,7 @@
 
 
 @asyncio_test
-async def test_customers_do_not_share():
+async def test_customers_have_separate_quotas():
     async with served(**plan(0.01, 2.0)) as (_, _, ask):
         for customer in ("0000000000000001", "0000000000000002"):
             codes = [(await ask(customer=customer)).status.code for _ in range(3)]
@@ -126,14 +126,14 @@
         ({"first": "2"}, "out of range"),
     ],
 )
-def test_what_cannot_be_decided_is_an_error_that_says_why_and_takes_nothing(fields, why):
+def test_a_malformed_check_is_an_error_that_names_the_field_and_takes_no_units(fields, why):
     @asyncio_test
     async def check():
         async with served() as (rig, server, ask):
-            with pytest.raises(grpclib.GRPCError) as wrong:
+            with pytest.raises(grpclib.GRPCError) as raised:
                 await ask(**fields)
-            assert wrong.value.status is grpclib.Status.INVALID_ARGUMENT
-            assert why in wrong.value.message
+            assert raised.value.status is grpclib.Status.INVALID_ARGUMENT
+            assert why in raised.value.message
             assert rig.driver.gateway.quota_counters.customers == {}
             assert server.counts["bad"] == 1
 
@@ -141,17 +141,17 @@
 
 
 @asyncio_test
-async def test_a_fault_of_the_decisions_is_unavailable_and_not_let_in():
+async def test_an_exception_in_the_policy_gives_unavailable_and_does_not_admit():
     async with served() as (rig, _, ask):
         rig.driver.gateway.admission.admits = lambda request: 1 / 0
-        with pytest.raises(grpclib.GRPCError) as wrong:
+        with pytest.raises(grpclib.GRPCError) as raised:
             await ask()
-        assert wrong.value.status is grpclib.Status.UNAVAILABLE
+        assert raised.value.status is grpclib.Status.UNAVAILABLE
         assert rig.driver.admission_checks == {}
 
 
 @asyncio_test
-async def test_a_port_that_is_taken_is_told_plainly():
+async def test_a_port_in_use_raises_os_error():
     async with served() as (rig, server, _):
         second = AuthzServer(f"127.0.0.1:{server.port}", NAMES, ContextExtensionNames(), 2, 1.0, 10)
         with pytest.raises(OSError, match="can't listen on"):
@@ -159,12 +159,12 @@
 
 
 @asyncio_test
-async def test_our_client_and_a_server_of_the_independent_library_understand_each_other():
-    asked = []
+async def test_the_filter_works_with_a_server_of_another_grpc_library():
+    received = []
 
     async def check(stream) -> None:
         request = await stream.recv_message()
-        asked.append(request)
+        received.append(request)
         response = published.CheckResponse()
         response.ok_response.SetInParent()
         await stream.send_message(response)
@@ -191,13 +191,13 @@
     caller = await world.caller()
     caller.call("bill", number=b"id1")
     assert await caller.replied() == [b"ok"]
-    assert asked[0].attributes.request.http.path == "/bill"
+    assert received[0].attributes.request.http.path == "/bill"
     await world.close()
     await server.wait_closed()
 
 
 @asyncio_test
-async def test_the_end_answers_what_is_there_and_takes_no_more():
+async def test_a_stopped_server_accepts_no_more_checks():
     async with served() as (_, server, ask):
         await ask()
         await server.stop()
