--- a/saffrongw/admin/__init__.py
+++ b/saffrongw/admin/__init__.py
@@ -1,4 +1,4 @@
-"""The ``saffrongw`` command line, and what its commands share."""
+"""The ``saffrongw`` command line. This module has what its commands share."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from collections.abc import Sequence
 
 # Exit status for input that can't be used.
-UNUSABLE = 2
+INPUT_ERROR_STATUS = 2
 
 
 def columns(rows: Sequence[Sequence[str]]) -> str:
-    """Rows as a table, each column as wide as its widest cell; there must be a row."""
+    """Return rows as a table with aligned columns; there must be at least one row."""
     widths = [max(len(row[column]) for row in rows) for column in range(len(rows[0]))]
     return "\n".join(_line(row, widths) for row in rows)
 
@@ -20,7 +20,7 @@
     return "  ".join(cells).rstrip()
 
 
-def unusable(why: object) -> int:
-    """Say in one line on standard error what is wrong with the input; the exit status for it."""
-    print(f"saffrongw: {why}", file=sys.stderr)
-    return UNUSABLE
+def input_error(reason: object) -> int:
+    """Print on standard error what is wrong with the input; return the exit status for it."""
+    print(f"saffrongw: {reason}", file=sys.stderr)
+    return INPUT_ERROR_STATUS
--- a/saffrongw/admin/certs.py
+++ b/saffrongw/admin/certs.py
@@ -1,7 +1,7 @@
-"""``saffrongw certs``: what a site's folder of certificates holds, and what an operator does to it.
+"""``saffrongw certs``: shows and changes the certificates in a site's shared folder.
 
-Works beside running gateways, which look at the folder once a second. ``renew`` leaves the ordering
-to whoever holds the duty; ``revoke`` and ``rollover`` speak to the authority themselves.
+Running gateways read the folder again once a second. ``renew`` only requests the renewal, which the
+gateway that orders certificates carries out; ``revoke`` and ``rollover`` call the authority.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from datetime import UTC, datetime
 
 from saffrongw import operator
-from saffrongw.admin import columns, unusable
+from saffrongw.admin import columns, input_error
 from saffrongw.certs import chain, renewal
 from saffrongw.certs.acme_session import Session
 from saffrongw.certs.acme_steps import Flow
@@ -29,19 +29,19 @@
 from saffrongw.certs.tls_listener import TlsSettings
 from toml_schema import SchemaError
 
-ALARM_STATUS = 1  # exit status of ``list`` where something is urgent
+ALARM_STATUS = 1  # exit status of ``list`` where a certificate's alarm is WARNING or worse
 
 
 @dataclass(frozen=True, slots=True)
 class NamedSite:
-    """The shared folder that a command names, and the operator's table if there is one."""
+    """The shared folder that a command names, and ``[certs]`` if it names an operator file."""
 
     stores: CertificateSite
     table: CertsTable | None
 
 
-def when(at: float | None) -> str:
-    """A time as people read it."""
+def time_text(at: float | None) -> str:
+    """Return a time of renewal or expiry in readable form; past times are ``now``."""
     if at is None:
         return "-"
     if at <= time.time():
@@ -49,8 +49,11 @@
     return datetime.fromtimestamp(at, UTC).strftime("%Y-%m-%d %H:%M UTC")
 
 
-def rows_of(site: NamedSite) -> list[CertificateRow]:
-    """What a gateway would show, from the folder alone: who orders right now is not known here."""
+def certificate_rows(site: NamedSite) -> list[CertificateRow]:
+    """Return the rows that a gateway would show, except for orders in progress.
+
+    They are made from the folder alone, which does not say who is ordering.
+    """
     table = site.table or CertsTable("none:1", site.stores.folder.path)
     renewal_loop = RenewalLoop(table, "operator", TlsSettings())
     store = site.stores.certificates
@@ -60,8 +63,8 @@
     return renewal_loop.rows()
 
 
-def as_json(row: CertificateRow) -> dict:
-    """One row in plain types."""
+def row_json(row: CertificateRow) -> dict:
+    """Return a row in types that JSON has."""
     return {
         "id": row.id,
         "names": list(row.names),
@@ -76,7 +79,7 @@
 
 
 def table_text(rows: list[CertificateRow]) -> str:
-    """Rows as a table."""
+    """Return rows as a table."""
     lines = [
         (
             "certificate",
@@ -90,49 +93,63 @@
         )
     ]
     for row in rows:
-        left = "none" if row.days_left is None else f"{row.days_left:.1f}"
-        names = row.names[0] if row.names else "-"
-        more = f" +{len(row.names) - 1}" if len(row.names) > 1 else ""
-        why = f"{row.failures.kind}: {row.failures.detail}"[:60] if row.failures else "-"
+        days_left = "none" if row.days_left is None else f"{row.days_left:.1f}"
+        first_name = row.names[0] if row.names else "-"
+        more_names = f" +{len(row.names) - 1}" if len(row.names) > 1 else ""
+        failure = f"{row.failures.kind}: {row.failures.detail}"[:60] if row.failures else "-"
         alarm = row.alarm.name.lower()
-        counted = str(row.failures.count or "-")
+        failure_count = str(row.failures.count or "-")
         lines.append(
-            (row.id, names + more, left, row.issuer or "-", alarm, when(row.next_at), counted, why)
+            (
+                row.id,
+                first_name + more_names,
+                days_left,
+                row.issuer or "-",
+                alarm,
+                time_text(row.next_at),
+                failure_count,
+                failure,
+            )
         )
     return columns(lines)
 
 
-def _list(site: NamedSite, given: argparse.Namespace) -> int:
-    rows = rows_of(site)
-    if given.json:
+def _list(site: NamedSite, options: argparse.Namespace) -> int:
+    rows = certificate_rows(site)
+    if options.json:
         for row in rows:
-            print(json.dumps(as_json(row)))
+            print(json.dumps(row_json(row)))
     else:
         print(table_text(rows) if rows else "no certificates")
         if (lease := site.stores.lease.current()) is not None:
-            print(f"orders: {lease.holder}, term {lease.term}, until {when(lease.until)}")
+            print(f"orders: {lease.holder}, term {lease.term}, until {time_text(lease.until)}")
     return ALARM_STATUS if any(row.alarm >= renewal.Alarm.WARNING for row in rows) else 0
 
 
-def _show(site: NamedSite, given: argparse.Namespace) -> int:
-    row = next((row for row in rows_of(site) if row.id == given.id), None)
+def _show(site: NamedSite, options: argparse.Namespace) -> int:
+    row = next((row for row in certificate_rows(site) if row.id == options.id), None)
     if row is None:
-        return _unknown(given.id, site.stores.certificates.ids())
-    note, pair = site.stores.certificates.note(given.id), site.stores.certificates.pair(given.id)
+        return _unknown_id(options.id, site.stores.certificates.ids())
+    note, pair = (
+        site.stores.certificates.note(options.id),
+        site.stores.certificates.pair(options.id),
+    )
     print(f"certificate  {row.id}")
     print(f"names        {', '.join(row.names) or '-'}")
     if pair:
-        f = pair.facts
-        print(f"valid        {_utc(f.start)} to {_utc(f.end)}, {row.days_left:.2f} days left")
-        print(f"issuer       {f.issuer} (chain of {f.chain})")
-        print(f"serial       {f.serial:x}")
-        print(f"fingerprint  {f.fingerprint}")
+        facts = pair.facts
+        print(
+            f"valid        {_utc(facts.start)} to {_utc(facts.end)}, {row.days_left:.2f} days left"
+        )
+        print(f"issuer       {facts.issuer} (chain of {facts.chain})")
+        print(f"serial       {facts.serial:x}")
+        print(f"fingerprint  {facts.fingerprint}")
         print(f"files        {pair.cert}, {pair.key.name}")
     else:
         print("valid        there is none that may serve")
     print(f"alarm        {row.alarm.name.lower()}")
-    by_hand = note.imported and not note.wanted
-    print(f"renewal      {'by hand (imported)' if by_hand else when(row.next_at)}")
+    is_manual = note.imported and not note.wanted
+    print(f"renewal      {'by hand (imported)' if is_manual else time_text(row.next_at)}")
     if note.window:
         print(
             f"window       {_utc(note.window.start)} to {_utc(note.window.end)}, by the authority"
@@ -152,65 +169,65 @@
     return datetime.fromtimestamp(at, UTC).strftime("%Y-%m-%d %H:%M:%S UTC")
 
 
-def _unknown(certificate_id: str, known: list[str]) -> int:
-    return unusable(
-        f"no certificate is called {certificate_id!r}; there are: {', '.join(known) or 'none'}"
+def _unknown_id(certificate_id: str, known_ids: list[str]) -> int:
+    return input_error(
+        f"no certificate is called {certificate_id!r}; there are: {', '.join(known_ids) or 'none'}"
     )
 
 
-def _renew(site: NamedSite, given: argparse.Namespace) -> int:
-    managed = (
-        {one.id for one in site.table.certificate}
+def _renew(site: NamedSite, options: argparse.Namespace) -> int:
+    managed_ids = (
+        {certificate.id for certificate in site.table.certificate}
         if site.table
         else set(site.stores.certificates.ids())
     )
-    if given.id not in managed:
-        return _unknown(given.id, sorted(managed))
-    site.stores.certificates.request_renewal(given.id)
+    if options.id not in managed_ids:
+        return _unknown_id(options.id, sorted(managed_ids))
+    site.stores.certificates.request_renewal(options.id)
     print(
-        f"{given.id}: whoever holds the duty renews it within a second or two; "
+        f"{options.id}: whoever holds the duty renews it within a second or two; "
         "watch `saffrongw certs list`"
     )
     return 0
 
 
-def _import(site: NamedSite, given: argparse.Namespace) -> int:
+def _import(site: NamedSite, options: argparse.Namespace) -> int:
     try:
-        cert, key = given.cert.read_bytes(), given.key.read_bytes()
+        cert, key = options.cert.read_bytes(), options.key.read_bytes()
     except OSError as error:
-        return unusable(f"{error.filename}: can't be read: {error.strerror}")
+        return input_error(f"{error.filename}: can't be read: {error.strerror}")
     try:
         facts = chain.check_pair(cert, key, (), time.time())
     except chain.ChainError as error:
-        return unusable(f"{given.cert}: {error}")
-    certificate_id = given.id or facts.names[0].replace("*", "_")
+        return input_error(f"{options.cert}: {error}")
+    certificate_id = options.id or facts.names[0].replace("*", "_")
     note = CertNote(names=facts.names, imported=True)
     site.stores.certificates.install(certificate_id, cert, key, note, None)
     days_left = (facts.end - time.time()) / renewal.DAY
     print(f"{certificate_id}: in service for {', '.join(facts.names)}, {days_left:.1f} days left")
-    if site.table and certificate_id in {one.id for one in site.table.certificate}:
+    if site.table and certificate_id in {certificate.id for certificate in site.table.certificate}:
         print("it is not renewed until `saffrongw certs renew` asks for it")
     return 0
 
 
 def _authority(site: NamedSite, directory: str) -> AuthorityTable:
-    """The one that was named, or the only one."""
+    """Return the authority with this directory; without one, the only authority."""
     authorities = site.table.authority if site.table else ()
     for authority in authorities:
         if authority.directory == directory or (not directory and len(authorities) == 1):
             return authority
-    known = (
-        ", ".join(p.directory for p in authorities)
+    known_directories = (
+        ", ".join(authority.directory for authority in authorities)
         or "none (name the operator file with --operator)"
     )
-    raise DocumentError(f"which authority? --authority is one of: {known}")
+    raise DocumentError(f"which authority? --authority is one of: {known_directories}")
 
 
-async def _converse(
+async def _run_acme_steps(
     site: NamedSite, authority: AuthorityTable, steps: Callable[[Session], Flow[None]]
 ) -> None:
-    """Carry out steps with an authority under our account there."""
-    assert site.table is not None  # an authority was found in it
+    """Carry out ACME steps with our account at an authority."""
+    assert site.table is not None  # _authority found the authority in it
     renewal_loop = RenewalLoop(site.table, "operator", TlsSettings())
     orders = renewal_loop.orders
     orders.site = site.stores
@@ -221,36 +238,38 @@
         renewal_loop.worker.close()
 
 
-def _revoke(site: NamedSite, given: argparse.Namespace) -> int:
-    pair = site.stores.certificates.pair(given.id)
+def _revoke(site: NamedSite, options: argparse.Namespace) -> int:
+    pair = site.stores.certificates.pair(options.id)
     if pair is None:
-        return unusable(f"{given.id}: there is no certificate")
+        return input_error(f"{options.id}: there is no certificate")
     der = chain.der_of(site.stores.certificates.files(pair)[0])
-    authority = _authority(site, given.authority)
+    authority = _authority(site, options.authority)
     asyncio.run(
-        _converse(site, authority, lambda session: session.revoke(der, REASONS[given.reason]))
+        _run_acme_steps(
+            site, authority, lambda session: session.revoke(der, REASONS[options.reason])
+        )
     )
-    site.stores.certificates.drop_pending_key(given.id, None)
-    site.stores.certificates.request_renewal(given.id)
+    site.stores.certificates.drop_pending_key(options.id, None)
+    site.stores.certificates.request_renewal(options.id)
     print(
-        f"{given.id}: revoked; it serves until its successor is there, "
+        f"{options.id}: revoked; it serves until its successor is there, "
         "which is ordered now with a new key"
     )
     return 0
 
 
-def _rollover(site: NamedSite, given: argparse.Namespace) -> int:
-    authority, new = _authority(site, given.authority), AccountKey.new()
-    site.stores.accounts.begin_key_change(authority.directory, new)
-    asyncio.run(_converse(site, authority, lambda session: session.roll_over(new)))
+def _rollover(site: NamedSite, options: argparse.Namespace) -> int:
+    authority, new_key = _authority(site, options.authority), AccountKey.new()
+    site.stores.accounts.begin_key_change(authority.directory, new_key)
+    asyncio.run(_run_acme_steps(site, authority, lambda session: session.roll_over(new_key)))
     site.stores.accounts.end_key_change(authority.directory)
     print(f"the account at {authority.directory} has a new key")
     return 0
 
 
-def run(given: argparse.Namespace) -> int:
-    """Carry one of them out; 2 where that can't be done."""
-    act = {
+def run(options: argparse.Namespace) -> int:
+    """Carry out one command; return its exit status, 2 for input that can't be used."""
+    commands = {
         "list": _list,
         "show": _show,
         "renew": _renew,
@@ -259,15 +278,15 @@
         "import": _import,
     }
     try:
-        table = operator.load(given.operator).certs if given.operator else None
-        if given.operator and table is None:
-            return unusable(f"{given.operator}: it has no [certs]")
-        site = CertificateSite(table.state_dir if table else given.state)
-        if not site.folder.path.is_dir() and given.what != "import":
-            return unusable(f"{site.folder.path}: there is no such folder")
+        table = operator.load(options.operator).certs if options.operator else None
+        if options.operator and table is None:
+            return input_error(f"{options.operator}: it has no [certs]")
+        site = CertificateSite(table.state_dir if table else options.state)
+        if not site.folder.path.is_dir() and options.what != "import":
+            return input_error(f"{site.folder.path}: there is no such folder")
         site.folder.open()
-        return act[given.what](NamedSite(site, table), given)
+        return commands[options.what](NamedSite(site, table), options)
     except SchemaError as error:
-        return unusable(error)
+        return input_error(error)
     except (AcmeError, DocumentError) as error:
-        return unusable(getattr(error, "detail", None) or error)
+        return input_error(getattr(error, "detail", None) or error)
--- a/saffrongw/admin/cli.py
+++ b/saffrongw/admin/cli.py
@@ -1,4 +1,4 @@
-"""The ``saffrongw`` command line; exit status 2 for input that can't be used."""
+"""The ``saffrongw`` command line: its arguments, and the commands serve, check and version."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import toml_schema
 from saffrongw import __version__, operator
-from saffrongw.admin import leases, unusable
+from saffrongw.admin import input_error, leases
 from saffrongw.certs.table import REASONS
 from saffrongw.extension_registry import build_extensions
 from saffrongw.gateway import bootstrap
@@ -18,7 +18,7 @@
 from saffrongw.gateway.config_file import MALFORMED_INPUT, ConfigFileError, read_config
 from saffrongw.gateway.extensions import Extensions
 
-# The environment's name for the operator file.
+# Environment variable that names the operator file.
 OPERATOR_VARIABLE = "SAFFRONGW_OPERATOR"
 
 
@@ -28,49 +28,49 @@
     try:
         file = operator.load(name) if name else None
     except toml_schema.SchemaError as error:
-        return unusable(error)
+        return input_error(error)
     if config is None and "LB_CONFIG" not in os.environ:
-        return unusable(
+        return input_error(
             "no configuration: name one with --config or LB_CONFIG"
             " (`make demo` shows a whole fleet)"
         )
     if file is None or name is None:
         return bootstrap.run(config)
 
-    def build(read: Config) -> Extensions:
-        return build_extensions(file, read, name)
+    def build(config: Config) -> Extensions:
+        return build_extensions(file, config, name)
 
     try:
         return bootstrap.run(config, build)
     except toml_schema.SchemaError as error:
-        # The file names what the configuration does not have, or a TLS file that can't be used.
-        return unusable(f"{name}: {error}")
+        # The file does not fit the configuration, or names a TLS file that can't be used.
+        return input_error(f"{name}: {error}")
 
 
 def check(path: Path) -> int:
     """Validate a file: ``.toml`` is an operator file, ``.json`` a gateway's configuration."""
     if path.suffix not in (".toml", ".json"):
-        return unusable(f"{path}: neither an operator file (.toml) nor a configuration (.json)")
+        return input_error(f"{path}: neither an operator file (.toml) nor a configuration (.json)")
     try:
         if path.suffix == ".toml":
             operator.load(path)
         else:
-            malformed = read_config(path).known.malformed_count
-            if malformed:
-                return unusable(f"{path}: known.hosts: {malformed} entries make no sense")
+            malformed_count = read_config(path).known.malformed_count
+            if malformed_count:
+                return input_error(f"{path}: known.hosts: {malformed_count} entries make no sense")
     except toml_schema.SchemaError as error:
-        return unusable(error)
+        return input_error(error)
     except ConfigFileError as error:
-        return unusable(f"{path}: {_reason(error.reason)}")
+        return input_error(f"{path}: {_reason(error.reason)}")
     except MALFORMED_INPUT as error:
-        # TOML whose values can't even be converted.
-        return unusable(f"{path}: {_reason(error)}")
+        # TOML with values that can't be converted to the types of the schema.
+        return input_error(f"{path}: {_reason(error)}")
     print(f"{path}: good")
     return 0
 
 
 def _reason(error: Exception) -> str:
-    """Why a file can't be used, without the names of Python's errors."""
+    """Return why a file can't be used, in words for operators instead of Python's."""
     if isinstance(error, OSError):
         return f"can't be read: {error.strerror or error}"
     if isinstance(error, KeyError):
@@ -85,7 +85,7 @@
 
 
 def _add_ledger_commands(commands: argparse._SubParsersAction) -> None:
-    """Add the arguments of ``saffrongw ledger``; ``ledger.py`` carries it out."""
+    """Add the arguments of ``saffrongw ledger``, which ``ledger.py`` implements."""
     ledger = commands.add_parser("ledger", help="what became of unrepeatable requests")
     ledger.add_argument(
         "--state", type=Path, required=True, metavar="DIR", help="the state_dir of [ledger]"
@@ -113,7 +113,7 @@
 
 
 def _add_certs_commands(commands: argparse._SubParsersAction) -> None:
-    """Add the arguments of ``saffrongw certs``; ``certs.py`` carries it out."""
+    """Add the arguments of ``saffrongw certs``, which ``certs.py`` implements."""
     certs = commands.add_parser("certs", help="certificates of the TLS listener")
     source = certs.add_mutually_exclusive_group(required=True)
     source.add_argument(
@@ -159,9 +159,9 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run one command; its exit status."""
+    """Run one command; return its exit status."""
     arguments = _build_parser().parse_args(argv)
-    # Imported only here: other commands load nothing of these.
+    # Imported here, so that other commands do not load their dependencies.
     if arguments.command == "ledger":
         from . import ledger
 
--- a/saffrongw/admin/lease_text.py
+++ b/saffrongw/admin/lease_text.py
@@ -1,4 +1,4 @@
-"""The text that ``saffrongw leases list`` and ``show`` print, from the /admin/leases object."""
+"""Formats the JSON object of /admin/leases as text for ``saffrongw leases list`` and ``show``."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 JsonObject = dict[str, Any]
 
-# Tasks named in one cell of the table.
+# Tasks that one cell of the table names.
 MAX_TASKS_SHOWN = 3
 MS_PER_S = 1_000
 
 
 def timestamp(unix_s: float) -> str:
-    """Return a Unix time as people read it."""
+    """Return a Unix time in readable form."""
     return datetime.fromtimestamp(unix_s, UTC).strftime("%Y-%m-%d %H:%M:%S UTC")
 
 
 def gateway_lines(state: JsonObject) -> list[str]:
-    """Return the lines about the gateway itself, with what is wrong."""
+    """Return the lines about the gateway itself, its problems and suspended leases."""
     since_ms = state["since_majority_ms"]
     last_majority = "never" if since_ms is None else f"{since_ms / MS_PER_S:.1f} s ago"
     kind = "voter" if state["is_voter"] else "no voter: it knows only what it holds itself"
@@ -54,7 +54,7 @@
 
 
 def list_text(state: JsonObject) -> str:
-    """Return all leases with their holders."""
+    """Return the lines about the gateway, and a table of all leases with their holders."""
     rows = [("lease", "holder", "number", "left", "tasks", "hold")]
     rows += [_lease_cells(row) for row in state["leases"]]
     table = columns(rows) if state["leases"] else "no leases are known here"
@@ -76,7 +76,7 @@
 
 
 def show_text(state: JsonObject, name: str) -> str | None:
-    """Return all about one lease or task; None: there is none of this name."""
+    """Return the details of one lease or task; None where the name is unknown."""
     tasks = [task for task in state["tasks"] if name in (task["task"], task["lease"])]
     lease = tasks[0]["lease"] if tasks else name
     row = next((row for row in state["leases"] if row["lease"] == lease), None)
--- a/saffrongw/admin/leases.py
+++ b/saffrongw/admin/leases.py
@@ -1,4 +1,4 @@
-"""``saffrongw leases``: what a gateway knows of leases and tasks, and what operators do to them."""
+"""``saffrongw leases``: shows a gateway's leases and tasks, and releases or suspends leases."""
 
 from __future__ import annotations
 
@@ -8,24 +8,25 @@
 import json
 import re
 
-from saffrongw.admin import unusable
+from saffrongw.admin import input_error
 from saffrongw.admin.lease_text import JsonObject, list_text, show_text
 from saffrongw.gateway.config import Address, parse_address
 
 ANSWER_TIMEOUT_S = 5.0
-# Exit status of ``list`` where no majority is heard, a clock is wrong, or a file is old.
+# Exit status of ``list`` where no majority of voters answers, the gateway's clock is wrong, or its
+# file is older than that of others.
 ALARM_STATUS = 1
-# No majority of the voters for longer than this is an alarm.
+# Time without answers of a majority of voters, above which ``list`` exits with ALARM_STATUS.
 MAX_SINCE_MAJORITY_MS = 120_000
 SECONDS_BY_UNIT = {"s": 1, "m": 60, "h": 3_600, "d": 86_400}
 
 
 class AdminCallError(Exception):
-    """A gateway can't be reached, or rejects the call; the message says which and why."""
+    """A gateway can't be reached or rejects the call; the message says why."""
 
 
 def call_gateway(admin: Address, method: str, path: str, body: bytes = b"") -> bytes:
-    """Make one call at a gateway's admin address; raise ``AdminCallError`` where it fails."""
+    """Make one call to a gateway's admin address; raise ``AdminCallError`` where it fails."""
     connection = http.client.HTTPConnection(*admin, timeout=ANSWER_TIMEOUT_S)
     try:
         connection.request(method, path, body)
@@ -43,7 +44,7 @@
 
 
 def parse_span(text: str) -> float:
-    """Return the seconds of ``90s``, ``10m``, ``2h`` or ``1d``."""
+    """Return a duration in seconds; it is written ``90s``, ``10m``, ``2h`` or ``1d``."""
     match = re.fullmatch(r"([0-9.]{1,12})([smhd]?)", text)
     try:
         if match is None:
@@ -86,23 +87,23 @@
     suspend.add_argument("--who", default="", help="else the name of the user")
 
 
-def run(given: argparse.Namespace) -> int:
-    """Carry out the command and return its exit status; 2 where that can't be done."""
+def run(options: argparse.Namespace) -> int:
+    """Carry out the command; return its exit status, 2 where it failed."""
     try:
-        admin = parse_address(given.admin)
+        admin = parse_address(options.admin)
     except ValueError as error:
-        return unusable(error)
+        return input_error(error)
     try:
-        if given.what == "release":
-            return _print_answer(admin, "/admin/leases/release", given.name.encode())
-        if given.what == "hold":
-            return _print_answer(admin, "/admin/leases/hold", _suspend_body(given))
+        if options.what == "release":
+            return _print_answer(admin, "/admin/leases/release", options.name.encode())
+        if options.what == "hold":
+            return _print_answer(admin, "/admin/leases/hold", _suspend_body(options))
         state = json.loads(call_gateway(admin, "GET", "/admin/leases"))
     except (AdminCallError, ValueError) as error:
-        return unusable(error)
-    if given.what == "show":
-        return _show(state, given.name, given.json)
-    print(json.dumps(state) if given.json else list_text(state))
+        return input_error(error)
+    if options.what == "show":
+        return _show(state, options.name, options.json)
+    print(json.dumps(state) if options.json else list_text(state))
     return ALARM_STATUS if _needs_attention(state) else 0
 
 
@@ -111,12 +112,12 @@
     return 0
 
 
-def _suspend_body(given: argparse.Namespace) -> bytes:
+def _suspend_body(options: argparse.Namespace) -> bytes:
     fields = {
-        "lease": given.name,
-        "for_s": given.span,
-        "who": given.who or getpass.getuser(),
-        "why": given.why,
+        "lease": options.name,
+        "for_s": options.span,
+        "who": options.who or getpass.getuser(),
+        "why": options.why,
     }
     return json.dumps(fields).encode()
 
@@ -124,13 +125,13 @@
 def _show(state: JsonObject, name: str, as_json: bool) -> int:
     text = show_text(state, name)
     if text is None:
-        return unusable(f"no lease or task is called {name!r}")
+        return input_error(f"no lease or task is called {name!r}")
     if as_json:
-        chosen = {
+        matching = {
             key: [row for row in state[key] if name in (row.get("task"), row["lease"])]
             for key in ("leases", "tasks")
         }
-        text = json.dumps(state | chosen)
+        text = json.dumps(state | matching)
     print(text)
     return 0
 
--- a/saffrongw/admin/ledger.py
+++ b/saffrongw/admin/ledger.py
@@ -1,6 +1,7 @@
-"""``saffrongw ledger``: what a ledger says, for people and as JSON lines.
+"""``saffrongw ledger``: shows a ledger as text or JSON lines, and maintains it.
 
-It reads beside a gateway in service. The keys of the JSON lines are mapped here and nowhere else.
+Most commands also work while a gateway uses the ledger. Only this module knows the keys of the JSON
+lines.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from saffrongw.admin import columns, unusable
+from saffrongw.admin import columns, input_error
 from saffrongw.ledger.entries import Entry, ExecutionStatus, RecordedAttempt
 from saffrongw.ledger.explanation import explain
 from saffrongw.ledger.reader import LedgerReader
@@ -21,13 +22,13 @@
 from saffrongw.ledger.schema import LedgerStoreError, now_us
 from saffrongw.ledger.store import LedgerStore
 
-# For a gateway in service to take what an import found.
-HAND_IN_TIMEOUT_S = 10.0
+# How long an import waits until a running gateway has processed its events.
+SUBMIT_TIMEOUT_S = 10.0
 US_PER_S = 1e6
 US_PER_DAY = 86_400e6
 BYTES_PER_MB_SHIFT = 20
 MAX_DAMAGE_LINES = 20
-# A table shows times to the millisecond.
+# Length of a time to the millisecond, as the table shows it.
 TABLE_TIME_CHARS = 23
 TABLE_HEADER = (
     "entry",
@@ -43,14 +44,14 @@
 
 
 def time_text(at_us: int) -> str:
-    """Return a time as people read it."""
+    """Return a time in readable form."""
     if not at_us:
         return "an unknown time"
     return datetime.fromtimestamp(at_us / US_PER_S, UTC).strftime("%Y-%m-%d %H:%M:%S.%f UTC")
 
 
 def attempt_json(attempt: RecordedAttempt) -> dict[str, Any]:
-    """Return an attempt in plain types."""
+    """Return an attempt in types that JSON has."""
     return {
         "host": attempt.endpoint,
         "born": attempt.endpoint_started_at_us,
@@ -62,7 +63,7 @@
 
 
 def entry_json(entry: Entry) -> dict[str, Any]:
-    """Return an entry in plain types; a recorded body is not shown in listings."""
+    """Return an entry in types that JSON has, without its recorded body."""
     return {
         "life": entry.incarnation,
         "number": entry.request_number,
@@ -114,9 +115,9 @@
         with LedgerReader(options.state) as reader:
             return _read(options, reader)
     except (LedgerStoreError, IssuedListError) as error:
-        return unusable(error)
+        return input_error(error)
     except OSError as error:
-        return unusable(f"{error.filename or ''}: {error.strerror or error}")
+        return input_error(f"{error.filename or ''}: {error.strerror or error}")
 
 
 def _read(options: argparse.Namespace, reader: LedgerReader) -> int:
@@ -132,12 +133,12 @@
         print(f"saffrongw: {reader.path}: {text}", file=sys.stderr)
     if options.what == "explain":
         return _explain(entries, options.id)
-    chosen = _chosen(entries, options)
+    selected = _selected(entries, options)
     if options.json or options.what == "export":
-        for entry in chosen:
+        for entry in selected:
             print(json.dumps(entry_json(entry)))
     else:
-        _print_table(chosen)
+        _print_table(selected)
     return 0
 
 
@@ -148,15 +149,15 @@
 
 
 def _explain(entries: list[Entry], name: str) -> int:
-    chosen = [entry for entry in entries if name in (entry.name, entry.client_request_id)]
-    if not chosen:
-        return unusable(f"no entry is called {name!r}")
-    print("\n".join(explain(entry, time_text) for entry in chosen))
+    selected = [entry for entry in entries if name in (entry.name, entry.client_request_id)]
+    if not selected:
+        return input_error(f"no entry is called {name!r}")
+    print("\n".join(explain(entry, time_text) for entry in selected))
     return 0
 
 
-def _chosen(entries: list[Entry], options: argparse.Namespace) -> list[Entry]:
-    """Return the entries that a command is about."""
+def _selected(entries: list[Entry], options: argparse.Namespace) -> list[Entry]:
+    """Return the entries that a command prints."""
     match options.what:
         case "find":
             return [entry for entry in entries if _matches(entry, options.text.lower())]
@@ -169,7 +170,7 @@
 
 
 def _matches(entry: Entry, text: str) -> bool:
-    """Return whether a text in lower case is an entry's customer or the client's id."""
+    """Return whether a lower-case text is an entry's customer or client request id."""
     return text in (
         entry.client_request_id.lower(),
         f"{entry.customer:016x}",
@@ -185,7 +186,7 @@
 
 
 def _compact(options: argparse.Namespace) -> int:
-    # It says plainly where there is no ledger.
+    # Raises where there is no ledger; LedgerStore would create one.
     with LedgerReader(options.state):
         pass
     store = LedgerStore(options.state)
@@ -193,8 +194,10 @@
     try:
         bytes_before = store.size()
         before_us = now_us() - int(options.keep_days * US_PER_DAY)
-        forgotten = store.compact(before_us, options.most_mb << BYTES_PER_MB_SHIFT)
-        print(f"{forgotten} entries forgotten, {bytes_before} bytes before, {store.size()} after")
+        deleted_count = store.compact(before_us, options.most_mb << BYTES_PER_MB_SHIFT)
+        print(
+            f"{deleted_count} entries forgotten, {bytes_before} bytes before, {store.size()} after"
+        )
     finally:
         store.close()
     return 0
@@ -210,8 +213,9 @@
             try:
                 store.open()
             except LedgerStoreError:
-                # A gateway holds the ledger, or what ``hand_in`` would meet too.
-                if not reader.hand_in(result.settled, HAND_IN_TIMEOUT_S):
+                # Usually a gateway has the ledger open, and it writes the submitted events. After
+                # any other failure ``submit`` times out, and the original error is raised.
+                if not reader.submit(result.settled, SUBMIT_TIMEOUT_S):
                     raise
             else:
                 store.commit(result.settled)
--- a/saffrongw/extension_registry.py
+++ b/saffrongw/extension_registry.py
@@ -1,7 +1,7 @@
-"""Puts together what an operator file switches on, and reloads it as one transaction.
+"""Builds the components that an operator file switches on, and reloads them as one transaction.
 
-A component is imported only where its table stands in the file. This module knows the components by
-name; what each one gives is its builder's (``saffrongw.gateway.components``).
+A component is imported only where the file has its table. This module knows just the components'
+names; their builders return what they add to the gateway (``saffrongw.gateway.components``).
 """
 
 from __future__ import annotations
@@ -32,14 +32,15 @@
     name: str
     module: str
     builder: str = "build"
-    # The extra of the package whose libraries it needs; empty for none.
+    # The optional dependency group of this package that it needs; empty for none.
     extra: str = ""
-    # Whether a reload validates its table by building it where nothing of it runs that could
-    # prepare the change.
+    # Whether a reload validates the table by building an unused component, where none is running
+    # that can prepare the change.
     is_validated_by_building: bool = False
 
 
-# In the order in which filters see a request, services start, and components build on each other.
+# The order in which components are built, filters see a request and services start. A component may
+# use those before it.
 COMPONENTS = (
     ComponentSpec("authz", "saffrongw.authz.build", "build_filter", "authz", True),
     ComponentSpec("ledger", "saffrongw.ledger.build", is_validated_by_building=True),
@@ -51,10 +52,10 @@
 
 
 def build_extensions(file: OperatorFile, config: Config, path: str = "") -> Extensions:
-    """All that the file switches on; with a path it is read again on SIGHUP.
+    """Build all components that the file switches on; with a path the file is reloaded on SIGHUP.
 
-    Raises ``SchemaError`` where the file names what the configuration does not have or needs a
-    library that is not installed.
+    Raises ``SchemaError`` where a table does not fit the configuration or needs a library that is
+    not installed.
     """
     components: dict[str, Component] = {}
     context = BuildContext(config, components)
@@ -79,7 +80,7 @@
 
 
 def _build(spec: ComponentSpec, table: object, context: BuildContext) -> Component:
-    """One component; ``SchemaError`` with a plain cause where it can't be built."""
+    """Build one component; raise ``SchemaError`` where it can't be built."""
     try:
         builder = getattr(importlib.import_module(spec.module), spec.builder)
     except ImportError as error:
@@ -94,20 +95,20 @@
 
 
 class OperatorFileReloader:
-    """Owns the operator file in force, and reads it again on SIGHUP.
+    """Keeps the operator file in force, and reloads it on SIGHUP.
 
     A reload is one transaction over all components: each prepares its change without effect; then
-    all commit, or, where one can't prepare, all abort.
+    all commit, or all abort where one can't prepare.
     """
 
     def __init__(self, path: str, file: OperatorFile, context: BuildContext) -> None:
-        """``context`` has the components that run."""
+        """Begin with the file in force; ``context`` has the running components."""
         self.path = path
         self.file = file
         self.context = context
 
     def reload(self) -> None:
-        """Put the file as it is now in force; one that can't be used is logged, with no effect."""
+        """Read the file and put it in force; an invalid one is logged and has no effect."""
         prepared: list[PreparedReload] = []
         try:
             new = load(self.path)
@@ -130,7 +131,7 @@
     def _prepare(
         self, spec: ComponentSpec, new: OperatorFile, prepared: list[PreparedReload]
     ) -> None:
-        """Prepare one component, or validate its table where nothing can be prepared."""
+        """Prepare a running component's change, or just validate its table."""
         table = getattr(new, spec.name)
         if not table:
             return
@@ -141,17 +142,17 @@
             _build(spec, table, self.context)
 
     def _is_reloadable(self, name: str) -> bool:
-        """Whether a component runs that can change in service."""
+        """Return whether the component is running and can change in service."""
         running = self.context.components.get(name)
         return running is not None and running.prepare is not None
 
     def _reloaded_tables(self, new: OperatorFile) -> dict[str, Any]:
-        """The tables that are in force by now."""
+        """Return the tables that the reload has put in force."""
         names = [spec.name for spec in COMPONENTS if self._is_reloadable(spec.name)]
         return {name: table for name in names if (table := getattr(new, name))}
 
     def _needs_restart(self, new: OperatorFile) -> bool:
-        """Whether something differs that can't change in service."""
+        """Return whether the new file has a change that can't be made in service."""
         if new.stages != self.file.stages:
             return True
         for name in (spec.name for spec in COMPONENTS):
--- a/saffrongw/ledger/build.py
+++ b/saffrongw/ledger/build.py
@@ -16,7 +16,7 @@
 
 
 def build(table: LedgerTable, context: BuildContext) -> Component:
-    """The filter that writes requests down before they are sent; it changes at the next start."""
+    """Build the filter that records requests; changes of its table need a restart."""
     config = context.config
     recorded = {Idempotency.NON_IDEMPOTENT}
     if table.keyed:
@@ -36,6 +36,6 @@
         table.most_mb << BYTES_PER_MB_SHIFT,
         table.bodies,
     )
-    # With a filter switched on, the driver that it is started with is the filtering one.
+    # A gateway with a request filter runs a FilteringDriver, which this service requires.
     service = cast("Service", ledger)
     return Component(ledger, filters=(ledger,), observers=(ledger,), services=(service,))
--- a/saffrongw/ledger/entries.py
+++ b/saffrongw/ledger/entries.py
@@ -1,6 +1,6 @@
-"""What the events of a request say of it, and whether it ran. Pure.
+"""Entries, which sum up the events of a request, and whether the request ran. Pure.
 
-Times are in microseconds of Unix time. The truth table stands in ``docs/notes/ledger.md``.
+Times are Unix times in microseconds. The truth table is in ``docs/notes/ledger.md``.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from . import events
 from .events import EntryKey, Event, EventKind
 
-# Outcomes after which an attempt has certainly not run.
+# Outcomes of attempts that certainly did not run.
 NOT_RUN_OUTCOMES = frozenset({"full", "not connected", "never sent"})
 # The outcome of an attempt, and the answer to a client, after a good reply.
 SERVED = "served"
@@ -23,15 +23,15 @@
 
     NEVER_SENT = "never sent"
     MAY_HAVE_RUN = "may have run"
-    # A good answer was received; whether the client got it is not known.
+    # An endpoint served it or lists it as issued; whether the client was answered is not known.
     RAN = "ran"
-    # A good answer was on its way to the client.
+    # A good answer was about to be written to the client.
     ANSWERED = "answered"
 
 
 @dataclass(slots=True)
 class RecordedAttempt:
-    """One attempt of a request, as far as it is recorded."""
+    """The recorded state of one attempt of a request."""
 
     ordinal: int
     endpoint: str
@@ -40,13 +40,14 @@
     intended_at_us: int
     # When its last byte was sent; 0: not known.
     fully_sent_at_us: int = 0
+    # Empty: not known.
     outcome: str = ""
     ended_at_us: int = 0
 
 
 @dataclass(slots=True)
 class Entry:
-    """One request, as far as it is recorded."""
+    """The recorded state of one request."""
 
     incarnation: int
     request_number: int
@@ -56,16 +57,16 @@
     request_class: str = ""
     body_bytes: int = 0
     digest: str = ""
-    # Only where the operators ask for it.
+    # Empty unless ``bodies`` is set in the operator file.
     body_hex: str = ""
     received_at_us: int = 0
     attempts: dict[int, RecordedAttempt] = field(default_factory=dict)
-    # Served, refused or failed.
+    # Served, refused or failed; empty without a final answer.
     answer: str = ""
     answered_at_us: int = 0
-    # What recovery found.
+    # The status that recovery recorded, if it did.
     classification: str = ""
-    # The endpoint that lists it as issued.
+    # The endpoint that lists it as issued, if one does.
     imported_from: str = ""
 
     @property
@@ -75,11 +76,11 @@
 
     @property
     def key(self) -> EntryKey:
-        """What identifies it."""
+        """Its key in the ledger."""
         return EntryKey(self.incarnation, self.request_number)
 
     def apply(self, event: Event) -> None:
-        """Add one event; events come in the order in which they were written."""
+        """Add one event; events must be added in the order in which they were written."""
         match event.kind:
             case EventKind.INTENT:
                 self._add_attempt(event)
@@ -115,14 +116,14 @@
 
     @property
     def has_run(self) -> bool:
-        """Whether a good answer was received."""
+        """Whether an endpoint served it."""
         return self.answer == SERVED or any(
             attempt.outcome == SERVED for attempt in self.attempts.values()
         )
 
     @property
     def status(self) -> ExecutionStatus:
-        """Whether it ran, by the truth table."""
+        """Whether it ran, according to the truth table."""
         if self.answer == SERVED:
             return ExecutionStatus.ANSWERED
         if self.has_run or self.imported_from:
@@ -133,16 +134,16 @@
 
     @property
     def is_settled(self) -> bool:
-        """Whether nothing is left to find out.
+        """Whether its status is final.
 
-        What may have run is open until an endpoint's list names it.
+        A request that may have run stays unsettled until an endpoint's list names it.
         """
         is_known = self.status is not ExecutionStatus.MAY_HAVE_RUN
         return is_known and bool(self.answer or self.classification or self.imported_from)
 
 
 def build_entries(found: Iterable[Event]) -> dict[EntryKey, Entry]:
-    """Return the entries of events, by their keys."""
+    """Combine events into entries, by their keys."""
     entries: dict[EntryKey, Entry] = {}
     for event in found:
         key = event.key
@@ -153,9 +154,9 @@
 
 
 def classify_open(entries: Iterable[Entry], incarnation: int, now_us: int) -> list[Event]:
-    """Return what a new incarnation records of entries that older ones left open.
+    """Return the events that classify the entries which older incarnations left open.
 
-    It sends nothing.
+    Recovery only records: it sends no request again.
     """
     return [
         events.classified(entry.key, now_us, entry.status.value, incarnation)
--- a/saffrongw/ledger/events.py
+++ b/saffrongw/ledger/events.py
@@ -1,7 +1,6 @@
-"""Events of the ledger and their stored form: rows with a checksum, JSON data. Pure.
+"""Events of the ledger and their stored form: rows with a checksum and JSON data. Pure.
 
-All names inside stored rows are mapped here and nowhere else. Times are in microseconds of Unix
-time.
+Only this module knows the names inside stored rows. Times are Unix times in microseconds.
 """
 
 from __future__ import annotations
@@ -19,32 +18,36 @@
 class EventKind(Enum):
     """The kinds of events; the values are stored."""
 
-    # An attempt is about to be sent; the first one holds what is known of the request.
+    # An attempt is about to be sent; the first intent of a request also describes the request.
     INTENT = "intent"
-    # Its last byte has been sent.
+    # The last byte of an attempt has been sent.
     FULLY_SENT = "whole"
+    # An attempt has ended.
     OUTCOME = "outcome"
     # The final answer to the client.
     ANSWER = "answer"
     # An endpoint's own list names the request as issued.
     IMPORTED = "imported"
-    # Classified by recovery, after the incarnation that the entry belongs to.
+    # A later incarnation of the gateway has classified the entry at its start.
     CLASSIFIED = "classed"
 
 
 class DamagedRowError(Exception):
-    """A stored row is not what was written; the message names the row."""
+    """A stored row differs from what was written; the message names the row."""
 
 
 class EntryKey(NamedTuple):
-    """What identifies a request: a start of the gateway, and the request's number within it."""
+    """Identifies a request: the incarnation of the gateway and the request's number in it.
+
+    Each opening of the store begins an incarnation.
+    """
 
     incarnation: int
     request_number: int
 
 
 class EventRow(NamedTuple):
-    """A row of the table of events, in the order of its columns."""
+    """A row of the events table, in the order of its columns."""
 
     sequence: int
     incarnation: int
@@ -57,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One event of an entry; the keys of ``data`` depend on the kind."""
+    """One event of an entry; ``data`` has other keys for each kind of event."""
 
     incarnation: int
     request_number: int
@@ -72,7 +75,7 @@
 
     @property
     def ordinal(self) -> int:
-        """The attempt of an intent, of its last byte or of its outcome, counted from 0."""
+        """The number of the attempt, from 0; for intents, last bytes and outcomes."""
         return int(self.data["ordinal"])
 
     @property
@@ -97,12 +100,12 @@
 
     @property
     def classification(self) -> str:
-        """What recovery found."""
+        """The execution status that recovery recorded."""
         return str(self.data["meaning"])
 
     @property
     def request(self) -> RecordedRequest | None:
-        """What the first intent of an entry says of the request."""
+        """The request as the first intent of its entry describes it; None in later intents."""
         data = self.data
         if "customer" not in data:
             return None
@@ -124,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordedRequest:
-    """What is recorded of a request."""
+    """The recorded properties of a request."""
 
     customer: int
     client_request_id: str
@@ -161,7 +164,7 @@
 ) -> Event:
     """Return the event that an attempt is about to be sent.
 
-    The first one of an entry has the request.
+    Only the first one of an entry has ``request``.
     """
     data = {"ordinal": ordinal, "host": endpoint, "born": endpoint_started_at_us}
     if request is not None:
@@ -180,7 +183,7 @@
 
 
 def answer(key: EntryKey, at_us: int, text: str) -> Event:
-    """Return the event that the client is answered."""
+    """Return the event that the client gets its final answer."""
     return Event(*key, EventKind.ANSWER, at_us, {"answer": text})
 
 
@@ -195,13 +198,13 @@
 
 
 def checksum(incarnation: int, request_number: int, kind: str, at_us: int, data: str) -> bytes:
-    """Return the checksum of a row, in which a flipped bit of any column shows."""
+    """Return the checksum of a row, over all columns but the sequence."""
     text = f"{incarnation}|{request_number}|{kind}|{at_us}|{data}"
     return blake2b(text.encode(), digest_size=CHECKSUM_BYTES).digest()
 
 
 def to_columns(event: Event) -> tuple[int, int, str, int, str, bytes]:
-    """Return an event as the columns of a new row, which gets its sequence from the database."""
+    """Return an event as the columns of a new row; the database assigns its sequence."""
     columns = (
         event.incarnation,
         event.request_number,
@@ -213,10 +216,7 @@
 
 
 def parse_row(row: EventRow) -> Event:
-    """Return the event of a stored row.
-
-    Raises ``DamagedRowError`` where the row is not what was written.
-    """
+    """Return the event of a stored row; raise ``DamagedRowError`` where the row is damaged."""
     try:
         expected = checksum(row.incarnation, row.request_number, row.kind, row.at_us, row.data)
         if expected != row.checksum:
@@ -240,9 +240,9 @@
 
 @dataclass(frozen=True, slots=True)
 class InboxLine:
-    """A line of a file in the inbox.
+    """A parsed line of a file in the inbox.
 
-    What it lacks raises one of ``INBOX_ERRORS`` when it is read.
+    Reading a missing or malformed value raises one of ``INBOX_ERRORS``.
     """
 
     raw: dict[str, Any]
@@ -254,7 +254,7 @@
 
     @property
     def endpoint(self) -> str:
-        """The endpoint whose list it comes from."""
+        """The endpoint whose list names the request."""
         return self.raw["host"]
 
     def to_event(self, at_us: int) -> Event:
@@ -262,5 +262,5 @@
         return imported(self.key, at_us, str(self.endpoint), int(self.raw["issued"]))
 
 
-# What reading a line raises that is none.
+# What parsing a malformed inbox line raises.
 INBOX_ERRORS = (ValueError, KeyError, TypeError, AttributeError)
--- a/saffrongw/ledger/explanation.py
+++ b/saffrongw/ledger/explanation.py
@@ -1,4 +1,4 @@
-"""An entry of the ledger in sentences: what is known, what is not, and why. Pure."""
+"""Describes an entry of the ledger in sentences: what is known, what is not, and why. Pure."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def explain(entry: Entry, time_text: TimeFormat) -> str:
-    """Return what is known of an entry, what is not and why."""
+    """Return a description of an entry, which says whether the request ran."""
     sentences = [_request(entry, time_text)]
     sentences += [_attempt(attempt, time_text) for attempt in entry.attempts.values()]
     if entry.imported_from:
--- a/saffrongw/ledger/inbox.py
+++ b/saffrongw/ledger/inbox.py
@@ -1,7 +1,7 @@
-"""Files by which the command line leaves events to the gateway that holds the ledger.
+"""Files in which the command line submits events to the gateway that has the ledger open.
 
-A file is complete once it is called ``.jsonl``. The gateway renames it to ``.done`` once what it
-holds is on the disk, or to ``.bad`` where it can't be read.
+A file is complete once it is named ``.jsonl``. The gateway renames it to ``.done`` once its events
+are durable, or to ``.bad`` where it can't be read.
 """
 
 from __future__ import annotations
@@ -16,26 +16,26 @@
 from .events import INBOX_ERRORS, EntryKey, Event, InboxLine, to_inbox_line
 from .schema import INBOX_NAME, now_us
 
-# Files that are taken at once, and lines of a file that are read.
+# Files that one pass processes, and lines that are read of each.
 MAX_FILES = 4
 MAX_LINES = 10_000
-# Between two looks whether a file was taken.
-DONE_INTERVAL_S = 0.05
+# Between two looks whether a submitted file is done.
+DONE_POLL_S = 0.05
 
 
 class Inbox:
-    """The inbox of one ledger's folder."""
+    """The inbox in the folder of one ledger."""
 
     def __init__(self, folder: Path) -> None:
-        """Use the inbox below a ledger's folder; it is created when the first file is left."""
+        """Use the inbox in a ledger's folder; it is created when the first file is submitted."""
         self.folder = folder / INBOX_NAME
 
-    def take(
+    def process(
         self,
         entry_of: Callable[[EntryKey], Entry | None],
         commit: Callable[[list[Event]], None],
     ) -> int:
-        """Write events that still fit their entries; return how many there were."""
+        """Commit the events that still fit their entries; return their number."""
         written = 0
         for path in sorted(self.folder.glob("*.jsonl"))[:MAX_FILES]:
             try:
@@ -51,8 +51,8 @@
             path.rename(path.with_suffix(".done"))
         return written
 
-    def leave(self, events: Iterable[Event], timeout_s: float) -> bool:
-        """Leave events to the gateway; return whether it has written them within the time."""
+    def submit(self, events: Iterable[Event], timeout_s: float) -> bool:
+        """Submit events to the gateway; return whether it has processed them before the timeout."""
         self.folder.mkdir(mode=0o700, exist_ok=True)
         path = self.folder / f"{now_us()}-{os.getpid()}.jsonl"
         unfinished = path.with_suffix(".part")
@@ -66,14 +66,14 @@
             if done.exists():
                 done.unlink()
                 return True
-            time.sleep(DONE_INTERVAL_S)
+            time.sleep(DONE_POLL_S)
         return False
 
 
 def _valid_event(line: InboxLine, entry_of: Callable[[EntryKey], Entry | None]) -> Event | None:
-    """Return the event of an entry that may have run, at an endpoint to which it was sent.
+    """Return the event of a line, if its entry may have run and has an attempt to its endpoint.
 
-    None where that has changed since the command line read the ledger.
+    None where this no longer holds: the entry may have changed since the command line read it.
     """
     entry = entry_of(line.key)
     if entry is None or entry.status is not ExecutionStatus.MAY_HAVE_RUN:
--- a/saffrongw/ledger/reader.py
+++ b/saffrongw/ledger/reader.py
@@ -1,4 +1,4 @@
-"""The ledger's database, read-only, beside a gateway in service."""
+"""Reads the ledger's database without a lock, also while a gateway writes to it."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from .schema import DATABASE_NAME, SCHEMA_VERSION, LedgerStoreError
 
 BUSY_TIMEOUT_S = 2.0
-# Faults of the file that ``verify`` lists.
+# Faults of the database file that ``verify`` lists.
 MAX_INTEGRITY_FAULTS = 20
 
 
 class LedgerReader:
-    """The entries of one gateway's ledger; ``damage`` names what could not be read."""
+    """The entries of one gateway's ledger; ``damage`` names the rows that can't be read."""
 
     def __init__(self, folder: Path) -> None:
-        """Open the database; raises ``LedgerStoreError`` where there is none that can be read."""
+        """Open the database; raise ``LedgerStoreError`` where it is missing or can't be read."""
         path = folder / DATABASE_NAME
         if not path.exists():
             raise LedgerStoreError(f"{path}: there is no ledger")
@@ -42,7 +42,7 @@
         self.damage: list[str] = []
 
     def __enter__(self) -> Self:
-        """Return the reader, which is closed at the end of the block."""
+        """Return the reader, which closes at the end of the block."""
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -54,7 +54,7 @@
         self.db.close()
 
     def events(self) -> Iterator[Event]:
-        """Yield every row that is what was written; the others are named in ``damage``."""
+        """Yield the events of all undamaged rows; name the others in ``damage``."""
         try:
             for row in self.db.execute(f"{schema.SELECT_EVENTS} ORDER BY seq"):
                 try:
@@ -65,11 +65,11 @@
             self.damage.append(f"the file: {error}")
 
     def entries(self) -> dict[EntryKey, Entry]:
-        """Return all entries; one of which a row is damaged says less, never more."""
+        """Return all entries; those with damaged rows lack the events of these rows."""
         return build_entries(self.events())
 
     def verify(self) -> list[str]:
-        """Return all that is wrong with the file."""
+        """Return the damage of rows and of the database file."""
         for _ in self.events():
             pass
         try:
@@ -79,12 +79,12 @@
             found = [str(error)]
         return self.damage + [f"the file: {text}" for text in found if text != "ok"]
 
-    def hand_in(self, events: Iterable[Event], timeout_s: float) -> bool:
-        """Leave events to the gateway that holds the ledger; return whether it has written them."""
-        return self.inbox.leave(events, timeout_s)
+    def submit(self, events: Iterable[Event], timeout_s: float) -> bool:
+        """Submit events to the gateway with the ledger open; return whether it processed them."""
+        return self.inbox.submit(events, timeout_s)
 
     def backup(self, path: Path) -> None:
-        """Write a copy of one moment, while the gateway goes on."""
+        """Write a consistent copy to a new file, also while a gateway writes to the ledger."""
         os.close(os.open(path, os.O_CREAT | os.O_RDWR | os.O_EXCL, 0o600))
         with closing(sqlite3.connect(path)) as target, target:
             self.db.backup(target)
--- a/saffrongw/ledger/reconcile.py
+++ b/saffrongw/ledger/reconcile.py
@@ -1,7 +1,7 @@
-"""Compare an endpoint's own list of issued reports with the ledger's entries.
+"""Compares an endpoint's own list of issued reports with the ledger's entries. Pure.
 
-Pure. The form of the CSV is described in ``docs/operate/ledger.md``; the texts of contradictions
-are printed as they are.
+``docs/operate/ledger.md`` describes the CSV format. The texts of contradictions are shown to
+operators.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
 
 
 class IssuedListError(Exception):
-    """A list of issued reports can't be used; the message names file, line and cause."""
+    """A list of issued reports is malformed; the message names file, line and cause."""
 
 
 class RequestKey(NamedTuple):
-    """What a list and the ledger both know of a request."""
+    """Identifies a request in a list and in the ledger."""
 
     customer: int
     client_request_id: str
 
     def __str__(self) -> str:
-        """Return its name in messages."""
+        """Return the request's name in contradictions."""
         return f"request {self.client_request_id} of customer {self.customer:016x}"
 
 
@@ -48,16 +48,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Reconciliation:
-    """What a list settles, and what contradicts the ledger."""
+    """The events by which a list settles entries, and what contradicts the ledger."""
 
     settled: tuple[Event, ...]
-    # Lines of entries that were known to have run.
+    # Requests in the list that the ledger already had as run.
     known_count: int
     contradictions: tuple[str, ...]
 
 
 def parse_issued(lines: Iterable[str], file_name: str) -> list[IssuedReport]:
-    """Parse a CSV with a header; raises ``IssuedListError``."""
+    """Parse the lines of a CSV file; raise ``IssuedListError`` where they are malformed."""
     rows = csv.reader(lines)
     header = next(rows, None)
     if header is None or tuple(cell.strip() for cell in header) != COLUMNS:
@@ -89,7 +89,7 @@
 
 @dataclass(slots=True)
 class _Findings:
-    """What is found while a list is gone through."""
+    """Collects the result while the requests of a list are compared one by one."""
 
     now_us: int
     settled: list[Event] = field(default_factory=list)
@@ -97,7 +97,7 @@
     contradictions: list[str] = field(default_factory=list)
 
     def check(self, reports: list[IssuedReport], entries: list[Entry]) -> None:
-        """Compare the reports and the entries of one request."""
+        """Compare all reports of one request with all of its entries."""
         report = reports[0]
         request = report.request
         issued = f"{request} was issued by {report.endpoint} (line {report.line})"
@@ -120,7 +120,7 @@
             self._settle(may_have_run[0], report, issued)
 
     def _settle(self, entry: Entry, report: IssuedReport, issued: str) -> None:
-        """Settle an entry that may have run, where it was sent to the endpoint that lists it."""
+        """Settle an entry that may have run, if it has an attempt to the endpoint that lists it."""
         if report.endpoint not in {attempt.endpoint for attempt in entry.attempts.values()}:
             self._contradict(f"{issued}, to which entry {entry.name} sent nothing")
             return
@@ -139,7 +139,7 @@
 def reconcile(
     entries: Mapping[EntryKey, Entry], issued: Iterable[IssuedReport], now_us: int
 ) -> Reconciliation:
-    """Return what a list says of the entries; a line that contradicts them settles nothing."""
+    """Compare a list with the entries; a line that contradicts them settles nothing."""
     entries_by_request: dict[RequestKey, list[Entry]] = defaultdict(list)
     for entry in entries.values():
         key = RequestKey(entry.customer, entry.client_request_id)
--- a/saffrongw/ledger/request_filter.py
+++ b/saffrongw/ledger/request_filter.py
@@ -1,7 +1,7 @@
-"""Hold attempts of non-idempotent requests back until their intents are durable.
+"""Delays attempts of non-idempotent requests until a record of them is durable.
 
-The filter rejects such requests while nothing can be written, the cluster in between holds their
-attempts back, and the observer records what follows.
+The request filter rejects such requests while the ledger can't be written to, a decorator of the
+upstream delays their attempts, and the observer records outcomes and replies.
 """
 
 from __future__ import annotations
@@ -32,49 +32,48 @@
 from .writer import LedgerWriter
 
 DIGEST_BYTES = 16
-# Between two looks whether the last byte of an attempt was sent: the first, and the bound of
-# doubling.
-MIN_SENT_INTERVAL_S = 0.002
-MAX_SENT_INTERVAL_S = 0.2
-# At the start, for the ledger to open before clients are served.
+# Backoff between two looks whether the last byte of an attempt was sent.
+MIN_SENT_POLL_S = 0.002
+MAX_SENT_POLL_S = 0.2
+# How long the gateway's start waits for the ledger to open before clients are served.
 OPEN_TIMEOUT_S = 0.5
-OPEN_INTERVAL_S = 0.01
-# The part of a request that is its body, where it has one.
+OPEN_POLL_S = 0.01
+# Indexes into ``ClientRequest.parts``; not every request has a body.
 BODY_PART = 5
 CLIENT_REQUEST_ID_PART = 2
 
-# Outcomes and answers as they are recorded.
+# Outcomes of attempts and answers to clients, as they are stored.
 NEVER_SENT = "never sent"
 NOT_CONNECTED = "not connected"
 REFUSED = "refused"
 FAILED = "failed"
 
 
-class _GatedCluster(UpstreamDecorator):
-    """Sends attempts upstream, those of recorded classes once they are durable."""
+class _RecordingUpstream(UpstreamDecorator):
+    """Sends attempts upstream, those of recorded classes once their record is durable."""
 
     def __init__(self, inner: Upstream, ledger: LedgerFilter) -> None:
         super().__init__(inner)
         self.ledger = ledger
 
     def send(self, attempt: UpstreamAttempt) -> None:
-        """Send an attempt at once, or when its intent is durable."""
+        """Send an attempt at once, or when its record is durable."""
         if attempt.request.event.kind in self.ledger.request_classes:
-            self.ledger.intend(attempt, self.inner)
+            self.ledger.record_and_send(attempt, self.inner)
         else:
             super().send(attempt)
 
 
 @dataclass(slots=True)
 class _RecordedEntry:
-    """A request whose first intent is durable: its entry, and the attempts that are recorded."""
+    """The entry of a request with a durable record, and the numbers of its recorded attempts."""
 
     key: EntryKey
     ordinals: set[int] = field(default_factory=set)
 
 
 class LedgerFilter(Observer):
-    """Request filter, observer and service in one, for the request classes that are recorded."""
+    """Request filter, observer and service that keep a ledger of some request classes."""
 
     name = "ledger"
     fallback: Verdict = Reject()
@@ -93,7 +92,7 @@
         max_bytes: int,
         with_bodies: bool,
     ) -> None:
-        """Begin without a writer; the bounds are those of ``LedgerWriter``."""
+        """Keep the settings; ``start`` opens the ledger. ``LedgerWriter`` explains the limits."""
         self.folder = folder
         self.request_classes = request_classes
         self.class_names = class_names
@@ -102,13 +101,13 @@
         self.retention_s = retention_s
         self.max_bytes = max_bytes
         self.with_bodies = with_bodies
-        # Requests with a durable intent, by their numbers.
+        # By request number.
         self.entries: dict[int, _RecordedEntry] = {}
 
     # -- the service --
 
     async def start(self, driver: FilteringDriver) -> None:
-        """Open the ledger; a gateway whose ledger can't be opened serves all other requests."""
+        """Open the ledger; if that fails, the gateway still serves the classes not recorded."""
         self.driver = driver
         self.writer = LedgerWriter(
             self.folder,
@@ -117,21 +116,21 @@
             self.retention_s,
             self.max_bytes,
         )
-        driver.wrap_upstream(lambda inner: _GatedCluster(inner, self))
+        driver.wrap_upstream(lambda inner: _RecordingUpstream(inner, self))
         self.writer.start()
-        for _ in range(int(OPEN_TIMEOUT_S / OPEN_INTERVAL_S)):
+        for _ in range(int(OPEN_TIMEOUT_S / OPEN_POLL_S)):
             if self.writer.first_open_done.is_set():
                 break
-            await asyncio.sleep(OPEN_INTERVAL_S)
+            await asyncio.sleep(OPEN_POLL_S)
 
     async def stop(self) -> None:
-        """Write what is queued."""
+        """Write the queued events and close the ledger."""
         await asyncio.get_running_loop().run_in_executor(None, self.writer.stop)
 
     # -- the request filter --
 
     def on_request(self, request: FilteredRequest) -> Verdict:
-        """Reject a request that could not be recorded, before anything of it is counted."""
+        """Reject a request that can't be recorded now, before it takes units from a quota."""
         if request.terms.kind in self.request_classes and not self.writer.is_ready:
             return Reject()
         return Continue()
@@ -139,18 +138,19 @@
     def on_end(self, request: FilteredRequest, ending: Ending) -> None:
         """Do nothing.
 
-        The answer is recorded by ``answered``; a client that left is seen by the outcomes of its
-        attempts.
+        ``answered`` records the answer; ``attempt_ended`` records the outcomes of attempts, also
+        after the client has disconnected.
         """
 
     # -- attempts --
 
-    def intend(self, attempt: UpstreamAttempt, cluster: Upstream) -> None:
-        """Record an attempt, then send it; one that could not be recorded is not sent."""
+    def record_and_send(self, attempt: UpstreamAttempt, upstream: Upstream) -> None:
+        """Record an attempt, then send it; it is not sent if it can't be recorded."""
         call = attempt.request
         number = call.event.request
         entry = self.entries.get(number)
-        # A store that was reopened has begun a new incarnation; an entry stays with its own.
+        # Reopening the store begins a new incarnation; later attempts of a request keep the
+        # incarnation of its first, so that all of its events are in one entry.
         key = entry.key if entry else EntryKey(self.writer.incarnation, number)
         endpoint_started_at_us = self._endpoint_started_at_us(attempt)
         request = None if entry else self._recorded_request(call)
@@ -165,21 +165,21 @@
 
         def callback(is_durable: bool) -> None:
             if is_durable:
-                self._send(attempt, cluster, key)
+                self._send(attempt, upstream, key)
             else:
                 self.driver.attempt_ended(attempt, AttemptOutcome.NOT_SENT)
 
-        if not self.writer.intend(event, callback):
+        if not self.writer.write_intent(event, callback):
             asyncio.get_running_loop().call_soon(
                 self.driver.attempt_ended, attempt, AttemptOutcome.NOT_SENT
             )
 
-    def _send(self, attempt: UpstreamAttempt, cluster: Upstream, key: EntryKey) -> None:
-        """Send an attempt whose intent is durable, unless it has ended meanwhile."""
+    def _send(self, attempt: UpstreamAttempt, upstream: Upstream, key: EntryKey) -> None:
+        """Send an attempt whose record is durable, unless it has ended meanwhile."""
         call = attempt.request
         entry = self.entries.setdefault(key.request_number, _RecordedEntry(key))
         entry.ordinals.add(attempt.index)
-        # It may have timed out, or its client gone, before it was durable.
+        # It may have timed out, or its client disconnected, while the record was written.
         if attempt.is_ended or call.is_finished:
             self.writer.record(events.outcome(entry.key, now_us(), attempt.index, NEVER_SENT))
             if not attempt.is_ended:
@@ -187,24 +187,24 @@
             if call.is_finished:
                 self._drop_entry(call)
             return
-        # The disk's time does not count as the endpoint's.
+        # So that the endpoint's latency does not include the time to write the record.
         attempt.sent_at_us = self.driver.clock()
-        cluster.send(attempt)
-        self._record_fully_sent(attempt, MIN_SENT_INTERVAL_S)
+        upstream.send(attempt)
+        self._record_fully_sent(attempt, MIN_SENT_POLL_S)
 
-    def _record_fully_sent(self, attempt: UpstreamAttempt, interval_s: float) -> None:
-        """Record when the last byte was sent.
+    def _record_fully_sent(self, attempt: UpstreamAttempt, poll_s: float) -> None:
+        """Record that the last byte was sent, or look again later.
 
-        As a rule that is at once, but later where a connection has to be opened first.
+        It is usually sent at once, but later where a connection has to be opened first.
         """
         if attempt.is_fully_sent:
             entry = self._entry_with(attempt)
             if entry:
                 self.writer.record(events.fully_sent(entry.key, now_us(), attempt.index))
         elif not attempt.is_ended:
-            next_interval_s = min(2 * interval_s, MAX_SENT_INTERVAL_S)
+            next_poll_s = min(2 * poll_s, MAX_SENT_POLL_S)
             asyncio.get_running_loop().call_later(
-                interval_s, self._record_fully_sent, attempt, next_interval_s
+                poll_s, self._record_fully_sent, attempt, next_poll_s
             )
 
     def _endpoint_started_at_us(self, attempt: UpstreamAttempt) -> int:
@@ -226,24 +226,27 @@
         )
 
     def _entry_with(self, attempt: UpstreamAttempt) -> _RecordedEntry | None:
-        """Return the entry of an attempt whose intent is durable."""
+        """Return the entry of an attempt; None where the attempt has no durable record."""
         entry = self.entries.get(attempt.request.event.request)
         return entry if entry is not None and attempt.index in entry.ordinals else None
 
     def _drop_entry(self, call: ClientRequest, ending: UpstreamAttempt | None = None) -> None:
-        """Drop the entry of an answered request once its last attempt has ended."""
+        """Forget the entry of a finished request once its last attempt has ended.
+
+        ``ending`` is an attempt that is ending now.
+        """
         if all(attempt.is_ended or attempt is ending for attempt in call.attempts):
             self.entries.pop(call.event.request, None)
 
     # -- the observer --
 
     def attempt_ended(self, attempt: UpstreamAttempt, outcome: AttemptOutcome) -> None:
-        """Record an outcome; nobody waits for it."""
+        """Record the outcome of a recorded attempt, without waiting until it is durable."""
         entry = self._entry_with(attempt)
         if entry is None:
             return
-        # What was given up before its last byte was sent has not run: endpoints begin at the last
-        # byte.
+        # An attempt that ended before its last byte was sent has not run: endpoints execute a
+        # request only once they have all of it.
         has_not_run = not attempt.is_fully_sent and outcome in (
             AttemptOutcome.TIMED_OUT,
             AttemptOutcome.CANCELLED,
@@ -254,7 +257,7 @@
             self._drop_entry(attempt.request, ending=attempt)
 
     def answered(self, call: ClientRequest, reply: bytes) -> None:
-        """Record the final answer, which is about to be written to the client."""
+        """Record the final answer, just before it is written to the client."""
         entry = self.entries.get(call.event.request)
         if entry is None:
             return
--- a/saffrongw/ledger/schema.py
+++ b/saffrongw/ledger/schema.py
@@ -1,4 +1,4 @@
-"""The ledger's files and tables: names and SQL that stay, as older versions read them too."""
+"""The ledger's files and tables: names and SQL that must not change, as older versions use them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 LOCK_NAME = "ledger.lock"
 INBOX_NAME = "inbox"
 
-# The text of a statement is stored in the database, so its lines are those of older versions.
+# SQLite stores the text of these statements, so they keep the line breaks of older versions.
 CREATE_TABLES = """
 CREATE TABLE meta (name TEXT PRIMARY KEY, value INTEGER NOT NULL);
 CREATE TABLE events (
@@ -24,7 +24,7 @@
 COUNT_EVENTS = "SELECT count(*) FROM events"
 DELETE_ENTRY = "DELETE FROM events WHERE life=? AND number=?"
 WHERE_ENTRY = "WHERE life=? AND number=?"
-# Entries of an incarnation without a final answer; those that are classified are closed too.
+# Entries of an incarnation that have neither a final answer nor a classification.
 WHERE_OPEN = (
     "WHERE life=? AND number NOT IN"
     " (SELECT number FROM events WHERE life=? AND kind IN ('answer', 'classed'))"
@@ -38,7 +38,7 @@
 
 
 class LedgerStoreError(Exception):
-    """The ledger can't be used now; the message names the file and the cause."""
+    """The ledger can't be opened, read or written; the message names the file and the cause."""
 
 
 def now_us() -> int:
--- a/saffrongw/ledger/store.py
+++ b/saffrongw/ledger/store.py
@@ -1,7 +1,7 @@
 """The ledger's database, open for writing: SQLite in WAL mode with ``synchronous=FULL``.
 
-Rows are only ever added, each with a checksum of its own, and forgotten with their whole entry.
-Used by the writer's thread, and by the command line while no gateway runs.
+Rows are never changed: they are added, each with its own checksum, and deleted with all rows of
+their entry. The writer's thread uses the store, or the command line while no gateway runs.
 """
 
 from __future__ import annotations
@@ -19,27 +19,27 @@
 from .inbox import Inbox
 from .schema import DATABASE_NAME, LOCK_NAME, SCHEMA_VERSION, LedgerStoreError, now_us
 
-# Entries that one ``trim`` looks at: intents wait meanwhile.
+# Entries that one ``trim`` examines, during which intents wait.
 MAX_ENTRIES_PER_TRIM = 500
-# Pages of the WAL after which SQLite moves it into the database.
+# Size of the WAL, in pages, at which SQLite moves it into the database.
 WAL_CHECKPOINT_PAGES = 2_000
 BUSY_TIMEOUT_S = 1.0
 BEFORE_FIRST_KEY = EntryKey(0, -1)
 
 
 class LedgerStore:
-    """The database of one gateway; one process at a time has it open for writing."""
+    """The database of one gateway; a lock file lets one process at a time write to it."""
 
     def __init__(self, folder: Path) -> None:
-        """Begin closed."""
+        """Use this folder; ``open`` opens the database."""
         self.folder = folder
         self.path = folder / DATABASE_NAME
         self.inbox = Inbox(folder)
         self.lock: int | None = None
         self.db: sqlite3.Connection | None = None
         self.incarnation = 0
-        # The entry that ``trim`` looked at last.
-        self.trimmed = BEFORE_FIRST_KEY
+        # The entry that ``trim`` examined last.
+        self.last_trimmed_key = BEFORE_FIRST_KEY
 
     @property
     def _database(self) -> sqlite3.Connection:
@@ -52,8 +52,9 @@
     def open(self) -> int:
         """Open or create the database and begin an incarnation.
 
-        Returns how many entries of older incarnations were classified. ``LedgerStoreError`` names
-        what is wrong: a second process, an unknown schema, a damaged file, a disk that fails.
+        Returns how many entries of older incarnations were classified. Raises ``LedgerStoreError``
+        where another process has the lock, the schema is unknown, the file is damaged or the disk
+        fails.
         """
         with self._closing_on_failure():
             self._take_lock()
@@ -81,7 +82,7 @@
 
     @contextlib.contextmanager
     def _closing_on_failure(self) -> Iterator[None]:
-        """Raise whatever fails as ``LedgerStoreError`` with the store closed."""
+        """Close the store on any failure, and raise it as ``LedgerStoreError``."""
         try:
             yield
         except LedgerStoreError:
@@ -117,9 +118,10 @@
             )
 
     def _begin_incarnation(self) -> int:
-        """Classify what the last incarnation left open, and begin the next.
+        """Begin the next incarnation, and classify the entries that the last one left open.
 
-        Both are one transaction: a crash within it leaves everything as it was.
+        Both are one transaction, so a crash in between changes nothing. Returns the number of
+        entries.
         """
         db = self._database
         db.execute("BEGIN IMMEDIATE")
@@ -140,33 +142,33 @@
         self._database.executemany(schema.INSERT_EVENT, [to_columns(event) for event in events])
 
     def commit(self, events: Iterable[Event]) -> None:
-        """Write a batch; when this returns it is on the disk.
+        """Write a batch; it is durable when this returns.
 
-        ``LedgerStoreError``: none of it counts, and the store must be reopened, as what a failed
-        fsync left in caches is not to be trusted.
+        ``LedgerStoreError`` means that no event of the batch counts as written. The store is closed
+        then and must be reopened, because cached pages can't be trusted after a failed fsync.
         """
         with self._closing_on_failure():
             self._database.execute("BEGIN IMMEDIATE")
             self._insert(events)
             self._database.execute("COMMIT")
 
-    def take_inbox(self) -> int:
-        """Write the events of the inbox that still fit their entries; return their number."""
-        return self.inbox.take(self._entry, self.commit)
+    def process_inbox(self) -> int:
+        """Commit the events of the inbox that still fit their entries; return their number."""
+        return self.inbox.process(self._entry, self.commit)
 
     # -- reading --
 
     def events(self, where: str = "", values: tuple[int, ...] = ()) -> Iterator[Event]:
-        """Yield events in their order; ``DamagedRowError`` at the first that is damaged."""
+        """Yield events in the order of writing; raise ``DamagedRowError`` at a damaged row."""
         query = f"{schema.SELECT_EVENTS} {where} ORDER BY seq"
         for row in self._database.execute(query, values):
             yield parse_row(EventRow._make(row))
 
     def open_entries(self) -> dict[EntryKey, Entry]:
-        """Return entries of the last incarnation without a final answer.
+        """Return the entries of the last incarnation without a final answer.
 
-        Those of incarnations before it are classified: each one begins with that, in one
-        transaction.
+        Older incarnations have none that are open: each incarnation begins by classifying those of
+        the one before, in one transaction.
         """
         last = self._last_incarnation()
         return build_entries(self.events(schema.WHERE_OPEN, (last, last)))
@@ -185,44 +187,44 @@
         return page_size * (page_count - free_pages)
 
     def trim(self, before_us: int, max_bytes: int) -> int:
-        """Look at the next entries and forget settled ones; return how many were forgotten.
+        """Examine a limited number of entries and delete settled ones; return how many.
 
-        Those that began before a time, or all that are settled while the file is larger than its
-        bound. What may have run stays until an endpoint's list has settled it. The work is bounded:
-        intents wait meanwhile.
+        Deletes settled entries of requests received before ``before_us``, or all settled ones while
+        the database is larger than ``max_bytes``. Entries that may have run stay until an
+        endpoint's list has settled them.
         """
         with self._closing_on_failure():
             is_too_large = self.size() > max_bytes
             keys = self._next_keys()
-            forgotten = []
+            deleted = []
             for key in keys:
                 (entry,) = build_entries(self.events(schema.WHERE_ENTRY, key)).values()
                 if entry.is_settled and (is_too_large or entry.received_at_us < before_us):
-                    forgotten.append(key)
-            if forgotten:
+                    deleted.append(key)
+            if deleted:
                 self._database.execute("BEGIN IMMEDIATE")
-                self._database.executemany(schema.DELETE_ENTRY, forgotten)
+                self._database.executemany(schema.DELETE_ENTRY, deleted)
                 self._database.execute("COMMIT")
-        return len(forgotten)
+        return len(deleted)
 
     def _next_keys(self) -> list[EntryKey]:
-        """Return the entries to look at next; behind the last one it begins anew."""
+        """Return the keys to examine next; after the last entry it starts over at the first."""
         rows = self._database.execute(
-            schema.SELECT_KEYS_AFTER, (*self.trimmed, MAX_ENTRIES_PER_TRIM)
+            schema.SELECT_KEYS_AFTER, (*self.last_trimmed_key, MAX_ENTRIES_PER_TRIM)
         )
         keys = [EntryKey._make(row) for row in rows]
-        self.trimmed = keys[-1] if len(keys) == MAX_ENTRIES_PER_TRIM else BEFORE_FIRST_KEY
+        self.last_trimmed_key = keys[-1] if len(keys) == MAX_ENTRIES_PER_TRIM else BEFORE_FIRST_KEY
         return keys
 
     def compact(self, before_us: int, max_bytes: int) -> int:
-        """Forget all that ``trim`` may, and free the space on the disk.
+        """Delete all entries that ``trim`` may delete, and shrink the file.
 
-        Returns how many entries were forgotten.
+        Returns how many entries were deleted.
         """
         event_count = self._database.execute(schema.COUNT_EVENTS).fetchone()[0]
         rounds = 2 + event_count // MAX_ENTRIES_PER_TRIM
-        forgotten = sum(self.trim(before_us, max_bytes) for _ in range(rounds))
+        deleted_count = sum(self.trim(before_us, max_bytes) for _ in range(rounds))
         with self._closing_on_failure():
             self._database.execute("VACUUM")
             self._database.execute("PRAGMA wal_checkpoint(TRUNCATE)")
-        return forgotten
+        return deleted_count
--- a/saffrongw/ledger/table.py
+++ b/saffrongw/ledger/table.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LedgerTable:
-    """``[ledger]``: write down non-idempotent requests before they are sent."""
+    """``[ledger]``: record non-idempotent requests before they are sent."""
 
     state_dir: Path = key(about="a folder of its own for each gateway, on a disk that lasts")
     keyed: bool = key(False, about="keyed classes too")
--- a/saffrongw/ledger/writer.py
+++ b/saffrongw/ledger/writer.py
@@ -1,9 +1,7 @@
-"""The ledger's one thread, which commits events in batches.
+"""The ledger's writer thread, which commits events in batches.
 
-It calls back on the event loop once they are durable.
-
-No timer delays a lone request: the thread commits what there is as soon as it is free. What arrives
-meanwhile makes the next batch.
+It calls back on the event loop once they are durable. No timer fills a batch: the thread commits
+what is queued as soon as it is idle, and the events that arrive meanwhile are the next batch.
 """
 
 from __future__ import annotations
@@ -25,14 +23,15 @@
 
 log = logging.getLogger(__name__)
 
+# Events in one transaction.
 MAX_BATCH = 512
 # Between two attempts to open a store that failed.
 REOPEN_INTERVAL_S = 1.0
-# Events without a callback that wait in memory while the disk is away.
+# Events without a callback that are kept in memory while the store is unavailable.
 MAX_DEFERRED = 20_000
-# Between two looks into the inbox, and the longest wait for an event.
+# Between two looks into the inbox; also the longest wait for an event.
 INBOX_INTERVAL_S = 1.0
-# Between two trims, and after one that forgot something.
+# Between two trims; the shorter one after a trim that deleted entries.
 TRIM_INTERVAL_S = 60.0
 TRIM_MORE_INTERVAL_S = 1.0
 STOP_TIMEOUT_S = 2.0
@@ -43,16 +42,16 @@
 
 
 class QueuedEvent(NamedTuple):
-    """An event on its way to the thread, with the callback of an intent."""
+    """An event in the thread's queue; intents have a callback."""
 
     event: Event
     callback: DurableCallback | None
 
 
 class LedgerWriter:
-    """Intents and other events from the event loop; the store belongs to the thread.
+    """Queues events from the event loop for the thread, which alone uses the store.
 
-    ``intend`` and ``record`` are called on the event loop.
+    ``write_intent`` and ``record`` must be called on the event loop.
     """
 
     def __init__(
@@ -63,9 +62,9 @@
         retention_s: float,
         max_bytes: int,
     ) -> None:
-        """Begin without a thread.
+        """Prepare the thread; ``start`` starts it.
 
-        ``max_pending`` bounds intents that wait for the disk; settled entries are forgotten after
+        ``max_pending`` bounds the intents that wait for the disk. Settled entries are deleted after
         ``retention_s``, and sooner while the file is larger than ``max_bytes``.
         """
         self.store = LedgerStore(folder)
@@ -73,16 +72,16 @@
         self.max_pending = max_pending
         self.retention_s = retention_s
         self.max_bytes = max_bytes
-        # None wakes the thread up so that it ends.
+        # None wakes the thread up to stop.
         self.queue: queue.SimpleQueue[QueuedEvent | None] = queue.SimpleQueue()
-        # Events without a callback that could not be written yet; the thread's.
+        # Events without a callback that could not be written yet; used by the thread alone.
         self.deferred: deque[Event] = deque(maxlen=MAX_DEFERRED)
-        # Intents whose callbacks have not run yet; the event loop's.
+        # Intents whose callbacks have not run yet; used on the event loop alone.
         self.pending = 0
         self.is_open = False
-        # Why the store could not be used last.
+        # Why the store was last unavailable; empty while it is open.
         self.cause = ""
-        # Set once the store was opened, or could not be.
+        # Set after the first attempt to open the store, successful or not.
         self.first_open_done = threading.Event()
         self.incarnation = 0
         self.commits = 0
@@ -93,7 +92,7 @@
     # -- on the event loop --
 
     def start(self) -> None:
-        """Start the thread; ``is_open`` says when the store can be written to."""
+        """Start the thread; ``is_open`` is set once the store can be written to."""
         self.thread.start()
 
     @property
@@ -101,8 +100,11 @@
         """Whether an intent would be accepted now."""
         return self.is_open and self.pending < self.max_pending
 
-    def intend(self, event: Event, callback: DurableCallback) -> bool:
-        """Write an intent and call back; False where it is not accepted."""
+    def write_intent(self, event: Event, callback: DurableCallback) -> bool:
+        """Queue an intent, and call back when it is durable or failed.
+
+        Returns False, without a callback, where the intent is not accepted.
+        """
         if not self.is_ready:
             return False
         self.pending += 1
@@ -110,11 +112,11 @@
         return True
 
     def record(self, event: Event) -> None:
-        """Write an event that nobody waits for."""
+        """Queue an event without a callback."""
         self.queue.put(QueuedEvent(event, None))
 
     def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> None:
-        """Write what is queued and end the thread."""
+        """Write the queued events and stop the thread."""
         self.stopping.set()
         self.queue.put(None)
         self.thread.join(timeout_s)
@@ -133,7 +135,7 @@
         trimmed_at = inbox_at = time.monotonic()
         while not self.stopping.is_set() or not self.queue.empty():
             if not self.is_open and not self._open():
-                # While the store is unavailable no intent is held up.
+                # Intents must fail at once while the store is unavailable, not wait for it.
                 self._fail(self._queued(self.queue.qsize()))
                 if self.stopping.wait(REOPEN_INTERVAL_S):
                     break
@@ -143,11 +145,11 @@
                 self._commit(batch)
             if self.is_open and time.monotonic() - inbox_at > INBOX_INTERVAL_S:
                 inbox_at = time.monotonic()
-                self._run_step(self._take_inbox)
+                self._run_step(self._process_inbox)
             if self.is_open and time.monotonic() - trimmed_at > TRIM_INTERVAL_S:
                 trimmed_at = time.monotonic()
                 if self._run_step(self._trim):
-                    # There may be more to forget: sooner again.
+                    # There may be more to delete, so the next trim comes sooner.
                     trimmed_at -= TRIM_INTERVAL_S - TRIM_MORE_INTERVAL_S
         self.is_open = False
         self.store.close()
@@ -171,7 +173,7 @@
         return True
 
     def _run_step(self, step: Callable[[], bool]) -> bool:
-        """Take a step with the store; whatever fails closes the store, and the thread goes on."""
+        """Run a step that uses the store; a failure closes the store, not the thread."""
         try:
             return step()
         except Exception as error:  # noqa: BLE001  a disk may fail in any way
@@ -187,15 +189,15 @@
     def _log_unavailable(self, error: Exception) -> None:
         log.error("ledger: unavailable, non-idempotent requests rejected: cause=%s", error)
 
-    def _take_inbox(self) -> bool:
-        return self.store.take_inbox() > 0
+    def _process_inbox(self) -> bool:
+        return self.store.process_inbox() > 0
 
     def _trim(self) -> bool:
         before_us = now_us() - int(self.retention_s * US_PER_S)
         return self.store.trim(before_us, self.max_bytes) > 0
 
     def _next_batch(self) -> list[QueuedEvent]:
-        """Wait for an event; return it with those that are queued behind it."""
+        """Wait for an event, up to ``INBOX_INTERVAL_S``; return it and those queued behind it."""
         try:
             first = self.queue.get(timeout=INBOX_INTERVAL_S)
         except queue.Empty:
@@ -215,7 +217,7 @@
         return found
 
     def _commit(self, batch: list[QueuedEvent]) -> None:
-        """Write a batch, with deferred events before it; nothing of a batch that failed counts."""
+        """Write the deferred events and then a batch; if that fails, none of them is written."""
         deferred_count = min(len(self.deferred), MAX_BATCH)
         deferred = [self.deferred.popleft() for _ in range(deferred_count)]
         events = [*deferred, *(queued.event for queued in batch)]
@@ -233,13 +235,13 @@
         self._call_back(batch, True)
 
     def _fail(self, batch: list[QueuedEvent]) -> None:
-        """Call back that intents are not durable, and defer the events that nobody waits for."""
+        """Report the intents as not durable, and defer the events without a callback."""
         self.deferred.extend(queued.event for queued in batch if queued.callback is None)
         self._call_back(batch, False)
 
     def _call_back(self, batch: list[QueuedEvent], is_durable: bool) -> None:
         callbacks = [queued.callback for queued in batch if queued.callback]
         if callbacks:
-            # The event loop may have ended.
+            # The event loop may be closed already.
             with contextlib.suppress(RuntimeError):
                 self.loop.call_soon_threadsafe(self._notify, callbacks, is_durable)
--- a/saffrongw/operator/__init__.py
+++ b/saffrongw/operator/__init__.py
@@ -1,4 +1,4 @@
-"""The operator file: one typed, validated table for each subsystem; absent means all off."""
+"""The operator file: a typed, validated table for each subsystem, which is off without it."""
 
 from __future__ import annotations
 
--- a/saffrongw/operator/file.py
+++ b/saffrongw/operator/file.py
@@ -1,7 +1,7 @@
 """The operator file's schema: its tables with their keys, defaults and bounds.
 
-Field names are the file's keys and don't change. Tables of components are in their packages
-(``table.py``); those of ``authz`` are here, as its package does not know ``toml_schema``.
+Field names are the keys of the file, so they stay as they are. Tables of components are in their
+packages (``table.py``), except those of ``authz``, which must not import ``toml_schema``.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from saffrongw.ledger.table import LedgerTable
 from toml_schema import ADDRESS, key
 
-# What becomes of a request that could not be checked: it continues, or it fails.
+# Whether a request that could not be checked continues (open) or is rejected (closed).
 FAIL_MODES = ("open", "closed")
 
 
 @dataclass(frozen=True, slots=True)
 class StagesTable:
-    """``[stages]``: what holds for all request filters together."""
+    """``[stages]``: limits for all request filters together."""
 
     time_share: float = key(
         0.4, minimum=0.01, maximum=0.9, about="of a request's time, for all stages together"
@@ -31,9 +31,9 @@
 
 @dataclass(frozen=True, slots=True)
 class TlsTable:
-    """Files of TLS in PEM form; they are read again when they change."""
+    """TLS files in PEM format, which are read again when they change."""
 
-    # The field ``key`` hides the function of this name: hence its whole name.
+    # The field ``key`` shadows the imported function, so the function has its qualified name here.
     ca: str = toml_schema.key(
         "",
         about="authorities that the other side's certificate must come from; empty: the system's",
@@ -45,28 +45,28 @@
     )
 
     def __post_init__(self) -> None:
-        """Require both files of a certificate, or none."""
+        """Require certificate and key together, or neither."""
         if bool(self.cert) != bool(self.key):
             raise ValueError("cert and key stand together or not at all")
 
 
 @dataclass(frozen=True, slots=True)
 class FailTable:
-    """``[[authz.fail_for]]``: another mode for a class, a plan, or both."""
+    """``[[authz.fail_for]]``: the fail mode for a class, a plan, or both."""
 
     mode: str = key(choices=FAIL_MODES)
     class_: str = key("")
     plan: str = key("")
 
     def __post_init__(self) -> None:
-        """Require a class or a plan: the mode for all has a key of its own."""
+        """Require a class or a plan: ``authz.fail`` is the mode for all others."""
         if not self.class_ and not self.plan:
             raise ValueError("class, plan or both are needed; for all there is authz.fail")
 
 
 @dataclass(frozen=True, slots=True)
 class NarrowTable:
-    """``[[authz.narrow]]``: the plans under which a server may put requests of one plan."""
+    """``[[authz.narrow]]``: the plans that a server may put requests of one plan under."""
 
     plan: str = key()
     to: tuple[str, ...] = key()
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BreakerTable:
-    """``[authz.breaker]``: when the circuit breaker of a server opens, and for how long."""
+    """``[authz.breaker]``: when the circuit breaker of an authoriser opens, and for how long."""
 
     window_ms: int = key(2000, minimum=10, maximum=600_000)
     least: int = key(10, minimum=1, maximum=1000)
@@ -116,7 +116,7 @@
     breaker: BreakerTable = key(BreakerTable())
 
     def __post_init__(self) -> None:
-        """Require servers, each once."""
+        """Require at least one authoriser, and no duplicates."""
         if not self.authorisers:
             raise ValueError("authorisers is empty")
         if len(set(self.authorisers)) < len(self.authorisers):
@@ -143,7 +143,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorFile:
-    """The whole file; a component whose table does not stand in it is off."""
+    """The whole file; a component without a table in it is off."""
 
     stages: StagesTable = key(StagesTable())
     authz: AuthzTable | None = key(None)
@@ -154,11 +154,11 @@
     leases: LeasesTable | None = key(None)
 
     def __post_init__(self) -> None:
-        """Require the channel over which leases are granted."""
+        """Require the channel that carries the messages of leases."""
         if self.leases and not self.channel:
             raise ValueError("leases needs a [channel]")
 
 
 def load(path: Path | str) -> OperatorFile:
-    """Read and validate a file; ``toml_schema.SchemaError`` names file, line, key and cause."""
+    """Read and validate a file; raise ``SchemaError`` that names file, line, key and cause."""
     return toml_schema.load(OperatorFile, path)
--- a/tests/admin/test_cli.py
+++ b/tests/admin/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: valid input, one line and status 2 for the rest, nothing optional loaded."""
+"""The command line: valid and invalid input, exit statuses, and that no optional module is imported."""
 
 from __future__ import annotations
 
@@ -58,43 +58,47 @@
         ("c.yaml", "", "c.yaml: neither an operator file (.toml)"),
     ],
 )
-def test_check_answers_a_malformed_file_with_one_line_and_status_2(
+def test_check_reports_a_malformed_file_in_one_line_with_status_2(
     tmp_path, capsys, name, text, expected
 ):
     (tmp_path / name).write_text(text)
     assert cli.main(["check", str(tmp_path / name)]) == 2
-    said = capsys.readouterr().err
-    assert expected in said
-    assert said.count("\n") == 1
+    stderr = capsys.readouterr().err
+    assert expected in stderr
+    assert stderr.count("\n") == 1
 
 
 def run(*words: str, **variables: str) -> subprocess.CompletedProcess:
-    clean = {k: v for k, v in os.environ.items() if k not in ("LB_CONFIG", "SAFFRONGW_OPERATOR")}
+    environment = {
+        name: text
+        for name, text in os.environ.items()
+        if name not in ("LB_CONFIG", "SAFFRONGW_OPERATOR")
+    }
     return subprocess.run(
         [sys.executable, *words],
         cwd=ROOT,
-        env=clean | variables,
+        env=environment | variables,
         capture_output=True,
         text=True,
         timeout=60,
     )
 
 
-def test_serve_without_a_configuration_names_the_variable_and_ends_with_status_2():
-    done = run("-m", "saffrongw.admin.cli", "serve")
-    assert done.returncode == 2
-    assert "LB_CONFIG" in done.stderr
-    assert "Traceback" not in done.stderr
+def test_serve_without_a_configuration_names_the_variable_and_exits_with_status_2():
+    completed = run("-m", "saffrongw.admin.cli", "serve")
+    assert completed.returncode == 2
+    assert "LB_CONFIG" in completed.stderr
+    assert "Traceback" not in completed.stderr
 
 
-def test_a_malformed_operator_file_ends_the_start_with_status_2(tmp_path):
+def test_a_malformed_operator_file_fails_the_start_with_status_2(tmp_path):
     (tmp_path / "o.toml").write_text("x = 1\n")
-    done = run("-m", "saffrongw", SAFFRONGW_OPERATOR=str(tmp_path / "o.toml"))
-    assert done.returncode == 2
-    assert "o.toml:1: x: unknown key" in done.stderr
+    completed = run("-m", "saffrongw", SAFFRONGW_OPERATOR=str(tmp_path / "o.toml"))
+    assert completed.returncode == 2
+    assert "o.toml:1: x: unknown key" in completed.stderr
 
 
-def test_a_gateway_without_an_operator_file_loads_no_optional_module():
+def test_a_gateway_without_an_operator_file_imports_no_optional_module():
     code = (
         "import sys, saffrongw.__main__, saffrongw.gateway.bootstrap as p\n"
         "print([m for m in sys.modules if m.startswith(('saffrongw.operator', 'saffrongw.admin', 'toml_schema',"
--- a/tests/admin/test_ledger.py
+++ b/tests/admin/test_ledger.py
@@ -1,4 +1,4 @@
-"""``saffrongw ledger``: its commands, also beside a gateway in service."""
+"""The commands of ``saffrongw ledger``, with and without a running gateway."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     assert "1 entries settled as issued" in run("import", str(tmp_path / "list.csv"))[1]
     assert "1 entries, 1 may have run" in run("open")[1]
     status, printed = run("compact")
-    # They are of 1970; one may have run.
+    # All entries are old enough (from 1970), but one may have run and is kept.
     assert (status, printed.split(",")[0]) == (0, "5 entries forgotten")
     assert "1 entries, 1 may have run" in run("show")[1]
     assert cli.main(["ledger", "--state", str(tmp_path / "none"), "show"]) == 2
--- a/tests/authz/test_extension_registry.py
+++ b/tests/authz/test_extension_registry.py
@@ -1,4 +1,4 @@
-"""[authz] in a real process: switched on, malformed, and changed in service by SIGHUP."""
+"""[authz] in a real process: enabled, malformed, and reloaded by SIGHUP."""
 
 from __future__ import annotations
 
@@ -43,14 +43,14 @@
         ),
     ],
 )
-def test_check_answers_a_malformed_table_with_one_line_and_status_2(
+def test_check_reports_a_malformed_table_in_one_line_with_status_2(
     tmp_path, capsys, text, expected
 ):
     (tmp_path / "o.toml").write_text(text)
     assert cli.main(["check", str(tmp_path / "o.toml")]) == 2
-    said = capsys.readouterr().err
-    assert expected in said
-    assert said.count("\n") == 1
+    stderr = capsys.readouterr().err
+    assert expected in stderr
+    assert stderr.count("\n") == 1
 
 
 @pytest.mark.parametrize(
@@ -64,11 +64,11 @@
         ('[authz.tls]\nca = "/none/ca.pem"\n', "can't serve"),
     ],
 )
-def test_a_table_that_the_configuration_does_not_fit_ends_the_start(tmp_path, more, expected):
+def test_a_table_that_does_not_fit_the_configuration_fails_the_start(tmp_path, more, expected):
     path, _ = configured(tmp_path)
     operator = tmp_path / "o.toml"
     operator.write_text('[authz]\nauthorisers = ["127.0.0.1:1"]\n' + more)
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "saffrongw"],
         cwd=ROOT,
         env=os.environ | {"LB_CONFIG": str(path), "SAFFRONGW_OPERATOR": str(operator)},
@@ -76,13 +76,13 @@
         text=True,
         timeout=60,
     )
-    assert done.returncode in (1, 2)
-    assert expected in done.stderr
-    assert "Traceback" not in done.stderr
+    assert completed.returncode in (1, 2)
+    assert expected in completed.stderr
+    assert "Traceback" not in completed.stderr
 
 
-def test_an_operator_file_without_the_table_loads_neither_library_nor_package():
-    text = {
+def test_an_operator_file_without_the_table_imports_neither_grpc_nor_the_package():
+    config = {
         "listen": "a:1",
         "discovery": "a:1",
         "seed": "1",
@@ -92,17 +92,17 @@
     code = (
         "import sys\nfrom saffrongw.admin import cli\nfrom saffrongw import operator, extension_registry\n"
         "from saffrongw.gateway.config import parse_config\n"
-        f"extension_registry.build_extensions(operator.OperatorFile(), parse_config({json.dumps(text)!r}))\n"
+        f"extension_registry.build_extensions(operator.OperatorFile(), parse_config({json.dumps(config)!r}))\n"
         "print([m for m in sys.modules if m.split('.')[0] in ('grpc', 'google') or m.startswith('saffrongw.authz')])"
     )
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=60
     )
-    assert done.stdout.strip() == "[]", done.stderr
+    assert completed.stdout.strip() == "[]", completed.stderr
 
 
 async def connected(port: int) -> Caller:
-    """A client's connection, once the gateway listens."""
+    """Return a client's connection, once the gateway listens."""
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(20):
         while True:
@@ -113,7 +113,7 @@
 
 
 async def call_until_rejected(caller: Caller) -> None:
-    """Send requests one after the other until one is not served."""
+    """Send requests one after another until one is not served."""
     async with asyncio.timeout(10):
         while caller.replies[-1] == b"ok":
             number = len(caller.replies) + 1
@@ -123,7 +123,7 @@
 
 
 @asyncio_test
-async def test_a_process_checks_requests_and_changes_its_server_on_sighup(tmp_path):
+async def test_a_process_checks_requests_and_changes_its_authoriser_on_sighup(tmp_path):
     host = await FakeHost("a").listen()
     lines = [host.line(host=name) for name in "abcdef"]
     path, port = configured(tmp_path, known={"seq": 1, "whole": True, "hosts": lines})
--- a/tests/authz/test_options.py
+++ b/tests/authz/test_options.py
@@ -1,4 +1,4 @@
-"""The options that the package reads are keys of the operator file's tables, of the same types."""
+"""The protocols of the package's options match the operator file's tables in keys and types."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from saffrongw.authz import options
 from saffrongw.operator import file
 
-PAIRS = {
+TABLES_BY_PROTOCOL = {
     options.TlsOptions: file.TlsTable,
     options.FailOptions: file.FailTable,
     options.NarrowOptions: file.NarrowTable,
@@ -21,18 +21,20 @@
 
 
 def as_table(hint: object) -> object:
-    """A type of an option with each protocol replaced by its table."""
+    """Return the type of an option with each protocol replaced by its table."""
     if arguments := typing.get_args(hint):
         replaced = tuple(as_table(argument) for argument in arguments)
         origin = typing.get_origin(hint)
         return tuple[replaced] if origin is tuple else typing.Union[replaced]  # noqa: UP007
-    return PAIRS.get(hint, hint)
+    return TABLES_BY_PROTOCOL.get(hint, hint)
 
 
-@pytest.mark.parametrize("protocol", PAIRS, ids=lambda protocol: protocol.__name__)
-def test_every_option_is_a_key_of_its_table_and_the_other_way_round(protocol):
-    table = PAIRS[protocol]
+@pytest.mark.parametrize("protocol", TABLES_BY_PROTOCOL, ids=lambda protocol: protocol.__name__)
+def test_a_protocol_and_its_table_have_the_same_keys_and_types(protocol):
+    table = TABLES_BY_PROTOCOL[protocol]
     keys = typing.get_type_hints(table)
     assert {f.name for f in dataclasses.fields(table)} == keys.keys()
-    wanted = {name: as_table(hint) for name, hint in typing.get_type_hints(protocol).items()}
-    assert wanted == keys
+    options_by_name = {
+        name: as_table(hint) for name, hint in typing.get_type_hints(protocol).items()
+    }
+    assert options_by_name == keys
--- a/tests/ledger/events_of_requests.py
+++ b/tests/ledger/events_of_requests.py
@@ -1,4 +1,4 @@
-"""Events of made-up requests, and stores that hold them."""
+"""Events of test requests, and stores with such events."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 def store_with_entries(folder: Path, count: int) -> LedgerStore:
     """Return a store in its first incarnation.
 
-    A third of its entries is open, a third answered, a third never sent.
+    A third of its entries may have run, a third is answered, a third was never sent.
     """
     store = LedgerStore(folder)
     store.open()
--- a/tests/ledger/gateway_rig.py
+++ b/tests/ledger/gateway_rig.py
@@ -1,4 +1,4 @@
-"""A gateway with a ledger and one upstream endpoint, in this process."""
+"""Runs a gateway with a ledger and one upstream endpoint in this process."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
         request_classes: frozenset[int] = NON_IDEMPOTENT,
         with_bodies: bool = False,
     ) -> LedgerRig:
-        """Start all of it."""
+        """Start the endpoint and the gateway, and open the ledger."""
         self.host = await FakeHost("a").listen()
         self.ledger = LedgerFilter(
             folder,
@@ -55,7 +55,7 @@
 
 
 def block_commits(monkeypatch: pytest.MonkeyPatch) -> threading.Event:
-    """Make a disk that takes nothing until the event is set."""
+    """Block all commits until the returned event is set, as a slow disk does."""
     release = threading.Event()
     commit = LedgerStore.commit
 
--- a/tests/ledger/kill_points.py
+++ b/tests/ledger/kill_points.py
@@ -1,6 +1,6 @@
 """A gateway that kills itself (SIGKILL) at one named step of a recorded request.
 
-``python -m tests.ledger.kill_points STEP N`` does so the Nth time that it comes to the step.
+``python -m tests.ledger.kill_points STEP N`` runs one that does so the Nth time it reaches the step.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 
 Step = Callable[[], None]
 
-# The number of the non-idempotent class in the scenario.
+# Index of the non-idempotent class in the scenario.
 NON_IDEMPOTENT = 2
 
 
 def kill_at(count: int) -> Step:
-    """Return a step that kills the process when it is taken for the given time."""
+    """Return a step that kills the process when it is called for the ``count``-th time."""
     remaining = count
 
     def step() -> None:
@@ -36,7 +36,7 @@
 
 
 def wrap(owner: type, name: str, before: Step | None = None, after: Step | None = None) -> None:
-    """Take steps before and after a method."""
+    """Call steps before and after a method."""
     method = getattr(owner, name)
 
     def wrapped(*positional: Any, **named: Any) -> Any:
@@ -51,7 +51,7 @@
 
 
 def wrap_send(step: Step, after: bool) -> None:
-    """Take a step before or after a non-idempotent request is written to a connection."""
+    """Call a step before or after a non-idempotent request is written to a connection."""
     method = cluster.UpstreamConnection.start
 
     def begin(self: Any, attempt: Any, now: int) -> None:
@@ -66,7 +66,7 @@
 
 
 def wrap_answer(step: Step, after: bool) -> None:
-    """Take a step before or after the final answer of a non-idempotent request."""
+    """Call a step before or after the final answer of a non-idempotent request."""
     method = Driver._send_final_reply
 
     def finish(self: Any, call: Any, reply: bytes) -> None:
@@ -84,7 +84,7 @@
 LedgerStore = store.LedgerStore
 
 STEPS: dict[str, Callable[[Step], None]] = {
-    "before-the-intent": lambda step: wrap(LedgerFilter, "intend", before=step),
+    "before-the-intent": lambda step: wrap(LedgerFilter, "record_and_send", before=step),
     "before-the-commit": lambda step: wrap(LedgerStore, "commit", before=step),
     "within-the-batch": lambda step: wrap(LedgerStore, "_insert", after=step),
     "after-the-commit": lambda step: wrap(LedgerStore, "commit", after=step),
--- a/tests/ledger/test_entries.py
+++ b/tests/ledger/test_entries.py
@@ -1,4 +1,4 @@
-"""The truth table, and what recovery classifies."""
+"""The truth table of execution statuses, and the classification by recovery."""
 
 from __future__ import annotations
 
--- a/tests/ledger/test_explanation.py
+++ b/tests/ledger/test_explanation.py
@@ -1,4 +1,4 @@
-"""An entry in sentences."""
+"""The description of an entry in sentences."""
 
 from __future__ import annotations
 
--- a/tests/ledger/test_inbox.py
+++ b/tests/ledger/test_inbox.py
@@ -1,4 +1,4 @@
-"""Events that the command line leaves to the gateway."""
+"""Events that the command line submits to the gateway."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
     inbox = tmp_path / "inbox"
     inbox.mkdir()
     answered = '{"life": 1, "number": 1, "host": "h1", "issued": 5}\n'
-    not_sent_there = '{"life": 1, "number": 3, "host": "h9", "issued": 5}\n'
-    good = '{"life": 1, "number": 3, "host": "h1", "issued": 5}\n'
-    for name, text in (("1", answered), ("2", not_sent_there), ("3", "rubbish\n"), ("4", good)):
+    other_endpoint = '{"life": 1, "number": 3, "host": "h9", "issued": 5}\n'
+    valid = '{"life": 1, "number": 3, "host": "h1", "issued": 5}\n'
+    for name, text in (("1", answered), ("2", other_endpoint), ("3", "rubbish\n"), ("4", valid)):
         (inbox / f"{name}.jsonl").write_text(text)
-    assert store.take_inbox() == 1
+    assert store.process_inbox() == 1
     assert sorted(path.name for path in inbox.iterdir()) == ["1.done", "2.done", "3.bad", "4.done"]
     store.close()
--- a/tests/ledger/test_kills.py
+++ b/tests/ledger/test_kills.py
@@ -1,6 +1,6 @@
 """A real gateway is killed at every named step; the ledger must agree with what endpoints executed.
 
-``python -m tests.ledger.test_kills COUNT`` is the long run of so many seeded kills.
+``python -m tests.ledger.test_kills COUNT`` is the long run, with COUNT seeded kills.
 """
 
 from __future__ import annotations
@@ -66,7 +66,7 @@
             while process.returncode is None and not arrivals.done():
                 await asyncio.sleep(0.01)
         arrivals.cancel()
-        # What endpoints had received goes on.
+        # Endpoints finish the requests that they have received.
         await asyncio.sleep(0.15)
     finally:
         await world.close()
@@ -74,7 +74,7 @@
 
 
 def recovered_entries(state: Path) -> list[Entry]:
-    """Begin the next incarnation without a gateway; return all entries."""
+    """Begin the next incarnation without a gateway, and return all entries."""
     store = LedgerStore(state)
     store.open()
     store.close()
@@ -84,7 +84,7 @@
 
 
 def check_against_truth(world: World, entries: list[Entry]) -> Counter[str]:
-    """Check each entry against what endpoints executed; return how many have each status."""
+    """Check each entry against what endpoints executed; return the entry count of each status."""
     effects = Counter(
         effect.request for effect in world.log.of(Effect) if effect.cls == RECORDED_CLASS
     )
@@ -96,11 +96,11 @@
     sent = {request.request for request in world.log.of(Sent) if request.cls == RECORDED_CLASS}
     by_request = {entry.client_request_id: entry for entry in entries}
     assert len(by_request) == len(entries)
-    # None is invented.
+    # Every entry belongs to a request that a client sent.
     assert set(by_request) <= sent
-    # None is missing: what reached an endpoint was recorded before.
+    # Every attempt that reached an endpoint has an entry: it was recorded before it was sent.
     assert arrived <= set(by_request)
-    # None ran twice.
+    # No request ran twice.
     assert all(count == 1 for count in effects.values())
     for request, entry in by_request.items():
         if entry.status is ExecutionStatus.NEVER_SENT:
@@ -113,19 +113,19 @@
 
 @pytest.mark.parametrize("step", SERVICE_STEPS)
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
-def test_after_a_kill_at_each_step_the_ledger_agrees_with_the_truth(step, seed, tmp_path):
+def test_after_a_kill_at_each_step_the_ledger_agrees_with_the_endpoints(step, seed, tmp_path):
     count = random.Random(f"{step}{seed}").randint(2, 25)
     world = uvloop.run(run_until_killed(tmp_path / "run", tmp_path / "state", step, count, seed))
     assert world.gateways[0].process.returncode == -signal.SIGKILL
     check_against_truth(world, recovered_entries(tmp_path / "state"))
 
 
-def test_a_kill_within_recovery_leaves_everything_to_the_next_one(tmp_path):
+def test_a_kill_within_recovery_leaves_all_entries_to_the_next_recovery(tmp_path):
     state = tmp_path / "state"
     world = uvloop.run(run_until_killed(tmp_path / "run", state, "after-the-last-byte", 12, 9))
     path = tmp_path / "run" / "n0.json"
     config = json.loads(path.read_text())
-    # Two incarnations are killed while they classify what the first one left.
+    # Two gateways in a row are killed while they classify the open entries of the first one.
     for _ in range(2):
         completed = subprocess.run(
             [sys.executable, "-m", "tests.ledger.kill_points", RECOVERY_STEP, "1"],
@@ -147,7 +147,7 @@
 
 
 def main() -> None:
-    """Run so many seeded kills."""
+    """Run as many seeded kills as the argument says, and print the total of each status."""
     totals: Counter[str] = Counter()
     kill_count = int(sys.argv[1])
     for kill in range(kill_count):
--- a/tests/ledger/test_ledger_request_filter.py
+++ b/tests/ledger/test_ledger_request_filter.py
@@ -1,4 +1,4 @@
-"""Attempts are held back until they are durable, also when the disk is slow, full or fails."""
+"""Attempts are sent only after they are durably recorded, even if the disk is slow, full or fails."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 @asyncio_test
-async def test_nothing_is_sent_before_it_is_durable(tmp_path, monkeypatch):
+async def test_no_attempt_is_sent_before_its_record_is_durable(tmp_path, monkeypatch):
     world = await LedgerRig().open(tmp_path)
     sent_counts = []
     commit = LedgerStore.commit
@@ -42,7 +42,7 @@
 
 
 @asyncio_test
-async def test_the_time_of_the_last_byte_is_recorded_also_on_a_new_connection(tmp_path):
+async def test_the_time_of_the_last_byte_is_recorded_even_on_a_new_connection(tmp_path):
     world = await LedgerRig().open(tmp_path)
     world.host.script = lambda _command: None
     caller = await world.rig.caller()
@@ -63,7 +63,7 @@
 
 @asyncio_test
 async def test_an_entry_stays_in_its_incarnation_when_the_store_is_reopened(tmp_path, monkeypatch):
-    """Else its answer would stand in the new incarnation, as an entry of nobody's."""
+    """Otherwise its answer would be recorded for a request that the new incarnation never had."""
     monkeypatch.setattr(writer, "REOPEN_INTERVAL_S", 0.05)
     world = await LedgerRig().open(tmp_path)
     world.host.script = lambda _command: None
@@ -85,7 +85,7 @@
 
 
 @asyncio_test
-async def test_idempotent_requests_write_nothing(tmp_path):
+async def test_idempotent_requests_are_not_recorded(tmp_path):
     world = await LedgerRig().open(tmp_path)
     caller = await world.rig.caller()
     caller.call("read")
@@ -137,13 +137,13 @@
 
 
 def call_of_customer(caller: Any, customer: int) -> None:
-    """Send a non-idempotent request of a customer of its own: no quota is in its way."""
+    """Send a non-idempotent request of a separate customer, whose quota is unused."""
     terms = b"c=bill,t=team,d=2000,units=1,spread=1,first=0"
     caller.ask(b"CALL.POST", b"%016x" % customer, b"c%d" % customer, terms, b"BODY")
 
 
 @asyncio_test
-async def test_a_full_disk_is_met_by_the_database_itself(tmp_path, monkeypatch):
+async def test_a_full_database_rejects_requests_until_it_is_reopened(tmp_path, monkeypatch):
     monkeypatch.setattr(writer, "REOPEN_INTERVAL_S", 0.05)
     world = await LedgerRig().open(tmp_path)
     caller = await world.rig.caller()
@@ -152,8 +152,9 @@
     await until(lambda: world.ledger.writer.written >= 3)
     reply_count = 1
     for number in range(400):
-        # As small as it can be: no page can be added. Set each time, as an event that nobody waits
-        # for may be what fails: the store is then reopened without it.
+        # The smallest limit, so no page can be added. It is set for each request, because the write
+        # that fails may be an event without a callback, after which the store is reopened without
+        # the limit.
         with contextlib.suppress(sqlite3.Error, AttributeError):
             world.ledger.writer.store.db.execute("PRAGMA max_page_count=1")
         call_of_customer(caller, number + 100)
@@ -161,7 +162,7 @@
         if (await caller.replied(reply_count))[-1] != b"ok":
             break
     assert error(caller.replies[-1]) == "BUSY"
-    # Reopened, without that bound.
+    # The reopened store has no such limit.
     await until(lambda: world.ledger.writer.is_open)
     call_of_customer(caller, 99)
     assert (await caller.replied(reply_count + 1))[-1] == b"ok"
@@ -192,11 +193,11 @@
     for number, caller in enumerate(callers):
         caller.call("bill" if number % 2 else "read", wait=1500, number=b"n%d" % number)
     for caller in callers[::2]:
-        # Nothing is on the disk yet.
+        # Idempotent requests are answered although nothing is committed yet.
         assert await caller.replied() == [b"ok"]
     assert world.ledger.writer.commits == 0
     rejected = [caller for caller in callers[1::2] if caller.replies]
-    # More than may be pending: at once.
+    # Those beyond ``max_pending`` are rejected at once.
     assert len(rejected) == 5
     for caller in callers[1::2]:
         (reply,) = await caller.replied()
@@ -204,7 +205,7 @@
     assert len(world.host.commands) == 20
     release.set()
     await until(lambda: not world.rig.driver.requests and not world.ledger.entries)
-    # What was late is not sent.
+    # Attempts whose records became durable after their deadlines are not sent.
     assert len(world.host.commands) == 20
     await world.ledger.stop()
 
@@ -230,7 +231,7 @@
 
 
 @asyncio_test
-async def test_keyed_classes_and_bodies_are_recorded_where_the_operators_ask(tmp_path):
+async def test_keyed_classes_and_bodies_are_recorded_if_configured(tmp_path):
     world = await LedgerRig().open(tmp_path, request_classes=frozenset({1, 2}), with_bodies=True)
     caller = await world.rig.caller()
     caller.call("put")
--- a/tests/ledger/test_reconcile.py
+++ b/tests/ledger/test_reconcile.py
@@ -1,4 +1,4 @@
-"""An endpoint's list of issued reports against the entries."""
+"""Reconciliation of an endpoint's list of issued reports with the entries."""
 
 from __future__ import annotations
 
--- a/tests/ledger/test_schema.py
+++ b/tests/ledger/test_schema.py
@@ -1,6 +1,6 @@
-"""What is stored stays: a ledger that an older version wrote is read, and the other way round.
+"""The stored format is compatible in both directions with older versions.
 
-SQL, rows and checksums stand here as literals of the version before the names of the code changed.
+SQL, rows and checksums are literals of an older version here, independent of names in the code.
 """
 
 from __future__ import annotations
--- a/tests/ledger/test_store.py
+++ b/tests/ledger/test_store.py
@@ -1,4 +1,4 @@
-"""The ledger's file when it breaks: torn ends, flipped bits, a second process, other schemas."""
+"""The ledger's file and its faults: torn WAL, flipped bits, a second process, other schemas."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
     second.close()
 
 
-def test_one_client_id_in_two_incarnations_is_two_entries_also_when_the_clock_went_back(tmp_path):
+def test_one_client_id_in_two_incarnations_is_two_entries_even_if_the_clock_goes_back(tmp_path):
     for incarnation, at_us in ((1, 100 * US_PER_S), (2, 50 * US_PER_S)):
         store = LedgerStore(tmp_path)
         store.open()
@@ -64,7 +64,7 @@
     assert entries[1, 1].client_request_id == entries[2, 1].client_request_id
 
 
-def test_files_are_for_their_owner_alone(tmp_path):
+def test_only_the_owner_has_access_to_the_files(tmp_path):
     folder = tmp_path / "ledger"
     store_with_entries(folder, 1).close()
     assert {path.name: path.stat().st_mode & 0o777 for path in folder.iterdir()} == {
@@ -94,7 +94,7 @@
 
 
 def killed_store(tmp_path: Path) -> tuple[Path, EntryFields]:
-    """Return a folder with its WAL as a kill leaves them, and the entries that were written."""
+    """Return a folder with a WAL as a killed gateway leaves it, and the entries that it wrote."""
     source = tmp_path / "source"
     store = store_with_entries(source, 30)
     with LedgerReader(source) as reader:
@@ -107,28 +107,28 @@
 
 
 def check_entries(folder: Path, written: EntryFields) -> tuple[int, bool]:
-    """Return how many entries are read as they were written, and whether damage is named.
+    """Return how many entries are read as they were written, and whether damage is reported.
 
-    None may be invented.
+    Fails if an entry or an event is read that was never written.
     """
     try:
         with LedgerReader(folder) as reader:
             entries = reader.entries()
-            is_named = bool(reader.verify())
+            is_reported = bool(reader.verify())
     except LedgerStoreError:
         return 0, True
-    good_count = 0
+    intact_count = 0
     for key, entry in entries.items():
-        assert key in written, f"invented: {key}"
+        assert key in written, f"never written: {key}"
         found, expected = dataclasses.asdict(entry), written[key]
         if found == expected:
-            good_count += 1
+            intact_count += 1
         else:
-            # Fewer events than were written, never others.
+            # Events may be missing, but none may differ.
             assert entry.customer in (0, 7)
             assert set(found["attempts"]) <= set(expected["attempts"])
             assert found["answer"] in ("", expected["answer"])
-    return good_count, is_named
+    return intact_count, is_reported
 
 
 def test_a_wal_torn_at_every_byte_of_its_last_4_kib_is_read_up_to_its_last_commit(tmp_path):
@@ -136,49 +136,49 @@
     wal = killed / WAL
     wal_bytes = wal.read_bytes()
     database_bytes = (killed / DATABASE_NAME).read_bytes()
-    good_counts = set()
+    intact_counts = set()
     for cut in range(1, 4097):
         for name in (SHARED_MEMORY, DATABASE_NAME, WAL):
             (killed / name).unlink(missing_ok=True)
         (killed / DATABASE_NAME).write_bytes(database_bytes)
         wal.write_bytes(wal_bytes[:-cut])
-        good_count, is_named = check_entries(killed, written)
-        # A torn end is what a kill leaves: all that was committed before it is complete.
-        assert not is_named
-        good_counts.add(good_count)
-    assert max(good_counts) <= 30
-    # 4 KiB hold the last commit or two.
-    assert min(good_counts) >= 28
+        intact_count, is_reported = check_entries(killed, written)
+        # A kill may leave a torn end, so it is no damage: every earlier commit is complete.
+        assert not is_reported
+        intact_counts.add(intact_count)
+    assert max(intact_counts) <= 30
+    # The last 4 KiB hold one or two commits.
+    assert min(intact_counts) >= 28
 
 
-def test_flipped_bits_are_named_or_harmless_and_invent_nothing(tmp_path):
+def test_flipped_bits_are_reported_or_harmless_and_create_no_entries(tmp_path):
     killed, written = killed_store(tmp_path)
     for name in (WAL, SHARED_MEMORY):
         (killed / name).unlink()
-    # Closed and checkpointed: all is in the database.
-    plain = (tmp_path / "source" / DATABASE_NAME).read_bytes()
-    (killed / DATABASE_NAME).write_bytes(plain)
+    # The source was closed after a checkpoint, so its database holds all events.
+    undamaged = (tmp_path / "source" / DATABASE_NAME).read_bytes()
+    (killed / DATABASE_NAME).write_bytes(undamaged)
     assert check_entries(killed, written) == (30, False)
-    draw = random.Random(5)
-    named_count = 0
+    generator = random.Random(5)
+    reported_count = 0
     incomplete_count = 0
     for _ in range(300):
-        damaged = bytearray(plain)
-        position = draw.randrange(len(damaged))
-        damaged[position] ^= 1 << draw.randrange(8)
+        damaged = bytearray(undamaged)
+        position = generator.randrange(len(damaged))
+        damaged[position] ^= 1 << generator.randrange(8)
         for name in (WAL, SHARED_MEMORY):
             (killed / name).unlink(missing_ok=True)
         (killed / DATABASE_NAME).write_bytes(damaged)
-        good_count, is_named = check_entries(killed, written)
-        named_count += is_named
-        incomplete_count += good_count < 30
-        # What is missing is named.
-        assert is_named or good_count == 30
-    assert named_count > 20
+        intact_count, is_reported = check_entries(killed, written)
+        reported_count += is_reported
+        incomplete_count += intact_count < 30
+        # Missing entries are always reported.
+        assert is_reported or intact_count == 30
+    assert reported_count > 20
     assert incomplete_count > 5
 
 
-def test_a_wal_without_its_database_is_no_entry(tmp_path):
+def test_a_wal_without_its_database_gives_no_entries(tmp_path):
     killed, _ = killed_store(tmp_path)
     (killed / DATABASE_NAME).unlink()
     with pytest.raises(LedgerStoreError, match="there is no ledger"):
@@ -202,14 +202,14 @@
     assert cli.main(["ledger", "--state", str(tmp_path), "verify"]) == 1
 
 
-def test_trimming_never_forgets_an_open_entry(tmp_path):
+def test_trimming_never_deletes_an_unsettled_entry(tmp_path):
     store = store_with_entries(tmp_path, 30)
     assert store.trim(before_us=0, max_bytes=UNBOUNDED) == 0
-    # The answered ones; those never sent are not classified yet.
+    # Deletes the answered entries; those never sent are not classified yet.
     assert store.trim(before_us=99 * US_PER_S, max_bytes=UNBOUNDED) == 10
     store.close()
     store.open()
-    # The file is larger than its bound: those never sent too, by now.
+    # The file is larger than its limit; opening the store has classified those never sent.
     assert store.trim(before_us=0, max_bytes=1) == 10
     remaining = build_entries(store.events())
     assert [entry.status for entry in remaining.values()] == [ExecutionStatus.MAY_HAVE_RUN] * 10
@@ -217,7 +217,7 @@
     store.close()
 
 
-def test_trimming_handles_a_few_entries_at_a_time_and_reaches_all(tmp_path, monkeypatch):
+def test_trimming_examines_a_few_entries_at_a_time_and_reaches_all(tmp_path, monkeypatch):
     monkeypatch.setattr(store_module, "MAX_ENTRIES_PER_TRIM", 7)
     store = store_with_entries(tmp_path, 30)
     before_us = 99 * US_PER_S
@@ -227,17 +227,17 @@
     store.close()
 
 
-def test_a_start_reads_the_last_incarnation_alone(tmp_path):
-    """A start must not read all of a long past.
+def test_a_start_reads_only_the_last_incarnation(tmp_path):
+    """A start that read all incarnations would take longer with every one.
 
-    What older incarnations left was classified when the next one began.
+    Each incarnation classifies the open entries of the one before it, so older ones have none.
     """
     for incarnation in (1, 2, 3):
         store = LedgerStore(tmp_path)
         assert store.open() == (1 if incarnation > 1 else 0)
         store.commit([intent(incarnation, 1)])
         store.close()
-    # Damage there is for verify to find.
+    # Damage in an older incarnation: verify reports it, a start does not read it.
     with sqlite3.connect(tmp_path / DATABASE_NAME) as db:
         db.execute("UPDATE events SET sum=x'00' WHERE life=1")
     db.close()
--- a/tests/toml_schema/test_toml_schema.py
+++ b/tests/toml_schema/test_toml_schema.py
@@ -1,4 +1,4 @@
-"""Files against their schema: typed values, and errors of one line with key and cause."""
+"""TOML files become typed values, or an error of one line with position, key and cause."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 
 
 def test_a_valid_file_is_typed_and_keeps_its_defaults():
-    got = toml_schema.loads(
+    loaded = toml_schema.loads(
         Outer, 'name = "x"\nrate = 2\nspan = [1, 2]\n[[many]]\nsize = 4\n[[many]]\nkind = "b"\n'
     )
-    assert got == Outer("x", 2.0, False, (1.0, 2.0), Inner(), (Inner(4), Inner(3, "b")))
-    assert isinstance(got.rate, float)
+    assert loaded == Outer("x", 2.0, False, (1.0, 2.0), Inner(), (Inner(4), Inner(3, "b")))
+    assert isinstance(loaded.rate, float)
 
 
 @pytest.mark.parametrize(
@@ -64,30 +64,30 @@
     ],
 )
 def test_each_malformed_file_gets_one_line_with_position_and_cause(text, expected):
-    with pytest.raises(SchemaError) as wrong:
+    with pytest.raises(SchemaError) as raised:
         toml_schema.loads(Outer, text, "f")
-    assert str(wrong.value).startswith(expected)
-    assert "\n" not in str(wrong.value)
+    assert str(raised.value).startswith(expected)
+    assert "\n" not in str(raised.value)
 
 
 def test_files_that_cannot_be_read_raise_an_error_that_says_why(tmp_path):
     (tmp_path / "bytes").write_bytes(b"a = 1\n\xff")
     (tmp_path / "long").write_bytes(b"#" * (1 << 21))
-    for name, why in (
+    for name, cause in (
         ("none", "can't be read"),
         ("bytes", "bytes:2: not UTF-8"),
         ("long", "longer than"),
     ):
-        with pytest.raises(SchemaError, match=why):
+        with pytest.raises(SchemaError, match=cause):
             toml_schema.load(Outer, tmp_path / name)
 
 
 @given(st.text(max_size=200))
 def test_any_text_gives_an_instance_or_a_schema_error_of_one_line(text):
     try:
-        read = toml_schema.loads(Outer, text)
+        loaded = toml_schema.loads(Outer, text)
     except SchemaError as error:
         outcome = str(error)
     else:
-        outcome = read
+        outcome = loaded
     assert isinstance(outcome, Outer) or "\n" not in outcome
--- a/toml_schema/__init__.py
+++ b/toml_schema/__init__.py
@@ -1,8 +1,8 @@
-"""TOML files read as dataclasses: typed, bounded, with errors that name line, key and cause.
+"""Reads TOML files into dataclasses, with errors that name line, key and cause.
 
 A schema is a frozen dataclass whose fields are made with ``key``. Nested dataclasses are tables,
-tuples of dataclasses are arrays of tables. The package depends on nothing of this project, so the
-operator file and the testbed's scenarios share it.
+tuples of dataclasses are arrays of tables. The package depends on nothing else in this project, so
+that the operator file and the testbed's scenarios can share it.
 """
 
 from __future__ import annotations
@@ -19,12 +19,15 @@
 
 T = TypeVar("T")
 
-# No file that is meant is longer.
+# Larger files are rejected: no sensible one has this size.
 MAX_FILE_BYTES = 1 << 20
 
 
 def loads(schema: type[T], text: str, name: str = "text") -> T:
-    """A text as an instance of the schema; ``SchemaError`` with file, line, key and cause."""
+    """Return a text as an instance of the schema.
+
+    Raises ``SchemaError`` with the name of the file, line, key and cause.
+    """
     try:
         raw = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -37,7 +40,7 @@
 
 
 def load(schema: type[T], path: Path | str) -> T:
-    """A file as an instance of the schema; ``SchemaError`` where it can't be read or used."""
+    """Return a file as an instance of the schema; raise ``SchemaError`` where it is invalid."""
     try:
         raw = Path(path).read_bytes()
     except OSError as error:
--- a/toml_schema/line_index.py
+++ b/toml_schema/line_index.py
@@ -1,10 +1,10 @@
-"""The lines of the keys and tables of a TOML text, which the standard library does not give."""
+"""Line numbers of the keys and tables in a TOML text, which ``tomllib`` does not provide."""
 
 from __future__ import annotations
 
 import re
 
-# Keys and indexes of arrays, from the top of the file.
+# Keys and array indexes that lead to a value, from the top of the file.
 KeyPath = tuple[str | int, ...]
 
 _TABLE = re.compile(r"^\s*(\[\[?)\s*([^\]]+?)\s*\]\]?\s*(#.*)?$")
@@ -13,10 +13,10 @@
 
 
 class LineIndex:
-    """The line, from 1, of each key and table of a text; the first of several counts."""
+    """Line numbers of keys and tables, from 1; of duplicates the first."""
 
     def __init__(self, text: str) -> None:
-        """Look through the text once."""
+        """Index the text."""
         self.lines: dict[KeyPath, int] = {}
         self._last_indexes: dict[KeyPath, int] = {}
         table_path: KeyPath = ()
@@ -28,7 +28,7 @@
                 self.lines.setdefault((*table_path, *_names(entry[1])), number)
 
     def _add_table(self, names: tuple[str, ...], is_array: bool, number: int) -> KeyPath:
-        """Note a table's line; its path, with the index of each array of tables on the way."""
+        """Index a table header; return its path, with the index in each array of tables."""
         path: KeyPath = ()
         for depth, name in enumerate(names, 1):
             path += (name,)
@@ -41,7 +41,7 @@
         return path
 
     def nearest(self, path: KeyPath) -> int:
-        """The line of a path, or of the nearest part of it that stands in the text; else 1."""
+        """Return the line of a path, else of its nearest enclosing table in the text, else 1."""
         while path and path not in self.lines:
             path = path[:-1]
         return self.lines.get(path, 1)
--- a/toml_schema/reader.py
+++ b/toml_schema/reader.py
@@ -1,4 +1,4 @@
-"""Values of a parsed TOML file to instances of a schema, with errors that name line and key."""
+"""Converts a parsed TOML file to instances of a schema, with errors that name line and key."""
 
 from __future__ import annotations
 
@@ -23,30 +23,30 @@
     bool: "true or false",
     Path: "a path",
 }
-# Of a value that an error shows.
+# Longer values are cut off in error messages.
 _MAX_SHOWN_CHARACTERS = 60
 
 
 class SchemaReader:
-    """Reads tables of one file; every error is a ``SchemaError`` with file, line and key."""
+    """Reads the tables of one file; every error is a ``SchemaError`` with file, line and key."""
 
     def __init__(self, name: str, text: str) -> None:
-        """``name`` of the file, as errors show it."""
+        """Index the text; errors show ``name`` as the file."""
         self.name = name
         self.line_index = LineIndex(text)
 
     def error(self, path: KeyPath, why: str) -> SchemaError:
-        """The error for a key or table."""
+        """Return the error for a key or table."""
         line = self.line_index.nearest(path)
         shown = "".join(f"[{part}]" if isinstance(part, int) else f".{part}" for part in path)
         key = f"{shown.lstrip('.')}: " if path else ""
         return SchemaError(f"{self.name}:{line}: {key}{why}")
 
     def table(self, schema: type[T], raw: object, path: KeyPath) -> T:
-        """A table as an instance of its schema."""
+        """Return a table as an instance of its schema."""
         if not isinstance(raw, dict):
-            raise self.error(path, f"a table is needed, not {_shown(raw)}")
-        # A field's last underscore only keeps it apart from Python's own words.
+            raise self.error(path, f"a table is needed, not {_describe(raw)}")
+        # A key that is a Python keyword has a field with a trailing underscore.
         fields = {
             field.name.rstrip("_"): field
             for field in dataclasses.fields(schema)  # type: ignore[arg-type]
@@ -63,7 +63,7 @@
         try:
             return schema(**values)
         except ValueError as error:
-            # A check of the dataclass over several keys.
+            # From the dataclass's own check across several keys.
             raise self.error(path, str(error)) from None
 
     def _check_names(self, raw: dict, fields: dict[str, dataclasses.Field], path: KeyPath) -> None:
@@ -75,7 +75,7 @@
                 raise self.error((*path, name), f"unknown key{hint} (allowed: {allowed})")
 
     def value(self, hint: object, rules: KeyRules, raw: object, path: KeyPath) -> object:
-        """A value by its type hint and rules."""
+        """Return a value converted to its type hint and checked against its rules."""
         origin, arguments = typing.get_origin(hint), typing.get_args(hint)
         if origin in (types.UnionType, typing.Union):
             inner = next(argument for argument in arguments if argument is not type(None))
@@ -84,7 +84,7 @@
             return self._sequence(arguments, rules, raw, path)
         if origin is dict:
             if not isinstance(raw, dict):
-                raise self.error(path, f"a table is needed, not {_shown(raw)}")
+                raise self.error(path, f"a table is needed, not {_describe(raw)}")
             hint = arguments[1]
             return {name: self.value(hint, rules, raw[name], (*path, name)) for name in raw}
         plain_type = typing.cast(type, hint)
@@ -96,7 +96,7 @@
         self, hints: tuple[object, ...], rules: KeyRules, raw: object, path: KeyPath
     ) -> tuple[object, ...]:
         if not isinstance(raw, list):
-            raise self.error(path, f"a list is needed, not {_shown(raw)}")
+            raise self.error(path, f"a list is needed, not {_describe(raw)}")
         if hints[-1] is Ellipsis:
             hints = hints[:1] * len(raw)
         elif len(raw) != len(hints):
@@ -113,7 +113,7 @@
             raw = Path(raw)
         if not isinstance(raw, hint) or (hint is not bool and isinstance(raw, bool)):
             needed = _TYPE_NAMES.get(hint, hint.__name__)
-            raise self.error(path, f"{needed} is needed, not {_shown(raw)}")
+            raise self.error(path, f"{needed} is needed, not {_describe(raw)}")
         if rules.choices and raw not in rules.choices:
             raise self.error(path, f"{raw!r} is not one of {', '.join(map(str, rules.choices))}")
         if hint in (int, float) and isinstance(raw, int | float):
@@ -139,8 +139,8 @@
     return no_default and field.default_factory is dataclasses.MISSING
 
 
-def _shown(raw: object) -> str:
-    """A value as an error shows it."""
+def _describe(raw: object) -> str:
+    """Return a value as error messages show it."""
     if isinstance(raw, dict):
         return "a table"
     if isinstance(raw, list):
--- a/toml_schema/schema.py
+++ b/toml_schema/schema.py
@@ -1,4 +1,4 @@
-"""How a schema is written down: a frozen dataclass whose fields are made with ``key``."""
+"""Declares schemas: a schema is a frozen dataclass whose fields are made with ``key``."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 T = TypeVar("T")
 
-# HOST:PORT, as a ``form``.
+# Pattern of HOST:PORT, for the ``form`` of a key.
 ADDRESS = r"[A-Za-z0-9.\-]{1,253}:[0-9]{1,5}"
 
-# Where ``key`` keeps the rules of a field.
+# Entry of a field's metadata that holds its rules.
 _METADATA_NAME = "toml_schema"
 
 
 class SchemaError(Exception):
-    """A file that can't be used: one line with file, line, key and cause."""
+    """A file can't be used; the message is one line with file, line, key and cause."""
 
 
 class KeyRules(NamedTuple):
-    """What is allowed for one key, and what it is about.
+    """The allowed values of one key, and its description.
 
-    The bounds are inclusive and for numbers, ``form`` is a regular expression for text.
+    The bounds are inclusive and apply to numbers; ``form`` is a regular expression for strings.
     """
 
     minimum: float | None = None
@@ -43,10 +43,10 @@
     form: str = "",
     about: str = "",
 ) -> T:
-    """One key of a schema; without a default it must stand in the file.
+    """Declare one key of a schema; a key without a default is required.
 
-    ``minimum`` and ``maximum`` are inclusive bounds, ``choices`` the allowed values, ``form`` a
-    regular expression for text.
+    ``minimum`` and ``maximum`` are inclusive bounds, ``choices`` the allowed values, ``form`` is a
+    regular expression for strings; ``about`` documents the key.
     """
     if isinstance(default, list | dict | set):
         raise TypeError("defaults must be immutable")
@@ -55,5 +55,5 @@
 
 
 def rules_of(field: dataclasses.Field) -> KeyRules:
-    """The rules of a field; none where it was not made with ``key``."""
+    """Return the rules of a field; no restrictions where it was not made with ``key``."""
     return field.metadata.get(_METADATA_NAME, NO_RULES)
