--- a/saffrongw/__init__.py
+++ b/saffrongw/__init__.py
@@ -1,3 +1,3 @@
-"""saffrongw: a quota-keeping API gateway."""
+"""saffrongw: an API gateway that enforces quotas."""
 
 __version__ = "0.2.0"
--- a/saffrongw/gateway/__init__.py
+++ b/saffrongw/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The core on sockets: clients, driver, endpoints, discovery and gossip. It decides nothing."""
+"""The gateway's I/O: clients, driver, endpoints, discovery and gossip; the policy decides."""
--- a/saffrongw/gateway/acceptor.py
+++ b/saffrongw/gateway/acceptor.py
@@ -1,6 +1,6 @@
 """Accepts connections a few at a time and within a limit.
 
-The event loop's own server would accept all that have arrived at once, past any limit on
+The event loop's own server would accept all waiting connections at once, beyond any limit on file
 descriptors.
 """
 
@@ -10,15 +10,15 @@
 import socket
 from collections.abc import Callable
 
-# Connections accepted in one turn of the loop: a flood of them must not hold up the rest.
+# Connections accepted per event loop iteration, so that a burst does not delay other work.
 MAX_ACCEPTS_PER_TURN = 16
 
-# Connections accepted when the listener closes: as many as the kernel's queue holds.
+# Connections accepted when the listener closes: as many as the kernel's accept queue holds.
 MAX_FINAL_ACCEPTS = 1024
 
 
 class Acceptor:
-    """Accepts connections from a listening socket for as long as it runs, and owns that socket."""
+    """Owns a listening socket, and accepts connections from it while running."""
 
     def __init__(
         self,
@@ -34,17 +34,17 @@
         self.ensure_capacity = ensure_capacity
         self.make_protocol = make_protocol
         self.tasks: set[asyncio.Task[None]] = set()
-        # Accepted, and ``connection_made`` is not called yet.
+        # Accepted connections whose ``connection_made`` has not been called yet.
         self.opening_protocols: set[asyncio.Protocol] = set()
         self.is_running = False
 
     @property
     def opening(self) -> int:
-        """The number of connections that are accepted and not open yet."""
+        """The number of connections that are accepted but not open yet."""
         return len(self.opening_protocols)
 
     def opened(self, protocol: asyncio.Protocol) -> None:
-        """Note that a connection is open: from now on its owner counts it."""
+        """Note that a connection is open; its owner counts it from now on."""
         self.opening_protocols.discard(protocol)
 
     def start(self) -> None:
@@ -54,15 +54,15 @@
             self.loop.add_reader(self.listener, self._accept)
 
     def stop(self) -> None:
-        """Leave new connections in the kernel's queue."""
+        """Stop accepting; new connections stay in the kernel's accept queue."""
         if self.is_running:
             self.is_running = False
             self.loop.remove_reader(self.listener)
 
     def close(self) -> None:
-        """Accept what is in the kernel's queue, then close the socket.
+        """Accept the connections in the kernel's accept queue, then close the socket.
 
-        What is left in the queue would be reset.
+        Closing the socket resets connections that are still in the queue.
         """
         if self.is_running:
             for _ in range(MAX_FINAL_ACCEPTS // MAX_ACCEPTS_PER_TURN):
@@ -77,7 +77,7 @@
             try:
                 sock, _ = self.listener.accept()
             except OSError:
-                # None is left, or it has closed already.
+                # The accept queue is empty, or the connection was closed already.
                 return False
             if self.ensure_capacity():
                 self.adopt(sock, self.make_protocol())
@@ -86,7 +86,7 @@
         return True
 
     def adopt(self, sock: socket.socket, protocol: asyncio.Protocol) -> None:
-        """Serve a connection that is established already."""
+        """Open a protocol on a connection that is already established."""
         self.opening_protocols.add(protocol)
         task = self.loop.create_task(self._open(sock, protocol))
         self.tasks.add(task)
--- a/saffrongw/gateway/admission_queue.py
+++ b/saffrongw/gateway/admission_queue.py
@@ -1,9 +1,10 @@
-"""Starts clients' requests at once while the loop's turn has time, and queues the others.
+"""Starts clients' requests as they are read, and queues those that exceed the iteration's budget.
 
-Bytes are read and framed as they arrive, so no request grows old unseen in the kernel. A turn that
-would take long is cut short: what it could not start goes to the policy's ``Shedder``, which
-decides what is started next and what is rejected. Endpoints' replies are handled in between: they
-belong to requests in flight, which go first.
+Bytes are read and framed as they arrive, so that no request ages unnoticed in the kernel's buffers.
+The time that one event loop iteration spends on starting requests is limited: those that it could
+not start go to the policy's ``LoadShedder``, which decides which are started next and which are
+rejected. Endpoints' replies are handled between iterations, because they belong to requests in
+flight, which take precedence.
 """
 
 from __future__ import annotations
@@ -16,15 +17,16 @@
 from .driver import Driver
 from .request_types import RequestTerms, busy_reply
 
-# The part of a turn in which requests are started as they are read.
-START_AT_ONCE_S = 0.004
+# For this long after the first request of an event loop iteration, requests are started as they are
+# read.
+IMMEDIATE_START_BUDGET_S = 0.004
 
-# The time in a turn for requests that wait, however long the turn was reading.
-QUEUE_TURN_S = 0.010
+# Time per iteration for starting queued requests, however long the iteration spent reading.
+QUEUE_RUN_BUDGET_S = 0.010
 
 
 class PendingRequest(Protocol):
-    """A request that waits; one of both happens, unless its client disconnects."""
+    """A queued request; it is either started or rejected, unless its client disconnects."""
 
     def start(self) -> None:
         """Start the request."""
@@ -34,7 +36,7 @@
 
 
 class AdmissionQueue:
-    """Stands between the clients' connections and the driver."""
+    """Queues requests between the clients' connections and the driver."""
 
     def __init__(self, driver: Driver, loop: asyncio.AbstractEventLoop) -> None:
         """Use the settings of the driver's policy."""
@@ -43,66 +45,69 @@
         settings = driver.gateway.settings
         self.shedder = LoadShedder(settings.classes, settings.plans)
         self.max_retry_after_us = settings.max_retry_after_us
-        # Within a turn of the loop whose end was asked for.
-        self.is_turn_open = False
-        self.turn_started_at_s = 0.0
-        # The reply to what is rejected in this turn.
+        # Whether ``_run_queue`` is scheduled for the end of this event loop iteration.
+        self.is_run_scheduled = False
+        self.iteration_started_at_s = 0.0
+        # The reply to requests that are rejected in this iteration.
         self.rejection = self._make_rejection(0)
-        # Until the next turn: customers (16 digits) and classes with plans (``CLASS,t=PLAN``) of
-        # which requests are certain to be rejected.
+        # Customers (16 digits) and class-plan pairs (``CLASS,t=PLAN``) whose further requests are
+        # certain to be rejected in this iteration.
         self.saturated: set[bytes] = set()
 
     def may_start(self) -> bool:
         """Whether one more request may be started now."""
         now_s = monotonic()
-        if not self.is_turn_open:
-            # Not by ``loop.time()``: each timer that is set advances it within the turn.
-            self.is_turn_open = True
-            self.turn_started_at_s = now_s
+        if not self.is_run_scheduled:
+            # Not ``loop.time()``: setting a timer advances it within the iteration.
+            self.is_run_scheduled = True
+            self.iteration_started_at_s = now_s
             self.loop.call_soon(self._run_queue)
-        return now_s - self.turn_started_at_s < START_AT_ONCE_S and not self.shedder.count
+        return (
+            now_s - self.iteration_started_at_s < IMMEDIATE_START_BUDGET_S
+            and not self.shedder.count
+        )
 
     @property
     def is_overloaded(self) -> bool:
-        """Whether requests wait."""
+        """Whether requests are queued."""
         return self.shedder.count > 0
 
     def enqueue(
-        self, terms: RequestTerms, class_and_plan: bytes, customer: bytes, queued: PendingRequest
+        self, terms: RequestTerms, class_and_plan: bytes, customer: bytes, pending: PendingRequest
     ) -> QueuedRequest | None:
-        """Let a request wait; return None where it was rejected at once."""
+        """Queue a request; return None if it was rejected instead."""
         now = self.driver.clock()
         if self.driver.gateway.exceeds_quota(now, terms.customer, terms.plan, terms.units):
             self.saturated.add(customer)
-            queued.reject(self._update_rejection(now))
+            pending.reject(self._update_rejection(now))
             return None
-        waiting = QueuedRequest(
-            terms.customer, terms.plan, terms.kind, now + terms.timeout_us, queued
+        queued = QueuedRequest(
+            terms.customer, terms.plan, terms.kind, now + terms.timeout_us, pending
         )
-        shed = self.shedder.offer(now, waiting)
+        shed = self.shedder.offer(now, queued)
         if shed is None:
-            return waiting
+            return queued
         shed_request = cast("PendingRequest", shed.tag)
         shed_request.reject(self._update_rejection(now))
-        if shed is not waiting:
-            return waiting
+        if shed is not queued:
+            return queued
         too_many = self.shedder.exceeds_fair_share(terms.customer)
         self.saturated.add(customer if too_many else class_and_plan)
         return None
 
-    def remove(self, waiting: QueuedRequest) -> None:
-        """Forget a request that waits: its client has disconnected."""
-        self.shedder.drop(waiting)
+    def remove(self, queued: QueuedRequest) -> None:
+        """Remove a queued request whose client has disconnected."""
+        self.shedder.drop(queued)
 
     def reject_all(self) -> None:
-        """Reject all that waits: nothing is started any more."""
+        """Reject all queued requests, because no request is started any more."""
         rejection = busy_reply(0)
-        for waiting in self.shedder.clear():
-            queued = cast("PendingRequest", waiting.tag)
-            queued.reject(rejection)
+        for queued in self.shedder.clear():
+            pending = cast("PendingRequest", queued.tag)
+            pending.reject(rejection)
 
     def _update_rejection(self, now: int) -> bytes:
-        """Return the reply to what is shed now; nothing of it was sent, so a retry is harmless."""
+        """Return the reply to a request shed now; it was never sent on, so a retry is harmless."""
         self.rejection = self._make_rejection(now)
         return self.rejection
 
@@ -110,31 +115,31 @@
         return busy_reply(self.shedder.retry_after_us(now, self.max_retry_after_us))
 
     def _run_queue(self) -> None:
-        """Start what waits, for a while: all that arrived in this turn has been read."""
-        self.is_turn_open = False
+        """Start queued requests within the time budget; this iteration's input has been read."""
+        self.is_run_scheduled = False
         self.saturated.clear()
         if not self.shedder.count:
             return
         try:
-            self._start_waiting()
-            # Those that waited longest are given up only after a turn in which they could be
-            # started: a process that was stopped for a while would otherwise reject all that
+            self._start_queued()
+            # Expired requests are rejected only after a run in which they could have been started:
+            # otherwise a process that was suspended for a while would reject all requests that
             # arrived meanwhile.
             now = self.driver.clock()
             for expired in self.shedder.pop_expired(now):
-                queued = cast("PendingRequest", expired.tag)
-                queued.reject(self._update_rejection(now))
+                pending = cast("PendingRequest", expired.tag)
+                pending.reject(self._update_rejection(now))
         finally:
-            # Also where one of them raised: the others must not wait for ever.
+            # Even if starting a request raised: the others must not stay queued for ever.
             if self.shedder.count:
-                self.is_turn_open = True
-                self.turn_started_at_s = monotonic()
+                self.is_run_scheduled = True
+                self.iteration_started_at_s = monotonic()
                 self.loop.call_soon(self._run_queue)
 
-    def _start_waiting(self) -> None:
-        end_s = monotonic() + QUEUE_TURN_S
-        while (waiting := self.shedder.take(self.driver.clock())) is not None:
-            queued = cast("PendingRequest", waiting.tag)
-            queued.start()
+    def _start_queued(self) -> None:
+        end_s = monotonic() + QUEUE_RUN_BUDGET_S
+        while (queued := self.shedder.take(self.driver.clock())) is not None:
+            pending = cast("PendingRequest", queued.tag)
+            pending.start()
             if monotonic() >= end_s:
                 break
--- a/saffrongw/gateway/bootstrap.py
+++ b/saffrongw/gateway/bootstrap.py
@@ -1,4 +1,4 @@
-"""One gateway as a process: its parts are built, serve until a signal, and end in order."""
+"""The gateway process: builds its parts, serves until a signal, and shuts down in order."""
 
 from __future__ import annotations
 
@@ -33,47 +33,47 @@
 
 # How long new connections are still accepted after SIGTERM.
 ACCEPT_PERIOD_S = 0.5
-# Descriptors for all but clients and endpoints: the event loop, discovery, gossip, logs.
+# File descriptors not used for clients or endpoints: the event loop, discovery, gossip, logs.
 RESERVED_DESCRIPTORS = 48
-# Of the descriptors that are left.
+# The clients' share of the other descriptors; the rest is for upstream connections.
 CLIENT_DESCRIPTOR_SHARE = 0.5
 US_PER_S = 1e6
 
 
 class DescriptorBudget(NamedTuple):
-    """How many descriptors clients and upstream connections may use."""
+    """How many file descriptors clients and upstream connections may use."""
 
     clients: int
     upstream: int
 
     @classmethod
     def of(cls, sockets: int) -> DescriptorBudget:
-        """The division of the configuration's ``limits.sockets``."""
+        """Divide the configuration's ``limits.sockets``."""
         available = max(RESERVED_DESCRIPTORS, sockets - RESERVED_DESCRIPTORS)
         clients = int(CLIENT_DESCRIPTOR_SHARE * available)
         return cls(clients, available - clients)
 
 
 class Runtime(NamedTuple):
-    """What one run of a gateway is made of."""
+    """The configuration and the parts of a running gateway."""
 
     config: Config
     extensions: Extensions | None
     parts: GatewayParts
-    # None where no running process was found.
+    # None if no other process was serving the address.
     successor: SuccessorHandOver | None
     # Set by SIGTERM and SIGINT.
     stop_requested: asyncio.Event
 
 
 async def serve(config: Config, path: Path, extensions: Extensions | None = None) -> None:
-    """Run until SIGTERM or SIGINT; ``OSError`` where an address can't be bound.
+    """Run until SIGTERM or SIGINT; raises ``OSError`` if an address can't be bound.
 
-    The order matters: the running process is asked for its sockets before anything is bound, and
-    SIGHUP is handled only once there is something to reload.
+    The order matters: a process that already serves the address is asked for its sockets before
+    anything is bound, and SIGHUP is handled only once there is something to reload.
     """
     loop = asyncio.get_running_loop()
-    # Extensions that switch nothing on cost nothing.
+    # Empty extensions get the plain driver, which has no overhead for them.
     extensions = extensions or None
     stop_requested = _stop_on_signals(loop)
     budget = DescriptorBudget.of(config.sockets)
@@ -94,7 +94,8 @@
     if await _must_serve(runtime):
         await _serve_until_stopped(runtime)
     elif successor:
-        # Told to end before it came to serve, or replaced: the running process goes on.
+        # Stopped before the hand-over, or replaced by a newer successor: the running process
+        # continues to serve.
         successor.close()
     admin_server.close()
     for service in extensions.services if extensions else ():
@@ -113,7 +114,7 @@
 ) -> Driver:
     if extensions is None:
         return Driver(config.settings, config.seed, loop)
-    # Only here: a gateway without extensions does not even load it.
+    # Imported here: a gateway without extensions does not load it.
     from .filtering_driver import FilteringDriver
 
     return FilteringDriver(config.settings, config.seed, loop, extensions)
@@ -137,7 +138,7 @@
     successor: SuccessorHandOver | None,
     extensions: Extensions | None,
 ) -> None:
-    """Start with the running process's endpoint list or the configuration's; start services."""
+    """Start the driver, with the predecessor's or the configured endpoint list, and services."""
     driver.is_successor = successor is not None
     driver.start((successor and successor.endpoint_list) or config.known)
     for service in extensions.services if extensions else ():
@@ -165,7 +166,7 @@
 def _reload_on_sighup(
     loop: asyncio.AbstractEventLoop, reloader: ConfigReloader, extensions: Extensions | None
 ) -> None:
-    """Handle SIGHUP from now on; one that has come since the start is handled at once."""
+    """Handle SIGHUP from now on; one that is pending since start-up is handled at once."""
 
     def reload_all() -> None:
         reloader.reload()
@@ -188,12 +189,12 @@
 
 
 async def _must_serve(runtime: Runtime) -> bool:
-    """Wait for the running process to hand over, if there is one; whether this process serves."""
+    """Wait for a running process to hand over, if any; return whether this process must serve."""
     successor = runtime.successor
     if successor is None:
         return not runtime.stop_requested.is_set()
     successor.attach(runtime.parts)
-    # The running process serves for both until it hands over.
+    # Reported as healthy already: the running process serves for both until it hands over.
     runtime.parts.admin.is_serving = True
     await successor.wait_for_take_over(runtime.stop_requested)
     return successor.must_serve
@@ -208,7 +209,7 @@
         successor.serve()
     predecessor = PredecessorHandOver(parts, gossip, ACCEPT_PERIOD_S)
     predecessor.listen()
-    # What is loaded by now stays: the collector need not look through it again.
+    # Objects that exist by now are long-lived: exclude them from garbage collection.
     gc.collect()
     gc.freeze()
     await runtime.stop_requested.wait()
@@ -218,7 +219,7 @@
 
 
 async def _listen(runtime: Runtime) -> GossipTransport | None:
-    """Open the gossip socket and the listeners, on handed-over sockets if there are any."""
+    """Open the gossip socket and the listeners; reuse the predecessor's sockets if any."""
     config, successor = runtime.config, runtime.successor
     gossip = None
     if config.peer_listen and config.settings.may_send_gossip:
@@ -234,10 +235,10 @@
 def run(
     path: str | None = None, build_extensions: Callable[[Config], Extensions] | None = None
 ) -> int:
-    """Read the configuration and serve; the exit status.
+    """Read the configuration and serve; return the exit status.
 
-    Without a path ``LB_CONFIG`` names the file. A configuration that can't be used, or an address
-    that can't be bound, is one line on standard error and status 1.
+    Without a path, ``LB_CONFIG`` names the file. For an unusable configuration or an address that
+    can't be bound, one line is printed to standard error and the status is 1.
     """
     start_log()
     signals.block_sighup()
--- a/saffrongw/gateway/clock.py
+++ b/saffrongw/gateway/clock.py
@@ -8,7 +8,7 @@
 class Clock:
     """Unix time in microseconds, read once and then advanced by the monotonic clock.
 
-    It never jumps.
+    So it never jumps when the wall clock is set.
     """
 
     def __init__(self) -> None:
@@ -16,5 +16,5 @@
         self.offset_ns = time.time_ns() - time.monotonic_ns()
 
     def __call__(self) -> int:
-        """Return the time now."""
+        """Return the current time."""
         return (self.offset_ns + time.monotonic_ns()) // 1_000
--- a/saffrongw/gateway/components.py
+++ b/saffrongw/gateway/components.py
@@ -1,7 +1,8 @@
-"""What a component of the operator file gives to the gateway, and how it changes in service.
+"""The interface between the gateway and the components of the operator file.
 
-A component is what one table of the operator file switches on. Its package has a builder (table and
-context to ``Component``); ``saffrongw.extension_registry`` puts all components together.
+A component is enabled by one table of the operator file. Its package has a builder, which makes a
+``Component`` from the table and a ``BuildContext``; ``saffrongw.extension_registry`` combines all
+components.
 """
 
 from __future__ import annotations
@@ -25,26 +26,26 @@
 
 
 class ComponentError(ValueError):
-    """A table that can't be used with this configuration; its message names key and cause."""
+    """A table that can't be used with this configuration; the message has the key and the cause."""
 
 
 def _do_nothing() -> None:
-    """Commit or abort where nothing was prepared."""
+    """Do nothing: the commit or abort of a reload that prepared nothing."""
 
 
 class PreparedReload(NamedTuple):
-    """A change that is ready: exactly one of the two is called, and neither can fail."""
+    """A prepared change: either ``commit`` or ``abort`` is called, once; neither may fail."""
 
     commit: Callable[[], None] = _do_nothing
     abort: Callable[[], None] = _do_nothing
 
 
 class Component(NamedTuple):
-    """What a component gives to the gateway.
+    """The extensions that a component adds to the gateway.
 
-    ``instance`` is the component itself, for others that build on it. ``prepare`` takes the new
-    table and raises ``ComponentError``, ``ValueError`` or ``OSError`` where it can't be used; a
-    component without it changes only at the next start.
+    ``instance`` is the component itself, for components that depend on it. ``prepare`` takes the
+    new table on a reload and raises ``ComponentError``, ``ValueError`` or ``OSError`` if the table
+    can't be used; a component without ``prepare`` changes only at a restart.
     """
 
     instance: object
@@ -60,20 +61,20 @@
 
 
 class BuildContext(NamedTuple):
-    """What a builder may use besides its table: the configuration and the components before it."""
+    """A builder's context: the configuration and the components that were built before."""
 
     config: Config
     components: Mapping[str, Component]
 
     def instance(self, name: str, kind: type[T]) -> T:
-        """The component of a name; ``ComponentError`` where it is off."""
+        """Return the component with this name; ``ComponentError`` if it is not enabled."""
         component = self.components.get(name)
         if component is None or not isinstance(component.instance, kind):
             raise ComponentError(f"{name}: the component is needed and is off")
         return component.instance
 
     def leader_guard(self, lease: str) -> LeaderGuard | None:
-        """The guard of a lease, from the first component that has guards; None without one."""
+        """Return a lease's guard from the first component with guards; None if there is none."""
         for component in self.components.values():
             if component.leader_guard:
                 return component.leader_guard(lease)
--- a/saffrongw/gateway/config.py
+++ b/saffrongw/gateway/config.py
@@ -1,7 +1,7 @@
-"""Read the gateway's JSON configuration and discovery's endpoint lists into typed values.
+"""Parses the gateway's JSON configuration and discovery's endpoint lists into typed values.
 
-All JSON keys of ``LB_CONFIG`` and of endpoint lists are mapped to the code's names here and nowhere
-else; the keys under ``settings`` that the policy needs go through ``policy.settings_schema``.
+All JSON keys of ``LB_CONFIG`` and of endpoint lists are mapped to the code's names here only; the
+keys under ``settings`` that the policy needs are mapped by ``policy.settings_schema``.
 """
 
 from __future__ import annotations
@@ -28,20 +28,21 @@
 MAX_TIME_US = (1 << 63) - 1
 PORT_COUNT = 65_536
 
-# What indexing and converting values of foreign JSON raises.
-_MALFORMED = (LookupError, TypeError, ValueError, AttributeError, ArithmeticError)
+# Exceptions raised by indexing and converting values of untrusted JSON.
+_PARSE_ERRORS = (LookupError, TypeError, ValueError, AttributeError, ArithmeticError)
 
 
 class ConfigError(ValueError):
     """A value of the configuration or of an endpoint list is missing or malformed.
 
-    ``key`` names the key with a dotted path and is empty for a value outside a JSON object;
-    ``message`` names the key and the reason. ``str`` and ``repr`` stay those of the reason, because
-    ``saffrongw check`` prints the one and start-up prints the other: that output is an interface.
+    ``key`` is the dotted path of the key, empty for a value outside a JSON object; ``message``
+    consists of the key and the reason. ``str`` and ``repr`` are those of the underlying error,
+    because ``saffrongw check`` prints the former and start-up prints the latter: that output is an
+    interface.
     """
 
     def __init__(self, key: str, reason: str) -> None:
-        """Keep the key and the reason."""
+        """Store the key and the reason."""
         super().__init__(reason)
         self.key = key
         self.reason = reason
@@ -52,13 +53,13 @@
         return f"{self.key}: {self.reason}" if self.key else self.reason
 
     def __repr__(self) -> str:
-        """Return the form of the underlying error, which start-up prints."""
+        """Return the ``repr`` of the underlying error, which start-up prints."""
         return repr(self.__cause__ or ValueError(self.reason))
 
 
 @dataclass(frozen=True, slots=True)
 class DiscoveredEndpoint:
-    """An endpoint of a list: what the policy is notified of, and the address to connect to."""
+    """An endpoint of a list: the entry for the policy, and the address to connect to."""
 
     entry: EndpointEntry
     address: Address
@@ -71,17 +72,17 @@
     version: int
     is_complete: bool
     endpoints: tuple[DiscoveredEndpoint, ...]
-    # Entries that were left out because they could not be parsed.
+    # Entries that were skipped because they could not be parsed.
     malformed_count: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The gateway's configuration; ``known`` is the endpoint list of an earlier run."""
+    """The gateway's configuration; ``known`` is the endpoint list cached by an earlier run."""
 
     listen: Address
     discovery: Address
-    # Address of the operators' HTTP server; none where it is off.
+    # Address of the operators' HTTP server; None if it is disabled.
     admin: Address | None
     seed: int
     sockets: int
@@ -98,23 +99,23 @@
 
     @property
     def class_names(self) -> tuple[str, ...]:
-        """Names of the request classes in the order of their numbers."""
-        return _names_by_number(self.classes)
+        """Names of the request classes in the order of their indexes."""
+        return _names_by_index(self.classes)
 
     @property
     def plan_names(self) -> tuple[str, ...]:
-        """Names of the plans in the order of their numbers."""
-        return _names_by_number(self.plans)
+        """Names of the plans in the order of their indexes."""
+        return _names_by_index(self.plans)
 
 
-def _names_by_number(numbers: dict[bytes, int]) -> tuple[str, ...]:
-    ordered = sorted(numbers.items(), key=lambda item: item[1])
+def _names_by_index(indexes: dict[bytes, int]) -> tuple[str, ...]:
+    ordered = sorted(indexes.items(), key=lambda item: item[1])
     return tuple(name.decode() for name, _ in ordered)
 
 
 def parse_address(text: str) -> Address:
-    """Parse ``HOST:PORT``; raises ``ConfigError`` where it is none."""
-    with _reading(""):
+    """Parse ``HOST:PORT``; raises ``ConfigError`` for any other text."""
+    with _parsing_key(""):
         host, _, port = text.rpartition(":")
         if not host or not port.isdigit() or not 0 <= int(port) < PORT_COUNT:
             raise ConfigError("", f"not an address: {text!r}")
@@ -130,11 +131,11 @@
 
 
 @contextmanager
-def _reading(key: str) -> Iterator[None]:
-    """Raise what goes wrong within as ``ConfigError`` of this key, with an inner key appended."""
+def _parsing_key(key: str) -> Iterator[None]:
+    """Convert parse errors in the block to ``ConfigError`` for this key and the path below it."""
     try:
         yield
-    except _MALFORMED as error:
+    except _PARSE_ERRORS as error:
         inner = error.key if isinstance(error, ConfigError) else ""
         path = ".".join(part for part in (key, inner) if part)
         cause = error.__cause__ if isinstance(error, ConfigError) else error
@@ -142,7 +143,7 @@
 
 
 def _address(raw: dict[str, Any], key: str) -> Address:
-    with _reading(key):
+    with _parsing_key(key):
         return parse_address(raw[key])
 
 
@@ -153,9 +154,9 @@
 def _endpoint(raw: dict[str, Any], zones: tuple[str, ...]) -> DiscoveredEndpoint:
     """Parse one entry of a list.
 
-    A zone that the settings don't name gets the number behind the last one.
+    All zones that are not in the settings share the index after the last configured zone.
     """
-    with _reading("hosts"):
+    with _parsing_key("hosts"):
         zone, started_at_us = raw["site"], int(raw["born_ms"]) * US_PER_MS
         if not 0 <= started_at_us <= MAX_TIME_US:
             raise ConfigError("born_ms", "not a time")
@@ -171,22 +172,22 @@
 
 
 def parse_endpoint_list(raw: dict[str, Any], zones: tuple[str, ...]) -> EndpointList:
-    """Parse discovery's form of an endpoint list; raises ``ConfigError`` where it is none.
+    """Parse an endpoint list as discovery sends it; raises ``ConfigError`` if it is malformed.
 
-    A malformed entry is left out and counted; the others stand.
+    A malformed entry is skipped and counted; the other entries are used.
     """
     endpoints = []
     malformed_count = 0
-    with _reading("hosts"):
+    with _parsing_key("hosts"):
         entries = iter(raw["hosts"])
     for entry in entries:
         try:
             endpoints.append(_endpoint(entry, zones))
         except ConfigError:
             malformed_count += 1
-    with _reading("seq"):
+    with _parsing_key("seq"):
         version = int(raw["seq"])
-    with _reading("whole"):
+    with _parsing_key("whole"):
         is_complete = bool(raw["whole"])
     return EndpointList(version, is_complete, tuple(endpoints), malformed_count)
 
@@ -195,60 +196,60 @@
     known = raw.get("known")
     if not known:
         return EndpointList(0, True, ())
-    with _reading("known"):
+    with _parsing_key("known"):
         return parse_endpoint_list(known, zones)
 
 
-def _numbers(settings: dict[str, Any], key: str) -> dict[bytes, int]:
-    with _reading(f"settings.{key}"):
-        return {item["name"].encode(): number for number, item in enumerate(settings[key])}
+def _indexes_by_name(settings: dict[str, Any], key: str) -> dict[bytes, int]:
+    with _parsing_key(f"settings.{key}"):
+        return {item["name"].encode(): index for index, item in enumerate(settings[key])}
 
 
 def _seconds(permissions: dict[str, Any], key: str) -> float:
-    with _reading(f"settings.permissions.{key}"):
+    with _parsing_key(f"settings.permissions.{key}"):
         return permissions[key] / US_PER_S
 
 
 def _seed(raw: dict[str, Any]) -> int:
-    with _reading("seed"):
+    with _parsing_key("seed"):
         return int(raw["seed"], 16)
 
 
 def _sockets(raw: dict[str, Any]) -> int:
-    with _reading("limits.sockets"):
+    with _parsing_key("limits.sockets"):
         return int(raw["limits"]["sockets"])
 
 
 def _peers(peers: Iterable[str]) -> tuple[Address, ...]:
-    with _reading("peers"):
+    with _parsing_key("peers"):
         return tuple(parse_address(peer) for peer in peers)
 
 
 def _policy_settings(settings: dict[str, Any]) -> Settings:
-    with _reading("settings"):
+    with _parsing_key("settings"):
         return parse_settings(json.dumps(settings).encode())
 
 
 def _max_units(settings: dict[str, Any]) -> float:
-    with _reading("settings.familyInfo.unitsTop"):
+    with _parsing_key("settings.familyInfo.unitsTop"):
         return float(settings["familyInfo"].get("unitsTop") or 1)
 
 
 def parse_config(text: str) -> Config:
     """Parse the configuration.
 
-    Raises ``ConfigError``, or ``SettingsError`` where the policy's settings are wrong.
+    Raises ``ConfigError``, or ``SettingsError`` if the policy's settings are invalid.
     """
-    with _reading(""):
+    with _parsing_key(""):
         raw = json.loads(text)
         settings = raw["settings"]
-    with _reading("settings.zones"):
+    with _parsing_key("settings.zones"):
         zones = tuple(settings["zones"])
-    with _reading("peers"):
+    with _parsing_key("peers"):
         peers = raw.get("peers") or ()
-    with _reading("settings.permissions"):
+    with _parsing_key("settings.permissions"):
         permissions = settings["permissions"]
-    # Evaluated in this order: of several errors the first one is reported.
+    # Fields are evaluated in this order; of several errors the first one is reported.
     return Config(
         listen=_address(raw, "listen"),
         discovery=_address(raw, "discovery"),
@@ -259,8 +260,8 @@
         peers=_peers(peers),
         known=_known_endpoints(raw, zones),
         settings=_policy_settings(settings),
-        classes=_numbers(settings, "classes"),
-        plans=_numbers(settings, "packages"),
+        classes=_indexes_by_name(settings, "classes"),
+        plans=_indexes_by_name(settings, "packages"),
         zones=zones,
         max_units=_max_units(settings),
         idle_close_s=_seconds(permissions, "idleClose"),
--- a/saffrongw/gateway/config_file.py
+++ b/saffrongw/gateway/config_file.py
@@ -1,4 +1,4 @@
-"""The configuration's file: read at the start, and again on SIGHUP."""
+"""The configuration file: read at start-up, and again on SIGHUP."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 log = logging.getLogger(__name__)
 
-# The environment's name for the operators' address, for a file that has none.
+# Environment variable with the operators' address, used if the file has none.
 ADMIN_VARIABLE = "LB_ADMIN"
-# What start-up prints in place of ``SettingsError``: the line is part of the command line's output.
+# Printed by start-up instead of ``SettingsError``: this output is an interface of the command line.
 SETTINGS_ERROR_NAME = "WireError"
 
-# What reading and converting a file of foreign text can raise.
+# Exceptions raised by reading and parsing an untrusted file.
 MALFORMED_INPUT = (
     OSError,
     LookupError,
@@ -33,24 +33,24 @@
 
 
 class ConfigFileError(Exception):
-    """A configuration's file that can't be used: which one, and the error that says why."""
+    """A configuration file that can't be used: its path, and the underlying error."""
 
     def __init__(self, path: Path, reason: Exception) -> None:
-        """Keep the error: its text and its ``repr`` are part of the command line's output."""
+        """Store the error: its text and its ``repr`` are part of the command line's output."""
         super().__init__(f"{path}: {reason}")
         self.path = path
         self.reason = reason
 
     @property
     def startup_text(self) -> str:
-        """The error as start-up prints it: its ``repr`` by the names of the first version."""
+        """The error as start-up prints it: its ``repr``, with the names of the first version."""
         if isinstance(self.reason, SettingsError):
             return f"{SETTINGS_ERROR_NAME}({str(self.reason)!r})"
         return repr(self.reason)
 
 
 def read_config(path: Path) -> Config:
-    """The configuration in a file; ``ConfigFileError`` where it can't be read or parsed."""
+    """Read the configuration from a file; ``ConfigFileError`` if it can't be read or parsed."""
     try:
         return parse_config(path.read_text())
     except MALFORMED_INPUT as error:
@@ -58,7 +58,10 @@
 
 
 def read_effective_config(path: Path) -> Config:
-    """The configuration in a file, completed by ``LB_ADMIN``; ``ConfigFileError`` as above."""
+    """Read the configuration; ``LB_ADMIN`` sets the admin address if the file has none.
+
+    Raises ``ConfigFileError`` if the file or ``LB_ADMIN`` can't be used.
+    """
     config = read_config(path)
     admin = os.environ.get(ADMIN_VARIABLE)
     if not admin or config.admin is not None:
@@ -70,21 +73,21 @@
 
 
 class ConfigReloader:
-    """Owns the configuration in force, and reads its file again on SIGHUP."""
+    """Holds the current configuration, and reads its file again on SIGHUP."""
 
     def __init__(
         self, path: Path, config: Config, discovery: DiscoveryClient, metrics: Metrics
     ) -> None:
-        """``config`` is what was read from the file at the start."""
+        """``config`` is the configuration read from the file at start-up."""
         self.path = path
         self.config = config
         self.discovery = discovery
         self.metrics = metrics
 
     def reload(self) -> None:
-        """Put another address of discovery in force; all else waits for the next start.
+        """Apply a changed discovery address; all other changes need a restart.
 
-        A file that can't be used is logged and counted, and the configuration stays.
+        If the file can't be used, this is logged and counted, and the configuration is kept.
         """
         try:
             new = read_effective_config(self.path)
@@ -99,7 +102,7 @@
         self.config = replace(self.config, discovery=new.discovery)
 
     def _needs_restart(self, new: Config) -> bool:
-        """Whether more differs than the address of discovery and what only a start uses."""
+        """Whether a value changed besides the discovery address, the known list and the seed."""
         old = self.config
         comparable = replace(new, discovery=old.discovery, known=old.known, seed=old.seed)
         return comparable != old
--- a/saffrongw/gateway/driver.py
+++ b/saffrongw/gateway/driver.py
@@ -1,7 +1,7 @@
 """Feeds events to the policy and carries out its actions.
 
 The driver owns timers, request ids, deadlines and final replies. Every request gets exactly one
-final reply, and only ``Driver._send_final_reply`` gives it.
+final reply, and only ``Driver._send_final_reply`` sends it.
 """
 
 from __future__ import annotations
@@ -56,13 +56,13 @@
 
 log = logging.getLogger(__name__)
 
-# The client's clock started when it sent its command: the final reply must be on its way this long
-# before the client's timeout.
+# Allowance for network transit: the client's timeout counts from the sending of its command, so the
+# final reply must be sent this long before the timeout.
 REPLY_TRANSIT_US = 10 * US_PER_MS
 
 
 def _request_id_of(event: Event) -> int:
-    """Return the id of the request that an event is about; 0 where it is about none."""
+    """Return the id of the request that an event concerns, or an unassigned id if none."""
     if isinstance(event, TimerFired):
         return event.token - 1
     return getattr(event, "request", 0)
@@ -71,20 +71,20 @@
 class Driver:
     """Owns the policy, its timers, and the requests whose final reply is pending.
 
-    Other parts set three attributes: ``send_gossip`` (the gossip transport), ``is_overloaded`` (the
-    downstream) and ``is_successor`` (hot restart: another process with our addresses still runs and
-    hands over to us).
+    Other components set three attributes: ``send_gossip`` (the gossip transport), ``is_overloaded``
+    (the downstream) and ``is_successor`` (hot restart: another process still serves the same
+    addresses and will hand over to this one).
     """
 
     def __init__(self, settings: Settings, seed: int, loop: asyncio.AbstractEventLoop) -> None:
-        """Make a policy with these settings; its random draws follow from the seed."""
+        """Create the policy with these settings; ``seed`` determines its random choices."""
         self.loop = loop
         self.clock = Clock()
         self.gateway = Gateway(settings, seed, self.clock())
-        # How an event reaches the policy; a derived driver may put something in front.
+        # Passes an event to the policy; a derived driver may wrap it.
         self.handle_by_policy: Callable[[int, Event], list[Action]] = self.gateway.handle
         self.metrics = Metrics(len(settings.classes))
-        # Set by ``connect_upstream`` before the start.
+        # Set by ``connect_upstream`` before ``start``.
         self.cluster: Upstream
         self.send_gossip: Callable[[int, bytes], None] = lambda _peer, _body: None
         self.requests: dict[int, ClientRequest] = {}
@@ -99,7 +99,7 @@
         self.cluster = upstream
 
     def start(self, cached: EndpointList) -> None:
-        """Start the policy, with the cached endpoint list, before clients are served."""
+        """Start the policy with the cached endpoint list, before any client is served."""
         now = self.clock()
         self._execute(self.gateway.start(now if self.is_successor else process_started_us(now)))
         self.endpoint_list_received(cached, cached=True)
@@ -109,7 +109,7 @@
     def request_arrived(
         self, terms: RequestTerms, parts: tuple[bytes, ...], send_reply: SendReply
     ) -> ClientRequest:
-        """Start a client's request whose last byte was just read."""
+        """Start a client's request that has just been read completely."""
         request = self._register_request(terms, parts, send_reply)
         self.feed(request.event)
         return request
@@ -117,9 +117,9 @@
     def _register_request(
         self, terms: RequestTerms, parts: tuple[bytes, ...], send_reply: SendReply
     ) -> ClientRequest:
-        """Number a request, list it and guard its deadline.
+        """Give a request its id, record it and start its deadline timer.
 
-        From here on it is owed a final reply.
+        From here on it must get a final reply.
         """
         self.last_request_id += 1
         time_left_us = max(US_PER_MS, terms.timeout_us - REPLY_TRANSIT_US)
@@ -140,11 +140,11 @@
         return request
 
     def client_disconnected(self, request: ClientRequest) -> None:
-        """End a request whose client has closed its connection: no final reply is owed any more."""
+        """End a request whose client has closed its connection: it needs no final reply."""
         if not request.is_finished:
             self._close_request(request)
             self.feed(ClientDisconnected(request.event.request))
-            # Also where the settings forbid to cancel attempts that have started.
+            # Unsent attempts are withdrawn even where the settings forbid cancelling started ones.
             for attempt in tuple(request.attempts):
                 if not attempt.is_ended and self.cluster.withdraw(attempt):
                     self.attempt_ended(attempt, AttemptOutcome.NOT_SENT)
@@ -158,9 +158,9 @@
     ) -> None:
         """Record an attempt's outcome.
 
-        The first value served goes to the client before the policy is notified.
-        A streaming reply counts as served from its first bytes; what becomes of the rest is not the
-        policy's.
+        The first served value is sent to the client before the policy is notified.
+        A streaming reply counts as served from its first bytes; the policy is not notified of how
+        its transfer ends.
         """
         if attempt.is_ended:
             return
@@ -185,23 +185,24 @@
             )
         )
         if request.is_finished and request.event.request not in self.requests:
-            # Else attempts and request would hold each other until the garbage collector runs.
+            # Breaks the reference cycle between the request and its attempts, which would otherwise
+            # keep both in memory until the garbage collector runs.
             request.attempts.clear()
 
     def endpoint_list_received(self, endpoints: EndpointList, cached: bool = False) -> None:
-        """Follow an endpoint list from discovery, or the cached one at the start."""
+        """Apply an endpoint list from discovery, or the cached one at start-up."""
         kind = EndpointListKind.COMPLETE if endpoints.is_complete else EndpointListKind.DELTA
         if cached:
             kind = EndpointListKind.CACHED
-        stranded = self.cluster.update_endpoints(endpoints)
+        unstartable = self.cluster.update_endpoints(endpoints)
         entries = tuple(endpoint.entry for endpoint in endpoints.endpoints)
         self.feed(EndpointListReceived(kind, endpoints.version, entries))
-        # Only now: where they are retried depends on the list.
-        for attempt in stranded:
+        # After the policy has the new list, from which it picks the endpoints of the retries.
+        for attempt in unstartable:
             self.attempt_ended(attempt, AttemptOutcome.CONNECT_FAILED)
 
     def exclusion_changed(self, event: ExclusionChanged) -> None:
-        """Exclude an endpoint by an operator's request, or use it again."""
+        """Apply an operator's exclusion of an endpoint, or the end of an exclusion."""
         self.feed(event)
         if event.excluded:
             for attempt in self.cluster.close_idle_connections(event.endpoint_id):
@@ -214,7 +215,7 @@
     def feed(self, event: Event) -> None:
         """Pass one event to the policy.
 
-        Events that its actions cause are queued until all of them are done.
+        Events that its actions cause are queued until all of these actions have been executed.
         """
         self.pending_events.append(event)
         if self.is_handling:
@@ -230,17 +231,18 @@
         try:
             actions = self.handle_by_policy(self.clock(), event)
         except Exception:
-            # A fault of the policy must not take all requests in flight with it.
+            # An exception in the policy must fail only the request concerned.
             log.exception("driver: policy failed: event=%s", event.topic)
             self._fail_request_of(event)
-            # Guards the gossip's own timer, which the policy sets again before all else.
+            # Timers that were already set are kept: the policy rearms the gossip timer first, and
+            # without it gossip would stop.
             actions = [
                 action for action in self.gateway.context.actions if isinstance(action, SetTimer)
             ]
         self._execute(actions)
 
     def _fail_request_of(self, event: Event) -> None:
-        """Fail the request that an event is about, if it is about one."""
+        """Fail the request that an event concerns, if any."""
         request = self.requests.get(_request_id_of(event))
         if request is not None and not request.is_finished:
             self._fail_without_policy(request)
@@ -261,12 +263,12 @@
             request, len(request.attempts), action.endpoint_id, now, deadline_us
         )
         request.attempts.append(attempt)
-        # Nothing is sent after the final reply, nor too late for one.
+        # Nothing is sent after the request's final reply or its deadline.
         if request.is_finished or now >= request.deadline_us:
             self.attempt_ended(attempt, AttemptOutcome.NOT_SENT)
             return
-        # An attempt that may last as long as its request is ended by the request's timer: one timer
-        # less.
+        # An attempt with the same deadline as its request needs no timer: the request's deadline
+        # timer ends it.
         if deadline_us < request.deadline_us:
             attempt.timeout_timer = self._call_at(deadline_us, self._attempt_timed_out, attempt)
         self.cluster.send(attempt)
@@ -312,7 +314,7 @@
     # -- final replies and deadlines --------------------------------------------------------------
 
     def _send_final_reply(self, request: ClientRequest, reply: FinalReply) -> None:
-        """Give the final reply: every one passes here, once for each request."""
+        """Send the final reply, if none was sent; every final reply is sent from here."""
         if not request.is_finished:
             self._close_request(request)
             if isinstance(reply, bytes):
@@ -329,7 +331,7 @@
         request.is_finished = True
         for attempt in request.attempts:
             if not attempt.is_ended:
-                # The policy may cancel what is in flight: kept for one turn of the loop.
+                # Kept for one event loop iteration: the policy may cancel attempts in flight.
                 self.loop.call_soon(self.requests.pop, request.event.request, None)
                 return
         if request.deadline_timer:
@@ -339,7 +341,7 @@
     def _attempt_timed_out(self, attempt: UpstreamAttempt) -> None:
         """End an attempt that got no reply in time.
 
-        One that was not sent completely certainly did not run.
+        One that was not sent completely cannot have been executed: it counts as a failed connect.
         """
         if not attempt.is_ended:
             self.cluster.cancel(attempt)
@@ -353,7 +355,7 @@
 
         Fail the request if the policy then leaves it without a final reply.
         """
-        # A copy: each attempt that ends may add others, or clear the list.
+        # Iterates over a copy: ending an attempt may add others or clear the list.
         for attempt in tuple(request.attempts):
             self._attempt_timed_out(attempt)
         if not request.is_finished:
@@ -367,14 +369,14 @@
                 self._fail_without_policy(request)
 
     def _fail_without_policy(self, request: ClientRequest) -> None:
-        """Fail a request without the policy's decision; the policy then forgets it."""
+        """Fail a request without a decision of the policy, and make the policy forget it."""
         self._send_final_reply(request, FAILED)
         self.feed(ClientDisconnected(request.event.request))
 
     def _call_after(
         self, delay_us: int, callback: Callable[..., object], *args: object
     ) -> asyncio.TimerHandle:
-        """Call back no earlier than after this delay: the loop counts whole milliseconds."""
+        """Call back after at least this delay, rounded up: the loop counts whole milliseconds."""
         return self.loop.call_later((delay_us // US_PER_MS + 1) / 1_000, callback, *args)
 
     def _call_at(
--- a/saffrongw/gateway/extension_faults.py
+++ b/saffrongw/gateway/extension_faults.py
@@ -1,4 +1,4 @@
-"""Keeps what goes wrong inside request filters and observers out of the request path."""
+"""Isolates the request path from exceptions in request filters and observers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     """Counts faults by the name of the filter or observer, and logs each."""
 
     def __init__(self) -> None:
-        """Start without faults."""
+        """Start with all counts at 0."""
         self.counts: Counter[str] = Counter()
 
     def record(self, name: str, error: BaseException) -> None:
@@ -22,23 +22,23 @@
         log.warning("extensions: fault: name=%s error=%.200r", name, error)
 
     def guard(self, name: str) -> FaultGuard:
-        """Return a context in which a fault of this filter or observer is recorded, not raised."""
+        """Return a context manager that records a fault of this extension instead of raising it."""
         return FaultGuard(self, name)
 
 
 class FaultGuard:
-    """Records an exception instead of raising it; cancellation is none of these."""
+    """Records an exception instead of raising it; cancellation is raised."""
 
     __slots__ = ("faults", "has_failed", "name")
 
     def __init__(self, faults: ExtensionFaults, name: str) -> None:
-        """Record faults here, under this name."""
+        """Record faults in ``faults``, under this name."""
         self.faults = faults
         self.name = name
         self.has_failed = False
 
     def __enter__(self) -> FaultGuard:
-        """Return itself, for ``has_failed``."""
+        """Return the guard, whose ``has_failed`` shows whether a fault was recorded."""
         return self
 
     def __exit__(
@@ -47,7 +47,7 @@
         error: BaseException | None,
         _traceback: TracebackType | None,
     ) -> bool:
-        """Record what was raised; return whether it ends here."""
+        """Record an exception; return whether it is suppressed."""
         if not isinstance(error, Exception):
             return False
         self.has_failed = True
--- a/saffrongw/gateway/extensions.py
+++ b/saffrongw/gateway/extensions.py
@@ -1,8 +1,8 @@
 """The interfaces by which subsystems extend the gateway.
 
 These are request filters, observers, services, listeners and commands. The rules for filters and
-observers are in ``docs/notes/request_filters.md``. This module also checks what a filter returns;
-it does no I/O. ``filter_chain.py`` and ``observers.py`` carry both out.
+observers are in ``docs/notes/request_filters.md``; ``filter_chain.py`` and ``observers.py`` call
+them. This module also validates filters' verdicts; it does no I/O.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 from .driver import Driver
 from .request_types import US_PER_MS, ClientRequest, RequestTerms, UpstreamAttempt
 
-# The terms of a request that a filter may change: the plan by its index, and the timeout, which
-# only gets shorter.
+# The terms of a request that a filter may change: the plan, by its index, and the timeout, which it
+# may only shorten.
 CHANGEABLE_TERMS = frozenset({"plan", "timeout_us"})
 
 
 @dataclass(frozen=True, slots=True)
 class Continue:
-    """Verdict: the request goes on, perhaps with changed terms.
+    """Verdict: the request continues, with ``changes`` to its terms, if any.
 
-    The changes may name ``plan`` (its index) and ``timeout_us`` (shorter only).
+    Allowed keys are ``plan`` (an index) and ``timeout_us`` (shorter only).
     """
 
     changes: Mapping[str, int] = field(default_factory=dict)
@@ -35,9 +35,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Verdict: final reply ``-BUSY``; nothing was sent, so a retry is harmless.
+    """Verdict: final reply ``-BUSY``; no attempt was sent, so the client can safely retry.
 
-    ``retry_after_us`` 0 leaves the retry-after time out.
+    With ``retry_after_us`` 0 the reply has no retry-after time.
     """
 
     retry_after_us: int = 0
@@ -58,22 +58,22 @@
 
 
 class Ending(Enum):
-    """How a request that a filter has seen came to its end."""
+    """How a request that a filter saw ended."""
 
     ANSWERED = "answered"
     CLIENT_DISCONNECTED = "client gone"
 
 
 class FilterError(Exception):
-    """A filter returned what is no verdict, or tried to change what it must not."""
+    """A filter returned a malformed verdict, or one with a change that is not allowed."""
 
 
 class RequestFilter(Protocol):
-    """Sees each request before the policy does.
+    """Decides on each request before the policy.
 
-    ``fallback`` is the verdict where the filter raises, returns what is no verdict, or exceeds its
-    share of the request's time. ``on_request`` returns a verdict or an awaitable of one, which is
-    cancelled when the request ends first. ``on_end`` is called exactly once for every request that
+    ``fallback`` is the verdict used if the filter raises, returns a malformed verdict, or exceeds
+    its share of the request's time. ``on_request`` returns a verdict or an awaitable of one, which
+    is cancelled if the request ends first. ``on_end`` is called exactly once for every request that
     the filter saw.
     """
 
@@ -88,34 +88,34 @@
 
 
 class Observer:
-    """Is notified of what happens and can't change it.
+    """Receives notifications of events; it can't influence requests.
 
-    Its methods must not block, and what they raise is counted.
+    Its methods must not block. An exception in them is counted and has no other effect.
     """
 
     name = "observer"
 
     def event_received(self, now_us: int, event: Event) -> None:
-        """The policy is about to handle an event."""
+        """Note that the policy is about to handle an event."""
 
     def actions_decided(self, now_us: int, event: Event, actions: tuple[Action, ...]) -> None:
-        """The policy has decided on an event; none of its actions is carried out yet."""
+        """Note the policy's actions for an event, none of which has been executed yet."""
 
     def attempt_started(self, attempt: UpstreamAttempt) -> None:
-        """An attempt is about to be sent."""
+        """Note that an attempt is about to be sent."""
 
     def attempt_ended(self, attempt: UpstreamAttempt, outcome: AttemptOutcome) -> None:
-        """An attempt has its outcome."""
+        """Note the outcome of an attempt."""
 
     def answered(self, request: ClientRequest, reply: bytes) -> None:
-        """The final reply is about to be written; of a streaming reply this is the header."""
+        """Note that the final reply is about to be sent; of a streaming reply, only its header."""
 
 
 @dataclass(frozen=True, slots=True)
 class FilteredRequest:
-    """What a filter may know of a request.
+    """A request as filters see it.
 
-    ``number`` is the gateway's id, ``client_id`` the client's.
+    ``number`` is the gateway's id of the request, ``client_id`` the client's id of it.
     """
 
     number: int
@@ -126,44 +126,45 @@
 
 
 class Service(Protocol):
-    """A part that runs beside the requests.
+    """A background service of the gateway.
 
-    Started before clients are served, stopped after the last of them.
+    It is started before clients are served, and stopped when no client is served any more.
     """
 
     async def start(self, driver: Driver) -> None:
-        """Start the service; raise ``OSError`` or ``ValueError`` where that is not possible."""
+        """Start the service; raise ``OSError`` or ``ValueError`` if that is not possible."""
 
     async def stop(self) -> None:
         """Stop, within a second or two."""
 
 
 class LeaderGuard(Protocol):
-    """Guards what only one gateway of the fleet may do at a time.
+    """Guards work that only one gateway of the fleet may do at a time.
 
     Its methods may be called from any thread.
     """
 
     def number(self) -> int:
-        """Return the fencing token under which this gateway leads; 0 where it does not."""
+        """Return the fencing token under which this gateway leads; 0 if it does not lead."""
 
     def valid(self, number: int) -> bool:
         """Whether this gateway still leads under this fencing token.
 
-        Checked just before each effect.
+        To be checked just before each write or other side effect.
         """
 
     def above(self, number: int) -> None:
-        """Raise the own fencing token above one that a receiver has seen."""
+        """Raise this gateway's fencing token above one that a receiver has seen."""
 
 
 @dataclass(frozen=True, slots=True)
 class Extensions:
-    """All that is switched on beside the core.
+    """All extensions of a gateway.
 
-    ``time_share`` is the part of a request's time that all filters together may take. ``reload``
-    reads the operator file anew on SIGHUP and raises nothing. ``admin_commands`` are by HTTP path.
-    ``on_drain`` is called with True when draining starts and with False when it is taken back.
+    ``time_share`` is the fraction of a request's time left that all filters together may take.
+    ``reload`` reads the operator file again on SIGHUP and never raises. The keys of
+    ``admin_commands`` are HTTP paths. ``on_drain`` callbacks get True when draining starts and
+    False when it is cancelled.
     """
 
     filters: tuple[RequestFilter, ...] = ()
@@ -177,20 +178,20 @@
     on_drain: tuple[Callable[[bool], None], ...] = ()
 
     def __bool__(self) -> bool:
-        """Whether anything is switched on that a driver without extensions can't do."""
+        """Whether there is an extension that needs more than the plain driver."""
         return bool(self.filters or self.observers or self.services or self.listeners)
 
 
 def apply_verdict(
     verdict: object, terms: RequestTerms, plan_count: int
 ) -> RequestTerms | Reject | Abort:
-    """Return the terms that a verdict leaves, or the verdict that ends the request.
+    """Return the terms after a verdict's changes, or the verdict itself if it ends the request.
 
-    Raises ``FilterError`` where it is no verdict, or changes what it must not.
+    Raises ``FilterError`` if it is not a verdict, or has a change that is not allowed.
     """
     if isinstance(verdict, Reject):
         if not _is_integer(verdict.retry_after_us) or verdict.retry_after_us < 0:
-            raise FilterError(f"retry_after_us is no time: {verdict.retry_after_us!r}")
+            raise FilterError(f"retry_after_us is not a valid time: {verdict.retry_after_us!r}")
         return verdict
     if isinstance(verdict, Abort):
         return verdict
@@ -211,12 +212,12 @@
         raise FilterError(f"a filter may not change {', '.join(map(str, forbidden))}")
     for name, value in changes.items():
         if not _is_integer(value):
-            raise FilterError(f"{name} is no integer: {value!r}")
+            raise FilterError(f"{name} is not an integer: {value!r}")
     if not 0 <= changes.get("plan", terms.plan) < plan_count:
         raise FilterError(f"no plan has the index {changes['plan']}")
     longest_us = max(terms.timeout_us, US_PER_MS)
     if not US_PER_MS <= changes.get("timeout_us", terms.timeout_us) <= longest_us:
-        raise FilterError("timeout_us can only become shorter, down to 1 ms")
+        raise FilterError("timeout_us can only be shortened, to 1 ms at least")
 
 
 def _is_integer(value: object) -> bool:
--- a/saffrongw/gateway/filter_chain.py
+++ b/saffrongw/gateway/filter_chain.py
@@ -1,7 +1,7 @@
-"""Takes each request through the request filters, one after the other, before the policy sees it.
+"""Runs the request filters on each request, one after the other, before the policy sees it.
 
-The driver has registered the request before its first filter starts, so its one final reply is due
-throughout: also when a filter hangs, the client disconnects or the gateway drains.
+The driver registers a request before its first filter starts. So the request gets its one final
+reply even if a filter hangs or the gateway drains meanwhile.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, eq=False)
 class FilterRun:
-    """One request's way through the filters; ``notified`` are those that are owed its end."""
+    """One request's pass through the filters; ``notified`` are those whose ``on_end`` is due."""
 
     request: ClientRequest
     filtered_request: FilteredRequest
@@ -38,7 +38,7 @@
 
 
 class FilterChainOwner(Protocol):
-    """Carries out what the filters decide on a request."""
+    """Carries out the filters' verdict on a request."""
 
     loop: asyncio.AbstractEventLoop
 
@@ -50,10 +50,10 @@
         """Pass a request to the policy, with these terms."""
 
     def request_rejected(self, request: ClientRequest, retry_after_us: int) -> None:
-        """Give the final reply of a rejection."""
+        """Send the final reply of a rejection."""
 
     def request_aborted(self, request: ClientRequest) -> None:
-        """Give the final reply of a failure."""
+        """Send the final reply of a failure."""
 
     def call_after_us(
         self, delay_us: int, callback: Callable[..., object], *args: object
@@ -64,7 +64,7 @@
 class FilterChain:
     """Runs the filters.
 
-    ``time_share`` is the part of a request's time that all of them together may take.
+    ``time_share`` is the fraction of a request's time left that all filters together may take.
     """
 
     def __init__(
@@ -75,17 +75,17 @@
         plan_count: int,
         faults: ExtensionFaults,
     ) -> None:
-        """Use these filters in their order."""
+        """Run these filters in this order."""
         self.owner = owner
         self.filters = filters
         self.time_share = time_share
         self.plan_count = plan_count
         self.faults = faults
-        # For as long as the requests are open.
+        # The runs of unfinished requests.
         self.runs: dict[ClientRequest, FilterRun] = {}
 
     def start(self, request: ClientRequest, terms: RequestTerms) -> None:
-        """Take a request through all filters."""
+        """Run all filters on a request."""
         parts = request.parts
         body_bytes = len(parts[5]) if len(parts) > 5 else 0
         filtered_request = FilteredRequest(
@@ -95,7 +95,7 @@
         self._run_from(run, terms, 0)
 
     def end(self, request: ClientRequest, ending: Ending) -> None:
-        """Notify the filters that saw a request of its end, and cancel what is awaited for it."""
+        """Notify the filters that saw a request of its end, and cancel a pending verdict."""
         run = self.runs.pop(request, None)
         if run is None:
             return
@@ -107,7 +107,7 @@
                 request_filter.on_end(run.filtered_request, ending)
 
     def _run_from(self, run: FilterRun, terms: RequestTerms, index: int) -> None:
-        """Run the filters from this one on, as far as they return a verdict at once."""
+        """Run the filters from this index on, until one has to be awaited or ends the request."""
         for position in range(index, len(self.filters)):
             request_filter = self.filters[position]
             run.notified.append(request_filter)
@@ -142,11 +142,10 @@
             with guard:
                 verdict = await awaitable
         except asyncio.CancelledError:
-            # By ``end``: the request is over.
+            # Cancelled by ``end``: the request is finished.
             if run.request.is_finished:
                 raise
-            # ``_timed_out`` cancelled it, or the filter's own work was cancelled: a filter that
-            # took too long.
+            # Cancelled by ``_timed_out``, or by the filter's own work: counts as a timeout.
             error = TimeoutError("no verdict in its share of the request's time")
             self.faults.record(request_filter.name, error)
             guard.has_failed = True
@@ -160,7 +159,7 @@
             self._run_from(run, changed, index + 1)
 
     def _start_timeout(self, run: FilterRun) -> None:
-        """Start the time that all filters share, if it does not run yet."""
+        """Start the timeout that all filters share, unless it is running already."""
         if run.timeout_timer is None:
             time_left_us = run.request.deadline_us - self.owner.clock()
             share_us = max(0, int(self.time_share * time_left_us))
@@ -173,7 +172,7 @@
 
     def _timed_out(self, run: FilterRun) -> None:
         if run.task and not run.request.is_finished:
-            # The filters after this one get their share of what is left.
+            # The next filter to be awaited starts a new timeout, a share of the time left by then.
             run.timeout_timer = None
             run.task.cancel()
 
@@ -184,8 +183,8 @@
         verdict: Verdict | None,
         terms: RequestTerms,
     ) -> RequestTerms | None:
-        """Return the terms to go on with; None where the request has its final reply."""
-        result = self._checked(request_filter, verdict, terms)
+        """Return the terms to continue with; None if the verdict gave the final reply."""
+        result = self._checked_verdict(request_filter, verdict, terms)
         if isinstance(result, Reject):
             self.owner.request_rejected(run.request, result.retry_after_us)
             return None
@@ -196,12 +195,12 @@
             run.filtered_request = replace(run.filtered_request, terms=result)
         return result
 
-    def _checked(
+    def _checked_verdict(
         self, request_filter: RequestFilter, verdict: Verdict | None, terms: RequestTerms
     ) -> RequestTerms | Reject | Abort:
-        """Apply a verdict.
+        """Return the result of a verdict.
 
-        In place of a malformed one the fallback, and in place of that a rejection.
+        A malformed verdict is replaced by the fallback, and a malformed fallback by a rejection.
         """
         try:
             return apply_verdict(verdict, terms, self.plan_count)
@@ -210,10 +209,10 @@
         try:
             return apply_verdict(_fallback(request_filter), terms, self.plan_count)
         except FilterError:
-            # Nothing was sent, so a rejection is harmless.
+            # Nothing was sent to an endpoint, so the client can safely retry after a rejection.
             return Reject()
 
 
 def _fallback(request_filter: RequestFilter) -> Verdict | None:
-    """Return what takes the place of a filter's verdict; None where it names none."""
+    """Return the verdict that replaces a missing or malformed one; None if the filter has none."""
     return getattr(request_filter, "fallback", None)
--- a/saffrongw/gateway/filtering_driver.py
+++ b/saffrongw/gateway/filtering_driver.py
@@ -1,6 +1,6 @@
 """The driver of a gateway with extensions.
 
-Without any, the plain ``Driver`` runs and this is not even loaded.
+A gateway without extensions uses the plain ``Driver`` and does not load this module.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class FilteringDriver(Driver):
-    """Takes requests through the filters first, and notifies observers of what happens."""
+    """Runs the filters on each request before the policy, and notifies the observers."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         loop: asyncio.AbstractEventLoop,
         extensions: Extensions,
     ) -> None:
-        """Make a driver with these filters and observers."""
+        """Create a driver with these filters and observers."""
         super().__init__(settings, seed, loop)
         self.max_retry_after_us = settings.max_retry_after_us
         self.faults = ExtensionFaults()
@@ -48,9 +48,9 @@
             self, extensions.filters, extensions.time_share, len(settings.plans), self.faults
         )
         self.observers = ObserverNotifier(extensions.observers, self.faults)
-        # Admission checks that are being decided, by their ids.
+        # Admission checks in progress by id, with the policy's decision once there is one.
         self.admission_checks: dict[int, AdmitRequest | RejectRequest | None] = {}
-        # The request whose client has just disconnected, while it is closed.
+        # The request that is being closed because its client disconnected.
         self.disconnecting: ClientRequest | None = None
         if extensions.observers:
             self.handle_by_policy = self._handle_observed
@@ -60,7 +60,7 @@
     def request_arrived(
         self, terms: RequestTerms, parts: tuple[bytes, ...], send_reply: SendReply
     ) -> ClientRequest:
-        """Register a client's request, then take it through the filters and to the policy."""
+        """Register a client's request, then pass it to the filters and on to the policy."""
         request = self._register_request(terms, parts, send_reply)
         if self.filter_chain.filters:
             self.filter_chain.start(request, terms)
@@ -69,14 +69,14 @@
         return request
 
     def request_continued(self, request: ClientRequest, terms: RequestTerms) -> None:
-        """Pass a request that all filters let through to the policy, with the time left by now."""
+        """Pass a request that all filters accepted to the policy, with the time that is left."""
         time_left_us = max(0, request.deadline_us - self.clock())
         spent_us = request.event.time_left_us - time_left_us
         time_left_us = min(time_left_us, terms.timeout_us - REPLY_TRANSIT_US - spent_us)
         time_left_us = max(US_PER_MS, time_left_us)
         request.event = request.event._replace(plan=terms.plan, time_left_us=time_left_us)
         deadline_us = self.clock() + time_left_us
-        # Earlier where a filter shortened the timeout.
+        # A filter shortened the timeout.
         if deadline_us < request.deadline_us:
             request.deadline_us = deadline_us
             if request.deadline_timer:
@@ -85,25 +85,22 @@
         self.feed(request.event)
 
     def request_rejected(self, request: ClientRequest, retry_after_us: int) -> None:
-        """Give the final reply of a rejection by a filter."""
+        """Send the final reply of a rejection by a filter."""
         retry_after_us = min(retry_after_us, self.max_retry_after_us)
         self._send_final_reply(request, busy_reply(retry_after_us))
 
     def request_aborted(self, request: ClientRequest) -> None:
-        """Give the final reply of a failure by a filter."""
+        """Send the final reply of a failure by a filter."""
         self._send_final_reply(request, FAILED)
 
     def call_after_us(
         self, delay_us: int, callback: Callable[..., object], *args: object
     ) -> asyncio.TimerHandle:
-        """Call back no earlier than after this delay."""
+        """Call back after at least this delay."""
         return self._call_after(delay_us, callback, *args)
 
     def client_disconnected(self, request: ClientRequest) -> None:
-        """End a request whose client has disconnected.
-
-        The filters that saw it are notified of that.
-        """
+        """End a request whose client has disconnected, and notify the filters that saw it."""
         self.disconnecting = request
         super().client_disconnected(request)
         self.disconnecting = None
@@ -126,9 +123,9 @@
         replica_set_first: int,
         replica_set_size: int,
     ) -> AdmitRequest | RejectRequest | None:
-        """Decide whether a request that another proxy forwards is admitted, by the same counters.
+        """Decide whether to admit a request that another proxy forwards, with the same counters.
 
-        Returns None where the policy did not decide.
+        Returns None if the policy made no decision.
         """
         self.last_request_id += 1
         check_id = self.last_request_id
@@ -164,13 +161,13 @@
         return actions
 
     def connect_upstream(self, upstream: Upstream) -> None:
-        """Send attempts to this upstream; with observers, they are notified of each first."""
+        """Send attempts to this upstream, after notifying the observers, if any."""
         if self.observers.observers:
             upstream = ObservedUpstream(upstream, self.observers)
         super().connect_upstream(upstream)
 
     def wrap_upstream(self, wrap: Callable[[Upstream], Upstream]) -> None:
-        """Put a decorator between the driver and its upstream."""
+        """Insert a decorator between the driver and its upstream."""
         self.cluster = wrap(self.cluster)
 
     def attempt_ended(
@@ -180,7 +177,7 @@
         value: FinalReply | None = None,
         report: tuple[float, ...] = (),
     ) -> None:
-        """Record an attempt's outcome; observers are notified of it first."""
+        """Record an attempt's outcome, after notifying the observers."""
         if not attempt.is_ended:
             self.observers.attempt_ended(attempt, outcome)
         super().attempt_ended(attempt, outcome, value, report)
--- a/saffrongw/gateway/gossip_transport.py
+++ b/saffrongw/gateway/gossip_transport.py
@@ -1,4 +1,4 @@
-"""The UDP socket for gossip between gateways; a sender is known by its source address alone."""
+"""The UDP socket for gossip between gateways; senders are identified by their source address."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     sock: socket.socket
 
     def __init__(self, driver: Driver, addresses: tuple[Address, ...], own_index: int) -> None:
-        """``addresses`` of all gateways by node index, this one's among them."""
+        """``addresses`` are those of all gateways by node index, including this one."""
         self.driver = driver
         self.addresses = addresses
         self.node_indexes = {
@@ -27,10 +27,10 @@
         }
 
     async def listen(self, sock: socket.socket | None, address: Address) -> None:
-        """Begin on a socket that a hot restart handed over, or on a new one at the address."""
+        """Open on the socket handed over by a hot restart, or on a new one at the address."""
         if sock is None:
             sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            # A new version that can't take over binds beside this one.
+            # A new version that can't take over the socket binds the same address as this process.
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
             sock.bind(address)
         sock.setblocking(False)
@@ -38,23 +38,23 @@
         await self.driver.loop.create_datagram_endpoint(lambda: self, sock=sock)
 
     def close(self) -> None:
-        """Send and receive nothing more."""
+        """Stop sending and receiving."""
         self.driver.send_gossip = _discard
         self.transport.close()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Let the driver send."""
+        """Let the driver send through this transport."""
         self.transport = cast("asyncio.DatagramTransport", transport)
         self.driver.send_gossip = self.send
 
     def datagram_received(self, body: bytes, source: Address) -> None:
-        """Pass a datagram on; one from an unknown address or of impossible size is dropped."""
+        """Pass a datagram to the driver; drop it if its sender is unknown or its size invalid."""
         node_index = self.node_indexes.get(source)
         if node_index is not None and 0 < len(body) <= gossip_codec.MAX_MESSAGE_BYTES:
             self.driver.gossip_received(node_index, body)
 
     def error_received(self, error: Exception) -> None:
-        """Ignore the error of an earlier datagram: its receiver is down, and gossip may be lost."""
+        """Ignore an error from an earlier datagram: its receiver is down; gossip may be lost."""
 
     def send(self, node_index: int, body: bytes) -> None:
         """Send a datagram to one gateway."""
@@ -63,4 +63,4 @@
 
 
 def _discard(_node_index: int, _body: bytes) -> None:
-    """Send nothing: the socket is closed."""
+    """Drop a datagram, because the socket is closed."""
--- a/saffrongw/gateway/metrics.py
+++ b/saffrongw/gateway/metrics.py
@@ -1,22 +1,22 @@
-"""Metrics that this process has counted since its start, and their text form."""
+"""Counters of this process since its start, and their text format."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
-# Before each name, as operators' tools know it.
+# Prefix of all metric names; operators' tools expect it.
 NAME_PREFIX = "svc"
 
 MetricRow = tuple[str, int]
 
 
 class Metrics:
-    """Counts of final answers by request class, of attempts sent in full, and of reloads."""
+    """Counts of final replies by request class, of attempts sent completely, and of reloads."""
 
     __slots__ = ("attempts", "busy", "failed", "reloads", "reloads_failed", "served")
 
     def __init__(self, class_count: int) -> None:
-        """All counts are 0."""
+        """Start with all counts at 0."""
         self.served = [0] * class_count
         self.busy = [0] * class_count
         self.failed = [0] * class_count
@@ -25,7 +25,7 @@
         self.reloads_failed = 0
 
     def answered(self, kind: int, reply: bytes) -> None:
-        """Count one final answer to a request of a class, by the type of its RESP reply."""
+        """Count a final reply to a request of a class, by the type of the RESP reply."""
         if reply[:1] in (b"$", b"*"):
             self.served[kind] += 1
         elif reply[:5] == b"-BUSY":
@@ -36,7 +36,7 @@
     def rows(
         self, class_names: Sequence[str], inflight: int, hosts_listed: int, hosts_down: int
     ) -> list[MetricRow]:
-        """Names and values; the arguments are what the gateway's other parts count as of now."""
+        """Return names and values; the arguments are current values from other components."""
         rows: list[MetricRow] = []
         for kind, name in enumerate(class_names):
             rows.append((f"success.{name}", self.served[kind]))
@@ -54,5 +54,5 @@
 
 
 def render(rows: Sequence[MetricRow]) -> bytes:
-    """One ``svc.NAME=VALUE`` a line."""
+    """Format the rows as lines ``svc.NAME=VALUE``."""
     return "".join(f"{NAME_PREFIX}.{name}={value}\n" for name, value in rows).encode()
--- a/saffrongw/gateway/observers.py
+++ b/saffrongw/gateway/observers.py
@@ -1,4 +1,4 @@
-"""Notifies observers, and decorates the driver's upstream for that and other purposes."""
+"""Notification of observers, and decorators of the driver's upstream."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ObserverNotifier:
-    """Notifies all observers in their order; what one raises is counted and stops nothing."""
+    """Notifies all observers in their order; an exception in one is counted and isolated."""
 
     def __init__(self, observers: tuple[Observer, ...], faults: ExtensionFaults) -> None:
         """Notify these observers, and record their faults."""
@@ -21,24 +21,24 @@
         self.faults = faults
 
     def event_received(self, now_us: int, event: Event) -> None:
-        """The policy is about to handle an event."""
+        """Notify that the policy is about to handle an event."""
         self._notify(lambda observer: observer.event_received(now_us, event))
 
     def actions_decided(self, now_us: int, event: Event, actions: list[Action]) -> None:
-        """The policy has decided on an event; none of its actions is carried out yet."""
+        """Notify of the policy's actions for an event, none of which has been executed yet."""
         decided = tuple(actions)
         self._notify(lambda observer: observer.actions_decided(now_us, event, decided))
 
     def attempt_started(self, attempt: UpstreamAttempt) -> None:
-        """An attempt is about to be sent."""
+        """Notify that an attempt is about to be sent."""
         self._notify(lambda observer: observer.attempt_started(attempt))
 
     def attempt_ended(self, attempt: UpstreamAttempt, outcome: AttemptOutcome) -> None:
-        """An attempt has its outcome."""
+        """Notify of the outcome of an attempt."""
         self._notify(lambda observer: observer.attempt_ended(attempt, outcome))
 
     def answered(self, request: ClientRequest, reply: FinalReply) -> None:
-        """The final reply is about to be written."""
+        """Notify that the final reply is about to be sent."""
         shown = reply if isinstance(reply, bytes) else reply.header
         self._notify(lambda observer: observer.answered(request, shown))
 
@@ -49,13 +49,13 @@
 
 
 class UpstreamDecorator:
-    """Stands between the driver and its upstream.
+    """An upstream that wraps another one.
 
-    What a subclass does not override is passed on.
+    All calls that a subclass does not override are passed to the inner upstream.
     """
 
     def __init__(self, inner: Upstream) -> None:
-        """Stand in front of this upstream."""
+        """Wrap this upstream."""
         self.inner = inner
 
     def send(self, attempt: UpstreamAttempt) -> None:
@@ -67,18 +67,18 @@
         self.inner.cancel(attempt)
 
     def update_endpoints(self, endpoints: EndpointList) -> list[UpstreamAttempt]:
-        """Follow a new endpoint list; return the attempts that can't be started any more."""
+        """Apply a new endpoint list; return the attempts that can't be started any more."""
         return self.inner.update_endpoints(endpoints)
 
     def close_idle_connections(self, endpoint_id: EndpointId) -> list[UpstreamAttempt]:
         """Close an excluded endpoint's idle connections.
 
-        Return the attempts that can't be started.
+        Return the attempts that can't be started any more.
         """
         return self.inner.close_idle_connections(endpoint_id)
 
     def withdraw(self, attempt: UpstreamAttempt) -> bool:
-        """Withdraw an attempt of which nothing was sent yet; return whether it was one."""
+        """Withdraw an attempt if nothing of it was sent yet; return whether it was withdrawn."""
         return self.inner.withdraw(attempt)
 
 
@@ -86,11 +86,11 @@
     """Notifies observers of each attempt before it is sent."""
 
     def __init__(self, inner: Upstream, observers: ObserverNotifier) -> None:
-        """Stand in front of this upstream, and notify these observers."""
+        """Wrap this upstream, and notify these observers."""
         super().__init__(inner)
         self.observers = observers
 
     def send(self, attempt: UpstreamAttempt) -> None:
-        """Notify, then start the attempt."""
+        """Notify the observers, then start the attempt."""
         self.observers.attempt_started(attempt)
         super().send(attempt)
--- a/saffrongw/gateway/request_parser.py
+++ b/saffrongw/gateway/request_parser.py
@@ -1,4 +1,4 @@
-"""Parses a client's command as a request, in one step where it has the common form."""
+"""Parses clients' commands as requests, with a fast path for the common form."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 MAX_CUSTOMER_BITS = 33
 MAX_TIMEOUT_MS = 3_600_000
 
-# Texts whose meaning is cached.
+# Entries of the cache of parsed amounts, which is cleared when it is full.
 MAX_CACHED_TEXTS = 4_096
 
 _CUSTOMER = re.compile(rb"[0-9a-f]{16}")
@@ -22,11 +22,11 @@
 _NODE_NUMBER = re.compile(rb"0|[1-9][0-9]{0,4}")
 _IDEMPOTENCY_KEY = re.compile(rb"[0-9A-Za-z_-]{1,64}")
 
-# The names that a request's terms have on the wire: class, plan, timeout, units, and the replica
-# set's size and first node. Beside them ``k`` is the idempotency key and ``r=1`` marks a retry.
+# The names of a request's required terms on the wire: class, plan, timeout, units, and the replica
+# set's size and first node. In addition, ``k`` is the idempotency key and ``r=1`` marks a retry.
 _TERM_NAMES = {b"c", b"t", b"d", b"units", b"spread", b"first"}
 
-# The common form: customer, id, terms in their usual order, and the header of the body.
+# The common form: customer, id, terms in their usual order, and the header of the body, if any.
 _COMMON_FORM = re.compile(
     rb"\*(?:4\r\n\$8\r\n(CALL\.GET)|5\r\n\$9\r\n(CALL\.POST))\r\n\$16\r\n(0{7}[01][0-9a-f]{8})\r\n"
     rb"\$([1-9][0-9]?)\r\n([0-9A-Za-z_-]{1,64})\r\n"
@@ -41,8 +41,8 @@
     rb"spread=([1-9][0-9]{0,4}),first=(0|[1-9][0-9]{0,4})(,r=1)?"
 )
 
-# As much of the common form as it takes to reject a request: its end, its customer, its class and
-# plan.
+# The subset of the common form that is needed to reject a request unparsed: its end, its customer,
+# its class and plan.
 _SKIMMED_FORM = re.compile(
     rb"\*(?:4\r\n\$8\r\nCALL\.GET|(5)\r\n\$9\r\nCALL\.POST)\r\n\$16\r\n(0{7}[01][0-9a-f]{8})\r\n"
     rb"\$([1-9][0-9]?)\r\n([0-9A-Za-z_-]{1,64})\r\n"
@@ -50,8 +50,8 @@
     rb"(?:\$(0|[1-9][0-9]{0,4})\r\n)?"
 )
 
-# A request's terms, and its parts as endpoints get them. Bare tuples here and below: one is made
-# for each request.
+# A request's terms, and its parts as sent to endpoints. Plain tuples here and below, because
+# one is created for each request.
 ParsedRequest = tuple[RequestTerms, tuple[bytes, ...]]
 
 # Indices of class and plan, and the class's idempotency.
@@ -62,12 +62,12 @@
 
 
 def parse_request(command: list[bytes], config: Config) -> ParsedRequest:
-    """Parse a command in any order of its terms.
+    """Parse a command whose terms may be in any order.
 
-    Its parts have the terms cut round the value of ``d``.
-    Endpoints void what they can't use, so only the exact forms pass: ``int()`` and ``float()``
-    would accept ``1_0``, ``+1``, ``nan`` and blanks. Raises ``MalformedMessageError`` with the text
-    for the client.
+    The returned parts have the text of the terms split around the value of ``d``.
+    Endpoints don't accept malformed terms, so patterns check the exact forms: ``int()`` and
+    ``float()`` would accept ``1_0``, ``+1``, ``nan`` and blanks. Raises ``MalformedMessageError``
+    with the message for the client.
     """
     if len(command) != (4 if command[0] == b"CALL.GET" else 5):
         raise MalformedMessageError("wrong number of values")
@@ -118,7 +118,7 @@
 
 
 def _check_term_names(terms: dict[bytes, bytes], idempotency: Idempotency) -> bool:
-    """Check that all required terms are there and no other; return whether it is a retry."""
+    """Check that all required terms and no others are present; return whether it is a retry."""
     has_key = idempotency is Idempotency.IDEMPOTENCY_KEY
     expected = _TERM_NAMES | {b"k"} if has_key else _TERM_NAMES
     retry = terms.pop(b"r", None)
@@ -143,9 +143,9 @@
 
 
 class RequestFormat:
-    """Reads requests of the common form in one step.
+    """Reads requests of the common form with one regular expression.
 
-    Any other form is left to framing and ``parse_request``.
+    Requests of any other form are left to ``CommandReader`` and ``parse_request``.
     """
 
     __slots__ = (
@@ -165,13 +165,13 @@
         self.idempotency_of = tuple(each.idempotency for each in config.settings.classes)
         self.node_count = config.settings.node_count
         self.max_units = config.max_units
-        # The meaning of texts that come again and again; only classes and plans that the settings
-        # name.
+        # Parsed values of texts that occur often. The first cache needs no limit: it holds only
+        # classes and plans of the settings.
         self.class_and_plan_cache: dict[bytes, ClassAndPlan] = {}
         self.amounts_cache: dict[bytes, Amounts] = {}
 
     def _class_and_plan(self, text: bytes) -> ClassAndPlan | None:
-        """Read ``c=CLASS,t=PLAN,d=``; None where the settings don't name them."""
+        """Parse ``c=CLASS,t=PLAN,d=``; None if the settings don't have the class or the plan."""
         if (cached := self.class_and_plan_cache.get(text)) is None:
             if (found := _CLASS_AND_PLAN.fullmatch(text)) is None:
                 return None
@@ -182,9 +182,9 @@
         return cached
 
     def _amounts(self, text: bytes) -> Amounts | None:
-        """Read ``units=...,spread=...,first=...`` and perhaps ``,r=1``.
+        """Parse ``units=...,spread=...,first=...`` with an optional ``,r=1``.
 
-        None where one is out of range.
+        Returns None if one is malformed or out of range.
         """
         if (cached := self.amounts_cache.get(text)) is None:
             if (found := _AMOUNTS.fullmatch(text)) is None:
@@ -203,7 +203,7 @@
     def skim(data: bytes, position: int) -> tuple[int, bytes, bytes] | None:
         """Return the end of the request at this position, its customer, and ``CLASS,t=PLAN``.
 
-        None: not this form.
+        Returns None if it is not complete or not of the common form.
         """
         found = _SKIMMED_FORM.match(data, position)
         if found is None:
@@ -227,7 +227,7 @@
     ) -> tuple[int, RequestTerms, tuple[bytes, ...]] | None:
         """Return the end of the request at this position, its terms and its parts.
 
-        None where it is not complete, not of the common form, or malformed.
+        Returns None if it is not complete, not of the common form, or malformed.
         """
         found = _COMMON_FORM.match(data, position)
         if found is None:
--- a/saffrongw/gateway/request_types.py
+++ b/saffrongw/gateway/request_types.py
@@ -1,4 +1,4 @@
-"""What the driver, the filters and the upstream share: requests, attempts, final replies."""
+"""Types shared by driver, filters and upstream: requests, attempts, final replies."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 def busy_reply(retry_after_us: int) -> bytes:
     """Encode a rejection, with the retry-after time in whole milliseconds unless it is 0."""
-    # Rounded up: a client that came back earlier would be rejected again.
+    # Rounded up: a client that retried earlier would be rejected again.
     retry_after_ms = -(-retry_after_us // US_PER_MS)
     return b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms else b"-BUSY\r\n"
 
 
 class RequestTerms(NamedTuple):
-    """What a client's command says about its request."""
+    """The terms of a request as its client stated them in the command."""
 
     customer: int
     kind: int
@@ -41,11 +41,11 @@
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """A client's request from its last byte to its one final reply.
+    """A client's request, from its complete arrival to its one final reply.
 
     ``parts`` holds command, customer, client's id, the terms before and after the value of ``d``,
-    and the body where there is one. ``deadline_us`` is the time of the gateway's clock by which the
-    final reply is due.
+    and the body if there is one. ``deadline_us`` is when the final reply is due, by the gateway's
+    clock.
     """
 
     event: RequestArrived
@@ -61,9 +61,9 @@
 class UpstreamAttempt:
     """One attempt to have a request served by an endpoint; it ends exactly once.
 
-    ``carrier`` belongs to the upstream package: the connection that carries the attempt, or the
-    pool in which it waits for one. From ``is_fully_sent`` on, when the last byte has left, the
-    endpoint may execute it.
+    ``carrier`` is set and used by the upstream package only: the connection that carries the
+    attempt, or the pool in which it waits for one. Once its last byte is sent (``is_fully_sent``),
+    the endpoint may execute it.
     """
 
     request: ClientRequest
@@ -78,9 +78,9 @@
 
 
 class Upstream(Protocol):
-    """What the driver needs of the cluster of endpoints.
+    """The interface through which the driver uses the cluster of endpoints.
 
-    An attempt's outcome comes back to the driver.
+    It reports each attempt's outcome with ``Driver.attempt_ended``.
     """
 
     def send(self, attempt: UpstreamAttempt) -> None:
@@ -90,13 +90,13 @@
         """Stop waiting for an attempt."""
 
     def update_endpoints(self, endpoints: EndpointList) -> list[UpstreamAttempt]:
-        """Follow a new endpoint list; return the attempts that can't be started any more."""
+        """Apply a new endpoint list; return the attempts that can't be started any more."""
 
     def close_idle_connections(self, endpoint_id: EndpointId) -> list[UpstreamAttempt]:
         """Close an excluded endpoint's idle connections.
 
-        Return the attempts that can't be started.
+        Return the attempts that can't be started any more.
         """
 
     def withdraw(self, attempt: UpstreamAttempt) -> bool:
-        """Withdraw an attempt of which nothing was sent yet; return whether it was one."""
+        """Withdraw an attempt if nothing of it was sent yet; return whether it was withdrawn."""
--- a/saffrongw/gateway/resp.py
+++ b/saffrongw/gateway/resp.py
@@ -1,7 +1,7 @@
-"""Framing of RESP2 in both directions, exact and bounded: only what the protocol names is accepted.
+"""Framing of RESP2 commands and replies, strict and with size limits.
 
-hiredis is not used to read: it allocates what a header claims (``*100000000`` takes 800 MB), waits
-for 3 GB, accepts RESP3 and raises MemoryError or TypeError on some of it.
+hiredis is not used to parse: it allocates as much as a header claims (``*100000000`` takes 800 MB),
+waits for values of 3 GB, accepts RESP3, and raises MemoryError or TypeError on some input.
 """
 
 from __future__ import annotations
@@ -9,22 +9,22 @@
 import re
 from typing import NamedTuple
 
-# Of a value that is held whole.
+# Longest value that is buffered completely.
 MAX_VALUE_BYTES = 64 * 1024
 
-# Of an endpoint's value that is streamed.
+# Longest value of an endpoint that is streamed.
 MAX_STREAMED_VALUE_BYTES = 4 << 20
 
-# Of any other part of a command or a reply.
+# Longest other part of a command or a reply.
 MAX_WORD_BYTES = 1024
 
-# Of an error line.
+# Longest status or error line of an endpoint.
 MAX_LINE_BYTES = 512
 
-# Parts of a command; only the last one may hold a value.
+# Parts of a command; only the fifth one may be as long as a value.
 MAX_COMMAND_WORDS = 5
 
-# Of the longest header that the patterns below accept.
+# Longest header that the patterns below accept.
 MAX_HEADER_BYTES = 10
 
 _COUNT = re.compile(rb"\*([1-9])\r\n")
@@ -38,9 +38,9 @@
 
 
 class MalformedMessageError(Exception):
-    """Bytes that no message of the protocol can begin with.
+    """The received bytes are not the start of a valid message.
 
-    Where the next message starts is lost.
+    Where the next message starts is unknown, so the connection can't be used any more.
     """
 
 
@@ -54,7 +54,7 @@
         self.position = 0
 
     def feed(self, data: bytes) -> None:
-        """Append bytes, and forget what is consumed."""
+        """Append bytes, and discard those that are consumed."""
         if self.position < len(self.data):
             data = self.data[self.position :] + data
         self.data = data
@@ -66,7 +66,7 @@
     def _header(
         self, pattern: re.Pattern[bytes], prefix: re.Pattern[bytes], start: int
     ) -> re.Match[bytes] | None:
-        """Match a header at this position; None where it is not complete yet."""
+        """Match a header at this position; None if it is not complete yet."""
         if found := pattern.match(self.data, start):
             return found
         if prefix.fullmatch(self.data[start : start + MAX_HEADER_BYTES]):
@@ -77,7 +77,7 @@
     def _bulk(
         self, start: int, max_bytes: int, nullable: bool = False
     ) -> tuple[bytes | None, int] | None:
-        """Return a bulk string and its end; None where it is not complete yet."""
+        """Return a bulk string and its end; None if it is not complete yet."""
         pattern = _LENGTH_OR_NULL if nullable else _LENGTH
         found = self._header(pattern, _LENGTH_PREFIX, start)
         if found is None:
@@ -100,7 +100,7 @@
     __slots__ = ()
 
     def next(self) -> list[bytes] | None:
-        """Return the next command; None where it is not complete yet."""
+        """Return the next command; None if it is not complete yet."""
         header = self._header(_COUNT, _COUNT_PREFIX, self.position)
         if header is None:
             return None
@@ -115,7 +115,7 @@
             if bulk is None:
                 return None
             word, position = bulk
-            # Only where null is accepted there is none.
+            # Never None: null is not accepted here.
             words.append(word or b"")
         self.position = position
         return words
@@ -135,7 +135,7 @@
     __slots__ = ()
 
     def next(self) -> Reply | None:
-        """Return the next reply; None where it is not complete yet."""
+        """Return the next reply; None if it is not complete yet."""
         if (common := self._common_reply()) is not None:
             return common
         if self.data[self.position : self.position + 1] in (b"-", b"+"):
@@ -158,7 +158,7 @@
         return Reply(None, parts[0] or b"", parts[2])
 
     def _common_reply(self) -> Reply | None:
-        """Read a served reply in two steps if it has the common form: value, no usage, report."""
+        """Fast path for the common served reply: a value, a null usage, and a load report."""
         data = self.data
         header = _SERVED_REPLY.match(data, self.position)
         if header is None or (length := int(header[1])) > MAX_VALUE_BYTES:
@@ -184,7 +184,7 @@
     def take_streamed_header(self) -> int | None:
         """Consume the header of a value that is to be streamed, and return the value's length.
 
-        None where the next reply is none of these.
+        Returns None if the next reply is not one to be streamed.
         """
         found = _STREAMED_REPLY.match(self.data, self.position)
         if found is None:
@@ -198,20 +198,20 @@
         return length
 
     def take_bytes(self, max_bytes: int) -> bytes:
-        """Consume so many bytes of a streamed value, as far as they have arrived."""
+        """Consume up to ``max_bytes`` of a streamed value, as many as have arrived."""
         data = self.data[self.position : self.position + max_bytes]
         self.position += len(data)
         return data
 
     def is_at_value_end(self) -> bool | None:
-        """Whether what follows a streamed value ends it; None: it has not arrived yet."""
+        """Whether a streamed value is followed by its terminator; None if it has not arrived."""
         terminator = self.data[self.position : self.position + 2]
         if len(terminator) < 2 and b"\r\n".startswith(terminator):
             return None
         return terminator == b"\r\n"
 
     def take_streamed_tail(self) -> bool:
-        """Consume a streamed value's end, usage and report; False where they are not complete."""
+        """Consume a streamed value's end, usage and report; False if they are not complete."""
         position = self.position + 2
         for _ in range(2):
             bulk = self._bulk(position, MAX_WORD_BYTES, nullable=True)
--- a/saffrongw/gateway/signals.py
+++ b/saffrongw/gateway/signals.py
@@ -1,26 +1,29 @@
-"""What must happen before the program's other imports: the start time, and SIGHUP blocked."""
+"""Steps that must precede the program's other imports: note the start time, block SIGHUP."""
 
 from __future__ import annotations
 
 import signal
 import time
 
-# Unix time at which this module was imported, as near to the process's start as Python can tell.
+# Unix time at which this module was imported: the earliest time that Python code can read.
 PROCESS_STARTED_US = time.time_ns() // 1_000
-# Imports take less; a larger difference means that the wall clock was set meanwhile.
+# Imports take less time; a larger difference means that the wall clock was set meanwhile.
 MAX_IMPORT_TIME_US = 5_000_000
 
 
 def block_sighup() -> None:
-    """Keep SIGHUP pending until the process can carry it out.
+    """Keep SIGHUP pending until the process can handle it.
 
-    Ignored, it would be lost although the file may have been read before it; unhandled, it would
-    end the process.
+    If it were ignored, a change of the file after it was read would be missed; if it were neither
+    ignored nor handled, it would end the process.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
 
 
 def process_started_us(now: int) -> int:
-    """The earliest time at which this process can have sent anything (us; ``now``: wall clock)."""
+    """Return the earliest time at which this process can have sent anything.
+
+    All times are in microseconds; ``now`` is the wall clock's.
+    """
     is_believable = 0 <= now - PROCESS_STARTED_US <= MAX_IMPORT_TIME_US
     return PROCESS_STARTED_US if is_believable else now
--- a/saffrongw/gateway/streaming_reply.py
+++ b/saffrongw/gateway/streaming_reply.py
@@ -1,10 +1,10 @@
-"""A value that is passed from an endpoint to a client as it arrives, at the client's pace.
+"""A long value that is streamed from an endpoint to a client, with backpressure from the client.
 
-It is too long to be held in memory: more of them may be on their way at once than memory could
-hold. So of each no more is kept than one read of its endpoint and what the client's transport
-buffers. Its turn on the client's connection may come later: until then only a little of it is read.
-What was written can't be taken back: if the endpoint breaks off, the client's connection is closed,
-so that the client can tell that the value is not complete.
+Such values are not buffered completely, because memory could not hold all that may be in transit at
+once. Of each, at most one read from its endpoint and the client transport's write buffer are held.
+While earlier replies on the client's connection are pending, only ``MAX_BUFFERED_BYTES`` or one
+more read are taken from the endpoint. Bytes that were written can't be taken back: if the endpoint
+breaks off, the client's connection is closed, so that the client notices the incomplete value.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 
 from .metrics import Metrics
 
-# Bytes read from the endpoint before the client's connection takes them.
+# Reading from the endpoint pauses at so many bytes that wait for the client's connection.
 MAX_BUFFERED_BYTES = 64 * 1024
 
-# A value is abandoned after this time without a byte from the endpoint, or taken by the client.
+# A value is abandoned after this time without progress at the endpoint or the client.
 STALL_TIMEOUT_S = 5.0
 
 
@@ -25,10 +25,10 @@
     """The upstream connection from which a streaming reply arrives."""
 
     def set_paused(self, paused: bool) -> None:
-        """Stop reading from the endpoint, or go on."""
+        """Pause or resume reading from the endpoint."""
 
     def abandon(self) -> None:
-        """Close: nobody wants the rest any more."""
+        """Close the connection, because the rest of the value is not needed."""
 
 
 class Sink(Protocol):
@@ -39,11 +39,11 @@
         """The open transport of the connection."""
 
     def streaming_ended(self, is_complete: bool) -> None:
-        """Note that the reply is written completely, or that it broke off."""
+        """Note that the reply was written completely, or that it broke off."""
 
 
 class StreamingReply:
-    """One value of ``length`` bytes; it ends exactly once."""
+    """The streaming of one value of ``length`` bytes; it ends exactly once."""
 
     __slots__ = (
         "buffered",
@@ -61,19 +61,19 @@
     )
 
     def __init__(self, loop: asyncio.AbstractEventLoop, source: Source, length: int) -> None:
-        """Start a reply whose header has arrived, and whose bytes follow from this source."""
+        """Start a reply whose header has arrived, and whose bytes this source will deliver."""
         self.loop = loop
         self.source = source
         self.bytes_left = length
         self.header = b"$%d\r\n" % length
         self.buffered: list[bytes] = []
         self.sink: Sink | None = None
-        # Set once it is the final reply of a request.
+        # Set when this becomes the final reply to a request.
         self.metrics: Metrics | None = None
         self.kind = 0
         self.is_complete = False
         self.is_ended = False
-        # Since the last check.
+        # Whether it progressed since ``_check_progress`` ran last.
         self.has_progressed = False
         self.stall_timer = loop.call_later(STALL_TIMEOUT_S, self._check_progress)
 
@@ -84,7 +84,7 @@
 
     @property
     def is_broken(self) -> bool:
-        """Whether it broke off before its turn, so that a failure may still be answered."""
+        """Whether it broke off; before any of it is written, a failure can still be replied."""
         return self.is_ended and not self.is_complete
 
     def count_in(self, metrics: Metrics, kind: int) -> None:
@@ -93,7 +93,7 @@
         self.kind = kind
 
     def feed(self, data: bytes) -> None:
-        """Take more bytes of the value from the endpoint."""
+        """Forward or buffer more bytes of the value from the endpoint."""
         self.has_progressed = True
         self.bytes_left -= len(data)
         if self.sink:
@@ -123,7 +123,7 @@
             self.source.set_paused(False)
 
     def set_paused(self, paused: bool) -> None:
-        """Apply the client's backpressure to the endpoint: it takes no more for now, or goes on."""
+        """Apply the client's backpressure: pause or resume reading from the endpoint."""
         self.has_progressed = True
         if not self.is_ended and not self.is_complete:
             self.source.set_paused(paused)
@@ -134,7 +134,7 @@
             self._end()
 
     def abandon(self) -> None:
-        """Note that the client has disconnected, or that no request waits for the value."""
+        """End the reply, because the client disconnected or no request waits for the value."""
         if not self.is_ended:
             self.is_ended = True
             self.stall_timer.cancel()
@@ -153,9 +153,9 @@
             self.sink.streaming_ended(self.is_complete)
 
     def _check_progress(self) -> None:
-        """Abandon a value that does not progress, because it holds connections and memory."""
-        waits_for_turn = self.sink is None and self.is_complete
-        if self.has_progressed or waits_for_turn:
+        """Abandon a value that does not progress, because it occupies connections and memory."""
+        is_waiting_to_be_written = self.sink is None and self.is_complete
+        if self.has_progressed or is_waiting_to_be_written:
             self.has_progressed = False
             self.stall_timer = self.loop.call_later(STALL_TIMEOUT_S, self._check_progress)
         elif not self.is_ended:
--- a/tests/async_testing.py
+++ b/tests/async_testing.py
@@ -1,4 +1,4 @@
-"""Running asynchronous tests, and waiting in them."""
+"""Helpers for asynchronous tests: running them, and waiting for conditions."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def asyncio_test(function):
-    """Run a test on the event loop that the program uses, for a minute at most."""
+    """Run a test on the event loop that the program uses, with a timeout of one minute."""
 
     @functools.wraps(function)
     def run(*args, **kwargs):
@@ -19,7 +19,7 @@
 
 
 async def until(condition, within: float = 10.0) -> None:
-    """Wait for a condition; the limit only ends a test that would hang."""
+    """Wait until a condition holds; the timeout only stops a test that would hang."""
     async with asyncio.timeout(within):
         while not condition():
             await asyncio.sleep(0.005)
--- a/tests/client_rig.py
+++ b/tests/client_rig.py
@@ -1,4 +1,4 @@
-"""A client of the gateway on a loopback socket."""
+"""A client of the gateway over a loopback socket."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Caller(asyncio.Protocol):
-    """A client's connection, and the replies on it as parsed values."""
+    """A client connection, with the parsed replies that it has received."""
 
     def __init__(self) -> None:
         self.reader, self.replies, self.closed = hiredis.Reader(), [], False
@@ -45,6 +45,6 @@
             self.ask(b"CALL.POST", b"0000000000000007", number, terms + key, b"BODY")
 
     async def replied(self, count=1) -> list:
-        """Wait for so many replies, and return all."""
+        """Wait for ``count`` replies, and return all that have arrived."""
         await until(lambda: len(self.replies) >= count)
         return self.replies
--- a/tests/fake_endpoint.py
+++ b/tests/fake_endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint on a loopback socket that replies by a script."""
+"""A fake endpoint on a loopback socket, with scripted replies."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class EndpointConnection(asyncio.Protocol):
-    """One connection to a fake endpoint: records commands, replies by its ``script`` (None: not at all)."""
+    """One connection to a fake endpoint: records commands, and replies as its ``script`` says."""
 
     def __init__(self, endpoint: FakeEndpoint) -> None:
         self.endpoint, self.reader = endpoint, hiredis.Reader()
@@ -27,7 +27,7 @@
         self.reader.feed(data)
         while (command := self.reader.gets()) is not False:
             self.endpoint.commands.append(command)
-            self.endpoint.peer = self  # whose command the script is about to answer
+            self.endpoint.peer = self  # the connection of the command that the script replies to
             reply = self.endpoint.script(command)
             if reply == b"reset":
                 self.transport.abort()
@@ -39,7 +39,7 @@
 
 
 class FakeEndpoint:
-    """One listening endpoint; ``script`` maps a command to a reply, ``b"reset"`` or None."""
+    """One listening endpoint; ``script`` maps a command to a reply, ``b"reset"`` or None (no reply)."""
 
     def __init__(self, name: str) -> None:
         self.name, self.commands, self.connections = name, [], []
@@ -47,13 +47,13 @@
         self.script = lambda command: b"*3\r\n$2\r\nok\r\n$-1\r\n$21\r\nlatency_ms=9,util=0.5\r\n"
 
     async def listen(self) -> FakeEndpoint:
-        """Accept connections on a port of its own."""
+        """Accept connections on a free port."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(lambda: EndpointConnection(self), "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
     def line(self, health="SERVING", **changes) -> dict:
-        """Return its line in discovery's list."""
+        """Return the endpoint's entry in discovery's list."""
         line = {"host": self.name, "dial": f"127.0.0.1:{self.port}", "site": "hall-a", "class": "m"}
         return line | {"block": 1, "health": health, "share": 1.0, "born_ms": 0} | changes
--- a/tests/gateway/test_admission_queue.py
+++ b/tests/gateway/test_admission_queue.py
@@ -1,4 +1,4 @@
-"""More requests than the gateway can start: what is queued, what is rejected, and one reply to each in order."""
+"""Overload: requests are queued or rejected, and each gets one reply, in order."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class OverloadedRig(Rig):
-    """A gateway that never starts a request as it is read."""
+    """A gateway that queues every request instead of starting it as it is read."""
 
     def __init__(self, *endpoints: FakeEndpoint) -> None:
-        super().__init__(*endpoints, sockets=900)  # enough for all that may be started at once
+        super().__init__(*endpoints, sockets=900)  # enough for all requests that may be in flight
         self.clients.admission_queue.may_start = lambda: (
             type(self.clients.admission_queue).may_start(self.clients.admission_queue) and False
         )
@@ -90,12 +90,12 @@
 async def test_client_disconnect_removes_its_queued_requests():
     rig = OverloadedRig(await FakeEndpoint("a").listen())
     caller, other = await rig.caller(), await rig.caller()
-    rig.clients.admission_queue.is_turn_open = True  # no turn comes: what is read stays queued
+    rig.clients.admission_queue.is_run_scheduled = True  # the queue never runs: requests stay in it
     caller.transport.write(b"".join(command(b"n%d" % n, customer=n) for n in range(60)))
     await until(lambda: rig.clients.admission_queue.is_overloaded)
     caller.transport.abort()
     await until(lambda: not rig.clients.admission_queue.is_overloaded)
-    rig.clients.admission_queue.is_turn_open = False
+    rig.clients.admission_queue.is_run_scheduled = False
     other.transport.write(command(b"other", customer=99))
     assert await other.replied() == [b"ok"]
     await until(lambda: not rig.clients.open_request_ids and not rig.driver.requests)
@@ -152,7 +152,7 @@
 async def test_drain_ends_only_after_queued_requests_have_replies():
     rig = OverloadedRig(await FakeEndpoint("a").listen())
     caller = await rig.caller()
-    rig.clients.admission_queue.is_turn_open = True  # no turn comes: what is read stays queued
+    rig.clients.admission_queue.is_run_scheduled = True  # the queue never runs: requests stay in it
     caller.transport.write(b"".join(command(b"n%d" % n, customer=n) for n in range(40)))
     await until(lambda: len(rig.clients.admission_queue.shedder) == 40)
     draining = rig.loop.create_task(rig.clients.shutdown.drain(0.0))
@@ -193,7 +193,7 @@
 
 @asyncio_test
 async def test_common_form_and_skim_agree_with_full_parser_or_match_nothing():
-    """Commands are complete, cut at every byte, or have bytes changed."""
+    """The inputs are complete commands, their prefixes, and commands with one byte changed."""
     rig, rng, matched = Rig(await FakeEndpoint("a").listen()), random.Random(5), 0
     form, config = RequestFormat(rig.config), rig.config
     malformed = []
--- a/tests/gateway/test_bootstrap.py
+++ b/tests/gateway/test_bootstrap.py
@@ -1,4 +1,4 @@
-"""The program itself: reload, shutdown and its bounded log."""
+"""The program as a process: reload and shutdown; and the rate limit of its log."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from fake_endpoint import FakeEndpoint, value
 from program_rig import started
 
-from saffrongw.gateway.logging_setup import MAX_LINES_PER_SPAN, RateLimitedLogFilter
+from saffrongw.gateway.logging_setup import MAX_LINES_PER_WINDOW, RateLimitedLogFilter
 
 
 @asyncio_test
 async def test_sighup_reloads_file_without_closing_connections(tmp_path):
-    """Without a handler the signal ends the program; an invalid file must change nothing."""
+    """Without a handler SIGHUP would end the program; an invalid file must change nothing."""
     endpoint = await FakeEndpoint("a").listen()
     endpoint.script = lambda command: None
     process, connect, file = await started(endpoint, tmp_path)
@@ -65,7 +65,7 @@
     await until(lambda: endpoint.commands)
     fresh = (
         await connect()
-    )  # connected and about to send: if closed now, its request would be reset
+    )  # idle so far, but about to send: closing it at SIGTERM would reset its request
     process.send_signal(signal.SIGTERM)
     await until(lambda: idle.closed)
     fresh.call(wait=10_000, number=b"fresh")
@@ -82,10 +82,10 @@
 def test_log_is_rate_limited_and_counts_omitted_lines():
     bounded = RateLimitedLogFilter()
     lines = [
-        logging.makeLogRecord({"msg": "odd", "created": 100.0 + index / 1000})
+        logging.makeLogRecord({"msg": "text", "created": 100.0 + index / 1000})
         for index in range(200)
     ]
-    assert sum(bounded.filter(line) for line in lines) == MAX_LINES_PER_SPAN
-    later = logging.makeLogRecord({"msg": "odd", "created": 200.0})
+    assert sum(bounded.filter(line) for line in lines) == MAX_LINES_PER_WINDOW
+    later = logging.makeLogRecord({"msg": "text", "created": 200.0})
     assert bounded.filter(later)
-    assert later.msg == f"({200 - MAX_LINES_PER_SPAN} lines left out before) odd"
+    assert later.msg == f"({200 - MAX_LINES_PER_WINDOW} lines left out before) text"
--- a/tests/gateway/test_component_reload.py
+++ b/tests/gateway/test_component_reload.py
@@ -1,4 +1,4 @@
-"""A reload of the operator file is one transaction over all components."""
+"""A reload of the operator file changes all components or none."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class FakeComponent:
-    """Notes what a reload does with it."""
+    """Records the steps of a reload that it takes part in."""
 
     def __init__(self, error: Exception | None = None) -> None:
         self.error = error
@@ -33,14 +33,14 @@
 
 
 def reloader(tmp_path, **fakes: FakeComponent) -> OperatorFileReloader:
-    """A reloader of a file with two tables, with these components running."""
+    """Return the reloader of an operator file with two tables, for these running components."""
     path = tmp_path / "o.toml"
     path.write_text(TEXT)
     running = {name: Component(fake, prepare=fake.prepare) for name, fake in fakes.items()}
     return OperatorFileReloader(str(path), load(path), BuildContext(None, running))
 
 
-def test_all_components_commit_where_all_can_prepare(tmp_path, caplog):
+def test_all_components_commit_if_all_can_prepare(tmp_path, caplog):
     authz, channel = FakeComponent(), FakeComponent()
     reloading = reloader(tmp_path, authz=authz, channel=channel)
     (tmp_path / "o.toml").write_text(TEXT.replace('"h:1"', '"h:9"'))
@@ -50,7 +50,7 @@
     assert caplog.text == ""
 
 
-def test_all_components_abort_where_one_can_not_prepare(tmp_path, caplog):
+def test_all_components_abort_if_one_cannot_prepare(tmp_path, caplog):
     authz, channel = FakeComponent(), FakeComponent(ComponentError("channel.keys: k: unreadable"))
     reloading = reloader(tmp_path, authz=authz, channel=channel)
     (tmp_path / "o.toml").write_text(TEXT.replace('"h:1"', '"h:9"'))
@@ -71,7 +71,7 @@
     assert "operator_file: reload failed" in caplog.text
 
 
-def test_what_can_not_change_in_service_is_logged(tmp_path, caplog):
+def test_change_that_needs_a_restart_is_logged(tmp_path, caplog):
     reloading = reloader(tmp_path, authz=FakeComponent(), channel=FakeComponent())
     (tmp_path / "o.toml").write_text(TEXT + "[stages]\ntime_share = 0.5\n")
     reloading.reload()
--- a/tests/gateway/test_config.py
+++ b/tests/gateway/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration and endpoint lists: what is parsed, and the errors, which name the key."""
+"""Parsing of the configuration and of endpoint lists; errors name the key."""
 
 from __future__ import annotations
 
@@ -6,7 +6,8 @@
 from typing import Any
 
 import pytest
-from conftest import SITE, FakeHost
+from fake_endpoint import FakeEndpoint
+from loopback_rig import SITE
 
 from saffrongw.gateway.config import (
     ConfigError,
@@ -22,9 +23,9 @@
 
 def entry(name: str, **changes: Any) -> dict[str, Any]:
     """Return an entry of an endpoint list, as discovery sends it."""
-    host = FakeHost(name)
-    host.port = 7
-    return host.line(**changes)
+    endpoint = FakeEndpoint(name)
+    endpoint.port = 7
+    return endpoint.line(**changes)
 
 
 def configuration() -> dict[str, Any]:
@@ -39,7 +40,7 @@
 
 
 def changed(path: str, value: Any) -> str:
-    """Return a good configuration with one value replaced; None removes the key."""
+    """Return a valid configuration with one value replaced; None removes the key."""
     raw = json.loads(json.dumps(configuration()))
     *parents, key = path.split(".")
     table = raw
@@ -52,7 +53,7 @@
     return json.dumps(raw)
 
 
-def test_a_malformed_entry_is_left_out_and_counted_and_the_others_stand():
+def test_malformed_entries_are_skipped_and_counted_and_the_others_are_used():
     malformed = [7, None, {}, entry("x", health="ASLEEP"), entry("x", block="b")]
     malformed += [entry("x", dial="nowhere"), entry("x", born_ms=-1)]
     malformed += [entry("x", born_ms=float("inf")), entry("x", born_ms=10**30)]
@@ -104,7 +105,7 @@
         ("settings.permissions", None, "settings.permissions", None, "KeyError('permissions')"),
     ],
 )
-def test_a_wrong_value_is_an_error_that_names_its_key_and_prints_as_its_cause(
+def test_an_invalid_value_is_an_error_that_names_its_key_and_prints_as_its_cause(
     path, value, key, reason, printed
 ):
     with pytest.raises(ConfigError) as caught:
@@ -117,16 +118,16 @@
         assert repr(caught.value) == printed
 
 
-def test_text_that_is_no_json_is_an_error():
+def test_invalid_json_is_an_error():
     with pytest.raises(ConfigError, match="Expecting value") as caught:
         parse_config("nothing")
     assert repr(caught.value).startswith("JSONDecodeError(")
 
 
-def test_wrong_settings_of_the_policy_are_left_to_its_own_error():
+def test_invalid_policy_settings_raise_the_policys_own_error():
     with pytest.raises(SettingsError, match="rules"):
         parse_config(changed("settings.rules", None))
 
 
-def test_without_a_known_list_none_is_known():
+def test_without_a_known_list_the_endpoint_list_is_empty():
     assert parse_config(changed("known", {})).known == EndpointList(0, True, ())
--- a/tests/gateway/test_config_file.py
+++ b/tests/gateway/test_config_file.py
@@ -1,4 +1,4 @@
-"""The configuration's file: what start-up prints of a malformed one, and what a reload changes."""
+"""The configuration file: errors that start-up prints, and the changes that a reload applies."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from conftest import SITE
+from loopback_rig import SITE
 
 from saffrongw.gateway import bootstrap
 from saffrongw.gateway.config_file import (
@@ -21,7 +21,7 @@
 
 
 class FakeDiscovery:
-    """Keeps the address to which it was moved."""
+    """Records the address to which it was moved."""
 
     def __init__(self) -> None:
         self.address = ("h", 2)
@@ -43,7 +43,9 @@
         ({"settings": SITE | {"rules": {}}}, "WireError(\"settings lack the key 'askWithin'\")"),
     ],
 )
-def test_start_up_prints_the_error_of_a_malformed_file_as_ever(tmp_path, capsys, changes, printed):
+def test_start_up_prints_errors_of_a_malformed_file_in_the_stable_form(
+    tmp_path, capsys, changes, printed
+):
     assert bootstrap.run(str(write(tmp_path / "c.json", **changes))) == 1
     assert capsys.readouterr().err == f"saffrongw: no usable configuration: {printed}\n"
 
@@ -54,9 +56,7 @@
         read_config(path)
 
 
-def test_the_environment_names_the_admin_address_only_where_the_file_has_none(
-    tmp_path, monkeypatch
-):
+def test_the_environment_sets_the_admin_address_only_if_the_file_has_none(tmp_path, monkeypatch):
     monkeypatch.setenv("LB_ADMIN", "h:3")
     assert read_effective_config(write(tmp_path / "a.json")).admin == ("h", 3)
     assert read_effective_config(write(tmp_path / "b.json", admin="h:4")).admin == ("h", 4)
--- a/tests/gateway/test_driver.py
+++ b/tests/gateway/test_driver.py
@@ -1,4 +1,4 @@
-"""The driver over loopback sockets: retries, deadlines and faults of the policy."""
+"""The driver over loopback sockets: retries, deadlines and exceptions in the policy."""
 
 from __future__ import annotations
 
@@ -74,8 +74,8 @@
 
 
 @asyncio_test
-async def test_attempt_of_disconnected_client_ends_at_request_deadline_where_cancel_is_forbidden():
-    """A silent endpoint must not hold the connection for good."""
+async def test_attempt_of_disconnected_client_ends_at_request_deadline_if_cancel_is_forbidden():
+    """Otherwise an endpoint that never replies would occupy the upstream connection for ever."""
     endpoint = await FakeEndpoint("a").listen()
     endpoint.script = lambda command: None
     rig = Rig(endpoint, permissions=SITE["permissions"] | {"cancel": False})
@@ -131,10 +131,10 @@
     rig = Rig(await FakeEndpoint("a").listen())
     gossip_times = []
 
-    def turn():
+    def failing_gossip_turn():
         gossip_times.append(rig.loop.time())
         rig.driver.gateway.context.actions.append(SetTimer(1_000, 0))
         raise RuntimeError("made up")
 
-    rig.driver.gateway.quota_broadcast.gossip_turn = turn
+    rig.driver.gateway.quota_broadcast.gossip_turn = failing_gossip_turn
     await until(lambda: len(gossip_times) >= 3)
--- a/tests/gateway/test_gossip_transport.py
+++ b/tests/gateway/test_gossip_transport.py
@@ -6,15 +6,17 @@
 import socket
 
 import pytest
-from conftest import FakeHost, Rig, asyncio_test, until
+from async_testing import asyncio_test, until
+from fake_endpoint import FakeEndpoint
+from loopback_rig import Rig
 
 from saffrongw.gateway.gossip_transport import GossipTransport
 from saffrongw.policy import gossip_codec
 
 
 @asyncio_test
-async def test_datagrams_count_by_their_source_and_malformed_ones_are_dropped():
-    rig = Rig(await FakeHost("a").listen())
+async def test_datagrams_are_attributed_by_source_and_malformed_ones_are_dropped():
+    rig = Rig(await FakeEndpoint("a").listen())
     peer, stranger = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(2))
     for sock in (peer, stranger):
         sock.bind(("127.0.0.1", 0))
@@ -39,7 +41,7 @@
     reply = await loop.sock_recv(peer, 512)
     assert len(reply) <= gossip_codec.MAX_MESSAGE_BYTES
     stranger.setblocking(False)
-    # A stranger is not answered.
+    # An unknown source gets no reply.
     with pytest.raises(BlockingIOError):
         stranger.recv(512)
     transport.close()
--- a/tests/gateway/test_process_interleavings.py
+++ b/tests/gateway/test_process_interleavings.py
@@ -1,4 +1,4 @@
-"""Bad orders of events at the program's start and end, each forced over real connections."""
+"""Unfavourable interleavings of events at the program's start and end, over real connections."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @asyncio_test
 async def test_process_ends_in_time_with_busy_client_and_hanging_endpoint(tmp_path):
-    """SIGKILL comes 3.7 s after SIGTERM: by then all is answered, and the process has exited."""
+    """SIGKILL comes 3.7 s after SIGTERM; by then all requests have replies and the process exited."""
     endpoint = await FakeEndpoint("a").listen()
     endpoint.script = lambda command: None
     process, connect, _ = await started(endpoint, tmp_path)
@@ -26,7 +26,7 @@
     caller.call("bill", wait=60_000, number=b"held")
     await until(lambda: endpoint.commands)
     process.send_signal(signal.SIGTERM)
-    process.send_signal(signal.SIGHUP)  # it reloads meanwhile
+    process.send_signal(signal.SIGHUP)  # reloads while draining
     process.send_signal(signal.SIGTERM)
     sent = 0
     while not caller.closed and sent < 2_000:
@@ -41,8 +41,8 @@
     assert replies[-1] == "BUSY"  # late requests were rejected at once
 
 
-def being_read(pipe) -> bool:
-    """Whether a process has the pipe open for reading."""
+def has_reader(pipe) -> bool:
+    """Return whether a process has the pipe open for reading."""
     try:
         os.close(os.open(pipe, os.O_WRONLY | os.O_NONBLOCK))
     except OSError:
@@ -51,8 +51,8 @@
 
 
 @asyncio_test
-async def test_sighup_between_reading_file_and_starting_discovery_is_carried_out(tmp_path):
-    """The file is a pipe: the program has read it and has no signal handlers yet."""
+async def test_sighup_between_reading_file_and_starting_discovery_is_handled(tmp_path):
+    """The file is a pipe, so the test knows when the program has read it; no handler is set by then."""
     endpoint = await FakeEndpoint("a").listen()
     file, port = configured(tmp_path)
     text = json.loads(file.read_text())
@@ -66,7 +66,7 @@
 
     loop = asyncio.get_running_loop()
     server = await loop.create_server(Agent, "127.0.0.1", 0)
-    # So many that the program is still processing them when the signal arrives.
+    # So many endpoints that the program is still processing them when the signal arrives.
     known = {"seq": 1, "whole": True, "hosts": [endpoint.line(host=f"s{n}") for n in range(20_000)]}
     process = await asyncio.create_subprocess_exec(
         *(sys.executable, "-m", "saffrongw"),
@@ -74,16 +74,18 @@
         preexec_fn=die_with_parent,
     )
     await asyncio.to_thread(file.write_text, json.dumps(text | {"known": known}))
-    await until(lambda: not being_read(file))
+    await until(lambda: not has_reader(file))
     process.send_signal(signal.SIGHUP)
-    there = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
+    new_address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
     rewrite = asyncio.create_task(
-        asyncio.to_thread(file.write_text, json.dumps(text | {"known": known, "discovery": there}))
+        asyncio.to_thread(
+            file.write_text, json.dumps(text | {"known": known, "discovery": new_address})
+        )
     )
     try:
         await until(lambda: polls)
     finally:
-        if not rewrite.done():  # the program does not read it a second time
+        if not rewrite.done():  # the program did not read the file again: unblock the writer
             os.close(os.open(file, os.O_RDONLY | os.O_NONBLOCK))
         process.terminate()
         await process.wait()
--- a/tests/gateway/test_request_filters.py
+++ b/tests/gateway/test_request_filters.py
@@ -1,4 +1,4 @@
-"""Filters and observers over sockets: one final reply, and no quota spent before an attempt."""
+"""Filters and observers over sockets: one final reply, and no quota spent without an attempt."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class ScriptedFilter:
-    """A filter that does what its script says, and records its calls."""
+    """A filter whose verdicts come from a script, and which records its calls."""
 
     name, fallback = "scripted", Abort()
 
@@ -119,7 +119,7 @@
     caller = await rig.caller()
     caller.call(wait=1500)
     await asyncio.sleep(0.05)
-    assert len(rig.driver.requests) == 1  # counted and listed before its first filter ended
+    assert len(rig.driver.requests) == 1  # registered before its first filter ended
     assert rig.driver.gateway.lifecycle.requests == {}
     assert await caller.replied() == [b"ok"]
     terms = dict(pair.split(b"=") for pair in endpoint.commands[0][3].split(b","))
@@ -172,7 +172,7 @@
     caller.call(wait=400)
     assert (
         error((await caller.replied())[0]) == "ERR failed"
-    )  # by the deadline timer of the request itself
+    )  # sent by the request's own deadline timer
     assert rig.driver.requests == {} == rig.driver.filter_chain.runs
     closing.append(True)
 
@@ -318,8 +318,8 @@
     check()
 
 
-def test_plain_driver_knows_nothing_of_extensions():
-    """Without extensions there is no cost: no attribute, loop or call in the driver's own source."""
+def test_plain_driver_does_not_refer_to_extensions():
+    """A gateway without extensions has no overhead: no attribute, loop or call in the plain driver."""
     import inspect
 
     from saffrongw.gateway import driver
--- a/tests/gateway/test_streaming_reply.py
+++ b/tests/gateway/test_streaming_reply.py
@@ -1,4 +1,4 @@
-"""Streaming replies: complete and in order at the client's pace, and cut so that the client can tell."""
+"""Streaming replies: complete and in order, with backpressure; the client notices an incomplete one."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 async def client_of(
     script, *numbers: bytes, endpoint_count=1
 ) -> tuple[Rig, list[FakeEndpoint], Caller]:
-    """A client that has sent these requests to a gateway whose endpoints reply by ``script``."""
+    """Return a client that has sent these requests to a gateway whose endpoints use ``script``."""
     endpoints = [await FakeEndpoint(name).listen() for name in "abc"[:endpoint_count]]
     for endpoint in endpoints:
         endpoint.script = script
@@ -85,16 +85,16 @@
 
 @asyncio_test
 async def test_slow_client_pauses_its_endpoint_and_no_other():
-    """No more of the value is buffered than a few reads, however long the client pauses."""
+    """Only a few reads of the value are buffered, however long the client pauses."""
     long = bytes(MAX_STREAMED_VALUE_BYTES)
     script = {b"slow": value(long), b"other": value(b"ok")}
-    rig, (_host,), other = await client_of(lambda command: script[command[2]])
+    rig, (_endpoint,), other = await client_of(lambda command: script[command[2]])
     port = rig.clients.acceptor.listener.getsockname()[1]
     slow = socket.socket()
     slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     slow.connect(("127.0.0.1", port))
     await until(lambda: len(rig.clients.connections) == 2)
-    for client in rig.clients.connections:  # else the kernel alone could buffer all of it
+    for client in rig.clients.connections:  # otherwise the kernel could buffer the whole value
         client.transport.get_extra_info("socket").setsockopt(
             socket.SOL_SOCKET, socket.SO_SNDBUF, 4096
         )
@@ -138,7 +138,7 @@
 
 @asyncio_test
 async def test_streamed_value_with_wrong_length_is_cut_before_its_end():
-    rig, (_host,), caller = await client_of(
+    rig, (_endpoint,), caller = await client_of(
         lambda command: value(LONG).replace(b"\r\n$-1", b"xx$-1"), b"1"
     )
     await until(lambda: caller.closed)
@@ -165,7 +165,7 @@
 
 @asyncio_test
 async def test_streamed_value_over_limit_is_malformed():
-    _rig, (_host,), caller = await client_of(
+    _rig, (_endpoint,), caller = await client_of(
         lambda command: b"*3\r\n$%d\r\nx" % (MAX_STREAMED_VALUE_BYTES + 1), b"1"
     )
     assert error((await caller.replied())[0])
--- a/tests/loopback_rig.py
+++ b/tests/loopback_rig.py
@@ -1,4 +1,4 @@
-"""The gateway on loopback sockets: its parts within the test's process."""
+"""The gateway on loopback sockets, within the test's process."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 SECOND_US = 1_000_000
 
-# The settings of the site; all figures are made up.
+# Settings of the gateway; the values have no meaning beyond the tests.
 SITE = {
     "balancers": 2,
     "rank": 0,
@@ -75,7 +75,7 @@
 
 
 class Rig:
-    """One gateway, its parts wired as in the program, with these endpoints in its list."""
+    """A gateway whose parts are connected as in the program, with these endpoints in its list."""
 
     def __init__(
         self, *hosts: FakeEndpoint, lines=None, sockets=64, driver=Driver, **changes
@@ -87,7 +87,7 @@
         text |= {"limits": {"sockets": sockets}, "known": known, "settings": site}
         self.config = config.parse_config(json.dumps(text))
         self.driver = driver(self.config.settings, self.config.seed, self.loop)
-        # With one endpoint or two the policy would reject most of what these tests have in flight.
+        # With only one or two endpoints the policy would reject most of the tests' requests.
         self.driver.gateway.admission.max_expected_latency_us = lambda request: float("inf")
         self.cluster = UpstreamCluster(
             self.driver,
@@ -100,13 +100,13 @@
         self.driver.start(self.config.known)
         self.clients = ClientConnections(self.driver, self.config, sockets)
         self.is_listening = False
-        # On a machine that is busy beside the tests no request must be queued so long that it is shed.
+        # On a busy machine, requests must not be shed because they were queued too long.
         self.clients.admission_queue.shedder.max_wait_us = [3_600 * SECOND_US] * len(
             self.config.settings.classes
         )
 
     async def listen(self) -> None:
-        """Accept clients, if it does not yet."""
+        """Accept clients, unless it does already."""
         if not self.is_listening:
             self.is_listening = True
             await self.clients.listen()
@@ -119,7 +119,7 @@
         return caller
 
     def update_endpoints(self, *lines: dict, whole=False) -> None:
-        """Give it an endpoint list from discovery: these lines, or all of it."""
+        """Deliver an endpoint list as from discovery: a delta, or with ``whole`` a complete list."""
         raw = {"seq": 2, "whole": whole, "hosts": list(lines)}
         self.driver.endpoint_list_received(config.parse_endpoint_list(raw, self.config.zones))
 
--- a/tests/program_rig.py
+++ b/tests/program_rig.py
@@ -1,4 +1,4 @@
-"""The gateway as the program itself: a process of its own, configured by a file."""
+"""The gateway program as a separate process, configured by a file."""
 
 from __future__ import annotations
 
@@ -16,9 +16,10 @@
 
 
 def configured(folder: Path, **changes) -> tuple[Path, int]:
-    """Write a configuration file for the program itself; return it and the port on which it will listen.
+    """Write a configuration file for the program; return its path and the port to listen on.
 
-    It is none of those that port 0 gives: another test's endpoint could take that before the program binds it.
+    The port is outside the range from which port 0 is assigned: another test's endpoint could be
+    assigned the same port before the program binds it.
     """
     port = free_port()
     text = {"name": "n0", "listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:1", "seed": "01"}
@@ -29,7 +30,7 @@
 
 
 async def started(host: FakeEndpoint, folder, **changes):
-    """Start the program itself; return its process, a way to connect to it, and its configuration file."""
+    """Start the program; return its process, a function to connect to it, and its configuration file."""
     known = {"seq": 1, "whole": True, "hosts": [host.line(host=name) for name in "abcdef"]}
     file, port = configured(folder, **({"known": known} | changes))
     process = await asyncio.create_subprocess_exec(
@@ -37,7 +38,7 @@
         "-m",
         "saffrongw",
         env=os.environ | {"LB_CONFIG": str(file)},
-        preexec_fn=die_with_parent,  # a test that fails before it ends the program leaves none behind
+        preexec_fn=die_with_parent,  # ends the program even if the test fails before it does so
     )
     loop = asyncio.get_running_loop()
 
