--- a/tests/gateway/test_admin_http.py
+++ b/tests/gateway/test_admin_http.py
@@ -139,10 +139,10 @@
     # It is about to be restarted.
     await until(lambda: not hosts[0].connections)
     hosts[0].commands.clear()
-    rig.told(hosts[0].line(health="DELETED"))
+    rig.update_endpoints(hosts[0].line(health="DELETED"))
     # It is gone, and still excluded.
     assert (await admin("POST", "cordon", used))[0] == 200
-    rig.told(hosts[0].line())
+    rig.update_endpoints(hosts[0].line())
     await send(20, 20)
     assert not hosts[0].commands
     assert (await admin.metrics())["hosts_down"] == 1
--- a/tests/loopback_rig.py
+++ b/tests/loopback_rig.py
@@ -122,6 +122,3 @@
         """Deliver an endpoint list as from discovery: a delta, or with ``whole`` a complete list."""
         raw = {"seq": 2, "whole": whole, "hosts": list(lines)}
         self.driver.endpoint_list_received(config.parse_endpoint_list(raw, self.config.zones))
-
-    # The earlier name, for tests of other packages.
-    told = update_endpoints
