--- a/saffrongw/certs/ordering_lease.py
+++ b/saffrongw/certs/ordering_lease.py
@@ -103,14 +103,14 @@
             return Acquisition(0, decision.until)
 
     def _acquire_under_fleet_lease(self, holder: str, guard: LeaderGuard) -> Acquisition:
-        term = guard.number()
+        term = guard.fencing_token()
         retry_at = self.now() + FLEET_POLL_S
         if not term:
             return Acquisition(0, retry_at)
         with self.folder.locked():
             now, found = self.now(), self.current()
             if found is not None and found.term > term:
-                guard.above(found.term)
+                guard.raise_above(found.term)
                 return Acquisition(0, retry_at)
             if found is not None and not found.holder.startswith(FLEET_PREFIX):
                 ends_at = clamp_to_clock(now, found, self.terms).until + self.terms.skew
@@ -152,7 +152,7 @@
             FLEET_PREFIX + term.holder,
             term.term,
         )
-        return is_ours and self.leader_guard.valid(term.term)
+        return is_ours and self.leader_guard.is_valid(term.term)
 
     def _write(self, lease: LeaseRecord) -> None:
         self.folder.write(self.path, json.dumps(asdict(lease)).encode())
--- a/saffrongw/gateway/extensions.py
+++ b/saffrongw/gateway/extensions.py
@@ -144,16 +144,16 @@
     Its methods may be called from any thread.
     """
 
-    def number(self) -> int:
+    def fencing_token(self) -> int:
         """Return the fencing token under which this gateway leads; 0 if it does not lead."""
 
-    def valid(self, number: int) -> bool:
+    def is_valid(self, number: int) -> bool:
         """Whether this gateway still leads under this fencing token.
 
         To be checked just before each write or other side effect.
         """
 
-    def above(self, number: int) -> None:
+    def raise_above(self, number: int) -> None:
         """Raise this gateway's fencing token above one that a receiver has seen."""
 
 
--- a/saffrongw/leases/leader_guard.py
+++ b/saffrongw/leases/leader_guard.py
@@ -31,16 +31,16 @@
         self.holder = holder
         self.lease = lease
 
-    def number(self) -> int:
+    def fencing_token(self) -> int:
         """Return the fencing token under which this gateway is the leader; 0: it is not."""
         token = self.holder.token(self.lease)
         return token.number if token and token.valid() else 0
 
-    def valid(self, number: int) -> bool:
+    def is_valid(self, number: int) -> bool:
         """Return whether this gateway is still the leader under this fencing token."""
-        return number > 0 and self.number() == number
+        return number > 0 and self.fencing_token() == number
 
-    def above(self, number: int) -> None:
+    def raise_above(self, number: int) -> None:
         """Give the lease back and get it under a token above one that a receiver has seen."""
         if self.holder.loop:
             self.holder.loop.call_soon_threadsafe(self.holder.fenced_off, self.lease, number)
--- a/tests/leases/test_leader_guard.py
+++ b/tests/leases/test_leader_guard.py
@@ -23,13 +23,13 @@
     def __init__(self) -> None:
         self.now, self.required_above = 0, 0
 
-    def number(self) -> int:
+    def fencing_token(self) -> int:
         return self.now
 
-    def valid(self, number: int) -> bool:
+    def is_valid(self, number: int) -> bool:
         return number > 0 and number == self.now
 
-    def above(self, number: int) -> None:
+    def raise_above(self, number: int) -> None:
         self.required_above = number
 
 
