--- a/tests/gateway/test_admin_http.py
+++ b/tests/gateway/test_admin_http.py
@@ -6,7 +6,10 @@
 import contextlib
 
 import h11
-from conftest import FakeHost, Rig, asyncio_test, error, until, value
+from async_testing import asyncio_test, until
+from client_rig import error
+from fake_endpoint import FakeEndpoint, value
+from loopback_rig import Rig
 
 from saffrongw.gateway.admin_http import server as admin_server
 from saffrongw.gateway.admin_http.handlers import AdminHandlers
@@ -56,7 +59,7 @@
 
 @asyncio_test
 async def test_health_answers_200_only_while_the_process_can_serve():
-    admin = AdminRig(Rig(await FakeHost("a").listen()))
+    admin = AdminRig(Rig(await FakeEndpoint("a").listen()))
     admin.handlers.is_serving = False
     assert (await admin("GET", "health"))[0] == 503
     admin.handlers.is_serving = True
@@ -65,7 +68,7 @@
 
 @asyncio_test
 async def test_malformed_calls_are_answered_with_a_4xx_status():
-    admin = AdminRig(Rig(await FakeHost("a").listen()))
+    admin = AdminRig(Rig(await FakeEndpoint("a").listen()))
     assert (await admin("GET", "cordon", b"a"))[0] == 405
     assert (await admin("POST", "health"))[0] == 405
     assert (await admin("GET", "nothing"))[0] == 404
@@ -81,7 +84,7 @@
 
 @asyncio_test
 async def test_callers_with_an_incomplete_call_or_none_do_not_block_others(monkeypatch):
-    admin = AdminRig(Rig(await FakeHost("a").listen()))
+    admin = AdminRig(Rig(await FakeEndpoint("a").listen()))
     silent = [await asyncio.open_connection(*admin.address[:2]) for _ in range(MAX_CONNECTIONS + 8)]
     for number, (_, writer) in enumerate(silent):
         if number % 2:
@@ -99,7 +102,7 @@
 @asyncio_test
 async def test_a_call_in_single_bytes_and_one_with_expect_100_continue_are_answered(monkeypatch):
     monkeypatch.setattr(admin_server, "CALL_TIMEOUT_S", 30.0)
-    admin = AdminRig(Rig(await FakeHost("a").listen()))
+    admin = AdminRig(Rig(await FakeEndpoint("a").listen()))
     reader, writer = await asyncio.open_connection(*admin.address[:2])
     for byte in b"POST /admin/cordon HTTP/1.1\r\nhost: x\r\ncontent-length: 2\r\n\r\na\n":
         writer.write(bytes((byte,)))
@@ -118,8 +121,8 @@
 
 @asyncio_test
 async def test_an_excluded_endpoint_gets_no_request_until_it_is_readmitted():
-    hosts = [await FakeHost(name).listen() for name in "ab"]
-    rig = Rig(*hosts)
+    endpoints = [await FakeEndpoint(name).listen() for name in "ab"]
+    rig = Rig(*endpoints)
     admin, caller = AdminRig(rig), await rig.caller()
 
     async def send(first: int, count: int) -> None:
@@ -128,42 +131,42 @@
             await caller.replied(number + 1)
 
     await send(0, 20)
-    # Idle endpoints are all the same to the load balancer: the one that was used is excluded.
-    if not hosts[0].commands:
-        hosts.reverse()
-    used = hosts[0].name.encode()
+    # The load balancer uses either of two idle endpoints: the one that was used is excluded.
+    if not endpoints[0].commands:
+        endpoints.reverse()
+    used = endpoints[0].name.encode()
     assert (await admin("POST", "cordon", b"nobody"))[0] == 404
     assert (await admin("POST", "uncordon", b"nobody"))[0] == 404
     assert (await admin("POST", "cordon", used))[0] == 200
     assert (await admin("POST", "cordon", used))[0] == 200
-    # It is about to be restarted.
-    await until(lambda: not hosts[0].connections)
-    hosts[0].commands.clear()
-    rig.told(hosts[0].line(health="DELETED"))
-    # It is gone, and still excluded.
+    # Exclusion closes its idle connections.
+    await until(lambda: not endpoints[0].connections)
+    endpoints[0].commands.clear()
+    rig.update_endpoints(endpoints[0].line(health="DELETED"))
+    # It is not listed any more, and still excluded.
     assert (await admin("POST", "cordon", used))[0] == 200
-    rig.told(hosts[0].line())
+    rig.update_endpoints(endpoints[0].line())
     await send(20, 20)
-    assert not hosts[0].commands
+    assert not endpoints[0].commands
     assert (await admin.metrics())["hosts_down"] == 1
     assert (await admin("POST", "uncordon", used))[0] == 200
     await send(40, 1)
-    # It gets the first request after it was readmitted.
-    assert len(hosts[0].commands) == 1
+    # Once readmitted, it gets the next request.
+    assert len(endpoints[0].commands) == 1
     assert (await admin.metrics())["hosts_down"] == 0
 
 
 @asyncio_test
 async def test_draining_fails_ping_serves_new_requests_and_closes_idle_connections():
-    host = await FakeHost("a").listen()
-    host.script = lambda command: None
-    rig = Rig(host)
+    endpoint = await FakeEndpoint("a").listen()
+    endpoint.script = lambda command: None
+    rig = Rig(endpoint)
     admin = AdminRig(rig)
     idle, busy = await rig.caller(), await rig.caller()
     idle.ask(b"PING")
     assert await idle.replied() == [b"PONG"]
     busy.call()
-    await until(lambda: len(host.commands) == 1)
+    await until(lambda: len(endpoint.commands) == 1)
     assert (await admin("POST", "quiesce"))[0] == 200
     await until(lambda: idle.closed)
     late = await rig.caller()
@@ -172,8 +175,8 @@
     await until(lambda: late.closed)
     late = await rig.caller()
     late.call(number=b"late")
-    await until(lambda: len(host.commands) == 2)
-    for connection in host.connections:
+    await until(lambda: len(endpoint.commands) == 2)
+    for connection in endpoint.connections:
         connection.transport.write(value(b"x"))
     assert await late.replied() == await busy.replied() == [b"x"]
     await until(lambda: late.closed and busy.closed)
@@ -187,20 +190,20 @@
 
 @asyncio_test
 async def test_stats_count_answers_by_class_attempts_and_requests_in_flight():
-    host = await FakeHost("a").listen()
+    endpoint = await FakeEndpoint("a").listen()
     replies = [value(b"1"), value(b"2"), b"-ERR failed\r\n", b"-ERR failed\r\n"]
-    host.script = lambda command: None if command[2] == b"open" else replies.pop(0)
-    rig = Rig(host)
+    endpoint.script = lambda command: None if command[2] == b"open" else replies.pop(0)
+    rig = Rig(endpoint)
     admin, caller = AdminRig(rig), await rig.caller()
     before = await admin.metrics()
-    assert set(before.values()) == {0, 1}  # one host is listed
+    assert set(before.values()) == {0, 1}  # one endpoint is listed
     caller.call("read", number=b"1")
     caller.call("put", number=b"2")
     await caller.replied(2)
     caller.call("bill", number=b"3")
     await caller.replied(3)
     caller.call("read", number=b"open")
-    await until(lambda: len(host.commands) == 4)
+    await until(lambda: len(endpoint.commands) == 4)
     now = await admin.metrics()
     assert [now[f"success.{name}"] for name in ("read", "put", "bill")] == [1, 1, 0]
     assert [now[f"failure.{name}"] for name in ("read", "put", "bill")] == [0, 0, 1]
--- a/tests/gateway/test_discovery_client.py
+++ b/tests/gateway/test_discovery_client.py
@@ -11,7 +11,8 @@
 from typing import Any
 
 import pytest
-from conftest import FakeHost, asyncio_test, until
+from async_testing import asyncio_test, until
+from fake_endpoint import FakeEndpoint
 
 from saffrongw.gateway.config import Address, EndpointList
 from saffrongw.gateway.discovery.client import (
@@ -29,9 +30,9 @@
 
 def entry(name: str, **changes: Any) -> dict[str, Any]:
     """Return an entry of an endpoint list, as discovery sends it."""
-    host = FakeHost(name)
-    host.port = 7
-    return host.line(**changes)
+    endpoint = FakeEndpoint(name)
+    endpoint.port = 7
+    return endpoint.line(**changes)
 
 
 COMPLETE = {"seq": 5, "whole": True, "hosts": [entry("a")]}
@@ -39,7 +40,7 @@
 
 
 class ScriptedAgent(asyncio.Protocol):
-    """A discovery agent that records targets and sends the next of ``answers`` (None: nothing)."""
+    """A discovery agent that records targets and sends the next of ``answers`` (None: none)."""
 
     def __init__(self, answers: list[Any]) -> None:
         self.answers = answers
@@ -166,18 +167,18 @@
 
 @asyncio_test
 async def test_a_watch_that_was_rejected_twice_receives_a_drain_before_it_binds():
-    """The service answers the list, then has no capacity for the watch, and an endpoint drains."""
+    """The service sends the list and then rejects the watch, while an endpoint begins to drain."""
     agent, received = await scripted([COMPLETE, 503, 503, DRAINING], notification_deadline_s=10.0)
-    began = time.monotonic()
+    started_at_s = time.monotonic()
     await until(lambda: len(received) == 2, within=60)
     assert received[1].version == 6
     assert agent.connections == 3
-    assert time.monotonic() - began <= NOTIFICATION_DEADLINE_S + 1.0
+    assert time.monotonic() - started_at_s <= NOTIFICATION_DEADLINE_S + 1.0
 
 
 @asyncio_test
 async def test_a_moved_client_polls_the_new_agent_and_ignores_the_old_one():
-    """Without move() the client would stay with an agent that is about to close."""
+    """Without ``move`` the client would stay with an agent that is about to shut down."""
     received: list[EndpointList] = []
     agents = [ScriptedAgent([{"seq": 5, "whole": True, "hosts": [entry(name)]}]) for name in "ab"]
     addresses = [await listen(lambda agent=agent: agent) for agent in agents]
@@ -226,7 +227,7 @@
 
 
 @asyncio_test
-async def test_a_registry_that_counts_anew_is_fully_fetched():
+async def test_a_registry_that_restarts_its_versions_is_fully_fetched():
     restarted = {"seq": 1, "whole": False, "hosts": []}
     agent, _ = await scripted([COMPLETE, 503, restarted, COMPLETE], notification_deadline_s=0.02)
     await until(lambda: len(agent.targets) == 5)
@@ -234,8 +235,8 @@
 
 
 @asyncio_test
-async def test_a_silent_watch_is_opened_anew_and_receives_what_it_missed():
-    """Its connection stays open and silent to the end of the test."""
+async def test_a_silent_watch_is_replaced_by_a_poll_that_receives_what_it_missed():
+    """The watch's connection stays open and silent until the end of the test."""
     agents, received, _client = await manual(watch_s=0.05, pushed=True)
     agents[0].answer(COMPLETE)
     await until(lambda: len(agents) == 2 and agents[1].targets)
@@ -247,11 +248,11 @@
 
 @asyncio_test
 async def test_a_silent_agent_is_polled_repeatedly_on_new_connections():
-    """At its return a poll must be in flight: after three silences as soon as after the first."""
+    """A poll must be in flight when it returns: repeated silence must not lengthen the delay."""
     agents, received, client = await manual(pushed=True, drain_grace_s=0.1)
     await until(lambda: len(agents) >= 6 and agents[-1].targets)
     assert client.schedule.span_after_loss() <= 0.1 / 4
-    # It returns: whatever connection is open then is answered.
+    # The agent returns, and answers on the connection that is open then.
     while not received:
         agents[-1].answer(COMPLETE)
         await asyncio.sleep(0.005)
@@ -271,7 +272,7 @@
         agents[0].transport.close()
     await until(lambda: len(agents) == 2 and agents[1].targets)
     assert [listed.version for listed in received] == [5]
-    # The watch goes on.
+    # The next connection continues the watch.
     assert agents[1].targets == [f"{PATH}?index=5&wait=2000"]
     agents[1].answer(DRAINING, head, has_length)
     if not has_length:
@@ -281,13 +282,13 @@
 
 @asyncio_test
 async def test_an_answer_that_could_not_be_applied_is_refetched():
-    """Counted as known before, the change would never be polled again."""
+    """If its version were recorded before it is applied, the change would never be fetched again."""
     received: list[EndpointList] = []
 
     def notify(listed: EndpointList) -> None:
         received.append(listed)
         if len(received) == 2:
-            raise ValueError("made up")
+            raise ValueError("injected failure")
 
     agents, _, _client = await manual(notify)
     agents[0].answer(COMPLETE)
@@ -304,7 +305,7 @@
 async def test_a_connection_established_as_its_timeout_ends_carries_the_watch_or_is_replaced(
     monkeypatch,
 ):
-    """The loop closes one that is cancelled then without a callback: the client waited for ever."""
+    """Cancelled then, it was closed by the loop without a callback: the client waited for ever."""
     is_first = [True]
     made = DiscoveryConnection.connection_made
 
@@ -312,7 +313,7 @@
         made(connection, transport)
         if is_first:
             is_first.clear()
-            # The timeout is due before the loop goes on to say that it is established.
+            # The timeout is due before the loop reports that the connection is established.
             time.sleep(1.1)
 
     monkeypatch.setattr(DiscoveryConnection, "connection_made", slow)
@@ -327,7 +328,7 @@
     "order", list(itertools.permutations(("answer", "move", "timeout", "end")))
 )
 @asyncio_test
-async def test_in_any_order_within_one_turn_the_client_goes_on_with_the_new_agent(order):
+async def test_in_any_order_within_one_turn_the_client_continues_with_the_new_agent(order):
     """An answer, a reload that names another agent, a timeout and a lost connection."""
     _, received, client = await manual()
     others: list[ManualAgent] = []
@@ -355,7 +356,7 @@
     while not any(listed.version == 9 for listed in received):
         others[-1].answer(newer)
         await asyncio.sleep(0.01)
-    # The old one is ignored.
+    # The old connection is ignored.
     connection.data_received(answer)
     assert received[-1].version == 9
 
--- a/tests/gateway/test_downstream_connection.py
+++ b/tests/gateway/test_downstream_connection.py
@@ -135,7 +135,7 @@
 )
 @asyncio_test
 async def test_lost_framing_closes_connection(junk):
-    """What hiredis would wait for or allocate: 60 MB, a thousand million parts."""
+    """hiredis would wait for some of these, or allocate for them: 60 MB, a thousand million parts."""
     caller = await Rig(await FakeEndpoint("a").listen()).caller()
     caller.transport.write(junk)
     assert error((await caller.replied())[0]).startswith("ERR")
--- a/tests/gateway/test_downstream_interleavings.py
+++ b/tests/gateway/test_downstream_interleavings.py
@@ -1,4 +1,4 @@
-"""Bad orders of events on the clients' side, each forced over real connections."""
+"""Harmful orders of events on the client side, each forced over real connections."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 async def client_at_pipeline_limit(rig: Rig, endpoint: FakeEndpoint):
-    """A client with one request in flight and so many commands behind it that no more is read."""
+    """Return a client with a request in flight and so many more commands that reading is paused."""
     caller = await rig.caller()
     endpoint.script = lambda command: None
     caller.call(wait=20_000, number=b"held")
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("leave", ["close", "abort", "write_eof"])
-@pytest.mark.parametrize("why", ["many", "closing", "unread answers", "handing over"])
+@pytest.mark.parametrize("why", ["many", "closing", "unread replies", "handing over"])
 @asyncio_test
 async def test_client_disconnect_is_noticed_while_reads_are_paused(why, leave):
     """The loop does not report the end of a connection that it does not read from."""
@@ -49,10 +49,10 @@
         (client,) = rig.clients.connections
     if why == "closing":
         caller.ask(b"NONSENSE")
-    elif why == "unread answers":
+    elif why == "unread replies":
         client.pause_writing()
     elif why == "handing over":
-        rig.clients.shutdown.hand_over(lambda fd, begun: False)
+        rig.clients.shutdown.hand_over(lambda fd, unprocessed: False)
     await until(lambda: not client.is_reading)
     getattr(caller.transport, leave)()
     await until(lambda: not rig.driver.requests and not rig.clients.connections)
@@ -69,7 +69,7 @@
     endpoint = await FakeEndpoint("a").listen()
     rig = Rig(endpoint)
     caller, _ = await client_at_pipeline_limit(rig, endpoint)
-    await asyncio.sleep(0.3)  # some checks
+    await asyncio.sleep(0.3)  # several checks of the paused connections
     endpoint.script = lambda command: value(b"ok")
     endpoint.connections[0].transport.write(value(b"first"))
     await caller.replied(MAX_PIPELINED_COMMANDS + 50)
@@ -83,7 +83,7 @@
 
 @asyncio_test
 async def test_client_that_ends_sending_with_unwritten_replies_counts_as_disconnected():
-    """The loop closes once all is written, which never happens for a client that reads nothing."""
+    """The loop closes it once all is written, which never happens if the client reads nothing."""
     endpoint = await FakeEndpoint("a").listen()
     endpoint.script = lambda command: None
     rig = Rig(endpoint)
@@ -95,7 +95,7 @@
             transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, option, 4096)
     caller.transport.pause_reading()
     client.transport.set_write_buffer_limits(high=1 << 30)
-    client.transport.write(b"+PONG\r\n" * 1_000_000)  # more than the kernel holds
+    client.transport.write(b"+PONG\r\n" * 1_000_000)  # more than the socket buffers hold
     caller.call(wait=20_000, number=b"held")
     await until(lambda: endpoint.commands)
     assert client.transport.get_write_buffer_size() > 1_000_000
@@ -105,7 +105,7 @@
 
 
 async def three_replies(rig: Rig, endpoints: list[FakeEndpoint]):
-    """A client with three requests: the first is in flight, the second streams, the third has its reply."""
+    """Return a client with three requests: one in flight, one streaming, one that has its reply."""
     peers, caller = {}, await rig.caller()
 
     def script(command, endpoint):
@@ -125,7 +125,7 @@
 
 @asyncio_test
 async def test_streaming_reply_broken_off_before_its_turn_fails_and_later_replies_are_written():
-    """Its end comes before its turn, when no sink is attached that could report it."""
+    """It ends before its turn, when no sink is attached to which that could be reported."""
     endpoints = [await FakeEndpoint(name).listen() for name in "ab"]
     rig = Rig(*endpoints)
     caller, client, peers = await three_replies(rig, endpoints)
@@ -141,7 +141,7 @@
 
 @asyncio_test
 async def test_reply_written_before_broken_streaming_reply_reaches_client(monkeypatch):
-    monkeypatch.setattr(idle_reaper, "CLOSE_TIMEOUT_S", 60.0)  # the kernel's small windows are slow
+    monkeypatch.setattr(idle_reaper, "CLOSE_TIMEOUT_S", 60.0)  # small socket buffers are slow
     endpoints = [await FakeEndpoint(name).listen() for name in "ab"]
     rig = Rig(*endpoints)
     caller, client, _ = await three_replies(rig, endpoints)
@@ -157,7 +157,7 @@
         (caller.transport, socket.SO_RCVBUF),
     ):
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, option, 4096)
-    client.transport.write(b"$7\r\nearlier\r\n" * 20_000)  # more than the kernel holds
+    client.transport.write(b"$7\r\nearlier\r\n" * 20_000)  # more than the socket buffers hold
     first.data_received(value(b"1"))
     source.transport.abort()
     source.connection_lost(None)
@@ -174,15 +174,15 @@
     )
 
 
-def send_unread(caller: Caller, number: bytes, begin: int = 0, end: int | None = None) -> None:
-    """Send a request, or a part of it, that lies unread in the kernel when this returns."""
+def send_unread(caller: Caller, number: bytes, start: int = 0, end: int | None = None) -> None:
+    """Send a request, or a part of it, that is unread in the gateway's socket on return."""
     terms = b"c=read,t=team,d=9000,units=1,spread=2,first=0"
-    command = hiredis.pack_command((b"CALL.GET", b"0" * 15 + b"7", number, terms))[begin:end]
+    command = hiredis.pack_command((b"CALL.GET", b"0" * 15 + b"7", number, terms))[start:end]
     assert os.write(caller.transport.get_extra_info("socket").fileno(), command) == len(command)
 
 
 async def idle_clients(rig: Rig, count: int) -> list[Caller]:
-    """Connections that have sent a command and are idle, in this order."""
+    """Return connections that have sent a command and are idle, the longest idle first."""
     callers = []
     for index in range(count):
         callers.append(await rig.caller())
@@ -195,29 +195,29 @@
 @asyncio_test
 async def test_unread_request_on_overdue_idle_connection_is_served():
     rig = Rig(await FakeEndpoint("a").listen())
-    asks, rests = await idle_clients(rig, 2)
+    sender, idle_caller = await idle_clients(rig, 2)
     for client in rig.clients.reaper.idle:
         rig.clients.reaper.idle[client] -= 100
-    send_unread(asks, b"id1")
+    send_unread(sender, b"id1")
     rig.clients.reaper._sweep()  # in the same turn
-    assert (await asks.replied(2))[1] == b"ok"
-    await until(lambda: rests.closed)
-    assert not asks.closed
+    assert (await sender.replied(2))[1] == b"ok"
+    await until(lambda: idle_caller.closed)
+    assert not sender.closed
 
 
-@pytest.mark.parametrize("begun", [0, 30])
+@pytest.mark.parametrize("read_bytes", [0, 30])
 @asyncio_test
-async def test_unread_remainder_of_command_is_served_after_command_timeout(begun):
-    """The process stood still: by the clock the command is late, but it arrived in time."""
+async def test_unread_remainder_of_command_is_served_after_command_timeout(read_bytes):
+    """The process was suspended: by the clock the command is late, but it arrived in time."""
     rig = Rig(await FakeEndpoint("a").listen())
     caller = await rig.caller()
     await until(lambda: rig.clients.connections)
     (client,) = rig.clients.connections
-    if begun:
-        send_unread(caller, b"id1", end=begun)
+    if read_bytes:
+        send_unread(caller, b"id1", end=read_bytes)
         await until(lambda: len(client.reader))
     rig.clients.reaper.awaiting_command[client] -= 100
-    send_unread(caller, b"id1", begin=begun)
+    send_unread(caller, b"id1", start=read_bytes)
     rig.clients.reaper._sweep()  # in the same turn
     assert await caller.replied() == [b"ok"]
     assert not caller.closed
@@ -227,12 +227,12 @@
 async def test_unread_request_on_eviction_candidate_is_served():
     """The longest idle connection is evicted, but not one that has just sent a request."""
     rig = Rig(await FakeEndpoint("a").listen(), sockets=4)
-    asks, rests, *others = await idle_clients(rig, 4)
-    send_unread(asks, b"id1")
+    sender, idle_caller, *others = await idle_clients(rig, 4)
+    send_unread(sender, b"id1")
     assert rig.clients.ensure_capacity()
-    assert (await asks.replied(2))[1] == b"ok"
-    await until(lambda: rests.closed)
-    assert not any(caller.closed for caller in (asks, *others))
+    assert (await sender.replied(2))[1] == b"ok"
+    await until(lambda: idle_caller.closed)
+    assert not any(caller.closed for caller in (sender, *others))
     new_client = await rig.caller()
     await until(lambda: len(rig.clients.connections) == 4)
     send_unread(new_client, b"id2")
@@ -246,7 +246,7 @@
 @asyncio_test
 async def test_disconnected_client_with_unread_end_is_evicted():
     rig = Rig(await FakeEndpoint("a").listen(), sockets=2)
-    disconnected, rests = await idle_clients(rig, 2)
+    disconnected, idle_caller = await idle_clients(rig, 2)
     with socket.socket(
         fileno=os.dup(disconnected.transport.get_extra_info("socket").fileno())
     ) as sock:
@@ -254,7 +254,7 @@
     oldest = next(iter(rig.clients.reaper.idle))
     assert rig.clients.ensure_capacity() and oldest not in rig.clients.connections
     await until(lambda: disconnected.closed)
-    assert not rests.closed
+    assert not idle_caller.closed
 
 
 @asyncio_test
@@ -267,7 +267,7 @@
         terms = b"c=read,t=team,d=9000,units=1,spread=2,first=0"
         sock.sendall(hiredis.pack_command((b"CALL.GET", b"0" * 15 + b"7", b"n%d" % number, terms)))
         callers.append(sock)
-    await rig.clients.shutdown.drain(0.0)  # the loop had no turn to accept them
+    await rig.clients.shutdown.drain(0.0)  # before the loop had a turn to accept them
     for sock in callers:
         sock.settimeout(10)
         assert sock.recv(64) == b"$2\r\nok\r\n"
--- a/tests/gateway/test_hot_restart_messages.py
+++ b/tests/gateway/test_hot_restart_messages.py
@@ -92,7 +92,7 @@
         decode(message)
 
 
-@pytest.mark.parametrize("row", [[], ["a"] * 8, ["a", "odd state", 0, 0, 0, 1.0, "h", 1]])
+@pytest.mark.parametrize("row", [[], ["a"] * 8, ["a", "no such state", 0, 0, 0, 1.0, "h", 1]])
 def test_a_malformed_endpoint_row_is_rejected(row):
     with pytest.raises(MalformedMessageError, match=r"^listed: "):
         messages.decode_endpoint(row)
--- a/tests/gateway/test_idle_reaper.py
+++ b/tests/gateway/test_idle_reaper.py
@@ -80,7 +80,7 @@
 
 @asyncio_test
 async def test_longest_idle_connections_close_where_many_are_idle():
-    """Clients hold only so many connections; kept after one request, they would leave none for others."""
+    """Connections that clients keep open after one request must not use up the limit."""
     rig = Rig(await FakeEndpoint("a").listen(), sockets=16)
     callers = [await rig.caller() for _ in range(10)]
     for caller in callers:
--- a/tests/gateway/test_poll_schedule.py
+++ b/tests/gateway/test_poll_schedule.py
@@ -1,4 +1,4 @@
-"""The poll schedule: spans by the formula, and what they leave of the notification deadline."""
+"""The poll schedule: its spans follow the formula and meet the notification deadline."""
 
 from __future__ import annotations
 
@@ -47,9 +47,9 @@
     assert schedule.due(0.0) is PollAction.CONNECT
     assert schedule.connected(0.0) == PollRequest(7, 0.0, ANSWER_TIMEOUT_S)
     assert schedule.answered(0.01, 9) == PollRequest(9, 2.0, 2.0 + WATCH_MARGIN_S)
-    # Nothing is known.
+    # No list is known.
     assert schedule_of(gateways=3, version=None).connected(0.0).version is None
-    # A list that never changed.
+    # Version 0 is a known list, too: one that never changed.
     assert schedule_of(gateways=3, version=0).connected(0.0) == PollRequest(
         0, 0.0, ANSWER_TIMEOUT_S
     )
@@ -65,12 +65,12 @@
         load_s = gateways * cost
         span_s = max(0.0, load_s - MAX_START_QUEUE_S) / TARGET_UTILISATION
         if version and span_s > MAX_RETRY_SPAN_S:
-            # The notification deadline goes first: then the queue has to be longer.
+            # The notification deadline takes precedence, at the cost of a longer queue.
             assert spans[version] == MAX_RETRY_SPAN_S
             assert gateways > 700
             continue
         assert spans[version] == pytest.approx(span_s)
-        # What arrives in the span, less what is done in it.
+        # The work that arrives in the span, less what the worker does in it.
         assert load_s - spans[version] <= MAX_START_QUEUE_S + 1e-9
 
 
@@ -80,8 +80,8 @@
     assert schedule_of(3).watch_s == 2.0
 
 
-def test_after_a_rejection_waits_for_retry_after_plus_a_draw_of_half_of_what_the_deadline_leaves():
-    # It began at 0, and is rejected at 2.
+def test_after_a_rejection_waits_for_retry_after_plus_up_to_half_of_the_time_to_the_deadline():
+    # It started at 0, and is rejected at 2.
     remaining_s = NOTIFICATION_DEADLINE_S + 1.0 - 2.0
     for retry_after_s in (0.0, 7.0):
         waits = []
@@ -91,7 +91,7 @@
             schedule.due(schedule.next_at())
             schedule.connected(1.0)
             schedule.rejected(2.0, retry_after_s)
-            # Its connection is closed for that: no second delay.
+            # The rejection also closes the connection, which must not add a second delay.
             schedule.lost(2.0)
             waits.append(schedule.next_at() - 2.0)
         assert min(waits) >= retry_after_s
@@ -110,9 +110,9 @@
         # The deadline has just expired.
         expired_at = NOTIFICATION_DEADLINE_S + 1.0
         assert schedule_of(gateways).span_after_rejection(expired_at) == shortest_s
-        # No capacity for a minute: the maximum.
+        # After a minute without capacity, the span is the maximum.
         assert schedule_of(gateways).span_after_rejection(60.0) == MAX_RETRY_SPAN_S
-    # The settings may have a shorter deadline.
+    # The settings may set a shorter deadline.
     assert schedule_of(3, notification_deadline_s=2.0).span_after_rejection(0.0) == 1.5
 
 
@@ -139,7 +139,7 @@
 def test_a_silent_poll_is_abandoned_and_only_one_that_does_not_watch_raises_the_load_factor():
     schedule = connected()
     assert schedule.due(schedule.next_at() - 0.001) is None
-    # The answer may lie unread: the event loop reads once more.
+    # The answer may be unread in the socket: the event loop reads once more.
     assert schedule.due(schedule.next_at()) is None
     assert schedule.due(schedule.next_at()) is PollAction.ABORT
     schedule.lost(10.0)
@@ -165,9 +165,9 @@
     assert schedule.load_factor == 1.0
 
 
-def test_a_registry_that_counts_anew_is_fully_fetched_and_each_start_fully_fetches_once_later():
+def test_a_registry_with_restarted_versions_is_fully_fetched_and_each_start_fetches_once_later():
     schedule = connected()
-    # It knew 7.
+    # The known version was 7.
     assert schedule.answered(0.1, 3).version is None
     assert schedule.answered(0.2, 3).version == 3
     schedule = connected()
@@ -187,7 +187,7 @@
     assert schedule.connected(5.0).version is None
 
 
-def test_an_answer_that_arrived_while_the_process_stood_still_is_read_before_the_abort():
+def test_an_answer_that_arrived_while_the_process_was_suspended_is_read_before_the_abort():
     schedule = connected()
     resumed_at = schedule.next_at() + 5.0
     assert schedule.due(resumed_at) is None
@@ -204,7 +204,7 @@
     assert schedule.next_at() == 0.1
     assert schedule.due(0.1) is PollAction.CONNECT
     assert schedule.connected(0.1) == PollRequest(8, 2.0, 2.0 + WATCH_MARGIN_S)
-    # A connection that is lost without an answer is followed by a poll for what was missed.
+    # After a connection that was lost without an answer, the first poll does not watch.
     schedule.lost(0.2)
     schedule.due(schedule.next_at())
     assert schedule.connected(0.3).watch_s == 0.0
@@ -221,8 +221,8 @@
 ) -> float:
     """Return when the first answer after a silence is received.
 
-    Polls that are sent in the silence are never answered; connections are established then only if
-    it ``connects``. Each answer takes ``delay_s``, a watch its time.
+    Polls sent during the silence are never answered; connections are established during it only if
+    ``connects`` is set. An answer takes ``delay_s``, or the length of the watch.
     """
     silent_from, silent_until = silence
     schedule.begin(0.0, at_once=True)
@@ -250,7 +250,7 @@
             request = schedule.connected(now)
         duration_s = request.watch_s or delay_s
         ends_at = now + duration_s if request.watch_s else now
-        # A watch is lost too where the silence begins while it lasts.
+        # A watch is also lost if the silence begins before it ends.
         is_unanswered = now < silent_until and ends_at >= silent_from
         answer_at = None if is_unanswered else now + duration_s
 
@@ -269,7 +269,7 @@
 @pytest.mark.parametrize("grace_s", [0.25, 1.0])
 @pytest.mark.parametrize("gateways", SIZES)
 def test_changes_of_a_returning_agent_are_received_within_the_drain_grace(gateways, grace_s):
-    """A doubled load factor and a backoff of 6 s after 8 s of silence once broke the drain rule."""
+    """A doubled load factor and a backoff of 6 s after 8 s of silence exceeded the grace once."""
     for connects in (True, False):
         for seed in range(60):
             back_at = 12.0 + seed * 0.173
@@ -282,7 +282,7 @@
 @pytest.mark.parametrize("grace_s", [0.25, 1.0])
 @pytest.mark.parametrize("pushed", [True, False])
 @pytest.mark.parametrize("gateways", SIZES)
-def test_changes_missed_by_a_silent_watch_are_received_before_they_bind(gateways, pushed, grace_s):
+def test_changes_missed_by_a_silent_watch_are_received_in_time(gateways, pushed, grace_s):
     for load_factor in (1.0, MAX_LOAD_FACTOR):
         for seed in range(40):
             schedule = PollSchedule(
@@ -301,7 +301,7 @@
                 silent_from + NOTIFICATION_DEADLINE_S,
                 silent_from + schedule.watch_s + WATCH_NOTIFICATION_DEADLINE_S,
             )
-            # An agent answers at once; a service behind the polls of all other gateways.
+            # An agent answers at once, a remote service after the polls of all other gateways.
             answer_s = 0.002 if pushed else min(MAX_START_QUEUE_S, gateways * DELTA_COST_S)
             assert request.watch_s == 0.0
             assert connect_at + answer_s <= notified_at + grace_s
@@ -321,7 +321,7 @@
             schedule.connected(0.0)
             at = next_connection(schedule)
             assert at + min(MAX_START_QUEUE_S, gateways * DELTA_COST_S) <= NOTIFICATION_DEADLINE_S
-            # Unreachable: each attempt takes its second to fail.
+            # Unreachable: each attempt fails after the connect timeout of 1 s.
             for _ in range(12):
                 schedule.lost(at + 1.0)
                 assert schedule.next_at() <= at + 1.0 + MAX_RETRY_SPAN_S
@@ -348,11 +348,11 @@
 
 
 @pytest.mark.parametrize("gateways", SIZES)
-def test_a_service_that_rejected_polls_is_received_before_missed_changes_bind(gateways):
-    """Missed changes bind 6 s later, so backing off by the deadline of the settings is too slow.
+def test_a_service_that_rejected_polls_answers_before_missed_changes_take_effect(gateways):
+    """Missed changes take effect 6 s later, so a backoff by the settings' deadline is too slow.
 
-    Gateways whose first watch was rejected once waited for that and its doubles, 10 to 80 s, and
-    sent to draining endpoints for up to 20 s.
+    Gateways whose first watch was rejected used to wait for that deadline and its doubles, 10 to
+    80 s, and sent requests to draining endpoints for up to 20 s.
     """
     min_attempts = 3 if gateways <= 200 else 1
     for seed in range(200):
@@ -378,7 +378,7 @@
 def test_a_broken_watch_leaves_the_list_current_up_to_the_break():
     schedule = connected(gateways=3)
     schedule.answered(0.1, 8)
-    # Reset: detected at once.
+    # The connection is reset, which is detected at once.
     schedule.lost(30.0)
     schedule.due(schedule.next_at())
     schedule.connected(30.1)
@@ -388,7 +388,7 @@
     schedule.answered(0.1, 8)
     while schedule.due(schedule.next_at()) is not PollAction.ABORT:
         pass
-    # Silent: it may have delivered nothing since its poll.
+    # The connection is silent: it may have delivered nothing since the poll.
     schedule.lost(3.0)
     remaining_s = 0.1 + NOTIFICATION_DEADLINE_S + 1.0 - 3.0
     assert schedule.span_after_rejection(3.0) == pytest.approx(remaining_s / 2)
--- a/tests/gateway/test_poll_schedule_in_fleet.py
+++ b/tests/gateway/test_poll_schedule_in_fleet.py
@@ -16,7 +16,7 @@
     assert result.peak_load <= 1.2
     assert result.rejected < 0.05 * 200
     assert result.all_current_s <= 1.5 * result.shortest_s
-    # What the schedule mends is seen by the same measurement.
+    # The same measurement shows the faults of the earlier schedule.
     before = simulate(FleetStart(200, length_s=30.0, schedule_type=EarlierSchedule))
     assert before.polls > 3 * result.polls
     assert before.rejected > 200
--- a/tests/gateway/test_upstream_cluster.py
+++ b/tests/gateway/test_upstream_cluster.py
@@ -56,7 +56,7 @@
 async def test_attempt_waiting_for_connection_to_removed_endpoint_is_retried_elsewhere():
     old, new = [await FakeEndpoint(name).listen() for name in "ab"]
     rig = Rig(old)
-    rig.cluster.pools[b"a"]._open = lambda: asyncio.sleep(30)  # one that never comes up
+    rig.cluster.pools[b"a"]._open = lambda: asyncio.sleep(30)  # a connection that never opens
     caller = await rig.caller()
     caller.call("bill")
     await until(lambda: rig.cluster.pools[b"a"].waiting)
--- a/tests/gateway/test_upstream_codec.py
+++ b/tests/gateway/test_upstream_codec.py
@@ -1,4 +1,4 @@
-"""What endpoints get of a command, and what their load reports mean, over loopback sockets."""
+"""The commands that endpoints receive, and their load reports, over loopback sockets."""
 
 from __future__ import annotations
 
--- a/tests/gateway/test_upstream_connection.py
+++ b/tests/gateway/test_upstream_connection.py
@@ -15,7 +15,7 @@
 
 @asyncio_test
 async def test_request_not_fully_sent_counts_as_connect_failed():
-    """An endpoint that reads nothing never gets the last byte, so even a non-idempotent request is rejected."""
+    """An endpoint that reads nothing can't have run it, so even a non-idempotent one is rejected."""
     listener = socket.create_server(("127.0.0.1", 0))
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     endpoint = FakeEndpoint("a")
@@ -28,12 +28,12 @@
     pool = rig.cluster.pools[b"a"]
     original = pool.connected
 
-    def narrow(connection):
+    def connected_with_small_buffer(connection):
         sock = connection.transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         original(connection)
 
-    pool.connected = narrow
+    pool.connected = connected_with_small_buffer
     terms = b"c=bill,t=team,d=300,units=1,spread=2,first=0"
     caller.ask(b"CALL.POST", b"0000000000000007", b"id", terms, b"x" * 64 * 1024)
     assert error((await caller.replied())[0]).startswith("BUSY")
@@ -54,12 +54,12 @@
     caller = await rig.caller()
     connected = rig.cluster.pools[b"a"].connected
 
-    def narrow(connection):
+    def connected_with_small_buffer(connection):
         sock = connection.transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         connected(connection)
 
-    rig.cluster.pools[b"a"].connected = narrow
+    rig.cluster.pools[b"a"].connected = connected_with_small_buffer
     terms = b"c=bill,t=team,d=2000,units=1,spread=2,first=0"
     caller.ask(b"CALL.POST", b"0000000000000007", b"id", terms, b"x" * 64 * 1024)
     accepted, _ = await rig.loop.sock_accept(listener)
@@ -95,7 +95,7 @@
 )
 @asyncio_test
 async def test_malformed_reply_fails_attempt_that_may_have_run(malformed):
-    """It is never served, never taken for a rejection, never waited for: the request fails at once."""
+    """It is neither served, nor taken for a rejection, nor waited for: the request fails at once."""
     endpoint = await FakeEndpoint("a").listen()
     endpoint.script = lambda command: malformed
     rig = Rig(endpoint)
--- a/tests/gateway/test_upstream_interleavings.py
+++ b/tests/gateway/test_upstream_interleavings.py
@@ -1,4 +1,4 @@
-"""Bad orders of events on the upstream side, each forced over real connections."""
+"""Harmful orders of events on the upstream side, each forced over real connections."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ConnectGate:
-    """Holds connections to these endpoints back until the test opens it."""
+    """Delays connections to these endpoints until the test opens the gate."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, *endpoints: FakeEndpoint) -> None:
         self.opened, self.ports, self.waiting = (
@@ -50,7 +50,7 @@
 async def test_attempt_waiting_for_connection_to_draining_endpoint_is_retried_elsewhere(
     kind, is_excluded
 ):
-    """Its connection comes up after the endpoint list: the first byte would be sent after the drain grace."""
+    """Its connection opens so late that the first byte would be sent after the drain grace."""
     old, new = [await FakeEndpoint(name).listen() for name in "ab"]
     rig = Rig(old, **slow_to_open())
     gate = ConnectGate(rig.loop, old)
@@ -66,13 +66,13 @@
     gate.opened.set()
     await until(lambda: not rig.cluster.pools[b"a"].opening)
     assert (len(old.commands), len(new.commands)) == (0, 1)
-    if not is_excluded:  # and a connection that is not needed any more is closed
+    if not is_excluded:  # the connection, which is not needed any more, is closed
         await until(lambda: not old.connections and rig.cluster.open_connections == 1)
 
 
 @asyncio_test
-async def test_attempt_delayed_until_endpoint_drains_is_decided_anew():
-    """The ledger delays attempts until their intent is on the disk."""
+async def test_attempt_delayed_until_endpoint_drains_is_retried_elsewhere():
+    """The ledger, for one, delays attempts until they are recorded on disk."""
     old, new = [await FakeEndpoint(name).listen() for name in "ab"]
     rig = Rig(old)
     caller = await rig.caller()
@@ -102,8 +102,8 @@
 
 @asyncio_test
 async def test_connection_up_in_turn_of_connect_timeout_carries_its_request():
-    """If it were cancelled, its request would wait to its deadline, and its descriptor and its entry
-    among the closing ones would be counted for ever; after 24 of them none would be opened any more."""
+    """If it were cancelled, its request would wait until its deadline, and it would count as open and
+    as closing for ever; after 24 such connections no more would be opened."""
     endpoint = await FakeEndpoint("a").listen()
     rig = Rig(endpoint, permissions=PERMISSIONS | {"connectTimeout": 50_000})
     pool = rig.cluster.pools[b"a"]
@@ -111,7 +111,7 @@
 
     def slow(connection) -> None:
         connected(connection)
-        time.sleep(0.08)  # its timeout is due before the loop reports that it is up
+        time.sleep(0.08)  # the timeout is due before the loop reports that it is open
 
     pool.connected = slow
     caller = await rig.caller()
@@ -124,13 +124,13 @@
 
 @asyncio_test
 async def test_connection_up_after_connect_timeout_in_same_turn_carries_nothing():
-    """The timeout fires between the kernel's report and ours: the request is retried elsewhere, once."""
+    """The kernel has reported it, the loop has not: the request is retried elsewhere, once."""
     late, good = [await FakeEndpoint(name).listen() for name in "ab"]
     rig = Rig(late, permissions=PERMISSIONS | {"connectTimeout": 50_000})
     real, (here, there) = rig.loop.create_connection, socket.socketpair()
     here.setblocking(False)
 
-    def stand_still() -> None:
+    def block_loop() -> None:
         here.recv(1)
         time.sleep(0.08)
 
@@ -139,7 +139,7 @@
             there.send(b"x")  # read in the very turn in which the kernel reports the connection
         return await real(factory, *address, **more)
 
-    rig.loop.add_reader(here, stand_still)
+    rig.loop.add_reader(here, block_loop)
     rig.loop.create_connection = connect
     caller = await rig.caller()
     rig.update_endpoints(good.line())
@@ -183,7 +183,7 @@
 @pytest.mark.parametrize("ends", [True, False])
 @asyncio_test
 async def test_unread_remainder_of_reply_counts_when_remainder_timeout_fires(kind, ends):
-    """The process stands still for longer than the remainder may take; it was sent at once, or never."""
+    """The process is blocked past the remainder timeout; the remainder came at once, or never."""
     endpoint = await FakeEndpoint("a").listen()
     endpoint.script = lambda command: value(b"ok")[:9]
     rig = Rig(endpoint)
--- a/tests/gateway/test_upstream_pool.py
+++ b/tests/gateway/test_upstream_pool.py
@@ -34,7 +34,7 @@
 
 @asyncio_test
 async def test_late_duplicate_reply_is_not_taken_for_next_request():
-    """A connection rests after a reply, and is not used again once unexpected data arrived."""
+    """A connection rests after a reply, and is not reused if unexpected data arrives meanwhile."""
     endpoint = await FakeEndpoint("a").listen()
     rig = Rig(endpoint)
     caller = await rig.caller()
@@ -57,7 +57,7 @@
     await caller.replied()
     pool = rig.cluster.pools[b"a"]
     (connection,) = pool.idle
-    connection.idle_since_s -= 1  # it has rested
+    connection.idle_since_s -= 1  # its rest after the reply is over
     sock = endpoint.connections[0].transport.get_extra_info("socket")
     os.write(sock.fileno(), value(b"copy"))
     attempt = UpstreamAttempt(
@@ -69,7 +69,7 @@
 
 @asyncio_test
 async def test_connections_of_old_incarnation_are_not_used_for_new_one():
-    """An endpoint restarted under its id must not get what was meant for the one before it."""
+    """A restarted endpoint must not receive attempts that were meant for its old incarnation."""
     endpoint = await FakeEndpoint("a").listen()
     rig = Rig(endpoint)
     caller = await rig.caller()
--- a/tests/gateway/test_watch_events.py
+++ b/tests/gateway/test_watch_events.py
@@ -1,6 +1,6 @@
-"""Older watch events undo no newer ones.
+"""Older watch events don't revert newer ones.
 
-One that arrived late once brought a drained endpoint back.
+A late event once made the gateway use an endpoint again that was reported as draining before.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
     assert states(events.drop_older(delta(8, endpoint("b", DRAINING)), 1)) == {b"b": DRAINING}
 
 
-def test_older_complete_list_retains_what_was_received_since():
+def test_older_complete_list_does_not_revert_newer_events():
     events = WatchEventFilter()
     events.drop_older(complete(1, endpoint("a"), endpoint("b")), 0)
     events.drop_older(delta(5, endpoint("b", DRAINING), endpoint("c")), 1)
@@ -71,12 +71,12 @@
     assert states(events.drop_older(delta(3, endpoint("b")), 2)) == {}
 
 
-def test_registry_that_counts_anew_is_believed_after_the_retention():
+def test_lower_versions_of_a_restarted_registry_are_accepted_after_the_retention():
     events = WatchEventFilter()
     events.drop_older(delta(900, endpoint("a", DRAINING)), 0)
     assert states(events.drop_older(delta(2, endpoint("a", READY)), RETENTION_S)) == {}
-    believed = events.drop_older(delta(3, endpoint("a", READY)), RETENTION_S + 1)
-    assert states(believed) == {b"a": READY}
+    accepted = events.drop_older(delta(3, endpoint("a", READY)), RETENTION_S + 1)
+    assert states(accepted) == {b"a": READY}
 
 
 def test_remembered_versions_expire():
@@ -88,7 +88,7 @@
 
 @given(st.permutations(range(1, 7)))
 def test_in_any_order_the_newest_version_of_each_endpoint_counts(order):
-    """Six versions of two endpoints; whatever their order, the newest of each is what is left."""
+    """Six versions of two endpoints are received: in any order, the newest of each remains."""
     history = {
         1: endpoint("a"),
         2: endpoint("b"),
