--- a/saffrongw/ledger/events.py
+++ b/saffrongw/ledger/events.py
@@ -28,7 +28,7 @@
     ANSWER = "answer"
     # An endpoint's own list names the request as issued.
     IMPORTED = "imported"
-    # A later incarnation of the gateway has classified the entry at its start.
+    # A later incarnation has classified the entry as it began.
     CLASSIFIED = "classed"
 
 
--- a/saffrongw/ledger/inbox.py
+++ b/saffrongw/ledger/inbox.py
@@ -32,7 +32,7 @@
 
     def process(
         self,
-        entry_of: Callable[[EntryKey], Entry | None],
+        find_entry: Callable[[EntryKey], Entry | None],
         commit: Callable[[list[Event]], None],
     ) -> int:
         """Commit the events that still fit their entries; return their number."""
@@ -40,7 +40,7 @@
         for path in sorted(self.folder.glob("*.jsonl"))[:MAX_FILES]:
             try:
                 lines = path.read_text().splitlines()[:MAX_LINES]
-                found = [_valid_event(InboxLine(json.loads(line)), entry_of) for line in lines]
+                found = [_valid_event(InboxLine(json.loads(line)), find_entry) for line in lines]
             except (OSError, *INBOX_ERRORS):
                 path.rename(path.with_suffix(".bad"))
                 continue
@@ -70,12 +70,12 @@
         return False
 
 
-def _valid_event(line: InboxLine, entry_of: Callable[[EntryKey], Entry | None]) -> Event | None:
+def _valid_event(line: InboxLine, find_entry: Callable[[EntryKey], Entry | None]) -> Event | None:
     """Return the event of a line, if its entry may have run and has an attempt to its endpoint.
 
     None where this no longer holds: the entry may have changed since the command line read it.
     """
-    entry = entry_of(line.key)
+    entry = find_entry(line.key)
     if entry is None or entry.status is not ExecutionStatus.MAY_HAVE_RUN:
         return None
     if line.endpoint not in {attempt.endpoint for attempt in entry.attempts.values()}:
--- a/saffrongw/ledger/request_filter.py
+++ b/saffrongw/ledger/request_filter.py
@@ -198,7 +198,7 @@
         It is usually sent at once, but later where a connection has to be opened first.
         """
         if attempt.is_fully_sent:
-            entry = self._entry_with(attempt)
+            entry = self._find_entry(attempt)
             if entry:
                 self.writer.record(events.fully_sent(entry.key, now_us(), attempt.index))
         elif not attempt.is_ended:
@@ -225,7 +225,7 @@
             received_at_us=now_us(),
         )
 
-    def _entry_with(self, attempt: UpstreamAttempt) -> _RecordedEntry | None:
+    def _find_entry(self, attempt: UpstreamAttempt) -> _RecordedEntry | None:
         """Return the entry of an attempt; None where the attempt has no durable record."""
         entry = self.entries.get(attempt.request.event.request)
         return entry if entry is not None and attempt.index in entry.ordinals else None
@@ -242,7 +242,7 @@
 
     def attempt_ended(self, attempt: UpstreamAttempt, outcome: AttemptOutcome) -> None:
         """Record the outcome of a recorded attempt, without waiting until it is durable."""
-        entry = self._entry_with(attempt)
+        entry = self._find_entry(attempt)
         if entry is None:
             return
         # An attempt that ended before its last byte was sent has not run: endpoints execute a
--- a/tests/authz/test_checks.py
+++ b/tests/authz/test_checks.py
@@ -335,7 +335,7 @@
 @settings(max_examples=200)
 @given(EVENTS, st.booleans())
 def test_every_request_is_completed_exactly_once_or_ends_and_no_state_is_left(events, coalesce):
-    """In any order of events, checks in check_id stay within the limit and each request gets one reply."""
+    """In any order of events, checks in flight stay within the limit and each request gets one reply."""
     scheduler = new_scheduler(
         addresses=["a", "b"], hedge_after_us=10 * MS, max_in_flight=5, coalesce=coalesce
     )
--- a/tests/authz/test_server.py
+++ b/tests/authz/test_server.py
@@ -11,7 +11,7 @@
 from grpclib.client import Channel, UnaryUnaryMethod
 from grpclib.const import Cardinality, Handler
 from grpclib.server import Server
-from test_request_filter import NAMES, World
+from test_request_filter import NAMES, AuthzRig
 
 from saffrongw.authz.attributes import METHOD, ContextExtensionNames
 from saffrongw.authz.server import AuthzServer
@@ -187,12 +187,12 @@
         def stop() -> None:
             server.close()
 
-    world = await World().open(Listening)
-    caller = await world.caller()
+    authz_rig = await AuthzRig().open(Listening)
+    caller = await authz_rig.caller()
     caller.call("bill", number=b"id1")
     assert await caller.replied() == [b"ok"]
     assert received[0].attributes.request.http.path == "/bill"
-    await world.close()
+    await authz_rig.close()
     await server.wait_closed()
 
 
