--- a/saffrongw/gateway/admission_queue.py
+++ b/saffrongw/gateway/admission_queue.py
@@ -76,19 +76,19 @@
         self, terms: RequestTerms, class_and_plan: bytes, customer: bytes, pending: PendingRequest
     ) -> QueuedRequest | None:
         """Queue a request; return None if it was rejected instead."""
-        now = self.driver.clock()
-        if self.driver.gateway.exceeds_quota(now, terms.customer, terms.plan, terms.units):
+        now_us = self.driver.clock()
+        if self.driver.gateway.exceeds_quota(now_us, terms.customer, terms.plan, terms.units):
             self.saturated.add(customer)
-            pending.reject(self._update_rejection(now))
+            pending.reject(self._update_rejection(now_us))
             return None
         queued = QueuedRequest(
-            terms.customer, terms.plan, terms.kind, now + terms.timeout_us, pending
+            terms.customer, terms.plan, terms.kind, now_us + terms.timeout_us, pending
         )
-        shed = self.shedder.offer(now, queued)
+        shed = self.shedder.offer(now_us, queued)
         if shed is None:
             return queued
         shed_request = cast("PendingRequest", shed.tag)
-        shed_request.reject(self._update_rejection(now))
+        shed_request.reject(self._update_rejection(now_us))
         if shed is not queued:
             return queued
         too_many = self.shedder.exceeds_fair_share(terms.customer)
@@ -106,13 +106,13 @@
             pending = cast("PendingRequest", queued.tag)
             pending.reject(rejection)
 
-    def _update_rejection(self, now: int) -> bytes:
+    def _update_rejection(self, now_us: int) -> bytes:
         """Return the reply to a request shed now; it was never sent on, so a retry is harmless."""
-        self.rejection = self._make_rejection(now)
+        self.rejection = self._make_rejection(now_us)
         return self.rejection
 
-    def _make_rejection(self, now: int) -> bytes:
-        return busy_reply(self.shedder.retry_after_us(now, self.max_retry_after_us))
+    def _make_rejection(self, now_us: int) -> bytes:
+        return busy_reply(self.shedder.retry_after_us(now_us, self.max_retry_after_us))
 
     def _run_queue(self) -> None:
         """Start queued requests within the time budget; this iteration's input has been read."""
@@ -125,10 +125,10 @@
             # Expired requests are rejected only after a run in which they could have been started:
             # otherwise a process that was suspended for a while would reject all requests that
             # arrived meanwhile.
-            now = self.driver.clock()
-            for expired in self.shedder.pop_expired(now):
+            now_us = self.driver.clock()
+            for expired in self.shedder.pop_expired(now_us):
                 pending = cast("PendingRequest", expired.tag)
-                pending.reject(self._update_rejection(now))
+                pending.reject(self._update_rejection(now_us))
         finally:
             # Even if starting a request raised: the others must not stay queued for ever.
             if self.shedder.count:
--- a/saffrongw/gateway/bootstrap.py
+++ b/saffrongw/gateway/bootstrap.py
@@ -28,7 +28,7 @@
 from .hot_restart.parts import GatewayParts
 from .hot_restart.predecessor import PredecessorHandOver
 from .hot_restart.successor import SuccessorHandOver
-from .logging_setup import start_log
+from .logging_setup import configure_logging
 from .upstream.cluster import UpstreamCluster
 
 # How long new connections are still accepted after SIGTERM.
@@ -240,7 +240,7 @@
     Without a path, ``LB_CONFIG`` names the file. For an unusable configuration or an address that
     can't be bound, one line is printed to standard error and the status is 1.
     """
-    start_log()
+    configure_logging()
     signals.block_sighup()
     try:
         file = Path(path if path is not None else os.environ["LB_CONFIG"])
--- a/saffrongw/gateway/config_file.py
+++ b/saffrongw/gateway/config_file.py
@@ -102,7 +102,10 @@
         self.config = replace(self.config, discovery=new.discovery)
 
     def _needs_restart(self, new: Config) -> bool:
-        """Whether a value changed besides the discovery address, the known list and the seed."""
+        """Whether the new file has changes that take effect only after a restart.
+
+        Changes of ``known`` and ``seed`` are ignored, because only start-up uses them.
+        """
         old = self.config
         comparable = replace(new, discovery=old.discovery, known=old.known, seed=old.seed)
         return comparable != old
--- a/saffrongw/gateway/driver.py
+++ b/saffrongw/gateway/driver.py
@@ -100,8 +100,10 @@
 
     def start(self, cached: EndpointList) -> None:
         """Start the policy with the cached endpoint list, before any client is served."""
-        now = self.clock()
-        self._execute(self.gateway.start(now if self.is_successor else process_started_us(now)))
+        now_us = self.clock()
+        self._execute(
+            self.gateway.start(now_us if self.is_successor else process_started_us(now_us))
+        )
         self.endpoint_list_received(cached, cached=True)
 
     # -- events -----------------------------------------------------------------------------------
@@ -197,7 +199,7 @@
         unstartable = self.cluster.update_endpoints(endpoints)
         entries = tuple(endpoint.entry for endpoint in endpoints.endpoints)
         self.feed(EndpointListReceived(kind, endpoints.version, entries))
-        # After the policy has the new list, from which it picks the endpoints of the retries.
+        # Reported after the new list, because the policy picks the endpoints of retries from it.
         for attempt in unstartable:
             self.attempt_ended(attempt, AttemptOutcome.CONNECT_FAILED)
 
@@ -257,14 +259,14 @@
         request = self.requests.get(action.request)
         if request is None:
             return
-        now = self.clock()
+        now_us = self.clock()
         deadline_us = min(action.deadline_us or request.deadline_us, request.deadline_us)
         attempt = UpstreamAttempt(
-            request, len(request.attempts), action.endpoint_id, now, deadline_us
+            request, len(request.attempts), action.endpoint_id, now_us, deadline_us
         )
         request.attempts.append(attempt)
         # Nothing is sent after the request's final reply or its deadline.
-        if request.is_finished or now >= request.deadline_us:
+        if request.is_finished or now_us >= request.deadline_us:
             self.attempt_ended(attempt, AttemptOutcome.NOT_SENT)
             return
         # An attempt with the same deadline as its request needs no timer: the request's deadline
@@ -318,7 +320,7 @@
         if not request.is_finished:
             self._close_request(request)
             if isinstance(reply, bytes):
-                self.metrics.answered(request.event.kind, reply)
+                self.metrics.count_reply(request.event.kind, reply)
             else:
                 reply.count_in(self.metrics, request.event.kind)
             request.send_reply(reply)
--- a/saffrongw/gateway/logging_setup.py
+++ b/saffrongw/gateway/logging_setup.py
@@ -30,7 +30,7 @@
         return self.lines <= MAX_LINES_PER_WINDOW
 
 
-def start_log() -> None:
+def configure_logging() -> None:
     """Configure logging for the process."""
     logging.basicConfig(level=logging.WARNING, format="%(asctime)s %(levelname)s %(message)s")
     logging.getLogger().handlers[0].addFilter(RateLimitedLogFilter())
--- a/saffrongw/gateway/metrics.py
+++ b/saffrongw/gateway/metrics.py
@@ -24,7 +24,7 @@
         self.reloads = 0
         self.reloads_failed = 0
 
-    def answered(self, kind: int, reply: bytes) -> None:
+    def count_reply(self, kind: int, reply: bytes) -> None:
         """Count a final reply to a request of a class, by the type of the RESP reply."""
         if reply[:1] in (b"$", b"*"):
             self.served[kind] += 1
--- a/saffrongw/gateway/signals.py
+++ b/saffrongw/gateway/signals.py
@@ -20,10 +20,10 @@
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
 
 
-def process_started_us(now: int) -> int:
+def process_started_us(now_us: int) -> int:
     """Return the earliest time at which this process can have sent anything.
 
-    All times are in microseconds; ``now`` is the wall clock's.
+    ``now_us`` is the wall clock's time.
     """
-    is_believable = 0 <= now - PROCESS_STARTED_US <= MAX_IMPORT_TIME_US
-    return PROCESS_STARTED_US if is_believable else now
+    is_believable = 0 <= now_us - PROCESS_STARTED_US <= MAX_IMPORT_TIME_US
+    return PROCESS_STARTED_US if is_believable else now_us
--- a/saffrongw/gateway/streaming_reply.py
+++ b/saffrongw/gateway/streaming_reply.py
@@ -14,7 +14,7 @@
 
 from .metrics import Metrics
 
-# Reading from the endpoint pauses at so many bytes that wait for the client's connection.
+# Reading from the endpoint pauses once this many bytes wait to be written to the client.
 MAX_BUFFERED_BYTES = 64 * 1024
 
 # A value is abandoned after this time without progress at the endpoint or the client.
