--- a/saffrongw/policy/actions.py
+++ b/saffrongw/policy/actions.py
@@ -1,7 +1,7 @@
 """The actions that a gateway's policy asks its driver to carry out.
 
-Times and durations are integers in microseconds. The actions of every request are named tuples, the
-fastest to create.
+Times and durations are integers in microseconds. Actions that every request causes are named
+tuples, because they are the fastest to create.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class SendAttempt(NamedTuple):
-    """Send an attempt; the driver gives up waiting for it at the deadline."""
+    """Send an attempt to an endpoint; the driver lets it time out at the deadline."""
 
     request: int
     endpoint_id: EndpointId
@@ -29,7 +29,7 @@
 
 
 class RejectRequest(NamedTuple):
-    """Answer a request that was not served and that the client may safely send again."""
+    """Reject a request that was not served and that the client may safely send again."""
 
     request: int
     retry_after_us: int
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Answer a request that was not served and that may have run."""
+    """Fail a request that was not served but that an endpoint may have run."""
 
     request: int
 
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Send a ``TimerFired`` with this token after a delay."""
+    """Pass in a ``TimerFired`` event with this token after a delay."""
 
     delay_us: int
     token: int
--- a/saffrongw/policy/admission.py
+++ b/saffrongw/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission: whether a request is within its customer's quota, limits and rate ceiling."""
+"""Admission: checks a request against its customer's quota, concurrency limit and rate ceiling."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from .settings import Plan, Settings
 from .timer_tokens import request_token
 
-# How long a request waits for token grants.
+# The longest time that a request waits for token grants (units of its customer's rate ceiling).
 MAX_GRANT_WAIT_US = 200 * MS_US
-# Part of the latency objective beyond the typical latency; a request expected to take longer is
-# shed.
-SHEDDING_OBJECTIVE_PART = 0.25
+# Load shedding: a request may exceed the typical latency by this fraction of the time between the
+# typical latency and its latency objective; if it is expected to take longer, it is shed.
+SHEDDING_OBJECTIVE_FRACTION = 0.25
 
 
 class Admission:
-    """Decides on first attempts and admission checks; owns whether a successor has taken over."""
+    """Decides whether first attempts and admission checks are admitted; stops at a hand-over."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         latency: LatencyModel,
         context: DecisionContext,
     ) -> None:
-        """Start as the process that admits."""
+        """Start as the process that admits requests."""
         self._plans = settings.plans
         self._counters = counters
         self._rate_ceiling = rate_ceiling
@@ -47,19 +47,19 @@
         self._reports = reports
         self._latency = latency
         self._context = context
-        # A successor has the counters: this process admits nothing more.
+        # In a hot restart: the successor owns the counters, and this process admits nothing more.
         self.is_handed_over = False
 
     def admits(self, request: RequestState) -> bool:
-        """Tell whether quota, concurrency limit and rate ceiling admit a request now.
+        """Return whether quota, concurrency limit and rate ceiling admit a request now.
 
-        Every first attempt and every admission check passes here.
+        Every first attempt and every admission check must pass this check.
         """
         if self.is_handed_over:
             return False
         event = request.event
-        # Looked up anew each time: a waiting request may outlive an idle record.
-        quota = self._counters.open(
+        # Not cached in the request: the record may be dropped as idle while the request waits.
+        quota = self._counters.get_or_create(
             event.customer,
             event.plan,
             event.replica_set_first,
@@ -73,14 +73,15 @@
             return False
         if plan.rate and (quota.is_exhausted or self._headroom(quota, plan) < event.units):
             if self._reachability.seems_partitioned():
-                # Otherwise nothing is reported, and nobody learns that the partition is over.
+                # An answer to the report shows that the partition is over. Nothing else would be
+                # sent while all requests are rejected, and the gateway would never notice.
                 self._reports.report(quota)
             return False
         request.lacks_ceiling = plan.ceiling_rate > 0 and quota.ceiling_units < event.units
         return not request.lacks_ceiling
 
     def _reaches_concurrency_limit(self, quota: CustomerQuota, plan: Plan, kind: int) -> bool:
-        # What other gateways admitted lately is taken to be in flight for the typical latency.
+        # A request that another gateway admitted counts as in flight for the typical latency.
         now_us = self._context.now_us
         typical_us = self._latency.typical_us[kind]
         remote = sum(now_us - at_us < typical_us for at_us in quota.remote_admissions_us)
@@ -89,14 +90,15 @@
     def _headroom(self, quota: CustomerQuota, plan: Plan) -> float:
         own = quota.counters.get(self._replica_sets.node_index)
         if quota.is_unconfirmed and own is not None:
-            # Until a peer confirms the customer it gets a share, and at least one request.
+            # Until a peer has sent a row on the customer, this gateway grants only an even share of
+            # the burst, but at least one request.
             return min(quota.headroom, plan.burst / quota.set_size - own.units)
         return quota.headroom
 
     def begin_grant_wait(self, request: RequestState) -> bool:
-        """Let a request wait for token grants if only the local part of its ceiling is short.
+        """Let a request wait for token grants if only this gateway's part of the ceiling is short.
 
-        Tell whether it waits: it does so once, and not where no grants can come in time.
+        Return whether it waits. A request waits only once, and only if grants can come in time.
         """
         quota = request.quota
         if quota is None or not request.lacks_ceiling or self.is_handed_over:
@@ -107,8 +109,9 @@
             quota.waiting_requests[number] = units
             self._reports.report(quota)
         wait_us = MAX_GRANT_WAIT_US
-        if coordinator == self._replica_sets.node_index or self._reachability.is_isolated:
-            # Nobody can be asked: only what refills in time counts.
+        if coordinator == self._replica_sets.node_index or self._reachability.gossip_disabled:
+            # There is no other coordinator to request grants from: only this gateway's own part of
+            # the ceiling can refill in time.
             wait_us = self._rate_ceiling.time_until_us(quota, units) + MS_US
         time_left_us = request.deadline_us - FINAL_ANSWER_MARGIN_US - self._context.now_us
         if (
@@ -123,13 +126,13 @@
         return True
 
     def max_expected_latency_us(self, request: RequestState) -> float:
-        """Return the longest expected latency with which a request is not shed."""
+        """Return the highest expected latency at which a request is not shed."""
         typical_us = self._latency.typical_us[request.event.kind]
         available_us = min(request.request_class.latency_objective_us, request.time_left_us)
-        return typical_us + SHEDDING_OBJECTIVE_PART * max(0.0, available_us - typical_us)
+        return typical_us + SHEDDING_OBJECTIVE_FRACTION * max(0.0, available_us - typical_us)
 
     def retry_after_us(self, request: RequestState, max_us: float) -> int:
-        """Return when the customer's quota admits the request; 0 if unknown or above ``max_us``."""
+        """Return the wait until the quota admits the request; 0 if unknown or above ``max_us``."""
         if request.quota is None:
             return 0
         return self._counters.retry_after_us(request.quota, request.event.units, max_us)
--- a/saffrongw/policy/coordinator_reports.py
+++ b/saffrongw/policy/coordinator_reports.py
@@ -1,4 +1,4 @@
-"""Reports of admissions to the customers' coordinators, which add them up."""
+"""Reports of admitted units to the customers' coordinators, which add them up."""
 
 from __future__ import annotations
 
@@ -17,15 +17,16 @@
 from .replica_sets import ReplicaSets
 from .timer_tokens import REPORTS_DUE
 
-# Gateways of a replica set that are tried as its coordinator.
+# Gateways of a replica set to which a report is sent in turn, until one of them answers.
 MAX_COORDINATOR_CANDIDATES = 3
-# Messages that reports leave to answers: ordinary ones, and those for which requests wait.
+# Messages of the budget that reports leave for answers to other gateways; urgent reports, for which
+# requests wait, leave fewer.
 RESERVED_MESSAGES = 4
 RESERVED_MESSAGES_URGENT = 1
 
 
 class CoordinatorReports:
-    """Owns the reports that are due, by the coordinator they go to."""
+    """Sends reports, and owns those that wait for the message budget."""
 
     def __init__(
         self,
@@ -37,7 +38,7 @@
         broadcast: QuotaBroadcast,
         context: DecisionContext,
     ) -> None:
-        """Start with nothing to report."""
+        """Start without waiting reports."""
         self._counters = counters
         self._rate_ceiling = rate_ceiling
         self._replica_sets = replica_sets
@@ -45,17 +46,19 @@
         self._sender = sender
         self._broadcast = broadcast
         self._context = context
-        # By node index: the customers, and which of their candidates the node is.
+        # Waiting reports: by the node index of the receiver, the customers and the receiver's
+        # candidate number for each.
         self.due: dict[int, dict[int, int]] = {}
         self._timer_is_set = False
 
     def report(self, quota: CustomerQuota, candidate: int = 0) -> None:
-        """Report a customer to its coordinator, or to the candidate that stands in for it.
+        """Report a customer to its coordinator, or to a candidate that replaces it.
 
-        Where this gateway coordinates the customer, it tells the replica set if need be.
+        If this gateway is the coordinator, it broadcasts the quota if it is exhausted.
         """
         if candidate >= min(MAX_COORDINATOR_CANDIDATES, quota.set_size):
-            # Nobody answers: the part of those that are unreachable is left to them instead.
+            # No candidate answers: the customer need not wait for a confirmation any longer.
+            # ``QuotaCounters.share`` leaves the unreachable gateways their part of the quota.
             quota.is_unconfirmed = False
             return
         coordinator = self._replica_sets.coordinator(quota, candidate)
@@ -68,16 +71,17 @@
             self._broadcast.broadcast_if_exhausted(quota)
 
     def send_due(self) -> None:
-        """Send what waited for messages, to the coordinator with most reports first."""
+        """Send the waiting reports, to the coordinator with the most reports first."""
         self._timer_is_set = False
         for coordinator in sorted(self.due, key=lambda node: -len(self.due[node])):
             self._send_to(coordinator)
 
     def handle_answer_due(self) -> None:
-        """Report to the next candidates what the longest awaited answer has not confirmed."""
+        """Check the oldest awaited answer; if it is missing, report to the next candidates."""
         awaited = self._sender.awaited_answers.popleft()
         if self._context.now_us - awaited.sent_at_us > 2 * ANSWER_TIMEOUT_US:
-            # This gateway stood still itself: nothing is known of the other one.
+            # The timer is so late that this gateway itself must have been paused: a missing answer
+            # says nothing about the peer.
             return
         if not self._reachability.record_answer_due(awaited.peer, awaited.sent_at_us):
             return
@@ -86,9 +90,9 @@
                 self.report(quota, candidate + 1)
 
     def _send_to(self, coordinator: int) -> None:
-        """Send what is due to a coordinator, as far as one message holds it.
+        """Send the waiting reports for a coordinator, as many as fit into one message.
 
-        A report leaves at once while there are messages left; reports that come faster share one.
+        Reports are sent immediately while the message budget lasts; later they share messages.
         """
         due, customers = self.due[coordinator], self._counters.customers
         urgent = any((q := customers.get(customer)) and q.waiting_requests for customer in due)
@@ -117,11 +121,11 @@
             self._context.actions.append(SetTimer(delay_us, REPORTS_DUE))
 
     def _pack_report(self, quota: CustomerQuota) -> bytes:
-        """Pack a report that requests the token grants that this gateway lacks."""
+        """Pack a report, which also requests the rate ceiling units that this gateway lacks."""
         self._counters.refill(quota)
         wanted = sum(quota.waiting_requests.values()) or self._rate_ceiling.local_burst(quota)
         lacking = max(0.0, wanted - quota.ceiling_units)
-        # The wire rounds down.
+        # The wire format rounds units down, so round up here.
         scale = gossip_codec.UNIT_SCALE
         quota.requested_grants = math.ceil(lacking * scale) / scale
         return self._sender.pack_row(quota, 0, quota.requested_grants)
--- a/saffrongw/policy/customer_quota.py
+++ b/saffrongw/policy/customer_quota.py
@@ -1,4 +1,4 @@
-"""The record of one customer: counters, limit, rate ceiling and the requests that wait for it."""
+"""One customer's state at a gateway: quota counters, rate ceiling units and pending grants."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class CounterEntry(NamedTuple):
-    """One gateway's grow-only counter: the start of its incarnation and the units it admitted.
+    """One gateway's grow-only counter: the units that it admitted since its start.
 
-    The start is in ticks of ``gossip_codec.TICK_MS``. Entries compare by start, then by units, so
-    that the larger of two is the newer one.
+    The start, in ticks of ``gossip_codec.TICK_MS``, identifies the incarnation. Entries compare by
+    start, then by units, so that the greater of two entries is the newer one.
     """
 
     start_tick: int
@@ -18,7 +18,7 @@
 
 
 class PendingGrant(NamedTuple):
-    """Token grants that a gateway waits for: since when, and how many units."""
+    """Units of a rate ceiling that a gateway waits for, and since when."""
 
     since_us: int
     units: float
@@ -26,46 +26,48 @@
 
 @dataclass(slots=True)
 class CustomerQuota:
-    """What one gateway knows of one customer; units are those of the customer's plan."""
+    """One gateway's state of one customer; quotas and ceilings are in the same units."""
 
     customer: int
     plan: int
-    # The customer's replica set: its first gateway and how many there are.
+    # The customer's replica set: its first gateway and the number of gateways.
     set_first: int
     set_size: int
-    # The limit rises at the plan's rate; the headroom is what it exceeds the spent units by.
+    # The quota's limit on ``spent_units``, which rises at the plan's rate.
     limit: float
     refilled_at_us: int
-    # Counters by node index.
+    # Each gateway's counter by node index.
     counters: dict[int, CounterEntry] = field(default_factory=dict)
-    # The sum of all growth of the counters, those of earlier incarnations included.
+    # The growth of all counters that this gateway has seen, earlier incarnations included.
     counted_units: float = 0.0
-    # All units known to be spent: the counters, and what other gateways counted besides.
+    # All units known to be spent: those counted here, or a greater total that a peer has sent.
     spent_units: float = 0.0
     # Node indices whose counters changed last, the latest at the end.
     recent_nodes: tuple[int, ...] = ()
-    # No other gateway has sent anything about the customer yet.
+    # Whether no other gateway has sent anything about the customer yet.
     is_unconfirmed: bool = True
     in_flight: int = 0
-    # When the latest admissions of other gateways became known.
+    # When the latest admissions by other gateways became known here.
     remote_admissions_us: tuple[int, ...] = ()
     last_broadcast_us: int = 0
-    # Units that the rate ceiling lets this gateway admit, and those it requested and still lacks.
+    # Units of the rate ceiling that this gateway may spend, and those that it has requested from
+    # the coordinator and not received.
     ceiling_units: float = 0.0
     requested_grants: float = 0.0
-    # When the token grants that came last were sent.
+    # Send time of the last accepted token grants, by the sender's clock.
     last_grant_sent_ms: int = 0
-    # Requests that wait for token grants: their units.
+    # Units of the requests that wait for token grants, by request.
     waiting_requests: dict[int, float] = field(default_factory=dict)
-    # Token grants that this gateway, as the coordinator, has still to send: by node index.
+    # Token grants that this gateway, as the coordinator, has not sent yet, by node index.
     pending_grants: dict[int, PendingGrant] = field(default_factory=dict)
     last_admitted_us: int = 0
-    # This gateway's part of the use while it could reach the others; None: not known.
-    local_usage_part: float | None = None
-    # Nearly all was spent: requests are rejected until a good part has been refilled.
+    # This gateway's fraction of the customer's spent units, as of the last time that it could reach
+    # its peers; None if unknown.
+    local_usage_fraction: float | None = None
+    # Whether the quota was nearly spent: requests are rejected until enough of it has refilled.
     is_exhausted: bool = False
 
     @property
     def headroom(self) -> float:
-        """The units that may be admitted now."""
+        """The units of the quota that may be admitted now."""
         return self.limit - self.spent_units
--- a/saffrongw/policy/decision_context.py
+++ b/saffrongw/policy/decision_context.py
@@ -1,4 +1,4 @@
-"""What the parts of one gateway share while it handles an event: its time and the actions."""
+"""The context of one decision: the time of the event being handled, and the resulting actions."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class DecisionContext:
-    """The time of the event being handled and the actions that were decided for it.
+    """The event time and the action list that all components of one gateway share.
 
-    ``Gateway.handle`` sets both before it dispatches an event; the parts read the time and append
-    actions. Times are in microseconds of the caller's clock.
+    ``Gateway.handle`` sets both before it dispatches an event; the components read the time and
+    append actions. Times are in microseconds of the caller's clock.
     """
 
     __slots__ = ("actions", "now_us")
--- a/saffrongw/policy/endpoints.py
+++ b/saffrongw/policy/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints that discovery listed, in the pools from which attempts are sent to them."""
+"""The endpoints that discovery listed, and the pools from which the load balancer chooses."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 
 @dataclass(slots=True, eq=False)
 class Endpoint(HealthScore):
-    """One endpoint: its line of the endpoint list, its health score and its load."""
+    """One endpoint: its entry of the endpoint list, its health score and its load."""
 
     entry: EndpointEntry = field(kw_only=True)
     in_flight: int = 0
-    # When it last answered, or when the first of the attempts in flight was sent to it while idle.
+    # When it last answered, or was last sent an attempt while it had none in flight.
     last_progress_at_us: int = 0
-    # Moving average of the load under which its latencies were measured.
+    # Moving average of the load (attempts in flight) under which its latencies were measured.
     typical_load: float = 2.0
-    # Part of its cores in use by its last load report, and when that report came.
+    # CPU utilization (0 to 1) in its last load report, and when that report arrived.
     cpu_utilization: float = 1.0
     load_reported_at_us: int = 0
 
     def deduplication_domain(self, scope: DeduplicationScope) -> int:
-        """Return what endpoints that deduplicate each other's requests have in common."""
+        """Return the cell or zone within which endpoints recognize each other's requests, or 0."""
         if scope is DeduplicationScope.CELL:
             return self.entry.cell
         if scope is DeduplicationScope.ZONE:
@@ -42,7 +42,7 @@
 
 
 class EndpointPool:
-    """A list of endpoints to draw from; adding and removing one costs the same at any size."""
+    """A list of endpoints to sample from, with constant-time addition and removal."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -50,13 +50,13 @@
         self._positions: dict[EndpointId, int] = {}
 
     def add(self, endpoint: Endpoint) -> None:
-        """Add an endpoint unless it is in the pool."""
+        """Add an endpoint unless it is in the pool already."""
         if endpoint.entry.endpoint_id not in self._positions:
             self._positions[endpoint.entry.endpoint_id] = len(self.endpoints)
             self.endpoints.append(endpoint)
 
     def remove(self, endpoint_id: EndpointId) -> None:
-        """Remove an endpoint if it is in the pool; the last one takes its position."""
+        """Remove an endpoint if it is in the pool; the last endpoint moves to its position."""
         position = self._positions.pop(endpoint_id, None)
         if position is not None:
             last = self.endpoints.pop()
@@ -69,7 +69,7 @@
     """All listed endpoints by identifier, and the usable ones in pools.
 
     An endpoint that is ready and not excluded is in the pools of its cell and its zone, and either
-    in ``warm`` or in ``warming``; which of these two, ``SlowStart`` decides.
+    in ``warm`` or in ``warming``, as ``SlowStart`` decides.
     """
 
     def __init__(self, exclusions: AdministrativeExclusions) -> None:
@@ -79,10 +79,10 @@
         self.warming = EndpointPool()
         self.by_cell: dict[int, EndpointPool] = {}
         self.by_zone: dict[int, EndpointPool] = {}
-        # Endpoints in the order of their listing, until they have warmed up.
+        # Endpoints in the order in which they became usable, until they have warmed up.
         self.warming_queue: deque[Endpoint] = deque()
-        # Endpoints whose exclusion ended and that no attempt was sent to since.
-        self.unproven: dict[EndpointId, None] = {}
+        # Restored endpoints to which no attempt was sent since their exclusion ended.
+        self.untried: dict[EndpointId, None] = {}
         self.exclusions = exclusions
 
     def apply_list(self, event: EndpointListReceived, now_us: int) -> list[Endpoint]:
@@ -100,12 +100,12 @@
         return started
 
     def _with_plausible_start(self, entry: EndpointEntry, now_us: int) -> EndpointEntry:
-        # A start in the future would keep the endpoint warming up for good.
+        # With a start in the future the endpoint might never finish warming up.
         if entry.started_at_us > now_us:
             entry = replace(entry, started_at_us=now_us)
         restored = self.exclusions.restored.get(entry.endpoint_id)
         if restored and entry.started_at_us < restored.excluded_at_us:
-            # The list is late: the endpoint was restarted while it was excluded.
+            # The list is older than the endpoint's restart during the exclusion.
             entry = replace(entry, started_at_us=restored.restored_at_us)
         return entry
 
@@ -130,13 +130,13 @@
     ) -> Endpoint | None:
         """Apply an administrative exclusion or its end; return the endpoint that became usable.
 
-        For ``remember_us`` after its end an endpoint counts as started at that end, unless the
-        endpoint list names a start during the exclusion.
+        For ``remember_us`` after the end of its exclusion an endpoint counts as started at that
+        end, unless the endpoint list names a start during the exclusion.
         """
         self.exclusions.prune_restored(now_us - remember_us)
         if event.excluded:
             if self.exclusions.add(event.endpoint_id, event.source, event.since or now_us):
-                self.unproven.pop(event.endpoint_id, None)
+                self.untried.pop(event.endpoint_id, None)
                 if endpoint := self.by_id.get(event.endpoint_id):
                     self._remove_from_pools(endpoint)
             return None
@@ -157,11 +157,11 @@
         entry = replace(endpoint.entry, started_at_us=started_at_us)
         restored = self.by_id[entry.endpoint_id] = Endpoint(now_us, entry=entry)
         self._add_to_pools(restored)
-        self.unproven[entry.endpoint_id] = None
+        self.untried[entry.endpoint_id] = None
         return restored
 
     def promote_first_warming(self) -> None:
-        """Move the endpoint that was listed first to the warm pool, if it is still usable."""
+        """Move the first endpoint of the queue to the warm pool, if it is still usable."""
         endpoint = self.warming_queue.popleft()
         endpoint_id = endpoint.entry.endpoint_id
         if (
@@ -173,9 +173,9 @@
             self.warm.add(endpoint)
 
     def deduplicating_with(self, endpoint: Endpoint, scope: DeduplicationScope) -> list[Endpoint]:
-        """Return the usable endpoints that deduplicate requests together with this one.
+        """Return the usable endpoints that recognize the idempotency keys of this one's requests.
 
-        In a cell or a zone these may be warming up.
+        Those of a cell or a zone include endpoints that are warming up.
         """
         if scope is DeduplicationScope.ALL:
             return self.warm.endpoints
@@ -184,10 +184,10 @@
         return pool.endpoints if pool else []
 
     def _remove(self, endpoint: Endpoint) -> None:
-        # Attempts in flight keep the record until they end.
+        # Attempts in flight refer to the endpoint's record until they end.
         self._remove_from_pools(endpoint)
         endpoint_id = endpoint.entry.endpoint_id
-        self.unproven.pop(endpoint_id, None)
+        self.untried.pop(endpoint_id, None)
         endpoint.entry = replace(endpoint.entry, state=EndpointState.REMOVED)
         del self.by_id[endpoint_id]
         self._remove_from_warming_queue(endpoint)
@@ -206,6 +206,7 @@
         for pools, key in ((self.by_cell, entry.cell), (self.by_zone, entry.zone)):
             if pool := pools.get(key):
                 pool.remove(entry.endpoint_id)
-                # Cells are new each time where endpoints are replaced: empty pools would add up.
+                # Replacement endpoints may come in new cells each time: without this, the empty
+                # pools of old cells would accumulate.
                 if not pool.endpoints:
                     del pools[key]
--- a/saffrongw/policy/events.py
+++ b/saffrongw/policy/events.py
@@ -1,8 +1,8 @@
 """The events that a gateway's policy handles.
 
 Times and durations are integers in microseconds of the caller's clock. Endpoint identifiers are
-opaque, sortable bytes; requests and customers are integers. The events of every request are named
-tuples, the fastest to create.
+opaque, sortable bytes; requests and customers are integers. Events that every request causes are
+named tuples, because they are the fastest to create.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """One line of an endpoint list; a start at 0 means long ago."""
+    """One entry of an endpoint list; a ``started_at_us`` of 0 means long ago."""
 
     endpoint_id: EndpointId
     state: EndpointState
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListReceived:
-    """An endpoint list came from discovery, or the call for it failed."""
+    """Discovery delivered an endpoint list, or the call for it failed."""
 
     topic: ClassVar[str] = "endpoint_list_received"
 
@@ -68,7 +68,11 @@
 
 
 class RequestArrived(NamedTuple):
-    """A client's request; the replica set is the range of gateways that serve the customer."""
+    """A client sent a request.
+
+    The replica set is the range of gateways that serve the customer; ``kind`` is the index of the
+    request's class, ``plan`` that of the customer's plan.
+    """
 
     @property
     def topic(self) -> str:
@@ -90,7 +94,7 @@
 class AdmissionCheckArrived:
     """Another proxy asks whether it may forward a request.
 
-    It is decided at once, by quota, concurrency limit and rate ceiling alone.
+    The check is answered immediately, by quota, concurrency limit and rate ceiling alone.
     """
 
     topic: ClassVar[str] = "admission_check_arrived"
@@ -105,7 +109,7 @@
 
 
 class AttemptEnded(NamedTuple):
-    """An attempt ended; ``is_answered`` means that the request needs no answer any more."""
+    """An attempt ended; ``is_answered`` means that the request needs no further answer."""
 
     @property
     def topic(self) -> str:
@@ -125,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """A streamed answer has begun: no deadline runs any more."""
+    """A streamed reply has begun: the deadline no longer applies."""
 
     topic: ClassVar[str] = "stream_started"
 
@@ -137,7 +141,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client left; it is owed no answer any more."""
+    """A client disconnected: its request needs no answer."""
 
     topic: ClassVar[str] = "client_disconnected"
 
@@ -169,7 +173,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipReceived:
-    """A datagram came from another gateway; its bytes are untrusted."""
+    """A gossip datagram arrived from another gateway; its bytes are untrusted."""
 
     topic: ClassVar[str] = "gossip_received"
 
@@ -191,11 +195,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ExclusionChanged:
-    """A source, an operator's call say, excludes an endpoint or ends its exclusion.
+    """A source (for example an operator's call) excludes an endpoint or ends its exclusion.
 
-    An exclusion stands whatever discovery lists, until the same source ends it. A restored endpoint
-    counts as started at that moment, unless discovery names a start after ``since``, when it was
-    excluded (us; 0: at the time of the event).
+    An exclusion stays in force until the same source ends it, whatever discovery lists. A restored
+    endpoint counts as started at the end of its exclusion, unless discovery names a start after
+    ``since``, the time of the exclusion (in microseconds; 0: the time of the event).
     """
 
     topic: ClassVar[str] = "exclusion_changed"
--- a/saffrongw/policy/exclusions.py
+++ b/saffrongw/policy/exclusions.py
@@ -1,4 +1,4 @@
-"""Endpoints that are administratively excluded, and those whose exclusion ended lately."""
+"""Endpoints that are administratively excluded, and those whose exclusion ended recently."""
 
 from __future__ import annotations
 
@@ -15,17 +15,18 @@
 
 
 class AdministrativeExclusions:
-    """Who excluded which endpoint, and since when; several sources may exclude the same one."""
+    """The exclusions of each endpoint by source; several sources may exclude the same endpoint."""
 
     def __init__(self) -> None:
         """Start without exclusions."""
-        # By endpoint: the sources that exclude it, each with its start.
+        # By endpoint: the start of the exclusion by each source.
         self.sources: dict[EndpointId, dict[str, int]] = {}
-        # Endpoints that count as restarted at the end of their exclusion.
+        # Recently restored endpoints: the end of the exclusion counts as their start, unless the
+        # endpoint list names a start during the exclusion.
         self.restored: dict[EndpointId, RestoredSpan] = {}
 
     def add(self, endpoint_id: EndpointId, source: str, since_us: int) -> bool:
-        """Let a source exclude an endpoint; tell whether it was usable before."""
+        """Add a source's exclusion of an endpoint; return whether it is the endpoint's only one."""
         sources = self.sources.get(endpoint_id)
         if sources is None:
             self.sources[endpoint_id] = {source: since_us}
@@ -34,7 +35,7 @@
         return False
 
     def withdraw(self, endpoint_id: EndpointId, source: str, now_us: int) -> int | None:
-        """End a source's exclusion; return its start if it was the endpoint's last one."""
+        """End a source's exclusion; return its start if no other source excludes the endpoint."""
         sources = self.sources.get(endpoint_id)
         if sources is None or source not in sources:
             return None
@@ -46,7 +47,7 @@
         return since_us
 
     def prune_restored(self, until_us: int) -> None:
-        """Forget the exclusions that ended at this time or before."""
+        """Forget the restored endpoints whose exclusion ended at this time or earlier."""
         expired = [
             endpoint_id
             for endpoint_id, span in self.restored.items()
--- a/saffrongw/policy/gateway.py
+++ b/saffrongw/policy/gateway.py
@@ -1,8 +1,13 @@
 """One gateway's policy: takes the events of ``events.py``, returns the actions of ``actions.py``.
 
-It composes the parts, each of which has one concern and one state, and dispatches events to them.
-Why the parts decide as they do stands in docs/design.md. There is no I/O and no clock here: the
-driver feeds events with their time and carries out the actions.
+It creates the components, each of which owns one concern and its state, and dispatches events to
+them. There is no I/O and no clock here: the driver passes in events with their time and carries out
+the actions. docs/design.md explains the reasons behind the decisions.
+
+Comments in this package cite the rules that ``testbed/checker/rules.py`` checks: (1) each request
+gets exactly one final answer, in time; (2) no request takes effect twice unless it is idempotent;
+(3) draining, removed and excluded endpoints get no attempts; (4) a started endpoint warms up before
+it gets its full share; (5) no customer exceeds its rate ceiling.
 """
 
 from __future__ import annotations
@@ -48,17 +53,17 @@
 
 
 class Gateway:
-    """The facade of the policy: feed events with their time, carry out the actions."""
+    """The policy's only entry point: handles events and returns the actions to carry out."""
 
     def __init__(self, settings: Settings, seed: int, now_us: int) -> None:
-        """Compose the parts; all random draws come from one generator with this seed."""
+        """Create the components; all random draws come from one generator with this seed."""
         self.settings = settings
         self.random = random.Random(seed)
         self.context = DecisionContext(now_us)
         self._compose_quotas()
         self._compose_endpoints()
         self._compose_requests()
-        # Streams, health checks and the shared counter need no decision.
+        # Events without a handler (streams, health checks, the shared counter) need no decision.
         self._handlers: dict[type, Callable[[Any], None]] = {
             RequestArrived: self.lifecycle.request_arrived,
             AdmissionCheckArrived: self.lifecycle.admission_check_arrived,
@@ -160,7 +165,7 @@
 
     @property
     def handed_over(self) -> bool:
-        """Whether a successor has the counters, so that nothing more is admitted here."""
+        """Whether a successor process owns the quota counters, so that this one admits nothing."""
         return self.admission.is_handed_over
 
     @handed_over.setter
@@ -168,10 +173,10 @@
         self.admission.is_handed_over = handed_over
 
     def start(self, since_us: int | None = None) -> list[Action]:
-        """Return the first actions, once the gateway is up.
+        """Return the actions to carry out at start.
 
-        ``since_us`` is when the last earlier incarnation stopped sending; parts of rate ceilings
-        fill from then.
+        ``since_us`` is when the previous process of this gateway stopped sending attempts: this
+        gateway's parts of rate ceilings refill from that time on.
         """
         if since_us is not None:
             counters = self.quota_counters
@@ -182,7 +187,7 @@
         return actions
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """Return what to do about an event."""
+        """Handle an event and return the actions to carry out."""
         context = self.context
         context.now_us = now_us
         actions: list[Action] = []
@@ -212,15 +217,15 @@
             self.slow_start.add(endpoint)
 
     def _exclusion_changed(self, event: ExclusionChanged) -> None:
-        """Send nothing to an excluded endpoint (rule 3); a restored one warms up (rule 4)."""
+        """Stop using an excluded endpoint (rule 3); let a restored one warm up (rule 4)."""
         now_us, remember_us = self.context.now_us, self.settings.slow_start_duration_us
         if restored := self.endpoints.change_exclusion(event, now_us, remember_us):
             self.slow_start.add(restored)
 
     def avoided(self, now_us: int) -> int:
-        """Count the listed endpoints that are excluded, draining or look ejected now."""
+        """Count the listed endpoints that are excluded, draining or ejected as outliers."""
         return self.outlier_detection.count_avoided(now_us)
 
     def exceeds_quota(self, now_us: int, customer: int, plan: int, units: float) -> bool:
-        """Tell whether a request would certainly be rejected for its quota; changes nothing."""
+        """Return whether the quota would certainly reject a request; changes no state."""
         return self.quota_counters.exceeds(now_us, customer, plan, units)
--- a/saffrongw/policy/gossip.py
+++ b/saffrongw/policy/gossip.py
@@ -1,4 +1,4 @@
-"""Handles gossip that other gateways sent: merges it, forwards it and answers it."""
+"""Handles gossip messages from other gateways: merges, forwards and answers them."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from .settings import Settings
 from .token_grants import TokenGrants
 
-# A message that took longer, or comes from so far in the future, is ignored.
+# Messages whose send time differs more than this from the present, either way, are ignored.
 MAX_MESSAGE_AGE_US = 5 * SECOND_US
 
 
 class MergedRow(NamedTuple):
-    """A row that was merged: what its sender wants, and whether requests wait there."""
+    """A merged row: the grants that its sender requests, and whether requests wait there."""
 
     quota: CustomerQuota
     wanted_grants: float
@@ -32,7 +32,7 @@
 
 
 class Gossip:
-    """Receives gossip; a peer's message is evidence that is checked before it is merged."""
+    """Receives gossip; peers are not trusted, so messages are checked before they are merged."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         context: DecisionContext,
         resume_waiting: Callable[[CustomerQuota], None],
     ) -> None:
-        """Call ``resume_waiting`` with each customer on whom an answer came."""
+        """Call ``resume_waiting`` with each customer in a received message that is no report."""
         self._plan_count = len(settings.plans)
         self._counters = counters
         self._replica_sets = replica_sets
@@ -58,7 +58,7 @@
         self._resume_waiting = resume_waiting
 
     def receive(self, event: GossipReceived) -> None:
-        """Merge a message, forward what it asks to be forwarded, and answer it if it asks."""
+        """Merge a message, forward the rows that request it, and send the answer it requests."""
         message = self._decode(event)
         if message is None:
             return
@@ -66,7 +66,7 @@
         self._reachability.record_message(event.sender, now_us)
         age_us = max(0, now_us - message.sent_ms * MS_US)
         merged = [
-            self._take_row(row, message, event.sender, age_us)
+            self._process_row(row, message, event.sender, age_us)
             for row in message.rows
             if self._is_served_here(row)
         ]
@@ -82,7 +82,7 @@
         )
         if (
             message is None
-            or self._reachability.is_isolated
+            or self._reachability.gossip_disabled
             or not 0 <= event.sender < node_count
             or abs(now_us - message.sent_ms * MS_US) >= MAX_MESSAGE_AGE_US
         ):
@@ -95,13 +95,14 @@
             replica_sets.node_index, row.replica_set_first, row.replica_set_size
         )
 
-    def _take_row(
+    def _process_row(
         self, row: GossipRow, message: GossipMessage, sender: int, age_us: int
     ) -> MergedRow:
         known = self._counters.customers.get(row.customer)
         known_counter = known.counters.get(sender) if known else None
         quota = self._merge(row, message, sender, age_us)
-        # A sender whose counter has not grown asks because it has not forwarded the request.
+        # If the sender's counter has not grown, no admission caused this report: it requests grants
+        # for a request that waits there.
         has_waiting = quota.counters.get(sender) == known_counter
         self._broadcast.forward(quota, min(row.forward_count, quota.set_size - 1))
         if message.is_report:
@@ -113,12 +114,12 @@
     def _merge(
         self, row: GossipRow, message: GossipMessage, sender: int, age_us: int
     ) -> CustomerQuota:
-        quota = self._counters.open(
+        quota = self._counters.get_or_create(
             row.customer, row.plan, row.replica_set_first, row.replica_set_size, trusted=False
         )
         quota.is_unconfirmed = False
         self._counters.refill(quota)
-        # In a report the row's grants are requested, not given.
+        # The grants in a report are requested; those in any other message are given.
         if not message.is_report:
             self._grants.accept(quota, row, age_us, message.sent_ms)
         self._counters.merge_row(quota, row, sender, age_us, message.is_report)
@@ -126,7 +127,7 @@
 
     def _answer(self, sender: int, merged: list[MergedRow]) -> None:
         rows = (
-            self._sender.pack_row(quota, 0, self._grants.give(quota, sender, wanted, has_waiting))
+            self._sender.pack_row(quota, 0, self._grants.grant(quota, sender, wanted, has_waiting))
             for quota, wanted, has_waiting in merged
         )
         customers = [row.quota.customer for row in merged]
--- a/saffrongw/policy/gossip_codec.py
+++ b/saffrongw/policy/gossip_codec.py
@@ -1,13 +1,13 @@
-"""Byte layout of the gossip messages between gateways: packing only, no decision.
+"""Encoding and decoding of the gossip messages between gateways.
 
 A message is a header and rows. Numbers are LEB128 variable-length integers unless a size is given;
-units of quotas travel in sixteenths.
+units are encoded in sixteenths.
 
-    header  u8 format, u8 flags (1: answer this, 2: a report), u32 send time in ms (its low bits)
-    row     customer, plan, first gateway of its replica set, size of the set, how many gateways of
-            the set the receiver forwards it to, headroom, all units known to be spent, token grants
-            that are requested (in a report) or given, number of counters, counters
-    counter position in the replica set, age of its start in 1/16 s, units
+    header  u8 format, u8 flags (1: answer requested, 2: report), u32 send time in ms (low bits)
+    row     customer, plan, first gateway of its replica set, size of the set, number of gateways in
+            the set to which the receiver forwards the row, headroom, all units known to be spent,
+            token grants (requested in a report, else given), number of counters, counters
+    counter position in the replica set, age of its start in ticks, units
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 from typing import NamedTuple
 
 FORMAT = 2
-# What the transport carries.
+# The largest datagram that the transport carries.
 MAX_MESSAGE_BYTES = 256
 HEADER_BYTES = 6
-# Parts of a unit and of a second that travel.
+# Resolution of amounts in messages: steps per unit (and per second for starts of counters).
 UNIT_SCALE = 16
-# One step of a counter's start.
+# Resolution of the starts of counters.
 TICK_MS = 1000 // UNIT_SCALE
-# After so long the low bits of send times repeat.
+# Send times in messages wrap around after this time.
 SEND_TIME_WRAP_MS = 1 << 32
-# Bytes of a number: 63 bits.
+# Longest encoding of a number: 63 bits.
 MAX_VARINT_BYTES = 9
 
 _ANSWER_FLAG = 1
@@ -34,11 +34,11 @@
 
 
 class GossipFormatError(ValueError):
-    """A message has a number that is too long, or a row names what does not exist."""
+    """A number in a message is too long, or a row has an out-of-range plan, set or counter."""
 
 
 class CounterRow(NamedTuple):
-    """One gateway's counter as it travels; the start is in ticks of ``TICK_MS``."""
+    """One gateway's counter in a message; the start is in ticks of ``TICK_MS``."""
 
     node_index: int
     start_tick: int
@@ -46,7 +46,7 @@
 
 
 class GossipRow(NamedTuple):
-    """What a message tells of one customer; ``grants`` are requested in a report, else given."""
+    """One customer's quota in a message; ``grants`` are requested in a report, else given."""
 
     customer: int
     plan: int
@@ -69,7 +69,7 @@
 
 
 def pack_row(row: GossipRow, sent_ms: int, node_count: int) -> bytes:
-    """Pack one row; starts of counters travel as ages at the send time."""
+    """Pack one row; starts of counters are encoded as their age at the send time."""
     packed = bytearray()
     sent_ticks = sent_ms // TICK_MS
     set_first = row.replica_set_first
@@ -93,7 +93,7 @@
 
 
 def fit_rows(rows: Iterable[bytes]) -> list[bytes]:
-    """Take as many of the rows, from the first on, as one message holds."""
+    """Return the first rows, as many as fit into one message."""
     taken: list[bytes] = []
     space = MAX_MESSAGE_BYTES - HEADER_BYTES
     for row in rows:
@@ -105,7 +105,7 @@
 
 
 def pack_message(sent_ms: int, wants_answer: bool, is_report: bool, rows: list[bytes]) -> bytes:
-    """Join packed rows to a message."""
+    """Pack a message from a header and packed rows."""
     flags = _ANSWER_FLAG * wants_answer + _REPORT_FLAG * is_report
     low_bits = (sent_ms % SEND_TIME_WRAP_MS).to_bytes(4, "little")
     return bytes((FORMAT, flags)) + low_bits + b"".join(rows)
@@ -114,9 +114,9 @@
 def unpack_message(
     body: bytes, now_ms: int, node_count: int, plan_count: int
 ) -> GossipMessage | None:
-    """Decode a message; None if the bytes are malformed or name what does not exist.
+    """Decode a message; return None if it is malformed or has out-of-range values.
 
-    Of the send times that the low bits may mean, the one nearest to ``now_ms`` is taken.
+    The send time is the one nearest to ``now_ms`` with the low bits of the header.
     """
     if not HEADER_BYTES <= len(body) <= MAX_MESSAGE_BYTES:
         return None
@@ -140,7 +140,7 @@
 def _read_row(
     body: bytes, offset: int, sent_ticks: int, node_count: int, plan_count: int
 ) -> tuple[GossipRow, int]:
-    """Read a row; return it and the offset behind it."""
+    """Decode a row; return it and the offset of the next byte."""
     numbers = []
     for _ in range(_ROW_NUMBERS):
         number, offset = _read_varint(body, offset)
@@ -184,7 +184,7 @@
 
 
 def _read_varint(body: bytes, offset: int) -> tuple[int, int]:
-    """Read a number; return it and the offset behind it."""
+    """Decode a number; return it and the offset of the next byte."""
     byte = body[offset]
     if byte < 0x80:
         return byte, offset + 1
--- a/saffrongw/policy/gossip_sender.py
+++ b/saffrongw/policy/gossip_sender.py
@@ -1,4 +1,4 @@
-"""Sends gossip within the budget of messages, and keeps the answers that are awaited."""
+"""Sends gossip messages within a rate limit, and keeps track of the answers that are awaited."""
 
 from __future__ import annotations
 
@@ -15,21 +15,22 @@
 from .settings import Settings
 from .timer_tokens import ANSWER_DUE
 
-# Part of one gateway's gossip intake that each gateway may send: the rest is for jitter.
-INTAKE_PART = 0.8
-# How long a peer has to answer.
+# Rate limit of sent gossip, as a fraction of the rate that one gateway can receive; the rest is
+# headroom for jitter.
+INTAKE_FRACTION = 0.8
+# How long a gateway waits for a peer's answer.
 ANSWER_TIMEOUT_US = 200 * MS_US
 
 
 class SentReport(NamedTuple):
-    """A customer that a coordinator was sent a report on; which candidate for coordinator it is."""
+    """A reported customer, and the candidate number of the coordinator that received the report."""
 
     customer: int
     candidate: int
 
 
 class AwaitedAnswer(NamedTuple):
-    """A message that asked for an answer, with what it reported."""
+    """A message that requested an answer, and the customers that it reported."""
 
     sent_at_us: int
     peer: int
@@ -37,25 +38,25 @@
 
 
 class GossipSender:
-    """Every gossip message leaves here; owns the budget of messages.
+    """Sends every gossip message; owns the message budget, a token bucket.
 
-    All that one gateway sends stays below what one takes in.
+    The rate at which one gateway sends stays below the rate at which one gateway can receive.
     """
 
     def __init__(
         self, settings: Settings, counters: QuotaCounters, context: DecisionContext
     ) -> None:
-        """Start with the budget of one second."""
+        """Start with one second's message budget."""
         self._node_count = settings.node_count
         self._counters = counters
         self._context = context
-        self.messages_per_second = INTAKE_PART * settings.gossip_intake
+        self.messages_per_second = INTAKE_FRACTION * settings.gossip_intake
         self.budget = self.messages_per_second
         self._budget_refilled_at_us = context.now_us
         self.awaited_answers: deque[AwaitedAnswer] = deque()
 
     def refill_budget(self) -> float:
-        """Bring the budget up to date; return how many messages may be sent now."""
+        """Refill the message budget; return how many messages may be sent now."""
         now_us = self._context.now_us
         gained = self.messages_per_second * (now_us - self._budget_refilled_at_us) / SECOND_US
         self.budget = min(self.messages_per_second, self.budget + gained)
@@ -69,10 +70,10 @@
         awaited: list[SentReport] | None = None,
         is_report: bool = False,
     ) -> bool:
-        """Send rows to a peer; tell whether the budget allowed it.
+        """Send rows to a peer; return whether the message budget allowed it.
 
-        An answer is asked for unless ``awaited`` is None; without one in time, its reports go to
-        the next candidates.
+        An answer is requested unless ``awaited`` is None. If none comes in time, the reports in
+        ``awaited`` are sent to the next candidates for coordinator.
         """
         if self.refill_budget() < 1:
             return False
@@ -87,10 +88,10 @@
         return True
 
     def pack_row(self, quota: CustomerQuota, forward_count: int, grants: float = 0.0) -> bytes:
-        """Refill a customer's quota and pack what is known of it.
+        """Refill a customer's quota and pack it into a row.
 
-        ``forward_count`` is how many gateways of the replica set the receiver forwards it to, and
-        ``grants`` the token grants that are requested or given.
+        ``forward_count`` is the number of gateways in the replica set to which the receiver
+        forwards the row, ``grants`` the token grants that are requested or given.
         """
         self._counters.refill(quota)
         counters = tuple(CounterRow(node, *quota.counters[node]) for node in quota.recent_nodes)
--- a/saffrongw/policy/health_score.py
+++ b/saffrongw/policy/health_score.py
@@ -1,4 +1,4 @@
-"""A latency score and a failure score that decay exponentially unless outcomes renew them."""
+"""Health scores of endpoints, zones and the fleet, which decay exponentially with time."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 @dataclass(slots=True, eq=False)
 class HealthScore:
-    """What recent attempts met at one endpoint, in one zone or in the whole fleet.
+    """The latency and failures of recent attempts at one endpoint, in one zone or in the fleet.
 
-    ``latency_score`` is the mean ratio of measured to typical latency (1.0: as usual), and
-    ``failure_score`` a count of recent failures, halved by each success. Both were last brought up
-    to date at ``updated_at_us`` and decay by ``exp(-age / decay_us)``. Each has a method of its
-    own, because the comparison of endpoints mostly needs one of them and runs for each request.
+    ``latency_score`` is a moving average of the ratio of measured to typical latency (1.0: as
+    usual), and ``failure_score`` a count of recent failures that each success halves. Both are
+    values at ``updated_at_us`` and decay by ``exp(-age / decay_us)``. They have separate methods,
+    because most callers need only one of them, for each request.
     """
 
     updated_at_us: int
@@ -21,16 +21,16 @@
     failure_score: float = 0.0
 
     def decayed_latency(self, now_us: int, decay_us: int, prior: float = 1.0) -> float:
-        """Return the latency score, decayed towards ``prior`` by its age."""
+        """Return the latency score at a time, decayed towards ``prior``."""
         decay = math.exp((self.updated_at_us - now_us) / decay_us)
         return prior + (self.latency_score - prior) * decay
 
     def decayed_failures(self, now_us: int, decay_us: int) -> float:
-        """Return the failure score, decayed towards zero by its age."""
+        """Return the failure score at a time, decayed towards zero."""
         return self.failure_score * math.exp((self.updated_at_us - now_us) / decay_us)
 
     def apply_decay(self, now_us: int, decay_us: int) -> None:
-        """Bring both scores up to date, before an outcome is added to them."""
+        """Apply the decay to both scores, before an outcome is added to them."""
         if now_us != self.updated_at_us:
             decay = math.exp((self.updated_at_us - now_us) / decay_us)
             self.latency_score = 1 + (self.latency_score - 1) * decay
--- a/saffrongw/policy/load_balancer.py
+++ b/saffrongw/policy/load_balancer.py
@@ -1,4 +1,4 @@
-"""The load balancer: an attempt goes to the endpoint that should answer it soonest."""
+"""The load balancer: sends each attempt to the endpoint with the lowest expected latency."""
 
 from __future__ import annotations
 
@@ -14,17 +14,19 @@
 from .retry_policy import RetryPolicy
 from .slow_start import SlowStart
 
-# Requests that an endpoint is taken to hold besides those that this gateway sent: keeps the first
-# guesses level.
+# Load that every endpoint is assumed to have besides this gateway's attempts in flight. It evens
+# out the estimates while few attempts are in flight.
 BASE_LOAD = 2.0
-# Weight of an endpoint's own latency score beside the fleet's: a single slow answer must not leave
-# it idle.
+# Weight of an endpoint's own latency score against the fleet's when endpoints are compared: with
+# full weight a single slow answer would leave an endpoint without requests.
 OWN_LATENCY_WEIGHT = 0.4
-# How much slower one failure makes an endpoint look.
+# Increase of the expected latency, as a multiple of it, per failure in an endpoint's or a zone's
+# failure score, and for an endpoint that the request has tried before.
 FAILURE_PENALTY = 3.0
-# Endpoints that are compared for one attempt.
+# Size of the random sample of endpoints that are compared for one attempt.
 MAX_CANDIDATES = 12
-# Random part of a comparison, against herding of gateways.
+# Largest random increase of the expected latency, as a fraction: it keeps gateways with the same
+# scores from all choosing the same endpoint.
 JITTER = 0.1
 
 
@@ -41,7 +43,7 @@
         generator: random.Random,
         context: DecisionContext,
     ) -> None:
-        """Use the other parts' state; the load balancer has none of its own."""
+        """Use the state of the other components; the load balancer has none of its own."""
         self._endpoints = endpoints
         self._outlier_detection = outlier_detection
         self._slow_start = slow_start
@@ -51,12 +53,12 @@
         self._context = context
 
     def choose(self, request: RequestState) -> Endpoint | None:
-        """Return the endpoint for the next attempt, or None while no endpoint may get it."""
+        """Return the endpoint for the next attempt, or None if no endpoint is allowed."""
         if warming := self._slow_start.choose(request):
             return warming
         kind = request.event.kind
         if not request.attempts:
-            # Whatever is in the pool of warm endpoints may get a first attempt.
+            # Every endpoint in the warm pool is allowed for a first attempt: no further checks.
             return self._lowest_cost(self._sample(self._endpoints.warm.endpoints), kind, ())
         pool = self._endpoints.warm.endpoints
         if ran := request.attempts_that_may_have_run():
@@ -79,9 +81,9 @@
     ) -> Endpoint | None:
         """Return the candidate with the lowest expected latency.
 
-        The expectation is that of ``expected_latency_us``, with a random part, the failures of the
-        zone and a penalty for endpoints that the request has tried. It is written out in one loop,
-        because it is most of what a request costs.
+        Unlike ``expected_latency_us`` it adds jitter, the failures of the zone and a penalty for
+        endpoints that the request has tried. The formula is inlined in one loop, because most of
+        the CPU time of a request is spent here.
         """
         now_us = self._context.now_us
         draw = self._random.random
@@ -117,15 +119,16 @@
     def expected_latency_us(self, endpoint: Endpoint, kind: int) -> float:
         """Return the expected latency of one more request at an endpoint.
 
-        It follows from the latencies there, the change of its load, and how long it has been
-        silent. Failures count only while attempts are in flight: if they closed an idle fleet to
-        all requests, no answer would ever come to make them good.
+        The estimate uses the endpoint's latency and failure scores, its present load against the
+        load under which the latencies were measured, and how long it has not answered. Failures
+        count only while attempts are in flight: otherwise an idle fleet with failures would shed
+        every request, and no success could ever lower the failure scores.
         """
         now_us = self._context.now_us
         outliers = self._outlier_detection
         decay_us = outliers.endpoint_decay_us
         fleet = outliers.fleet_score.decayed_latency(now_us, DECAY_US)
-        # An endpoint that was not met lately is taken to be like all the others.
+        # Without recent samples of its own, an endpoint's score decays towards the fleet's.
         latency_score = endpoint.decayed_latency(now_us, decay_us, fleet)
         failures = endpoint.decayed_failures(now_us, decay_us)
         expected_us = (
@@ -136,6 +139,6 @@
             / endpoint.typical_load
         )
         if endpoint.in_flight:
-            # A stalled or dead endpoint answers nobody.
+            # A stalled or dead endpoint: it is at least as slow as the time without an answer.
             expected_us = max(expected_us, now_us - endpoint.last_progress_at_us)
         return expected_us
--- a/saffrongw/policy/outlier_detection.py
+++ b/saffrongw/policy/outlier_detection.py
@@ -1,7 +1,7 @@
-"""Outlier detection: scores of latency and failures by endpoint, by zone and over the fleet.
+"""Outlier detection: latency and failure scores of each endpoint, each zone and the whole fleet.
 
-Nothing is ejected outright: a score makes an endpoint look slower to the load balancer and decays
-with time, so that traffic returns gently. When all endpoints fail, none stays shut out.
+No endpoint is ejected outright. Its scores raise the latency that the load balancer expects of it,
+and they decay with time, so that traffic returns gradually. If all endpoints fail, all stay usable.
 """
 
 from __future__ import annotations
@@ -17,21 +17,22 @@
 from .request_state import AttemptState
 from .settings import Settings
 
-# Weight of the newest sample in every moving average here.
+# Weight of the newest sample in the moving averages of latency scores, loads and outcome intervals.
 SAMPLE_WEIGHT = 0.15
-# After this time a score has decayed to about a third. A gateway that meets each endpoint more
-# rarely remembers it until about the next meeting, or it would meet every bad one as if for the
-# first time.
+# Time constants of the exponential decay of scores: after one, a third is left. An endpoint's score
+# decays more slowly, up to the maximum, where this gateway sends it requests less often: the score
+# of a bad endpoint would otherwise be gone before the next request.
 DECAY_US = 3 * SECOND_US
 MAX_DECAY_US = 10 * SECOND_US
-# Times the typical latency that one sample may count for.
+# Latency score: the highest ratio of measured to typical latency that one sample counts as.
 MAX_LATENCY_RATIO = 8.0
-# Part of a failure that an error or a lost connection counts for: any endpoint may now and then
-# spoil one answer.
+# Failure score: what an error or a lost connection adds, where other failures add 1. A healthy
+# endpoint may also fail a request now and then.
 PARTIAL_FAILURE = 0.1
-# Most failures that are remembered: a longer fault is not forgiven later than a short one.
+# The highest failure score: recovery takes no longer after a long fault than after a short one.
 MAX_FAILURE_SCORE = 1 / SAMPLE_WEIGHT
-# Decayed failures from which an endpoint counts as ejected: it looks seven times slower.
+# Failure score from which an endpoint is reported as ejected: its expected latency is seven times
+# as high as without failures.
 EJECTION_FAILURE_SCORE = 2.0
 
 _RESPONSES = frozenset({AttemptOutcome.SERVED, AttemptOutcome.ERROR, AttemptOutcome.OVERLOADED})
@@ -41,7 +42,7 @@
 
 
 class OutlierDetection:
-    """Keeps the health scores; the endpoints' own stand in their records."""
+    """Updates all health scores; owns those of zones and the fleet (``Endpoint`` has its own)."""
 
     def __init__(
         self,
@@ -50,7 +51,7 @@
         latency: LatencyModel,
         context: DecisionContext,
     ) -> None:
-        """Start without any outcome."""
+        """Start without recorded outcomes."""
         self._endpoints = endpoints
         self._latency = latency
         self._context = context
@@ -58,19 +59,19 @@
         self._utilization_field = fields.index("util") if "util" in fields else None
         self.fleet_score = HealthScore(0)
         self.zone_scores: dict[int, HealthScore] = {}
-        # How long the scores of endpoints are remembered, by how often outcomes come.
+        # Decay time constant of the endpoints' scores; it follows the interval between outcomes.
         self.endpoint_decay_us = DECAY_US
         self._last_outcome_at_us = context.now_us
         self._mean_outcome_interval_us = 0.0
 
     def add_zones(self, entries: Sequence[EndpointEntry]) -> None:
-        """Keep a score for each zone that the endpoint list names."""
+        """Create a score for each zone in the endpoint list that has none."""
         for entry in entries:
             if entry.state is not EndpointState.REMOVED:
                 self.zone_scores.setdefault(entry.zone, HealthScore(0))
 
     def record(self, attempt: AttemptState, kind: int, event: AttemptEnded) -> None:
-        """Take the outcome of an attempt into the scores and the typical latency of its class."""
+        """Update the scores, and the typical latency of the class, with an attempt's outcome."""
         now_us = self._context.now_us
         endpoint = attempt.endpoint
         zone_score = self.zone_scores[endpoint.entry.zone]
@@ -86,7 +87,7 @@
             endpoint.load_reported_at_us = now_us
         if outcome in _LATENCY_SAMPLES:
             self._record_latency(attempt, kind, event.duration_us)
-        # The zone's score keeps a gateway that is cut off from a zone from trying each endpoint.
+        # With a score of the zone, a gateway that is cut off from it need not try each endpoint.
         for score in (endpoint, zone_score):
             if outcome is AttemptOutcome.SERVED:
                 score.failure_score /= 2
@@ -104,8 +105,8 @@
         self.endpoint_decay_us = int(min(MAX_DECAY_US, max(DECAY_US, expected_us)))
 
     def _record_latency(self, attempt: AttemptState, kind: int, duration_us: int) -> None:
-        # The fleet's score tells of an overload of all endpoints to a gateway that meets each of
-        # them too seldom to learn it from their own.
+        # The fleet's score lets a gateway detect an overload of all endpoints, even if it sends to
+        # each of them too rarely to detect it from their own scores.
         endpoint = attempt.endpoint
         ratio = min(MAX_LATENCY_RATIO, duration_us / self._latency.typical_us[kind])
         for score in (endpoint, self.fleet_score):
@@ -114,7 +115,7 @@
         self._latency.add_sample(kind, duration_us)
 
     def count_avoided(self, now_us: int) -> int:
-        """Count the listed endpoints that are excluded, draining or look ejected now."""
+        """Count the listed endpoints that are excluded, draining or ejected as outliers."""
         excluded = self._endpoints.exclusions.sources
         return sum(
             endpoint_id in excluded or self._is_avoided(endpoint, now_us)
--- a/saffrongw/policy/quota_broadcast.py
+++ b/saffrongw/policy/quota_broadcast.py
@@ -1,4 +1,4 @@
-"""Dissemination of quotas: broadcasts of those nearly spent, and random gossip of changes."""
+"""Dissemination of quotas: broadcasts of exhausted ones, and periodic gossip of changes."""
 
 from __future__ import annotations
 
@@ -12,25 +12,26 @@
 from .decision_context import DecisionContext
 from .durations import MS_US, SECOND_US
 from .gossip_sender import GossipSender
-from .quota_counters import EXHAUSTED_BELOW, QuotaCounters
+from .quota_counters import EXHAUSTED_BURST_FRACTION, QuotaCounters
 from .replica_sets import ReplicaSets
 from .settings import Plan, Settings
 from .timer_tokens import GOSSIP_TURN
 
-# Between two gossip turns; what is urgent does not wait for them.
+# Interval of the periodic gossip. Broadcasts, reports and answers are sent without waiting for it.
 GOSSIP_INTERVAL_US = 300 * MS_US
-# Gateways that a broadcast is sent to; each forwards it to its part of a larger replica set.
+# Gateways to which a broadcast is sent directly; in larger replica sets each forwards it to others.
 BROADCAST_FANOUT = 12
-# Rows that are added where a message has space: more cost time on both sides and help little.
+# Rows on other exhausted quotas that fill the free space of a message: more rows take time on both
+# sides and help little.
 MAX_EXTRA_ROWS = 6
-# Customers that are looked at for one message, to bound the work.
+# Customers that are considered for one message, to bound the work.
 MAX_ROWS_CONSIDERED = 32
-# Part of a second's messages that broadcasts leave to reports and answers.
-RESERVED_BUDGET_PART = 0.5
+# Fraction of one second's message budget that broadcasts leave to reports and answers.
+RESERVED_BUDGET_FRACTION = 0.5
 
 
 class QuotaBroadcast:
-    """Sends what is known of customers to the gateways of their replica sets."""
+    """Sends the quotas that this gateway knows to the gateways of the customers' replica sets."""
 
     def __init__(
         self,
@@ -50,27 +51,31 @@
         self._context = context
 
     def broadcast_if_exhausted(self, quota: CustomerQuota) -> None:
-        """Tell the replica set that a quota is nearly spent, and again if some missed it."""
+        """Broadcast an exhausted quota to its replica set, repeatedly in case messages were lost.
+
+        The interval is the time in which the headroom of the exhaustion threshold refills.
+        """
         if not quota.is_exhausted:
             return
         plan = self._plans[quota.plan]
         now_us = self._context.now_us
         refilled = plan.rate * (now_us - quota.last_broadcast_us)
-        if refilled > EXHAUSTED_BELOW * plan.burst * SECOND_US:
+        if refilled > EXHAUSTED_BURST_FRACTION * plan.burst * SECOND_US:
             quota.last_broadcast_us = now_us
             self.forward(quota, quota.set_size - 1)
 
     def forward(self, quota: CustomerQuota, count: int) -> None:
-        """Send a quota to the next so many gateways of its replica set.
+        """Distribute a quota to the next ``count`` gateways of its replica set.
 
-        It goes to a few of them; each forwards it to a part of the rest.
+        It is sent to some of them, and each of these forwards it to a part of the others.
         """
         replica_sets = self._replica_sets
         own_position = replica_sets.position(replica_sets.node_index, quota.set_first)
         step = -(-count // BROADCAST_FANOUT)
         reached, part = 0, 1 + self._random.randrange(step) if count else 0
-        # In large replica sets this would use up all messages, and reports and answers would wait.
-        reserve = RESERVED_BUDGET_PART * self._sender.messages_per_second
+        # In large replica sets this would otherwise use up the message budget and delay reports and
+        # answers.
+        reserve = RESERVED_BUDGET_FRACTION * self._sender.messages_per_second
         while reached < count and self._sender.refill_budget() > reserve:
             part = min(part, count - reached)
             peer = replica_sets.member(quota, own_position + 1 + reached)
@@ -81,29 +86,30 @@
     def send_with_extra_rows(
         self, peer: int, rows: Iterable[bytes], customers: Collection[int]
     ) -> None:
-        """Send rows on these customers, and in the space that is left on others nearly spent.
+        """Send rows on these customers, and fill the free space with rows on exhausted quotas.
 
-        In a large fleet nobody can send a message on each of them to all gateways that admit them.
+        In a large fleet the message budget is too small for a message on each exhausted quota to
+        each gateway of its replica set.
         """
         extra = islice(self.rows_of_exhausted(peer, customers), MAX_EXTRA_ROWS)
         self._sender.send(peer, gossip_codec.fit_rows(chain(rows, extra)))
 
     def rows_of_exhausted(self, peer: int, excluded: Collection[int]) -> Iterator[bytes]:
-        """Yield rows on the nearly spent quotas that concern a peer, the latest first."""
+        """Yield rows on the exhausted quotas of customers that a peer serves, the latest first."""
         for customer in list(islice(reversed(self._counters.exhausted), MAX_ROWS_CONSIDERED)):
             quota = self._counters.customers[customer]
             if customer not in excluded and self._serves(peer, quota):
                 yield self._sender.pack_row(quota, 0)
 
     def gossip_turn(self) -> None:
-        """Send the pending changes that concern one random peer, the least headroom first."""
+        """Send one random peer the pending changes of its customers, the least headroom first."""
         self._context.actions.append(SetTimer(GOSSIP_INTERVAL_US, GOSSIP_TURN))
         counters = self._counters
         counters.drop_idle()
         changed = counters.changed
         considered = [counters.customers[c] for c in islice(changed, MAX_ROWS_CONSIDERED)]
         for quota in considered:
-            # A request may have brought a smaller replica set by now.
+            # A request may have changed the replica set to one gateway: there is no peer to tell.
             if quota.set_size < 2:
                 del changed[quota.customer]
         if not changed:
--- a/saffrongw/policy/quota_counters.py
+++ b/saffrongw/policy/quota_counters.py
@@ -1,7 +1,8 @@
-"""Quota counters: a grow-only counter (CRDT) by customer and gateway, and the limit above them.
+"""Quota counters: one grow-only counter (CRDT) for each customer and gateway, and their limit.
 
-A request is admitted while the limit exceeds the sum of all counters by its units. Merging keeps
-the newer incarnation, then the larger value, so that messages may be lost, repeated and reordered.
+A request is admitted if the limit exceeds the sum of the customer's counters by at least the
+request's units. Merging keeps the newer incarnation, then the larger value, so that messages may be
+lost, repeated and reordered.
 """
 
 from __future__ import annotations
@@ -17,16 +18,19 @@
 from .rate_ceiling import RateCeiling
 from .settings import Plan, Settings
 
-# Parts of the burst: a customer with less headroom counts as exhausted, until so much is back.
-EXHAUSTED_BELOW = 0.25
-REOPEN_ABOVE = 0.6
-# Counters in one gossip row; older ones are within its total.
+# Hysteresis of quotas, as fractions of the burst: with less headroom than the first a quota is
+# exhausted and rejects requests, until its headroom has refilled to the second.
+EXHAUSTED_BURST_FRACTION = 0.25
+REOPEN_BURST_FRACTION = 0.6
+# Counters in one gossip row, the last changed ones; its total includes all others.
 MAX_RECENT_NODES = 3
-# Part of a quota that is shared out evenly while nobody is reachable; the rest goes by use.
-EVEN_SHARE_PART = 0.2
-# Customers that one call looks at, to bound the work of an event.
+# In a partition, the fraction of a quota that is divided evenly among the replica set; the rest is
+# divided by the gateways' usage before the partition.
+EVEN_SHARE_FRACTION = 0.2
+# Customers that one event checks for being idle, to bound its work.
 MAX_IDLE_CHECKS = 3
-# A customer with a rate ceiling is remembered so long, because a new one's part starts empty.
+# The shortest idle time after which a customer with a rate ceiling is forgotten: a new record's
+# part of the ceiling starts empty.
 MIN_CEILING_MEMORY_US = 10 * SECOND_US
 
 _NEVER_COUNTED = CounterEntry(-1, 0.0)
@@ -50,33 +54,33 @@
         self._rate_ceiling = rate_ceiling
         self._context = context
         self.customers: dict[int, CustomerQuota] = {}
-        # Since when all that this gateway forwarded is known to it.
+        # From this time on this gateway knows all requests that it sent, across hot restarts too.
         self.started_at_us = context.now_us
-        # Customers whose counters changed since they were last gossiped.
+        # Customers whose counters changed since they were last gossiped, an ordered set.
         self.changed: dict[int, None] = {}
-        # Customers whose quota is nearly spent, the latest last.
+        # Customers whose quota is exhausted, an ordered set, the latest last.
         self.exhausted: dict[int, None] = {}
-        # Customers in the order in which they are next checked for being idle.
+        # Customers in the order in which ``drop_idle`` checks them.
         self.idle_queue: deque[int] = deque()
 
-    def open(
+    def get_or_create(
         self, customer: int, plan: int, set_first: int, set_size: int, trusted: bool
     ) -> CustomerQuota:
-        """Return a customer's record, a new one if there is none.
+        """Return a customer's record; create it if there is none.
 
-        ``trusted`` values, those of a request and not of a peer, replace what the record holds.
+        ``trusted`` values come from a request, not from a peer; they replace those in the record.
         """
         set_size = max(1, min(set_size, self._node_count))
         quota = self.customers.get(customer)
         if quota is None:
-            # A new customer had nothing of its ceiling here since the start: its part has been
-            # filling since then.
+            # This gateway has spent nothing of a new customer's ceiling since its start, so its
+            # part has been refilling since then.
             quota = CustomerQuota(
                 customer, plan, set_first, set_size, self._plans[plan].burst, self.started_at_us
             )
             quota.last_admitted_us = self._context.now_us
-            # Without peers there is nobody who could confirm it.
-            quota.is_unconfirmed = set_size > 1 and not self._reachability.is_isolated
+            # Without peers in its replica set, or without gossip, nobody could ever confirm it.
+            quota.is_unconfirmed = set_size > 1 and not self._reachability.gossip_disabled
             self.customers[customer] = quota
             self.idle_queue.append(customer)
         elif trusted:
@@ -84,7 +88,7 @@
         return quota
 
     def refill(self, quota: CustomerQuota) -> None:
-        """Raise the limit by the time since the last call; the headroom stays within the burst."""
+        """Raise the limit for the time since the last call; the headroom stays within the burst."""
         plan = self._plans[quota.plan]
         now_us = self._context.now_us
         span_us = now_us - quota.refilled_at_us
@@ -95,19 +99,19 @@
         spent_units = quota.spent_units
         if (
             reachability.unreachable_fraction < MIN_UNREACHABLE_FRACTION
-            and not reachability.is_isolated
+            and not reachability.gossip_disabled
         ):
             own_units = quota.counters.get(self._node_index, _NEVER_COUNTED)[1]
-            # Otherwise nobody has sent anything of other gateways.
+            # If they are equal, no usage of other gateways is known yet: the fraction would be 1.
             if own_units < spent_units:
-                quota.local_usage_part = own_units / spent_units
+                quota.local_usage_fraction = own_units / spent_units
         share = self.share(quota)
         burst = plan.burst * share
-        # Debt: what went beyond the quota took nothing from it, so the limit never lies below.
+        # Units spent beyond the limit are not charged later: the limit rises to the spent units.
         limit = max(spent_units, quota.limit + plan.rate * share * span_us / SECOND_US)
         quota.limit = limit = min(limit, spent_units + burst)
         was_exhausted = quota.is_exhausted
-        threshold = (REOPEN_ABOVE if was_exhausted else EXHAUSTED_BELOW) * burst
+        threshold = (REOPEN_BURST_FRACTION if was_exhausted else EXHAUSTED_BURST_FRACTION) * burst
         quota.is_exhausted = limit - spent_units < threshold
         if quota.is_exhausted != was_exhausted:
             if was_exhausted:
@@ -116,24 +120,24 @@
                 self.exhausted[quota.customer] = None
 
     def share(self, quota: CustomerQuota) -> float:
-        """Return the part of the quota that this gateway may grant.
+        """Return the fraction of the quota that this gateway may grant.
 
-        The rest is left to unreachable gateways. With nobody reachable, each has the part that its
-        use was before and an even part of the rest: all together grant the quota once, and where
-        the customer's requests come there is headroom.
+        The rest is left to unreachable gateways. If no peer is reachable, each gateway has an even
+        share of ``EVEN_SHARE_FRACTION`` and, of the rest, its fraction of the usage before the
+        partition: together they grant the quota once, where the customer's requests arrive.
         """
         reachability = self._reachability
-        unreachable = 1.0 if reachability.is_isolated else reachability.unreachable_fraction
+        unreachable = 1.0 if reachability.gossip_disabled else reachability.unreachable_fraction
         if unreachable < MIN_UNREACHABLE_FRACTION:
             return 1.0
         part = 1 / quota.set_size
-        if quota.local_usage_part is not None:
-            by_use = (1 - EVEN_SHARE_PART) * quota.local_usage_part
-            part = by_use + EVEN_SHARE_PART / quota.set_size
+        if quota.local_usage_fraction is not None:
+            by_use = (1 - EVEN_SHARE_FRACTION) * quota.local_usage_fraction
+            part = by_use + EVEN_SHARE_FRACTION / quota.set_size
         return 1 - unreachable * (1 - part)
 
     def exceeds(self, now_us: int, customer: int, plan: int, units: float) -> bool:
-        """Tell whether a request would certainly be rejected for its quota; changes nothing."""
+        """Return whether the quota would certainly reject a request; changes no state."""
         quota = self.customers.get(customer)
         rate = self._plans[plan].rate
         if quota is None or not rate:
@@ -141,16 +145,17 @@
         share = self.share(quota)
         headroom = quota.headroom + rate * share * (now_us - quota.refilled_at_us) / SECOND_US
         if quota.is_exhausted:
-            # It reopens at a part of what this gateway may grant.
-            return headroom < REOPEN_ABOVE * share * self._plans[plan].burst
+            # The threshold refers to this gateway's share: in a partition the headroom never
+            # reaches that fraction of the whole burst.
+            return headroom < REOPEN_BURST_FRACTION * share * self._plans[plan].burst
         return headroom < units
 
     def retry_after_us(self, quota: CustomerQuota, units: float, max_us: float) -> int:
-        """Return when the quota admits so many units (us from now); 0 if unknown or too late."""
+        """Return the wait until the quota admits ``units``; 0 if unknown or above ``max_us``."""
         plan = self._plans[quota.plan]
         if not plan.rate:
             return 0
-        needed = REOPEN_ABOVE * plan.burst if quota.is_exhausted else units
+        needed = REOPEN_BURST_FRACTION * plan.burst if quota.is_exhausted else units
         span_us = int(max(0.0, needed - quota.headroom) / plan.rate * SECOND_US)
         return span_us if span_us <= max_us else 0
 
@@ -164,13 +169,13 @@
         quota.spent_units += self.merge_counter(quota, self._node_index, entry)
         if self._plans[quota.plan].ceiling_rate:
             quota.ceiling_units -= units
-        if quota.set_size > 1 and not self._reachability.is_isolated:
+        if quota.set_size > 1 and not self._reachability.gossip_disabled:
             self.changed[quota.customer] = None
 
     def merge_counter(self, quota: CustomerQuota, node_index: int, entry: CounterEntry) -> float:
-        """Take a counter if it is newer than the known one; return by how many units it grew.
+        """Replace a gateway's counter if this one is newer; return by how many units it grew.
 
-        A later start wins, then more units. What an earlier incarnation spent stays counted.
+        A later start wins, then more units. The units of an earlier incarnation stay counted.
         """
         known = quota.counters.get(node_index, _NEVER_COUNTED)
         if entry <= known:
@@ -190,28 +195,30 @@
         plan = self._plans[quota.plan]
         reported = 0.0
         for node_index, start_tick, units in row.counters:
-            # This gateway's own counter is its own; an earlier incarnation's is within the total.
+            # Only this gateway changes its own counter. A peer may send that of an earlier
+            # incarnation, which is included in the row's total.
             if node_index == self._node_index:
                 continue
             growth = self.merge_counter(quota, node_index, CounterEntry(start_tick, units))
             if growth:
-                # What a coordinator broadcasts reaches all gateways without being passed on.
+                # Only the coordinator passes on reported growth: rows that it broadcasts reach all
+                # gateways by themselves.
                 if is_report and node_index == sender:
                     reported += growth
                 admissions = (*quota.remote_admissions_us, self._context.now_us)
                 quota.remote_admissions_us = admissions[-max(1, plan.concurrency_limit) :]
         if reported:
             self.changed[quota.customer] = None
-        # The total covers counters that did not fit into the row or were lost before.
+        # The row's total includes counters that did not fit into it or were lost in transit.
         quota.spent_units = max(quota.spent_units + reported, quota.counted_units, row.spent_units)
         remote_limit = row.spent_units + row.headroom + plan.rate * age_us / SECOND_US
         quota.limit = max(quota.limit, remote_limit)
         self.refill(quota)
 
     def drop_idle(self) -> None:
-        """Forget a few customers that are idle and whose quota is full.
+        """Check a few customers, and forget those that are idle and whose quota is full.
 
-        Their records say nothing; customers that came once would otherwise use memory for good.
+        Their records contain no information, and customers that never return would use up memory.
         """
         for _ in range(min(MAX_IDLE_CHECKS, len(self.idle_queue))):
             customer = self.idle_queue.popleft()
@@ -225,7 +232,7 @@
         plan = self._plans[quota.plan]
         share = self.share(quota)
         gained = plan.rate * (self._context.now_us - quota.refilled_at_us) / SECOND_US
-        # Most often it is in use, or its quota is not full yet.
+        # The cheap checks come first: most customers are in use, or their quota is not full yet.
         if (
             quota.in_flight
             or quota.waiting_requests
@@ -242,9 +249,9 @@
 
     @staticmethod
     def _min_memory_us(quota: CustomerQuota, plan: Plan, share: float) -> float:
-        # Where no other gateway has confirmed the customer, its headroom here does not tell all
-        # that was spent: within the time that fills a quota anew, forgetting grants no more than
-        # the quota itself.
+        # Without a confirmation by other gateways, or in a partition, the headroom here may not
+        # include all spent units. If the record is kept for the time in which the whole quota
+        # refills, forgetting it cannot grant more than the quota.
         min_memory_us = 0.0
         if plan.rate and (quota.is_unconfirmed or share < 1):
             min_memory_us = plan.burst / plan.rate * SECOND_US
--- a/saffrongw/policy/rate_ceiling.py
+++ b/saffrongw/policy/rate_ceiling.py
@@ -1,7 +1,9 @@
-"""Rate ceilings: the part of a customer's ceiling that this gateway may use by itself (rule 5).
+"""Rate ceilings: the part of a customer's ceiling that each gateway may spend on its own (rule 5).
 
-All parts together are the whole ceiling, so that it holds with every message lost. Half belongs to
-the customer's coordinator, which passes on what others need as token grants (``token_grants.py``).
+A rate ceiling is a token bucket. The parts of all gateways add up to the ceiling, so that it holds
+even if every message between them is lost. Half of it is divided evenly among the replica set. The
+other half belongs to the customer's coordinator, which passes units on to gateways that lack them,
+as token grants (``token_grants.py``).
 """
 
 from __future__ import annotations
@@ -13,7 +15,7 @@
 
 
 class RateCeiling:
-    """Computes and refills this gateway's parts of ceilings; customers' records hold the units."""
+    """Computes and refills this gateway's parts of ceilings; ``CustomerQuota`` holds the units."""
 
     def __init__(self, settings: Settings, replica_sets: ReplicaSets) -> None:
         """Use the plans of the settings."""
@@ -21,19 +23,19 @@
         self._replica_sets = replica_sets
 
     def local_part(self, quota: CustomerQuota) -> float:
-        """Return this gateway's part of the customer's ceiling."""
+        """Return this gateway's part of the customer's ceiling, as a fraction of it."""
         is_coordinator = self._replica_sets.coordinator(quota) == self._replica_sets.node_index
         return (1 + quota.set_size * is_coordinator) / (2 * quota.set_size)
 
     def local_burst(self, quota: CustomerQuota) -> float:
-        """Return the units that this gateway's part holds when it is full."""
+        """Return the most units that this gateway's part holds."""
         return self._plans[quota.plan].ceiling_burst * self.local_part(quota)
 
     def refill(self, quota: CustomerQuota, plan: Plan, span_us: int) -> None:
-        """Add the units of a span of time, from nothing at the start of the process.
+        """Add the units of a span of time, up to the burst of this gateway's part.
 
-        Token grants may have lifted the units above the part; that lasts only until the requests
-        that wait for them are forwarded.
+        Units above that burst, which token grants have added, are kept here; they are discarded
+        once the requests that wait for them were sent (``discard_excess``).
         """
         gained = plan.ceiling_rate * self.local_part(quota) * span_us / SECOND_US
         quota.ceiling_units = max(
@@ -41,11 +43,11 @@
         )
 
     def time_until_us(self, quota: CustomerQuota, units: float) -> int:
-        """Return how long refilling takes to so many units; negative if they are there."""
+        """Return the time until the part has refilled to so many units; negative if it has."""
         rate = self._plans[quota.plan].ceiling_rate * self.local_part(quota)
         return int((units - quota.ceiling_units) / rate * SECOND_US)
 
     def discard_excess(self, quota: CustomerQuota) -> None:
-        """Discard the units above this gateway's part."""
+        """Discard the units above the burst of this gateway's part."""
         if self._plans[quota.plan].ceiling_rate:
             quota.ceiling_units = min(quota.ceiling_units, self.local_burst(quota))
--- a/saffrongw/policy/request_lifecycle.py
+++ b/saffrongw/policy/request_lifecycle.py
@@ -1,6 +1,6 @@
-"""The life of a request: arrived, admitted, attempted, perhaps retried, answered exactly once.
+"""The request lifecycle: arrival, admission, attempts and retries, and exactly one final answer.
 
-Every attempt is sent by ``_send``, and every final answer of the gateway's own by ``_end``.
+Only ``_send`` sends attempts, and only ``_end`` sends final answers that are the gateway's own.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
 from .settings import Settings
 from .timer_tokens import request_token
 
-# A request without a usable endpoint looks for one again after this.
+# How often a request that found no usable endpoint retries the load balancer.
 ENDPOINT_POLL_INTERVAL_US = 20 * MS_US
-# Part of its time that a request waits for its first endpoint: the client needs the rest to try
-# another gateway.
-MAX_ENDPOINT_WAIT_PART = 0.45
-# Part of the latency objective: a client that is told to come back later than that would spend
-# quota on an answer that is late.
-MAX_RETRY_AFTER_OBJECTIVE_PART = 0.15
+# Fraction of its time until the deadline after which a request that no endpoint can have run is
+# rejected: the client needs the rest to try another gateway.
+MAX_ENDPOINT_WAIT_FRACTION = 0.45
+# The longest Retry-After, as a fraction of the latency objective: a client that waited longer would
+# spend quota on an answer that misses the objective.
+MAX_RETRY_AFTER_OBJECTIVE_FRACTION = 0.15
 
 
 class AttemptKey(NamedTuple):
@@ -51,14 +51,14 @@
 
 
 class OpenAttempt(NamedTuple):
-    """An attempt in flight and its request, which may have been answered already."""
+    """An attempt in flight and its request, which may already have its final answer."""
 
     attempt: AttemptState
     request: RequestState
 
 
 class RequestLifecycle:
-    """Owns the requests that are owed an answer and the attempts in flight."""
+    """Owns the requests without a final answer and the attempts in flight."""
 
     def __init__(
         self,
@@ -95,7 +95,7 @@
         self.attempts: dict[AttemptKey, OpenAttempt] = {}
 
     def request_arrived(self, event: RequestArrived) -> None:
-        """Take up a client's request."""
+        """Start handling a client's request."""
         request = RequestState(
             event,
             self._classes[event.kind],
@@ -104,27 +104,28 @@
             self._random.random(),
         )
         self.requests[event.request] = request
-        self._retry_policy.earn()
+        self._retry_policy.deposit()
         self.advance(request)
         self._counters.drop_idle()
 
     def admission_check_arrived(self, event: AdmissionCheckArrived) -> None:
-        """Admit or reject a request that another proxy forwards by itself.
+        """Admit or reject a request that another proxy forwards.
 
-        An admitted one takes its units exactly as a first attempt of this gateway does.
+        Admission spends the request's units exactly as a first attempt of this gateway does.
         """
         request = RequestState(event, self._classes[event.kind], self._context.now_us, 0)
         if self._admission.admits(request) and request.quota is not None:
             self._spend(request.quota, event.units)
             self._context.actions.append(AdmitRequest(event.request))
         else:
-            # The proxy heeds Retry-After: no lower bound as for the gateway's own clients.
+            # The proxy obeys Retry-After, so it gets any value up to the configured maximum; the
+            # gateway's own clients get only those within a fraction of the latency objective.
             wait_us = self._admission.retry_after_us(request, self._max_retry_after_us)
             self._context.actions.append(RejectRequest(event.request, wait_us))
         self._counters.drop_idle()
 
     def advance(self, request: RequestState) -> None:
-        """Take the next step of a request that is owed an answer."""
+        """Send the next attempt of a request, let it wait, or give its final answer."""
         now_us = self._context.now_us
         last_send_us = self._last_send_us(request)
         attempt_count = len(request.attempts)
@@ -147,20 +148,20 @@
             self._send(request, endpoint)
 
     def _last_send_us(self, request: RequestState) -> int:
-        """Return the time from which no attempt is sent any more."""
+        """Return the time at and after which no further attempt is sent."""
         last_send_us = request.deadline_us - FINAL_ANSWER_MARGIN_US
         if any(attempt.may_have_run for attempt in request.attempts):
             return last_send_us
-        reserved_us = int((1 - MAX_ENDPOINT_WAIT_PART) * request.time_left_us)
+        reserved_us = int((1 - MAX_ENDPOINT_WAIT_FRACTION) * request.time_left_us)
         return min(last_send_us, request.deadline_us - reserved_us)
 
     def _must_be_shed(self, request: RequestState, endpoint: Endpoint) -> bool:
-        """Tell whether a request would be answered too late even by the best endpoint."""
+        """Return whether even the best endpoint would answer a request too late."""
         expected_us = self._load_balancer.expected_latency_us(endpoint, request.event.kind)
         return expected_us > self._admission.max_expected_latency_us(request)
 
     def resume_waiting(self, quota: CustomerQuota) -> None:
-        """Look again at the requests that wait for token grants; discard what is left over."""
+        """Retry the requests that wait for token grants; discard the units that remain."""
         for number in list(quota.waiting_requests):
             request = self.requests[number]
             if quota.ceiling_units >= request.event.units:
@@ -170,9 +171,9 @@
     def _send(self, request: RequestState, endpoint: Endpoint) -> None:
         """Send the next attempt of a request."""
         event, quota = request.event, request.quota
-        assert quota is not None  # the first attempt was admitted
+        assert quota is not None  # set by admission, which every first attempt passes
         now_us = self._context.now_us
-        self._endpoints.unproven.pop(endpoint.entry.endpoint_id, None)
+        self._endpoints.untried.pop(endpoint.entry.endpoint_id, None)
         attempts = request.attempts
         if not attempts:
             quota.waiting_requests.pop(event.request, None)
@@ -192,11 +193,11 @@
 
     def _spend(self, quota: CustomerQuota, units: float) -> None:
         self._counters.spend(quota, units)
-        if quota.set_size > 1 and not self._reachability.is_isolated:
+        if quota.set_size > 1 and not self._reachability.gossip_disabled:
             self._reports.report(quota)
 
     def attempt_ended(self, event: AttemptEnded) -> None:
-        """Learn from an attempt's outcome, then answer, retry or end its request."""
+        """Record an attempt's outcome, then retry its request or give its final answer."""
         ended = self.close_attempt(AttemptKey(event.request, event.attempt))
         if ended is None:
             return
@@ -214,7 +215,7 @@
             self._end(request)
 
     def close_attempt(self, key: AttemptKey) -> OpenAttempt | None:
-        """Count an attempt as no longer in flight; return it, or None if it is unknown."""
+        """Remove an attempt from those in flight; return it, or None if it is unknown."""
         ended = self.attempts.pop(key, None)
         if ended is not None:
             ended.attempt.in_flight = False
@@ -223,11 +224,13 @@
         return ended
 
     def _end(self, request: RequestState) -> None:
-        """Give a final answer: reject where a retry is harmless, else fail."""
+        """Give the final answer: reject if the client may safely send it again, else fail."""
         number = request.event.request
         if self._retry_policy.may_reject(request):
             objective_us = request.request_class.latency_objective_us
-            max_us = min(MAX_RETRY_AFTER_OBJECTIVE_PART * objective_us, self._max_retry_after_us)
+            max_us = min(
+                MAX_RETRY_AFTER_OBJECTIVE_FRACTION * objective_us, self._max_retry_after_us
+            )
             wait_us = self._admission.retry_after_us(request, max_us)
             self._context.actions.append(RejectRequest(number, wait_us))
         else:
@@ -235,7 +238,7 @@
         self._drop(request)
 
     def _drop(self, request: RequestState) -> None:
-        """Forget a request that is owed nothing more, and cancel its attempt in flight."""
+        """Forget a request that needs no answer any more, and cancel its attempt in flight."""
         number = request.event.request
         self.requests.pop(number, None)
         if request.quota:
@@ -245,12 +248,12 @@
             self._context.actions.append(CancelAttempt(number, last_attempt))
 
     def client_disconnected(self, event: ClientDisconnected) -> None:
-        """Forget the request of a client that has left."""
+        """Forget the request of a client that disconnected."""
         if request := self.requests.get(event.request):
             self._drop(request)
 
     def request_timer_fired(self, number: int) -> None:
-        """Look again at a request that waits for an endpoint or for token grants."""
+        """Retry a request that waits for an endpoint or for token grants."""
         request = self.requests.get(number)
         if request and not request.has_attempt_in_flight():
             self.advance(request)
--- a/saffrongw/policy/request_state.py
+++ b/saffrongw/policy/request_state.py
@@ -1,4 +1,4 @@
-"""Records of the requests that a gateway owes an answer, and of their attempts."""
+"""The state of requests without a final answer, and of their attempts."""
 
 from __future__ import annotations
 
@@ -31,27 +31,27 @@
 
 @dataclass(slots=True)
 class RequestState:
-    """A request that was neither answered nor abandoned by its client."""
+    """A request that has no final answer yet and whose client is still connected."""
 
     event: RequestArrived | AdmissionCheckArrived
     request_class: RequestClass
-    # When the client stops waiting, and how long that was from its arrival.
+    # When the client stops waiting, and how long after the request's arrival that is.
     deadline_us: int
     time_left_us: int
-    # Drawn anew for each attempt: decides which warming endpoint it may try.
+    # Random number, a new one for each attempt: selects the warming endpoint that may get it.
     slow_start_draw: float = 0.0
-    # Known once admission has looked at the request.
+    # Set by the first admission check of the request.
     quota: CustomerQuota | None = None
     attempts: list[AttemptState] = field(default_factory=list)
-    # Whether only the local part of the customer's rate ceiling kept the request back.
+    # Whether it was not admitted only because this gateway's part of the rate ceiling lacks units.
     lacks_ceiling: bool = False
-    # Whether it has waited for token grants: a request does so only once.
+    # Whether it has waited for token grants, which a request does only once.
     waited_for_grants: bool = False
 
     def has_attempt_in_flight(self) -> bool:
-        """Tell whether an attempt has no outcome yet."""
+        """Return whether an attempt has no outcome yet."""
         return any(attempt.in_flight for attempt in self.attempts)
 
     def attempts_that_may_have_run(self) -> list[AttemptState]:
-        """Return the attempts that an endpoint may have run, the first one first."""
+        """Return the attempts that an endpoint may have run, in the order of sending."""
         return [attempt for attempt in self.attempts if attempt.may_have_run]
--- a/saffrongw/policy/retry_policy.py
+++ b/saffrongw/policy/retry_policy.py
@@ -1,7 +1,8 @@
-"""Where a further attempt may be sent, whether it is made, and how a request may end.
+"""Retries: whether a request is retried, to which endpoints, and whether it may be rejected.
 
-A retry must neither run a request twice that is not idempotent (rule 2) nor reach an endpoint that
-is draining, gone or excluded (rule 3), and retries must not multiply the load of a fault.
+A retry must neither run a non-idempotent request twice (rule 2) nor reach an endpoint that is
+draining, removed or excluded (rule 3). A retry budget keeps retries from multiplying the load when
+endpoints fail.
 """
 
 from __future__ import annotations
@@ -14,19 +15,20 @@
 from .request_state import RequestState
 from .settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
-# A waiting request is ended so long before its deadline.
+# Time before its deadline at which a request without an attempt in flight gets its final answer.
 FINAL_ANSWER_MARGIN_US = 30 * MS_US
-# Retries that each new request earns, and the most that can be saved up: no retry storms.
+# Retry budget against retry storms: retries that each new request adds, and the most that the
+# budget holds.
 RETRIES_PER_REQUEST = 0.05
 MAX_RETRY_BUDGET = 5.0
-# Outcomes after which the endpoint has certainly not run the request.
+# Outcomes that prove that the endpoint did not run the request.
 NEVER_RAN = frozenset(
     {AttemptOutcome.OVERLOADED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT}
 )
 
 
 class RetryPolicy:
-    """Decides on attempts after the first one; owns the budget of retries."""
+    """Decides on the attempts after the first one; owns the retry budget."""
 
     def __init__(
         self,
@@ -34,21 +36,21 @@
         exclusions: AdministrativeExclusions,
         context: DecisionContext,
     ) -> None:
-        """Start with a full budget."""
+        """Start with a full retry budget."""
         self._exclusions = exclusions
         self._context = context
-        # A connection may have to come up before an attempt begins to run.
+        # The longest time from the decision until the attempt is sent: it may have to connect.
         self._max_send_delay_us = FINAL_ANSWER_MARGIN_US + settings.connect_timeout_us
         self.budget = MAX_RETRY_BUDGET
 
-    def earn(self) -> None:
-        """Add what a new request earns to the budget."""
+    def deposit(self) -> None:
+        """Add a new request's contribution to the retry budget."""
         self.budget = min(MAX_RETRY_BUDGET, max(0.0, self.budget) + RETRIES_PER_REQUEST)
 
     def may_retry(self, request: RequestState, may_have_run: bool) -> bool:
-        """Tell whether a request whose attempt failed goes on; charges the budget.
+        """Return whether to retry after a failed attempt; charges the retry budget.
 
-        An attempt that never ran costs nothing: another one adds no load.
+        An attempt that never ran is not charged, because its retry adds no load.
         """
         self.budget -= may_have_run
         if not may_have_run:
@@ -58,7 +60,7 @@
         )
 
     def may_send(self, request: RequestState, endpoint: Endpoint) -> bool:
-        """Tell whether an attempt of this request may be sent to this endpoint now."""
+        """Return whether an attempt of this request may be sent to this endpoint now."""
         entry = endpoint.entry
         if entry.state is not EndpointState.READY or entry.endpoint_id in self._exclusions.sources:
             return False
@@ -76,12 +78,12 @@
 
     @staticmethod
     def may_reject(request: RequestState) -> bool:
-        """Tell whether the client may safely try again: a request is rejected, or else failed."""
+        """Return whether the client may safely send the request again (else it must be failed)."""
         return not request.attempts_that_may_have_run() or is_safe_to_repeat(request.request_class)
 
 
 def is_safe_to_repeat(request_class: RequestClass) -> bool:
-    """Tell whether a request of this class that may have run can be sent to any gateway again."""
+    """Return whether a request of this class that may have run can be repeated at any gateway."""
     return request_class.idempotency is Idempotency.IDEMPOTENT or (
         request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
         and request_class.deduplication_scope is DeduplicationScope.ALL
--- a/saffrongw/policy/settings.py
+++ b/saffrongw/policy/settings.py
@@ -1,7 +1,7 @@
-"""The settings of a gateway, as the platform hands them out.
+"""The settings that the platform gives a gateway.
 
-Durations are integers in microseconds, rates are units a second. The types hold values only;
-``settings_schema.py`` reads them from JSON.
+Durations are integers in microseconds, rates are in units per second. ``settings_schema.py`` parses
+the settings from JSON.
 """
 
 from __future__ import annotations
@@ -11,9 +11,10 @@
 
 
 class Idempotency(enum.Enum):
-    """What a repetition of a request that may have run does.
+    """Whether a request that may have run can be sent again.
 
-    It does no harm, or none where its idempotency key is recognized, or it takes effect twice.
+    Always, only to endpoints that recognize its idempotency key, or never: it could take effect
+    twice.
     """
 
     IDEMPOTENT = "safe"
@@ -30,7 +31,7 @@
 
 
 class LoadReportSource(enum.Enum):
-    """How the load reports of endpoints come."""
+    """Where endpoints report their load: in their replies, to health checks, or not at all."""
 
     INLINE = "inline"
     HEALTH_CHECK = "on probe"
@@ -41,8 +42,8 @@
 class RequestClass:
     """One class of requests.
 
-    The late priority weight is that of an answer after the latency objective; idempotency keys are
-    recognized within the deduplication window.
+    ``late_priority_weight`` is the weight of a reply that misses the latency objective. Endpoints
+    recognize an idempotency key for the length of the deduplication window.
     """
 
     latency_objective_us: int
@@ -56,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One plan of customers; a rate, concurrency limit or ceiling rate of 0 means no such limit."""
+    """One plan of customers; a rate, concurrency limit or ceiling rate of 0 means unlimited."""
 
     rate: float
     burst: float
@@ -71,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All settings that the platform hands to a gateway when it starts."""
+    """All settings that the platform gives a gateway at its start."""
 
     node_index: int
     node_count: int
@@ -99,5 +100,5 @@
     overload_multiple: float
     overload_duration_us: int
     drain_grace_us: int
-    # How long after its decision an attempt may begin.
+    # How long an attempt may wait for its connection before it is sent.
     connect_timeout_us: int = 0
--- a/saffrongw/policy/settings_schema.py
+++ b/saffrongw/policy/settings_schema.py
@@ -1,7 +1,7 @@
-"""The JSON form of the settings, mapped to the types of the policy.
+"""Parses the JSON form of the settings into the types of the policy.
 
-The simulator's first message and ``LB_CONFIG`` carry the same text; its keys are named in this
-module alone.
+The simulator's start record and the configuration file (``LB_CONFIG``) contain the same JSON; only
+this module knows its keys.
 """
 
 from __future__ import annotations
@@ -31,13 +31,13 @@
 
 
 class SettingsError(Exception):
-    """The settings are not JSON, lack a key or have a value of the wrong kind."""
+    """The settings are not JSON, lack a key or have a value of the wrong type."""
 
 
 def parse_settings(raw: bytes) -> Settings:
-    """Parse the text of the settings; unknown keys are ignored.
+    """Parse the settings from JSON; unknown keys are ignored.
 
-    ``SettingsError`` names a key that is missing or what has the wrong kind.
+    Raises ``SettingsError``, which names the missing key or describes the value of the wrong type.
     """
     try:
         document = json.loads(raw)
--- a/saffrongw/policy/state_transfer.py
+++ b/saffrongw/policy/state_transfer.py
@@ -1,12 +1,12 @@
-"""What one process of a gateway hands to its successor, as rows that JSON holds.
+"""The state that a gateway process transfers to its successor in a hot restart, as JSON rows.
 
-A row is a list: its kind, then its values; endpoint identifiers are text. The kinds and the order
-of values stay as they are, because versions on both sides of an upgrade exchange them.
+A row is a list of its kind and its values; endpoint identifiers are text. The kinds and the order
+of values must not change, because two versions exchange them during an upgrade.
 
-Both processes read one clock and are one gateway to all others (the same node index, the same
-starts of counters), so that the successor goes on with the counters and grants nobody a fresh
-allowance. Only one of the two admits requests at a time: after ``export`` the old one rejects what
-it has not sent.
+Both processes read the same clock and are one gateway to all others, with the same node index and
+the same starts of counters: the successor continues the counters, and no customer gets its quota
+twice. Only one of them admits requests at a time: after ``export`` the old process rejects all
+requests that it has not sent.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 
 
 class MalformedRowError(ValueError):
-    """A row that no process of this version writes."""
+    """A row is of an unknown kind, or its values do not fit its kind."""
 
 
 class QuotaRow(NamedTuple):
-    """The values of an ``account`` row, in their order; they are those of ``CustomerQuota``."""
+    """The values of an ``account`` row in their order; most are fields of ``CustomerQuota``."""
 
     customer: int
     # Plan, first gateway and size of the replica set.
@@ -59,17 +59,17 @@
 
 
 def endpoint_id_to_text(endpoint_id: EndpointId) -> str:
-    """Return an endpoint identifier as JSON holds it, whatever its bytes."""
+    """Return an endpoint identifier, which may be any bytes, as text for JSON."""
     return endpoint_id.decode("latin-1")
 
 
 def endpoint_id_from_text(text: str) -> EndpointId:
-    """Return the identifier again; ``UnicodeError`` where the text is none."""
+    """Return the identifier from its text; raise ``UnicodeError`` if the text is not valid."""
     return text.encode("latin-1")
 
 
 def export(gateway: Gateway) -> Iterator[Row]:
-    """Yield all rows. From the first on this gateway admits nothing more."""
+    """Yield all rows; from the first row on, this gateway admits no more requests."""
     gateway.handed_over = True
     counters = gateway.quota_counters
     reachability = gateway.reachability
@@ -95,7 +95,7 @@
 
 
 def exclusions(gateway: Gateway) -> Iterator[Row]:
-    """Yield what is administratively excluded, and what was restored lately."""
+    """Yield the administrative exclusions and the recently restored endpoints."""
     for endpoint_id, sources in gateway.exclusions.sources.items():
         yield ["excluded", endpoint_id_to_text(endpoint_id), sources]
     for endpoint_id, span in gateway.exclusions.restored.items():
@@ -127,9 +127,9 @@
 
 
 def adopt(gateway: Gateway, now_us: int, row: Row) -> None:
-    """Take over one row; ``MalformedRowError`` where it makes no sense.
+    """Take over one row; raise ``MalformedRowError`` if it is malformed.
 
-    Nothing that this gateway knows better is overwritten.
+    Customers that this gateway already knows, and its newer scores, are not overwritten.
     """
     try:
         _ADOPTERS[row[0]](gateway, now_us, *row[1:])
@@ -165,7 +165,7 @@
 def _adopt_score(
     score: HealthScore, updated_at_us: float, latency_score: float, failure_score: float
 ) -> None:
-    # An endpoint that was listed lately and not met has nothing to lose.
+    # A score at its initial values contains no outcomes, so that any other one may replace it.
     is_unused = (score.latency_score, score.failure_score) == (1.0, 0.0)
     if updated_at_us >= score.updated_at_us or is_unused:
         score.updated_at_us = int(updated_at_us)
@@ -195,7 +195,7 @@
 def _adopt_restored(
     gateway: Gateway, now_us: int, text: str, excluded_at_us: int, restored_at_us: int
 ) -> None:
-    """Take an endpoint to have started when it was restored, as the old process does."""
+    """Count a restored endpoint as started when it was restored, as the old process does."""
     endpoint_id = endpoint_id_from_text(text)
     if endpoint_id in gateway.exclusions.sources:
         return
@@ -204,11 +204,11 @@
     )
     endpoint = gateway.endpoints.by_id.get(endpoint_id)
     if endpoint and endpoint.entry.started_at_us < excluded_at_us:
-        _list_anew(gateway, now_us, endpoint)
+        _relist(gateway, now_us, endpoint)
 
 
-def _list_anew(gateway: Gateway, now_us: int, endpoint: Endpoint) -> None:
-    # Removed and listed again, it gets its start and its pool by the ordinary way.
+def _relist(gateway: Gateway, now_us: int, endpoint: Endpoint) -> None:
+    # Removing and listing it again applies the assumed start, and puts it into the right pool.
     entry = endpoint.entry
     removed = dataclasses.replace(entry, state=EndpointState.REMOVED)
     for line in (removed, entry):
@@ -237,9 +237,9 @@
         return
     if not 0 <= set_first < settings.node_count or not 1 <= set_size <= settings.node_count:
         raise ValueError(f"the replica set {set_first}, {set_size} is out of range")
-    quota = _quota_of(row, plan, set_first, set_size)
-    # What is in flight at the old process counts like admissions of other gateways: for as long as
-    # the typical latency.
+    quota = _quota_from_row(row, plan, set_first, set_size)
+    # Attempts in flight at the old process count as in flight for the typical latency, as the
+    # admissions of other gateways do.
     admissions = (*(int(at) for at in row.remote_admissions_us), *[now_us] * int(row.in_flight))
     quota.remote_admissions_us = admissions[-max(1, settings.plans[plan].concurrency_limit) :]
     counters.customers[quota.customer] = quota
@@ -248,7 +248,7 @@
         counters.changed[quota.customer] = None
 
 
-def _quota_of(row: QuotaRow, plan: int, set_first: int, set_size: int) -> CustomerQuota:
+def _quota_from_row(row: QuotaRow, plan: int, set_first: int, set_size: int) -> CustomerQuota:
     return CustomerQuota(
         int(row.customer),
         plan,
--- a/saffrongw/policy/timer_tokens.py
+++ b/saffrongw/policy/timer_tokens.py
@@ -1,7 +1,7 @@
-"""Tokens of the timers that the policy sets; ``TimerFired`` brings them back.
+"""Tokens that identify the policy's timers; ``TimerFired`` carries the token of its timer.
 
-A timer of one request has the request's number and one as its token, so that zero is left for the
-gossip turn; the other tokens lie above all request numbers.
+The token of a request's timer is the request's number plus one, because 0 is the token of the
+periodic gossip. The other tokens are greater than all request numbers.
 """
 
 from __future__ import annotations
--- a/saffrongw/policy/token_grants.py
+++ b/saffrongw/policy/token_grants.py
@@ -1,7 +1,7 @@
 """Token grants: units of a rate ceiling that a customer's coordinator passes on to other gateways.
 
-The coordinator deducts a grant from its own part before it sends it, so that each lost message errs
-towards rejecting.
+The coordinator deducts a grant from its own part before it sends it: a lost message can only cause
+rejections, never exceed the ceiling.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 from .replica_sets import ReplicaSets
 from .timer_tokens import GRANTS_DUE
 
-# How long a coordinator keeps a grant pending; then the request that it was for waits no longer.
+# How long a coordinator keeps a grant pending: the request that needed it waits no longer.
 PENDING_GRANT_LIFETIME_US = 150 * MS_US
-# Grants that took longer to come are void.
+# Grants that arrive more than this after they were sent are ignored.
 MAX_GRANT_AGE_US = 200 * MS_US
-# Part of a coordinator's part that is reserved for gateways with requests that wait.
-RESERVED_CEILING_PART = 0.5
-# A timer for pending grants fires so long after the units should be there.
+# Fraction of the coordinator's burst that it grants only to gateways with waiting requests.
+RESERVED_CEILING_FRACTION = 0.5
+# Delay of the timer for pending grants beyond the expected time of the refill.
 REFILL_MARGIN_US = 5 * MS_US
 
 
 class TokenGrants:
-    """Gives grants as the coordinator, accepts them as another gateway; owns the pending ones."""
+    """Sends grants as the coordinator, accepts them as any gateway; owns the pending ones."""
 
     def __init__(
         self,
@@ -44,11 +44,11 @@
         self._replica_sets = replica_sets
         self._sender = sender
         self._context = context
-        # Customers with pending grants; the grants stand in their records.
+        # Customers with pending grants, an ordered set; ``CustomerQuota`` holds the grants.
         self.pending_customers: dict[int, None] = {}
 
     def accept(self, quota: CustomerQuota, row: GossipRow, age_us: int, sent_ms: int) -> None:
-        """Take the grants of a row, once, in time, and no more than were requested."""
+        """Add the grants of a row, unless it is repeated or late; no more than were requested."""
         if row.grants and age_us <= MAX_GRANT_AGE_US and sent_ms > quota.last_grant_sent_ms:
             granted = min(row.grants, quota.requested_grants)
             if granted:
@@ -56,20 +56,21 @@
                 quota.ceiling_units += granted
                 quota.requested_grants -= granted
 
-    def give(
+    def grant(
         self, quota: CustomerQuota, node_index: int, wanted: float, has_waiting: bool
     ) -> float:
-        """Deduct a grant for another gateway from this one's part; return its units.
+        """Deduct a grant for another gateway from this gateway's part; return its units.
 
-        A gateway with waiting requests gets all that it needs, now or soon after from what
-        refills. For others only what exceeds the reserve is topped up.
+        A gateway with waiting requests gets all that it needs: now, or as a pending grant once
+        enough has refilled. Any other gateway gets only what exceeds the reserve.
         """
         if not wanted or self._replica_sets.coordinator(quota) != self._replica_sets.node_index:
             return 0.0
         burst = self._rate_ceiling.local_burst(quota)
-        # More than the burst is never there at once.
+        # The part never holds more than its burst: a larger grant would stay pending until it
+        # expires.
         wanted = min(wanted, burst)
-        reserve = RESERVED_CEILING_PART * burst * (not has_waiting)
+        reserve = RESERVED_CEILING_FRACTION * burst * (not has_waiting)
         granted = max(0.0, min(wanted, quota.ceiling_units - reserve))
         if has_waiting and (granted < wanted or quota.pending_grants):
             self._postpone(quota, node_index, wanted)
@@ -87,7 +88,7 @@
         self.pending_customers[quota.customer] = None
 
     def send_pending(self) -> None:
-        """Send the pending grants that have refilled; those of gateways that wait longest first."""
+        """Send the pending grants for which enough has refilled, those that wait longest first."""
         soonest_us = PENDING_GRANT_LIFETIME_US
         for customer in list(self.pending_customers):
             quota = self._counters.customers.get(customer)
@@ -101,10 +102,10 @@
             self._context.actions.append(SetTimer(soonest_us, GRANTS_DUE))
 
     def _send_pending_of(self, quota: CustomerQuota) -> int:
-        """Send a customer's pending grants; return when to look again."""
+        """Send a customer's pending grants; return the delay until the next try."""
         self._counters.refill(quota)
         for node_index, pending in list(quota.pending_grants.items()):
-            # Whose request waits no longer gets none.
+            # An expired grant is only deleted: its request waits no longer.
             if self._context.now_us - pending.since_us < PENDING_GRANT_LIFETIME_US:
                 if quota.ceiling_units < pending.units or self._sender.refill_budget() < 1:
                     return self._time_until_us(quota, pending.units)
--- a/saffrongw/simulator/__init__.py
+++ b/saffrongw/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter that plays the policy on the simulator's binary wire."""
+"""The adapter that runs the policy on the simulator's binary protocol."""
--- a/saffrongw/simulator/__main__.py
+++ b/saffrongw/simulator/__main__.py
@@ -1,6 +1,6 @@
 """The process that the simulator starts: frames on standard input, replies on standard output.
 
-Each frame gets one reply. It plays many gateways, which share nothing.
+Each frame gets one reply. One process runs many gateways, which share no state.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer frames until the input ends; ``WireError`` where a frame is malformed."""
+    """Answer frames until the input ends; raise ``WireError`` if a frame is malformed."""
     decoder = codec.Decoder()
     gateways: dict[int, Gateway] = {}
     while first := source.read(1):
@@ -37,7 +37,7 @@
                 raise codec.WireError(f"event for gateway {number}, which never started")
             try:
                 actions = _decide(gateways, number, event, now_us)
-            # The wire has a record for any failure of the policy.
+            # Any exception of the policy is reported to the simulator in a record of the reply.
             except Exception as error:  # noqa: BLE001
                 encoder.add_policy_error(number, f"{type(error).__name__}: {error}")
                 continue
@@ -57,7 +57,7 @@
 
 
 def main() -> int:
-    """Serve standard input; return 1, after one line, where it is not of the simulator's wire."""
+    """Serve standard input; if it is malformed, print one line on standard error and return 1."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except codec.WireError as error:
--- a/saffrongw/simulator/codec.py
+++ b/saffrongw/simulator/codec.py
@@ -1,7 +1,7 @@
-"""Codec of the simulator's binary wire: frames to events of the policy, its actions to frames.
+"""Codec of the simulator's binary protocol: decodes frames to events and encodes actions.
 
-A frame is a header, records of one size and a tail, which holds what has no fixed size. All numbers
-are little-endian; names of records and codes are the simulator's.
+A frame is a header, records of one size, and a tail for data of variable size. All numbers are
+little-endian.
 """
 
 from __future__ import annotations
@@ -48,31 +48,31 @@
 ACTION_SIZE = 24
 ENTRY = struct.Struct("<fB6sBQBH")
 
-_INIT = struct.Struct("<HQII")
-_LIST = struct.Struct("<HII")
-_LIST_RECEIVED = struct.Struct("<HBHQ")
-_REQUEST = struct.Struct("<HIBHQIfffH")
-_GATEWAY = struct.Struct("<H")
-_PROBED = struct.Struct("<HIH6sB4f")
-_CALL = struct.Struct("<HI")
-_COUNTED = struct.Struct("<HfIHQ")
-_PEER = struct.Struct("<HHII")
-_STREAM = struct.Struct("<HIH6sI")
-_TIMER = struct.Struct("<HQ")
-_OUTCOME = struct.Struct("<HIH6sHIBHHB4f")
-
-_SEND = struct.Struct("<BHI6sQ")
-_CANCEL = struct.Struct("<BHIH")
+_START = struct.Struct("<HQII")
+_ENDPOINT_LIST = struct.Struct("<HII")
+_ENDPOINT_LIST_RECEIVED = struct.Struct("<HBHQ")
+_REQUEST_ARRIVED = struct.Struct("<HIBHQIfffH")
+_STOP = struct.Struct("<H")
+_HEALTH_CHECK_ENDED = struct.Struct("<HIH6sB4f")
+_CLIENT_DISCONNECTED = struct.Struct("<HI")
+_SHARED_COUNTER_ANSWERED = struct.Struct("<HfIHQ")
+_GOSSIP_RECEIVED = struct.Struct("<HHII")
+_STREAM_STARTED = struct.Struct("<HIH6sI")
+_TIMER_FIRED = struct.Struct("<HQ")
+_ATTEMPT_ENDED = struct.Struct("<HIH6sHIBHHB4f")
+
+_SEND_ATTEMPT = struct.Struct("<BHI6sQ")
+_CANCEL_ATTEMPT = struct.Struct("<BHIH")
 _CHECK_HEALTH = struct.Struct("<BH6s")
-_BARE = struct.Struct("<BH")
+_FETCH_ENDPOINT_LIST = struct.Struct("<BH")
 _SET_TIMER = struct.Struct("<BHIQ")
-_TEXT = struct.Struct("<BHII")
-_FINAL = struct.Struct("<BHI")
-_GOSSIP = struct.Struct("<BHHII")
-_SUBSCRIBE = struct.Struct("<BHB")
-_REJECT = struct.Struct("<BHII")
+_POLICY_ERROR = struct.Struct("<BHII")
+_FAIL_REQUEST = struct.Struct("<BHI")
+_SEND_GOSSIP = struct.Struct("<BHHII")
+_SUBSCRIBE_ENDPOINT_LIST = struct.Struct("<BHB")
+_REJECT_REQUEST = struct.Struct("<BHII")
 
-RETRY_BIT = 2
+RETRY_FLAG = 2
 
 OUTCOMES = {
     100: AttemptOutcome.SERVED,
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """A gateway starts with these settings and the seed of its random draws."""
+    """A gateway starts with these settings and this seed of its random numbers."""
 
     settings: Settings
     seed: int
@@ -104,7 +104,7 @@
 
 
 class GatewayEvent(NamedTuple):
-    """An event and the number of the gateway that it is for."""
+    """An event and the number of the gateway that receives it."""
 
     gateway: int
     event: Start | Stop | Event
@@ -112,12 +112,12 @@
 
 @dataclass(slots=True)
 class Decoder:
-    """Decodes frames; keeps the numbered endpoint lists, which are sent once for each process."""
+    """Decodes frames; stores the numbered endpoint lists, which are sent once to each process."""
 
     lists: dict[int, tuple[EndpointEntry, ...]] = field(default_factory=dict)
 
     def frame(self, count: int, body: bytes) -> list[GatewayEvent]:
-        """Decode the records of one frame; ``WireError`` where it is malformed."""
+        """Decode the records of one frame; raise ``WireError`` if it is malformed."""
         if len(body) < count * EVENT_SIZE:
             raise WireError(f"frame of {len(body)} bytes is too short for {count} records")
         tail = body[count * EVENT_SIZE :]
@@ -133,7 +133,7 @@
         return events
 
 
-def _cut(tail: bytes, start: int, length: int) -> bytes:
+def _slice_tail(tail: bytes, start: int, length: int) -> bytes:
     if start + length > len(tail):
         raise WireError(
             f"offset {start} with length {length} lies outside a tail of {len(tail)} bytes"
@@ -149,21 +149,21 @@
 
 
 def _start(_decoder: Decoder, body: bytes, offset: int, tail: bytes) -> GatewayEvent:
-    gateway, seed, start, length = _INIT.unpack_from(body, offset)
+    gateway, seed, start, length = _START.unpack_from(body, offset)
     try:
-        settings = parse_settings(_cut(tail, start, length))
+        settings = parse_settings(_slice_tail(tail, start, length))
     except SettingsError as error:
         raise WireError(str(error)) from None
     return GatewayEvent(gateway, Start(settings, seed))
 
 
 def _endpoint_list(decoder: Decoder, body: bytes, offset: int, tail: bytes) -> None:
-    number, start, count = _LIST.unpack_from(body, offset)
-    raw = _cut(tail, start, count * ENTRY.size)
+    number, start, count = _ENDPOINT_LIST.unpack_from(body, offset)
+    raw = _slice_tail(tail, start, count * ENTRY.size)
     entries = []
     for size, _kind, endpoint_id, zone, started_at_us, state, cell in ENTRY.iter_unpack(raw):
         if state > 2:
-            raise WireError(f"unknown phase {state}")
+            raise WireError(f"unknown endpoint state {state}")
         entries.append(
             EndpointEntry(endpoint_id, EndpointState(state), zone, cell, started_at_us, size)
         )
@@ -173,7 +173,7 @@
 def _endpoint_list_received(
     decoder: Decoder, body: bytes, offset: int, _tail: bytes
 ) -> GatewayEvent:
-    gateway, kind, number, version = _LIST_RECEIVED.unpack_from(body, offset)
+    gateway, kind, number, version = _ENDPOINT_LIST_RECEIVED.unpack_from(body, offset)
     if kind > 3:
         raise WireError(f"unknown kind of list {kind}")
     kind = EndpointListKind(kind)
@@ -185,8 +185,8 @@
 
 
 def _request_arrived(_decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
-    gateway, request, kind, plan, customer, left, units, size, first, bits = _REQUEST.unpack_from(
-        body, offset
+    gateway, request, kind, plan, customer, time_left_us, units, size, first, flags = (
+        _REQUEST_ARRIVED.unpack_from(body, offset)
     )
     return GatewayEvent(
         gateway,
@@ -196,66 +196,72 @@
             plan,
             kind,
             units,
-            left,
+            time_left_us,
             int(first),
             int(size),
-            bool(bits & RETRY_BIT),
+            bool(flags & RETRY_FLAG),
         ),
     )
 
 
 def _stop(_decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
-    (gateway,) = _GATEWAY.unpack_from(body, offset)
+    (gateway,) = _STOP.unpack_from(body, offset)
     return GatewayEvent(gateway, Stop())
 
 
 def _health_check_ended(_decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
-    gateway, duration_us, reason, endpoint_id, value_count, *values = _PROBED.unpack_from(
-        body, offset
+    gateway, duration_us, outcome_code, endpoint_id, value_count, *values = (
+        _HEALTH_CHECK_ENDED.unpack_from(body, offset)
     )
     return GatewayEvent(
         gateway,
-        HealthCheckEnded(endpoint_id, _outcome(reason), duration_us, tuple(values[:value_count])),
+        HealthCheckEnded(
+            endpoint_id, _outcome(outcome_code), duration_us, tuple(values[:value_count])
+        ),
     )
 
 
 def _client_disconnected(_decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
-    gateway, request = _CALL.unpack_from(body, offset)
+    gateway, request = _CLIENT_DISCONNECTED.unpack_from(body, offset)
     return GatewayEvent(gateway, ClientDisconnected(request))
 
 
 def _shared_counter_answered(
     _decoder: Decoder, body: bytes, offset: int, _tail: bytes
 ) -> GatewayEvent:
-    gateway, value, duration_us, reason, name = _COUNTED.unpack_from(body, offset)
-    return GatewayEvent(gateway, SharedCounterAnswered(name, _outcome(reason), value, duration_us))
+    gateway, value, duration_us, outcome_code, name = _SHARED_COUNTER_ANSWERED.unpack_from(
+        body, offset
+    )
+    return GatewayEvent(
+        gateway, SharedCounterAnswered(name, _outcome(outcome_code), value, duration_us)
+    )
 
 
 def _gossip_received(_decoder: Decoder, body: bytes, offset: int, tail: bytes) -> GatewayEvent:
-    gateway, sender, start, length = _PEER.unpack_from(body, offset)
-    return GatewayEvent(gateway, GossipReceived(sender, _cut(tail, start, length)))
+    gateway, sender, start, length = _GOSSIP_RECEIVED.unpack_from(body, offset)
+    return GatewayEvent(gateway, GossipReceived(sender, _slice_tail(tail, start, length)))
 
 
 def _stream_started(_decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
-    gateway, request, attempt, endpoint_id, duration_us = _STREAM.unpack_from(body, offset)
+    gateway, request, attempt, endpoint_id, duration_us = _STREAM_STARTED.unpack_from(body, offset)
     return GatewayEvent(gateway, StreamStarted(request, attempt, endpoint_id, duration_us))
 
 
 def _timer_fired(_decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
-    gateway, token = _TIMER.unpack_from(body, offset)
+    gateway, token = _TIMER_FIRED.unpack_from(body, offset)
     return GatewayEvent(gateway, TimerFired(token))
 
 
 def _attempt_ended(_decoder: Decoder, body: bytes, offset: int, _tail: bytes) -> GatewayEvent:
-    fields = _OUTCOME.unpack_from(body, offset)
+    fields = _ATTEMPT_ENDED.unpack_from(body, offset)
     (
         gateway,
         request,
         attempt,
         endpoint_id,
-        reason,
+        outcome_code,
         duration_us,
-        settled,
+        is_answered,
         use,
         units,
         value_count,
@@ -267,9 +273,9 @@
             request,
             attempt,
             endpoint_id,
-            _outcome(reason),
+            _outcome(outcome_code),
             duration_us,
-            bool(settled),
+            bool(is_answered),
             use,
             float(units),
             tuple(values[:value_count]),
@@ -294,7 +300,7 @@
 
 
 class RecordCode:
-    """Codes of the records of a reply."""
+    """Record codes in a reply."""
 
     SEND_ATTEMPT = 65
     REJECT_REQUEST = 66
@@ -310,16 +316,16 @@
 
 @dataclass(slots=True)
 class Encoder:
-    """Collects the actions of one reply."""
+    """Collects the records of one reply."""
 
     records: list[bytes] = field(default_factory=list)
     tail: bytearray = field(default_factory=bytearray)
 
     def add(self, gateway: int, action: Action) -> None:
-        """Append an action of a gateway; ``TypeError`` where the wire has no such action."""
+        """Append a gateway's action; raise ``TypeError`` if the protocol has no record for it."""
         match action:
             case SendAttempt():
-                record = _SEND.pack(
+                record = _SEND_ATTEMPT.pack(
                     RecordCode.SEND_ATTEMPT,
                     gateway,
                     action.request,
@@ -327,26 +333,28 @@
                     action.deadline_us,
                 )
             case RejectRequest():
-                record = _REJECT.pack(
+                record = _REJECT_REQUEST.pack(
                     RecordCode.REJECT_REQUEST, gateway, action.request, action.retry_after_us
                 )
             case FailRequest():
-                record = _FINAL.pack(RecordCode.FAIL_REQUEST, gateway, action.request)
+                record = _FAIL_REQUEST.pack(RecordCode.FAIL_REQUEST, gateway, action.request)
             case SetTimer():
                 record = _SET_TIMER.pack(
                     RecordCode.SET_TIMER, gateway, action.delay_us, action.token
                 )
             case SendGossip():
                 start, length = self._append_to_tail(action.body)
-                record = _GOSSIP.pack(RecordCode.SEND_GOSSIP, gateway, action.peer, start, length)
+                record = _SEND_GOSSIP.pack(
+                    RecordCode.SEND_GOSSIP, gateway, action.peer, start, length
+                )
             case _:
-                record = _pack_rare_action(gateway, action)
+                record = _pack_infrequent_action(gateway, action)
         self._append(record)
 
     def add_policy_error(self, gateway: int, text: str) -> None:
         """Append the text of an exception that the policy raised."""
         start, length = self._append_to_tail(text.encode())
-        self._append(_TEXT.pack(RecordCode.POLICY_ERROR, gateway, start, length))
+        self._append(_POLICY_ERROR.pack(RecordCode.POLICY_ERROR, gateway, start, length))
 
     def reply(self) -> bytes:
         """Return the reply frame."""
@@ -357,21 +365,23 @@
         self.records.append(record.ljust(ACTION_SIZE, b"\0"))
 
     def _append_to_tail(self, body: bytes) -> tuple[int, int]:
-        """Append bytes to the tail; return where they start there, and their length."""
+        """Append bytes to the tail; return their offset in it and their length."""
         start = len(self.tail)
         self.tail += body
         return start, len(body)
 
 
-def _pack_rare_action(gateway: int, action: Action) -> bytes:
+def _pack_infrequent_action(gateway: int, action: Action) -> bytes:
     match action:
         case CancelAttempt():
-            return _CANCEL.pack(RecordCode.CANCEL_ATTEMPT, gateway, action.request, action.attempt)
+            return _CANCEL_ATTEMPT.pack(
+                RecordCode.CANCEL_ATTEMPT, gateway, action.request, action.attempt
+            )
         case CheckHealth():
             return _CHECK_HEALTH.pack(RecordCode.CHECK_HEALTH, gateway, action.endpoint_id)
         case SubscribeEndpointList():
-            return _SUBSCRIBE.pack(RecordCode.SUBSCRIBE_ENDPOINT_LIST, gateway, 1)
+            return _SUBSCRIBE_ENDPOINT_LIST.pack(RecordCode.SUBSCRIBE_ENDPOINT_LIST, gateway, 1)
         case FetchEndpointList():
-            return _BARE.pack(RecordCode.FETCH_ENDPOINT_LIST, gateway)
+            return _FETCH_ENDPOINT_LIST.pack(RecordCode.FETCH_ENDPOINT_LIST, gateway)
         case _:
-            raise TypeError(f"the wire has no action {action!r}")
+            raise TypeError(f"the protocol has no record for action {action!r}")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings and shorthands for the tests: all figures here are made up."""
+"""Settings, builders and the gateway harness that the tests share; all figures are arbitrary."""
 
 from __future__ import annotations
 
@@ -38,34 +38,34 @@
     Settings,
 )
 
-# The earlier name, for tests that import it from here.
+# Former name of ``FakeEndpoint``, which other tests import from here.
 FakeHost = FakeEndpoint
 
 SECOND = 1_000_000
-T0 = 1_000 * SECOND  # a clock time well after any start
+T0 = 1_000 * SECOND  # start of the test clock: endpoints that started at 0 are warm
 
-SAFE = RequestClass(
+IDEMPOTENT = RequestClass(
     500_000, 2 * SECOND, 1.0, 0.0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0
 )
 KEYED_CELL = RequestClass(
     500_000, 4 * SECOND, 1.0, 0.0, Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL, SECOND
 )
-UNSAFE = RequestClass(
+NON_IDEMPOTENT = RequestClass(
     500_000, 2 * SECOND, 1.0, 0.0, Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0
 )
 KEYED_ALL = dataclasses.replace(KEYED_CELL, deduplication_scope=DeduplicationScope.ALL)
 KEYED_ZONE = dataclasses.replace(KEYED_CELL, deduplication_scope=DeduplicationScope.ZONE)
 PLAIN = Plan(2.0, 10.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
-CAPPED = Plan(2.0, 10.0, 2, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
-CEILED = Plan(4.0, 8.0, 0, 1.0, 0.0, 1.0, 8.0, 16.0, 2.0)
-IDLE_EARNS = Plan(2.0, 10.0, 0, 1.0, 0.5, 0.0, 0.0, 0.0, 0.0)
+CONCURRENCY_LIMITED = Plan(2.0, 10.0, 2, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
+WITH_CEILING = Plan(4.0, 8.0, 0, 1.0, 0.0, 1.0, 8.0, 16.0, 2.0)
+OVER_QUOTA_REVENUE = Plan(2.0, 10.0, 0, 1.0, 0.5, 0.0, 0.0, 0.0, 0.0)
 
 SETTINGS = Settings(
     node_index=0,
     node_count=3,
     zone=0,
-    classes=(SAFE, KEYED_CELL, UNSAFE, KEYED_ALL, KEYED_ZONE),
-    plans=(PLAIN, CAPPED, CEILED, IDLE_EARNS),
+    classes=(IDEMPOTENT, KEYED_CELL, NON_IDEMPOTENT, KEYED_ALL, KEYED_ZONE),
+    plans=(PLAIN, CONCURRENCY_LIMITED, WITH_CEILING, OVER_QUOTA_REVENUE),
     may_send_gossip=True,
     may_probe=True,
     may_cancel=True,
@@ -91,17 +91,17 @@
 
 
 def entry(number: int, state=EndpointState.READY, cell=0, zone=0, started_at_us=0) -> EndpointEntry:
-    """A line of a server list."""
+    """Return an entry of an endpoint list."""
     return EndpointEntry(bytes((10, 0, 0, number, 0, 80)), state, zone, cell, started_at_us, 1.0)
 
 
 def listed(*entries: EndpointEntry, kind=EndpointListKind.COMPLETE) -> EndpointListReceived:
-    """News of discovery."""
+    """Return the event of an endpoint list from discovery."""
     return EndpointListReceived(kind, 1, tuple(entries))
 
 
-class Bench:
-    """One gateway with a clock, its requests numbered from 1."""
+class GatewayHarness:
+    """One gateway with a manual clock that fires its timers."""
 
     def __init__(self, endpoints=4, now=T0, seed=1, **changes) -> None:
         self.now = now
@@ -111,40 +111,40 @@
         self.timers: list[tuple[int, int]] = []
         self._note(self.log)
         if endpoints:
-            self.feed(listed(*(entry(i) for i in range(endpoints))))
+            self.handle(listed(*(entry(i) for i in range(endpoints))))
 
     def _note(self, actions) -> None:
         for action in actions:
             if isinstance(action, SetTimer):
                 self.timers.append((self.now + action.delay_us, action.token))
 
-    def feed(self, event: Event) -> list[Action]:
-        """One event now; the actions that it led to."""
+    def handle(self, event: Event) -> list[Action]:
+        """Handle an event at the present time; return the resulting actions."""
         actions = list(self.gateway.handle(self.now, event))
         self._note(actions)
         self.log += actions
         return actions
 
     def run(self, span: int) -> list[Action]:
-        """Let time pass and the timers fire."""
+        """Advance the clock, firing the timers that are due; return the resulting actions."""
         end, done = self.now + span, []
         while due := [t for t in self.timers if t[0] <= end]:
             first = min(due)
             self.timers.remove(first)
             self.now = max(self.now, first[0])
-            done += self.feed(TimerFired(first[1]))
+            done += self.handle(TimerFired(first[1]))
         self.now = end
         return done
 
-    def ask(
+    def send_request(
         self, request: int, kind=0, customer=7, plan=0, units=1.0, left=2 * SECOND, first=0, size=3
     ):
-        """A client's request."""
-        return self.feed(
+        """Handle a client's request; return the resulting actions."""
+        return self.handle(
             RequestArrived(request, customer, plan, kind, units, left, first, size, False)
         )
 
-    def outcome(
+    def end_attempt(
         self,
         request: int,
         endpoint_id: bytes,
@@ -153,22 +153,22 @@
         duration_us=50_000,
         is_answered=None,
     ):
-        """How an attempt ended."""
+        """Handle the end of an attempt; return the resulting actions."""
         if is_answered is None:
             is_answered = outcome is AttemptOutcome.SERVED
-        return self.feed(
+        return self.handle(
             AttemptEnded(
                 request, attempt, endpoint_id, outcome, duration_us, is_answered, 0, 0.0, ()
             )
         )
 
 
-def of(actions, kind) -> list:
-    """The actions of one kind."""
+def of_type(actions, kind) -> list:
+    """Return the actions of one type."""
     return [a for a in actions if isinstance(a, kind)]
 
 
 @pytest.fixture
-def bench() -> Bench:
-    """A gateway with four warm servers."""
-    return Bench()
+def harness() -> GatewayHarness:
+    """Return a gateway with four warm endpoints."""
+    return GatewayHarness()
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,11 +1,11 @@
-"""Admission of requests and checks by quota, concurrency limit and expected latency."""
+"""Admission of requests and admission checks by quota, concurrency limit and expected latency."""
 
 from __future__ import annotations
 
-from conftest import SECOND, Bench, entry, listed, of
+from conftest import SECOND, GatewayHarness, entry, listed, of_type
 from policy_rig import (
     NOW_TICK,
-    confirmed_bench,
+    confirmed_gateway,
     count_admitted,
     quota_row,
     receive_rows,
@@ -25,146 +25,152 @@
 )
 
 
-def check(bench: Bench, number: int, customer=7, plan=0, units=1.0, first=0, size=1):
-    return bench.feed(AdmissionCheckArrived(number, customer, plan, 0, units, first, size))
+def check(harness: GatewayHarness, number: int, customer=7, plan=0, units=1.0, first=0, size=1):
+    return harness.handle(AdmissionCheckArrived(number, customer, plan, 0, units, first, size))
 
 
-def send(bench: Bench, number: int) -> bool:
-    """Send a request of the same customer; tell whether it was admitted, and serve it."""
-    sent = of(bench.ask(number, size=1), SendAttempt)
+def send(harness: GatewayHarness, number: int) -> bool:
+    """Send a request of the same customer, serve it if it was admitted; return whether it was."""
+    sent = of_type(harness.send_request(number, size=1), SendAttempt)
     for action in sent:
-        bench.outcome(number, action.endpoint_id, AttemptOutcome.SERVED)
+        harness.end_attempt(number, action.endpoint_id, AttemptOutcome.SERVED)
     return bool(sent)
 
 
-def test_a_check_takes_units_as_a_first_attempt_does(bench):
-    """As many are admitted as requests on the same quota: it is exhausted below a quarter."""
-    let_in = [bool(of(check(bench, n), AdmitRequest)) for n in range(1, 13)]
-    other = Bench()
-    assert let_in == [send(other, n) for n in range(1, 13)]
-    assert let_in == [True] * 8 + [False] * 4
-    assert of(bench.ask(100, size=1), RejectRequest)
+def test_a_check_takes_units_as_a_first_attempt_does(harness):
+    """Checks and requests share one quota, which is exhausted below a quarter of the burst."""
+    admitted = [bool(of_type(check(harness, n), AdmitRequest)) for n in range(1, 13)]
+    other = GatewayHarness()
+    assert admitted == [send(other, n) for n in range(1, 13)]
+    assert admitted == [True] * 8 + [False] * 4
+    assert of_type(harness.send_request(100, size=1), RejectRequest)
 
 
-def test_a_request_takes_units_that_a_check_would_have_had(bench):
-    assert all(send(bench, number) for number in range(1, 6))
-    assert [bool(of(check(bench, 50 + n), AdmitRequest)) for n in range(5)] == [True] * 3 + [
+def test_a_request_takes_units_that_a_check_would_have_had(harness):
+    assert all(send(harness, number) for number in range(1, 6))
+    assert [bool(of_type(check(harness, 50 + n), AdmitRequest)) for n in range(5)] == [True] * 3 + [
         False
     ] * 2
 
 
-def test_a_rejected_check_takes_no_units_and_gets_a_retry_after(bench):
+def test_a_rejected_check_takes_no_units_and_gets_a_retry_after(harness):
     for number in range(1, 11):
-        check(bench, number)
-    (refused,) = of(check(bench, 11), RejectRequest)
-    assert 0 <= refused.retry_after_us <= bench.settings.max_retry_after_us
-    total = bench.gateway.quota_counters.customers[7].spent_units
-    check(bench, 12)
-    assert bench.gateway.quota_counters.customers[7].spent_units == total
+        check(harness, number)
+    (rejection,) = of_type(check(harness, 11), RejectRequest)
+    assert 0 <= rejection.retry_after_us <= harness.settings.max_retry_after_us
+    total = harness.gateway.quota_counters.customers[7].spent_units
+    check(harness, 12)
+    assert harness.gateway.quota_counters.customers[7].spent_units == total
 
 
-def test_a_check_leaves_no_request_and_no_timer(bench):
-    before = len(bench.timers)
-    check(bench, 1)
-    assert bench.gateway.lifecycle.requests == {}
-    assert bench.gateway.lifecycle.attempts == {}
-    assert len(bench.timers) == before
+def test_a_check_leaves_no_request_and_no_timer(harness):
+    before = len(harness.timers)
+    check(harness, 1)
+    assert harness.gateway.lifecycle.requests == {}
+    assert harness.gateway.lifecycle.attempts == {}
+    assert len(harness.timers) == before
 
 
 def test_checks_and_requests_together_stay_within_a_ceiling():
-    bench = Bench()
-    bench.run(30 * SECOND)
-    check(bench, 1, plan=2)  # its account's part of the ceiling fills from here
-    bench.run(5 * SECOND)
-    let_in = sum(bool(of(check(bench, 10 + n, plan=2), AdmitRequest)) for n in range(40))
-    let_in += sum(bool(of(bench.ask(100 + n, plan=2, size=1), SendAttempt)) for n in range(40))
-    assert 0 < let_in <= 16 + 2  # the burst of the ceiling and its slack
+    harness = GatewayHarness()
+    harness.run(30 * SECOND)
+    check(harness, 1, plan=2)  # spends from the ceiling's part, which then refills for 5 s
+    harness.run(5 * SECOND)
+    admitted = sum(bool(of_type(check(harness, 10 + n, plan=2), AdmitRequest)) for n in range(40))
+    admitted += sum(
+        bool(of_type(harness.send_request(100 + n, plan=2, size=1), SendAttempt)) for n in range(40)
+    )
+    assert 0 < admitted <= 16 + 2  # the burst of the ceiling and its slack
 
 
-def test_checks_are_gossiped_as_attempts_are(bench):
-    bench.log.clear()
-    check(bench, 1, size=3)
-    assert of(bench.log, SendGossip) or bench.gateway.quota_counters.changed
+def test_checks_are_gossiped_as_attempts_are(harness):
+    harness.log.clear()
+    check(harness, 1, size=3)
+    assert of_type(harness.log, SendGossip) or harness.gateway.quota_counters.changed
 
 
 def test_requests_that_exceed_the_capacity_are_rejected_at_once():
-    bench = Bench(endpoints=2)
+    harness = GatewayHarness(endpoints=2)
     for request in range(1, 41):
-        serve_one(bench, request, lambda _: 60_000)
-    sends = [s for r in range(100, 200) for s in of(bench.ask(r, customer=r), SendAttempt)]
+        serve_one(harness, request, lambda _: 60_000)
+    sends = [
+        s
+        for r in range(100, 200)
+        for s in of_type(harness.send_request(r, customer=r), SendAttempt)
+    ]
     assert 0 < len(sends) < 50
     assert not [
-        a for a in bench.run(SECOND // 10) if isinstance(a, RejectRequest)
-    ]  # none was held first
+        a for a in harness.run(SECOND // 10) if isinstance(a, RejectRequest)
+    ]  # none was queued first
 
 
 def test_a_slow_class_at_idle_endpoints_is_not_shed():
-    """The typical latency itself is no reason to shed, however near to the objective it is."""
-    bench = Bench(endpoints=1)
-    assert all(serve_one(bench, r, lambda _: 110_000) for r in range(1, 60))
+    """A high typical latency alone must not cause load shedding, even near the objective."""
+    harness = GatewayHarness(endpoints=1)
+    assert all(serve_one(harness, r, lambda _: 110_000) for r in range(1, 60))
 
 
 def test_an_unconfirmed_customer_gets_a_share_of_its_burst():
-    assert count_admitted(Bench(), 20) == 3  # a third of ten
+    assert count_admitted(GatewayHarness(), 20) == 3  # a third of ten
 
 
 def test_a_new_customer_gets_one_request_though_its_share_is_smaller():
-    assert count_admitted(Bench(), 3, units=8.0) == 1
+    assert count_admitted(GatewayHarness(), 3, units=8.0) == 1
 
 
 def test_a_concurrency_limit_counts_recent_admissions_of_peers():
-    bench = confirmed_bench()
-    assert len(of(bench.ask(1, plan=1), SendAttempt)) == 1
-    receive_rows(bench, 1, quota_row([(1, NOW_TICK, 1.0)], total=2.0))
-    assert of(bench.ask(2, plan=1), RejectRequest)
+    harness = confirmed_gateway()
+    assert len(of_type(harness.send_request(1, plan=1), SendAttempt)) == 1
+    receive_rows(harness, 1, quota_row([(1, NOW_TICK, 1.0)], total=2.0))
+    assert of_type(harness.send_request(2, plan=1), RejectRequest)
 
 
 def test_without_gossip_a_gateway_admits_its_share():
-    bench = Bench(may_send_gossip=False)
-    assert count_admitted(bench, 20) == 3
-    assert not sent_messages([*bench.log, *bench.run(2 * SECOND)])
+    harness = GatewayHarness(may_send_gossip=False)
+    assert count_admitted(harness, 20) == 3
+    assert not sent_messages([*harness.log, *harness.run(2 * SECOND)])
 
 
 def test_a_waiting_request_outlives_its_customers_idle_record():
-    """The record was once dropped while the request waited, and a change of nobody was left."""
-    bench = confirmed_bench(endpoints=0)
-    bench.ask(1, left=9 * SECOND)
+    """Dropping the record while a request waited once left a changed customer without a record."""
+    harness = confirmed_gateway(endpoints=0)
+    harness.send_request(1, left=9 * SECOND)
     for i in range(50, 60):
-        bench.ask(i, customer=1_000 + i, size=1)
-    assert 7 not in bench.gateway.quota_counters.customers
-    bench.feed(listed(entry(1)))
-    assert 1 in [send.request for send in of(bench.run(100_000), SendAttempt)]
-    assert bench.gateway.quota_counters.customers[7].spent_units == 1.0
+        harness.send_request(i, customer=1_000 + i, size=1)
+    assert 7 not in harness.gateway.quota_counters.customers
+    harness.handle(listed(entry(1)))
+    assert 1 in [send.request for send in of_type(harness.run(100_000), SendAttempt)]
+    assert harness.gateway.quota_counters.customers[7].spent_units == 1.0
 
 
 def test_a_rejected_client_gets_a_retry_after_if_its_quota_reopens_soon():
-    """No Retry-After where a client that waits so long would spend quota on a late answer."""
-    bench = Bench(node_count=1)
+    """A client that waited too long would spend quota on a late answer: it gets no Retry-After."""
+    harness = GatewayHarness(node_count=1)
     for request in range(1, 60):
-        bench.ask(request, size=1)
-        bench.outcome(request, bench.log[-1].endpoint_id, AttemptOutcome.SERVED) if of(
-            bench.log[-1:], SendAttempt
+        harness.send_request(request, size=1)
+        harness.end_attempt(request, harness.log[-1].endpoint_id, AttemptOutcome.SERVED) if of_type(
+            harness.log[-1:], SendAttempt
         ) else None
-    (refused, *_) = of(bench.log, RejectRequest)
-    assert refused.retry_after_us == 0  # its quota needs seconds
+    (rejection, *_) = of_type(harness.log, RejectRequest)
+    assert rejection.retry_after_us == 0  # its quota needs seconds
     for request in range(60, 200):
-        bench.run(25_000)
-        (answer, *_) = bench.ask(request, size=1)
+        harness.run(25_000)
+        (answer, *_) = harness.send_request(request, size=1)
         if answer.retry_after_us:
             break
     retry_after_us = answer.retry_after_us
-    assert 0 < retry_after_us <= 75_000  # 0.15 of the aim
-    bench.run(retry_after_us + 1)
-    assert of(bench.ask(200, size=1), SendAttempt)
+    assert 0 < retry_after_us <= 75_000  # 0.15 of the latency objective
+    harness.run(retry_after_us + 1)
+    assert of_type(harness.send_request(200, size=1), SendAttempt)
 
 
-def test_a_replica_set_of_one_gets_its_full_quota(bench):
-    """No peer can ever confirm it: unconfirmed, it would be rejected after its first burst."""
+def test_a_replica_set_of_one_gets_its_full_quota(harness):
+    """No peer can ever confirm it: if it counted as unconfirmed, it would get only one burst."""
     sent = 0
     for number in range(60):
-        actions = of(bench.ask(number, customer=5, size=1), SendAttempt)
+        actions = of_type(harness.send_request(number, customer=5, size=1), SendAttempt)
         sent += len(actions)
         if actions:
-            bench.outcome(number, actions[0].endpoint_id, AttemptOutcome.SERVED)
-        bench.run(SECOND)
+            harness.end_attempt(number, actions[0].endpoint_id, AttemptOutcome.SERVED)
+        harness.run(SECOND)
     assert sent == 60
--- a/tests/policy/test_event_orders.py
+++ b/tests/policy/test_event_orders.py
@@ -1,11 +1,11 @@
-"""Every order of two and three events after a first attempt gets exactly one final answer."""
+"""Each order of two or three events after the first attempt leads to exactly one final answer."""
 
 from __future__ import annotations
 
 import itertools
 
 import pytest
-from conftest import SECOND, Bench, entry, listed
+from conftest import SECOND, GatewayHarness, entry, listed
 
 from saffrongw.policy.actions import FailRequest, RejectRequest, SendAttempt
 from saffrongw.policy.events import (
@@ -26,30 +26,30 @@
 
 
 class Case:
-    """One request at one gateway, and a check of each action against the rules."""
+    """One request at one gateway; checks each action against rules 1 to 3."""
 
     def __init__(self, kind: int) -> None:
-        self.bench = Bench(endpoints=0, connect_timeout_us=50_000)
-        # Two cells and two zones of two hosts each.
-        self.bench.feed(listed(*(entry(n, cell=n % 2, zone=n // 2) for n in range(4))))
-        self.cls = self.bench.settings.classes[kind]
+        self.harness = GatewayHarness(endpoints=0, connect_timeout_us=50_000)
+        # Two cells and two zones of two endpoints each.
+        self.harness.handle(listed(*(entry(n, cell=n % 2, zone=n // 2) for n in range(4))))
+        self.cls = self.harness.settings.classes[kind]
         self.sent: list[tuple[bytes, int]] = []
         self.outcomes: dict[int, AttemptOutcome] = {}
         self.drained: set[bytes] = set()
         self.finals = 0
         self.over = False
-        self._read(self.bench.ask(1, kind=kind, left=4 * SECOND))
+        self._read(self.harness.send_request(1, kind=kind, left=4 * SECOND))
         assert len(self.sent) == 1
 
     def _read(self, actions) -> None:
         for action in actions:
             if isinstance(action, SendAttempt):
-                assert not self.over, "a send after the end"
+                assert not self.over, "an attempt after the final answer"
                 assert action.endpoint_id not in self.drained, (
-                    "a send to a host that drains or is gone"
+                    "an attempt at a draining or removed endpoint"
                 )
                 self._may_repeat(action.endpoint_id)
-                self.sent.append((action.endpoint_id, self.bench.now))
+                self.sent.append((action.endpoint_id, self.harness.now))
             elif isinstance(action, (RejectRequest, FailRequest)):
                 assert not self.over, "a second final answer"
                 self.over, self.finals = True, self.finals + 1
@@ -58,7 +58,7 @@
                     assert self.cls.idempotency is Idempotency.IDEMPOTENT or (
                         self.cls.idempotency is Idempotency.IDEMPOTENCY_KEY
                         and self.cls.deduplication_scope is DeduplicationScope.ALL
-                    ), "a refusal of what may have run"
+                    ), "a rejection of a request that may have run"
 
     def _may_repeat(self, endpoint_id: bytes) -> None:
         ran = [
@@ -67,14 +67,16 @@
         if not ran or self.cls.idempotency is Idempotency.IDEMPOTENT:
             return
         assert self.cls.idempotency is Idempotency.IDEMPOTENCY_KEY, (
-            "an unsafe request that may have run"
+            "a retry of a non-idempotent request that may have run"
         )
         first, at = self.sent[ran[0]]
-        assert self.bench.now + 50_000 < at + self.cls.deduplication_window_us, "behind its window"
+        assert self.harness.now + 50_000 < at + self.cls.deduplication_window_us, (
+            "a retry after the deduplication window"
+        )
         if self.cls.deduplication_scope is DeduplicationScope.CELL:
-            assert first[3] % 2 == endpoint_id[3] % 2, "another cell"
+            assert first[3] % 2 == endpoint_id[3] % 2, "a retry in another cell"
         elif self.cls.deduplication_scope is DeduplicationScope.ZONE:
-            assert first[3] // 2 == endpoint_id[3] // 2, "another zone"
+            assert first[3] // 2 == endpoint_id[3] // 2, "a retry in another zone"
 
     def ends(self, outcome: AttemptOutcome) -> None:
         """End the attempt in flight with this outcome."""
@@ -86,39 +88,41 @@
         self.over = self.over or served
         self.finals += served
         self._read(
-            self.bench.outcome(
+            self.harness.end_attempt(
                 1, self.sent[index][0], outcome, attempt=index, is_answered=self.over
             )
         )
 
     def happens(self, name: str) -> None:
-        """Let one event happen."""
-        bench, host = self.bench, self.sent[-1][0]
+        """Cause the event of this name."""
+        harness, endpoint_id = self.harness, self.sent[-1][0]
         if name == "deadline":
-            bench.now += 4 * SECOND
+            harness.now += 4 * SECOND
             self.ends(AttemptOutcome.TIMED_OUT)
         elif name == "window over":
-            bench.now += SECOND
+            harness.now += SECOND
         elif name in ("drains", "gone"):
             state = EndpointState.DRAINING if name == "drains" else EndpointState.REMOVED
-            self.drained.add(host)
-            removed = entry(host[3], state, cell=host[3] % 2, zone=host[3] // 2)
-            self._read(bench.feed(listed(removed, kind=EndpointListKind.DELTA)))
+            self.drained.add(endpoint_id)
+            removed = entry(
+                endpoint_id[3], state, cell=endpoint_id[3] % 2, zone=endpoint_id[3] // 2
+            )
+            self._read(harness.handle(listed(removed, kind=EndpointListKind.DELTA)))
         elif name == "cell empties":
-            rest = [n for n in range(4) if n % 2 != host[3] % 2]
+            rest = [n for n in range(4) if n % 2 != endpoint_id[3] % 2]
             self.drained = {
                 entry(n).endpoint_id for n in range(4) if n not in rest
-            }  # the others are listed as ready
-            self._read(bench.feed(listed(*(entry(n, cell=n % 2, zone=n // 2) for n in rest))))
+            }  # the other endpoints are listed as ready
+            self._read(harness.handle(listed(*(entry(n, cell=n % 2, zone=n // 2) for n in rest))))
         elif name == "client":
             if not self.over:
                 self.over = True
-                self.finals += 1  # nothing is owed any more
-                self._read(bench.feed(ClientDisconnected(1)))
+                self.finals += 1  # the request needs no answer any more
+                self._read(harness.handle(ClientDisconnected(1)))
         elif name == "peer":
-            self._read(bench.feed(GossipReceived(1, b"\xff" * 30)))
+            self._read(harness.handle(GossipReceived(1, b"\xff" * 30)))
         elif name == "timer":
-            self._read(bench.feed(TimerFired(2)))
+            self._read(harness.handle(TimerFired(2)))
         else:
             self.ends(AttemptOutcome[name])
 
@@ -131,20 +135,20 @@
         try:
             for name in order:
                 case.happens(name)
-            for _ in range(6):  # what is still out ends, one way and the other
+            for _ in range(6):  # end the attempts that are still in flight
                 case.ends(AttemptOutcome.CONNECTION_LOST)
-                case._read(case.bench.run(SECOND))
+                case._read(case.harness.run(SECOND))
             case.ends(AttemptOutcome.TIMED_OUT)
-            assert case.finals == 1, "not one final answer"
-            assert not case.bench.gateway.lifecycle.requests
-            assert not case.bench.gateway.lifecycle.attempts
+            assert case.finals == 1, "not exactly one final answer"
+            assert not case.harness.gateway.lifecycle.requests
+            assert not case.harness.gateway.lifecycle.attempts
         except AssertionError as wrong:
             raise AssertionError(f"{order}: {wrong}") from wrong
 
 
 @pytest.mark.parametrize("kind", [1, 2, 4])
 def test_a_planted_retry_against_the_rules_is_caught(kind, monkeypatch):
-    """The planted fault: a request that may have run is sent anywhere, at any time."""
+    """Planted fault: a request that may have run is retried at any endpoint, at any time."""
     monkeypatch.setattr("saffrongw.policy.retry_policy.RetryPolicy.may_send", lambda *_: True)
     monkeypatch.setattr(
         "saffrongw.policy.request_lifecycle.RequestLifecycle.attempt_ended",
--- a/tests/policy/test_gossip_codec.py
+++ b/tests/policy/test_gossip_codec.py
@@ -1,8 +1,8 @@
-"""Bytes of gossip messages, from peers that are not trusted."""
+"""Decoding of gossip messages from untrusted peers."""
 
 from __future__ import annotations
 
-from conftest import Bench
+from conftest import GatewayHarness
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -23,5 +23,5 @@
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.binary(max_size=300))
 def test_any_bytes_are_ignored_without_an_error(body):
-    bench = Bench(endpoints=1)
-    assert bench.feed(GossipReceived(1, body)) == []
+    harness = GatewayHarness(endpoints=1)
+    assert harness.handle(GossipReceived(1, body)) == []
--- a/tests/policy/test_health_score.py
+++ b/tests/policy/test_health_score.py
@@ -1,4 +1,4 @@
-"""Health scores: exponential decay towards what is usual."""
+"""Health scores: exponential decay towards the prior latency score and zero failures."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_load_shedding.py
+++ b/tests/policy/test_load_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding: which requests are begun first and which are rejected while others wait."""
+"""Load shedding: which requests are started first, and which are rejected while others wait."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import random
 
 import pytest
-from conftest import PLAIN, SAFE, SECOND, T0, UNSAFE, Bench
+from conftest import IDEMPOTENT, NON_IDEMPOTENT, PLAIN, SECOND, T0, GatewayHarness
 
 from saffrongw.policy.actions import SendAttempt
 from saffrongw.policy.durations import MS_US
@@ -20,15 +20,15 @@
 )
 from saffrongw.policy.settings import Idempotency
 
-EXPENSIVE = dataclasses.replace(UNSAFE, priority_weight=5.0)
+EXPENSIVE = dataclasses.replace(NON_IDEMPOTENT, priority_weight=5.0)
 TWIN = dataclasses.replace(
-    SAFE, idempotency=Idempotency.IDEMPOTENCY_KEY
-)  # of the same worth as SAFE
+    IDEMPOTENT, idempotency=Idempotency.IDEMPOTENCY_KEY
+)  # of the same priority as IDEMPOTENT
 AMPLE = dataclasses.replace(PLAIN, price=1.6)
 
 
 def new_shedder() -> LoadShedder:
-    return LoadShedder((SAFE, EXPENSIVE, TWIN), (PLAIN, AMPLE))
+    return LoadShedder((IDEMPOTENT, EXPENSIVE, TWIN), (PLAIN, AMPLE))
 
 
 def queued(customer: int, plan=0, kind=0, until=T0 + 2 * SECOND, tag=None) -> QueuedRequest:
@@ -36,13 +36,13 @@
 
 
 def queue_to_capacity(shedder: LoadShedder, kind: int, now=T0, plan=0, first=1_000) -> None:
-    """Queue as many requests as the capacity allows."""
+    """Fill the queue to its capacity."""
     for customer in range(first, first + shedder.capacity - len(shedder)):
         assert shedder.offer(now, queued(customer, plan, kind)) is None
     assert len(shedder) == shedder.capacity
 
 
-def test_the_highest_priority_is_begun_first_and_equal_ones_by_customers_in_turn():
+def test_the_highest_priority_starts_first_and_equal_ones_round_robin_by_customer():
     shedder = new_shedder()
     for customer, kind in ((1, 0), (1, 0), (2, 2), (3, 1)):
         shedder.offer(T0, queued(customer, kind=kind))
@@ -57,18 +57,18 @@
     assert (len(shedder), shedder.count_by_customer, shedder.overloaded_since_us) == (0, {}, 0)
 
 
-def test_in_a_full_queue_the_lowest_priority_gives_way_and_never_a_higher_one():
+def test_a_full_queue_sheds_the_lowest_priority_and_never_a_higher_one():
     shedder = new_shedder()
     queue_to_capacity(shedder, kind=0)
     late = queued(1)
     assert shedder.offer(T0, late) is late
     assert late.is_done
-    out = shedder.offer(T0, dear := queued(2, kind=1))
+    out = shedder.offer(T0, higher := queued(2, kind=1))
     assert out.kind == 0
     assert out.is_done
-    assert not dear.is_done
+    assert not higher.is_done
     assert len(shedder) == shedder.capacity
-    assert shedder.take(T0) is dear
+    assert shedder.take(T0) is higher
 
 
 def test_one_customer_with_nine_tenths_of_the_load_gets_no_more_than_twice_the_others_part():
@@ -125,7 +125,7 @@
     assert shedder.pop_expired(T0 + MS_US) == [soon]
 
 
-def test_the_capacity_follows_the_rate_of_begun_requests_and_is_bounded():
+def test_the_capacity_follows_the_rate_of_started_requests_and_is_bounded():
     shedder, now = new_shedder(), T0
     assert shedder.capacity == MIN_CAPACITY
     for per_ms, min_capacity in ((3, 150), (200, MAX_CAPACITY)):
@@ -135,7 +135,7 @@
                 shedder.offer(now, queued(customer + 10_000))
             for _ in range(per_ms):
                 shedder.take(now)
-            shedder.offer(now, queued(1))  # never empty
+            shedder.offer(now, queued(1))  # keeps the queue from becoming empty
         assert min_capacity <= shedder.capacity <= MAX_CAPACITY
 
 
@@ -145,12 +145,12 @@
     assert shedder.retry_after_us(T0, SECOND) == MIN_RETRY_AFTER_US
     assert shedder.retry_after_us(T0 + SECOND, SECOND) == SECOND // 2
     assert shedder.retry_after_us(T0 + 60 * SECOND, SECOND) == SECOND
-    assert shedder.retry_after_us(T0, 0) == 0  # the settings allow none
+    assert shedder.retry_after_us(T0, 0) == 0  # the settings allow no Retry-After
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_each_request_ends_exactly_once_whatever_comes(seed):
-    """Each request is begun, rejected, expired or dropped, once; nothing of it stays."""
+    """Each request is started, rejected, expired or dropped exactly once, and leaves no state."""
     shedder, generator, not_ended, ended, now = new_shedder(), random.Random(seed), {}, {}, T0
 
     def end(request: QueuedRequest, how: str) -> None:
@@ -190,29 +190,29 @@
 
 
 def test_a_request_that_exceeds_its_quota_is_recognized_without_counting():
-    bench = Bench()
-    assert not bench.gateway.exceeds_quota(T0, 7, 0, 1.0)  # not met yet
-    bench.gateway.admission.max_expected_latency_us = lambda _request: float(
+    harness = GatewayHarness()
+    assert not harness.gateway.exceeds_quota(T0, 7, 0, 1.0)  # an unknown customer
+    harness.gateway.admission.max_expected_latency_us = lambda _request: float(
         "inf"
-    )  # none of these is answered
+    )  # no load shedding, because no attempt is answered here
     number = 1
-    while any(isinstance(action, SendAttempt) for action in bench.ask(number, size=1)):
+    while any(isinstance(action, SendAttempt) for action in harness.send_request(number, size=1)):
         number += 1
-    before = bench.gateway.quota_counters.customers[7].spent_units
-    assert bench.gateway.exceeds_quota(bench.now, 7, 0, 1.0)
-    assert bench.gateway.quota_counters.customers[7].spent_units == before
-    later = bench.now + 60 * SECOND
-    assert not bench.gateway.exceeds_quota(later, 7, 0, 1.0)
+    before = harness.gateway.quota_counters.customers[7].spent_units
+    assert harness.gateway.exceeds_quota(harness.now, 7, 0, 1.0)
+    assert harness.gateway.quota_counters.customers[7].spent_units == before
+    later = harness.now + 60 * SECOND
+    assert not harness.gateway.exceeds_quota(later, 7, 0, 1.0)
 
 
-def test_a_reopened_share_of_a_quota_is_not_taken_for_exceeded():
-    """Isolated, a gateway grants its share: its headroom never reaches 0.6 of the whole burst."""
-    bench = Bench(may_send_gossip=False)
-    bench.gateway.admission.max_expected_latency_us = lambda _request: float("inf")
+def test_a_refilled_share_of_a_quota_does_not_count_as_exceeded():
+    """Without gossip a gateway grants its share: the headroom never reaches 0.6 of the burst."""
+    harness = GatewayHarness(may_send_gossip=False)
+    harness.gateway.admission.max_expected_latency_us = lambda _request: float("inf")
     number = 1
-    while any(isinstance(action, SendAttempt) for action in bench.ask(number, size=3)):
+    while any(isinstance(action, SendAttempt) for action in harness.send_request(number, size=3)):
         number += 1
-    assert bench.gateway.quota_counters.customers[7].is_exhausted
-    assert bench.gateway.exceeds_quota(bench.now, 7, 0, 1.0)
-    bench.now += 60 * SECOND
-    assert not bench.gateway.exceeds_quota(bench.now, 7, 0, 1.0)
+    assert harness.gateway.quota_counters.customers[7].is_exhausted
+    assert harness.gateway.exceeds_quota(harness.now, 7, 0, 1.0)
+    harness.now += 60 * SECOND
+    assert not harness.gateway.exceeds_quota(harness.now, 7, 0, 1.0)
--- a/tests/policy/test_module_limits.py
+++ b/tests/policy/test_module_limits.py
@@ -1,4 +1,4 @@
-"""The limits that the operators set for the policy's modules, and the example of the README."""
+"""The operators' limits on the policy's modules, and the example in the README."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_planted_policy_faults.py
+++ b/tests/policy/test_planted_policy_faults.py
@@ -1,4 +1,4 @@
-"""Faults planted in the policy's parts: the tests of the part must catch each of them."""
+"""Faults planted in the policy's components: the component's tests must catch each of them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import test_retry_policy
 import test_slow_start
 import test_token_grants
-from conftest import Bench
+from conftest import GatewayHarness
 
 from saffrongw.policy.customer_quota import CounterEntry
 from saffrongw.policy.events import AttemptOutcome
@@ -23,11 +23,11 @@
 def test_a_retry_of_a_non_idempotent_request_that_may_have_run_is_caught(outcome, monkeypatch):
     check = test_retry_policy
     test = check.test_a_non_idempotent_request_that_may_have_run_is_neither_retried_nor_rejected
-    test(Bench(), outcome)
+    test(GatewayHarness(), outcome)
     monkeypatch.setattr(RetryPolicy, "may_retry", lambda *_: True)
     monkeypatch.setattr(RetryPolicy, "may_send", lambda *_: True)
     with pytest.raises(AssertionError):
-        test(Bench(), outcome)
+        test(GatewayHarness(), outcome)
 
 
 def test_a_rejection_of_a_request_that_may_have_run_is_caught(monkeypatch):
@@ -35,7 +35,7 @@
     test = check.test_a_non_idempotent_request_that_may_have_run_is_neither_retried_nor_rejected
     monkeypatch.setattr(RetryPolicy, "may_reject", lambda *_: True)
     with pytest.raises(AssertionError):
-        test(Bench(), AttemptOutcome.CONNECTION_LOST)
+        test(GatewayHarness(), AttemptOutcome.CONNECTION_LOST)
 
 
 def test_a_counter_merge_that_takes_the_smaller_value_is_caught(monkeypatch):
@@ -57,15 +57,15 @@
 
 
 def test_a_grant_that_is_not_deducted_from_the_coordinators_part_is_caught(monkeypatch):
-    plain = TokenGrants.give
+    plain = TokenGrants.grant
 
-    def give_without_deduction(self, quota, node_index, wanted, has_waiting):
+    def grant_without_deduction(self, quota, node_index, wanted, has_waiting):
         before = quota.ceiling_units
         granted = plain(self, quota, node_index, wanted, has_waiting)
         quota.ceiling_units = before
         return granted
 
-    monkeypatch.setattr(TokenGrants, "give", give_without_deduction)
+    monkeypatch.setattr(TokenGrants, "grant", grant_without_deduction)
     with pytest.raises(AssertionError):
         test_token_grants.test_a_coordinator_grants_no_more_than_its_part_of_a_ceiling()
 
@@ -79,4 +79,6 @@
 def test_a_request_that_is_not_forgotten_after_its_answer_is_caught(monkeypatch):
     monkeypatch.setattr(RequestLifecycle, "_drop", lambda *_: None)
     with pytest.raises(AssertionError):
-        test_request_lifecycle.test_nothing_follows_an_answer_or_a_disconnected_client(Bench())
+        test_request_lifecycle.test_nothing_follows_an_answer_or_a_disconnected_client(
+            GatewayHarness()
+        )
--- a/tests/policy/test_quota_counters.py
+++ b/tests/policy/test_quota_counters.py
@@ -4,12 +4,12 @@
 
 import itertools
 
-from conftest import PLAIN, SECOND, Bench, of
+from conftest import PLAIN, SECOND, GatewayHarness, of_type
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from policy_rig import (
     NOW_TICK,
-    confirmed_bench,
+    confirmed_gateway,
     count_admitted,
     quota_row,
     receive_rows,
@@ -25,72 +25,72 @@
 
 
 def test_the_burst_is_admitted_until_it_is_nearly_spent_and_refills():
-    bench = confirmed_bench()
-    assert count_admitted(bench, 20) == 8  # of ten: from a quarter of the burst on it is refused
-    bench.now += SECOND
-    assert count_admitted(bench, 20, start=100) == 0
-    bench.now += SECOND
-    assert count_admitted(bench, 20, start=200) == 4  # six are back, a quarter stays
+    harness = confirmed_gateway()
+    assert count_admitted(harness, 20) == 8  # of ten; below a quarter of the burst all are rejected
+    harness.now += SECOND
+    assert count_admitted(harness, 20, start=100) == 0
+    harness.now += SECOND
+    assert count_admitted(harness, 20, start=200) == 4  # of six; a quarter of the burst remains
 
 
 def test_units_that_peers_admitted_are_counted():
-    bench = confirmed_bench()
-    receive_rows(bench, 1, quota_row([(1, NOW_TICK - 9, 3.0)], headroom=7.0, total=3.0))
-    receive_rows(bench, 2, quota_row([(2, NOW_TICK - 9, 2.0)], headroom=8.0, total=2.0))
-    assert count_admitted(bench, 20) == 3
+    harness = confirmed_gateway()
+    receive_rows(harness, 1, quota_row([(1, NOW_TICK - 9, 3.0)], headroom=7.0, total=3.0))
+    receive_rows(harness, 2, quota_row([(2, NOW_TICK - 9, 2.0)], headroom=8.0, total=2.0))
+    assert count_admitted(harness, 20) == 3
 
 
 def test_a_total_covers_counters_that_were_never_received():
-    """A gateway that missed messages, or has just started, learns the total from one row."""
-    bench = Bench()
-    receive_rows(bench, 1, quota_row([(2, NOW_TICK - 9, 1.0)], headroom=1.0, total=500.0))
-    assert count_admitted(bench, 20) == 0
+    """One row's total informs a gateway that missed messages or has just started."""
+    harness = GatewayHarness()
+    receive_rows(harness, 1, quota_row([(2, NOW_TICK - 9, 1.0)], headroom=1.0, total=500.0))
+    assert count_admitted(harness, 20) == 0
 
 
 def test_a_coordinator_adds_up_the_reports_of_all_gateways():
-    bench = confirmed_bench()
+    harness = confirmed_gateway()
     for sender in (1, 2):
         receive_rows(
-            bench, sender, quota_row([(sender, NOW_TICK - 9, 4.0)], total=4.0), is_report=True
+            harness, sender, quota_row([(sender, NOW_TICK - 9, 4.0)], total=4.0), is_report=True
         )
-    assert bench.gateway.quota_counters.customers[7].spent_units == 8.0
+    assert harness.gateway.quota_counters.customers[7].spent_units == 8.0
 
 
 def test_a_restarted_peer_gets_no_fresh_allowance():
-    bench = confirmed_bench()
-    receive_rows(bench, 1, quota_row([(1, NOW_TICK - 90, 6.0)], total=6.0))
+    harness = confirmed_gateway()
+    receive_rows(harness, 1, quota_row([(1, NOW_TICK - 90, 6.0)], total=6.0))
     receive_rows(
-        bench, 1, quota_row([(1, NOW_TICK - 1, 1.0)], total=1.0), is_report=True
-    )  # it has started anew
-    assert bench.gateway.quota_counters.customers[7].counters[1] == (NOW_TICK - 1, 1.0)
-    assert bench.gateway.quota_counters.customers[7].spent_units == 7.0
+        harness, 1, quota_row([(1, NOW_TICK - 1, 1.0)], total=1.0), is_report=True
+    )  # a later start: the counter of a new incarnation
+    assert harness.gateway.quota_counters.customers[7].counters[1] == (NOW_TICK - 1, 1.0)
+    assert harness.gateway.quota_counters.customers[7].spent_units == 7.0
 
 
 def test_the_counter_of_an_earlier_incarnation_leaves_the_own_counter_unchanged():
-    bench = Bench()
-    count_admitted(bench, 1)
-    before = bench.gateway.quota_counters.customers[7].counters[0]
-    receive_rows(bench, 1, quota_row([(0, NOW_TICK - 500, 6.0)], total=7.0))
-    assert bench.gateway.quota_counters.customers[7].counters[0] == before
-    assert bench.gateway.quota_counters.customers[7].spent_units == 7.0
+    harness = GatewayHarness()
+    count_admitted(harness, 1)
+    before = harness.gateway.quota_counters.customers[7].counters[0]
+    receive_rows(harness, 1, quota_row([(0, NOW_TICK - 500, 6.0)], total=7.0))
+    assert harness.gateway.quota_counters.customers[7].counters[0] == before
+    assert harness.gateway.quota_counters.customers[7].spent_units == 7.0
 
 
 def test_debt_does_not_lock_a_customer_out():
-    bench = confirmed_bench()
-    receive_rows(bench, 1, quota_row([(1, NOW_TICK - 9, 500.0)], total=500.0))
-    bench.now += 4 * SECOND
-    assert count_admitted(bench, 20) > 0
+    harness = confirmed_gateway()
+    receive_rows(harness, 1, quota_row([(1, NOW_TICK - 9, 500.0)], total=500.0))
+    harness.now += 4 * SECOND
+    assert count_admitted(harness, 20) > 0
 
 
 def test_an_idle_customer_with_a_full_quota_is_forgotten():
-    bench = confirmed_bench()
-    count_admitted(bench, 1)
-    bench.run(10 * SECOND)
+    harness = confirmed_gateway()
+    count_admitted(harness, 1)
+    harness.run(10 * SECOND)
     for i in range(50, 60):
-        bench.ask(i, customer=1_000 + i, size=1)
-    assert 7 not in bench.gateway.quota_counters.customers
-    assert 7 not in bench.gateway.quota_counters.changed
-    bench.run(SECOND)
+        harness.send_request(i, customer=1_000 + i, size=1)
+    assert 7 not in harness.gateway.quota_counters.customers
+    assert 7 not in harness.gateway.quota_counters.changed
+    harness.run(SECOND)
 
 
 COUNTER = st.tuples(
@@ -104,12 +104,12 @@
 
 
 def merge_rows(rows) -> tuple:
-    """Return counters and headroom after these rows, all received at one time."""
-    bench = confirmed_bench()
+    """Return the counters and the headroom after these rows, all received at the same time."""
+    harness = confirmed_gateway()
     for counts, headroom in rows:
-        receive_rows(bench, 1, quota_row(counts, headroom=headroom))
-    account = bench.gateway.quota_counters.customers[7]
-    return account.counters, account.headroom
+        receive_rows(harness, 1, quota_row(counts, headroom=headroom))
+    quota = harness.gateway.quota_counters.customers[7]
+    return quota.counters, quota.headroom
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
@@ -127,30 +127,32 @@
 
 
 def test_a_changed_replica_set_retains_the_counters_and_leaves_nothing_when_forgotten():
-    """A customer whose set changed once left a change to gossip without a record (incident)."""
-    bench = confirmed_bench(node_count=4)
-    assert count_admitted(bench, 20, first=0, size=3) == 8
-    assert count_admitted(bench, 20, start=100, first=3, size=2) == 0
-    bench.run(20 * SECOND)
+    """Such a customer once stayed among the changed ones without a record (incident)."""
+    harness = confirmed_gateway(node_count=4)
+    assert count_admitted(harness, 20, first=0, size=3) == 8
+    assert count_admitted(harness, 20, start=100, first=3, size=2) == 0
+    harness.run(20 * SECOND)
     for i in range(200, 210):
-        bench.ask(i, customer=1_000 + i, size=1)
-    assert 7 not in bench.gateway.quota_counters.customers
-    bench.run(SECOND)
+        harness.send_request(i, customer=1_000 + i, size=1)
+    assert 7 not in harness.gateway.quota_counters.customers
+    harness.run(SECOND)
 
 
 def test_customers_that_came_once_are_forgotten():
-    """Unconfirmed ones, ones with a rate ceiling, and ones in a set of one gateway too."""
-    bench = Bench()
+    """Including unconfirmed ones, ones with a rate ceiling and ones in a replica set of one."""
+    harness = GatewayHarness()
     for number in range(60):
-        for sent in of(
-            bench.ask(number, customer=number, plan=(0, 2)[number % 2], size=1 + number % 3),
+        for sent in of_type(
+            harness.send_request(
+                number, customer=number, plan=(0, 2)[number % 2], size=1 + number % 3
+            ),
             SendAttempt,
         ):
-            bench.outcome(number, sent.endpoint_id, AttemptOutcome.SERVED)
-        bench.run(50_000)
-    gateway = bench.gateway
+            harness.end_attempt(number, sent.endpoint_id, AttemptOutcome.SERVED)
+        harness.run(50_000)
+    gateway = harness.gateway
     assert len(gateway.quota_counters.customers) > 20
-    bench.run(60 * SECOND)
+    harness.run(60 * SECOND)
     counters = gateway.quota_counters
     remaining = [counters.customers, counters.idle_queue, counters.changed]
     remaining += [gateway.coordinator_reports.due, gateway.gossip_sender.awaited_answers]
@@ -158,21 +160,21 @@
 
 
 def test_forgetting_a_customer_grants_no_more_than_its_quota():
-    """What is granted to an unconfirmed customer stays below its share and rate."""
-    bench, granted, start = Bench(), 0, None
-    start = bench.now
+    """A forgotten customer starts again with a full burst, also if it is unconfirmed."""
+    harness, granted, start = GatewayHarness(), 0, None
+    start = harness.now
     for number in range(2_000):
-        sent = of(bench.ask(number, size=3), SendAttempt)
+        sent = of_type(harness.send_request(number, size=3), SendAttempt)
         granted += len(sent)
         if sent:
-            bench.outcome(number, sent[0].endpoint_id, AttemptOutcome.SERVED)
-        bench.run(20_000)
-    seconds = (bench.now - start) / SECOND
+            harness.end_attempt(number, sent[0].endpoint_id, AttemptOutcome.SERVED)
+        harness.run(20_000)
+    seconds = (harness.now - start) / SECOND
     assert granted <= PLAIN.burst + PLAIN.rate * seconds
 
 
 def test_a_counter_takes_the_larger_value_of_one_incarnation():
-    counters = confirmed_bench().gateway.quota_counters
+    counters = confirmed_gateway().gateway.quota_counters
     quota = counters.customers[7]
     assert counters.merge_counter(quota, 1, CounterEntry(NOW_TICK, 4.0)) == 4.0
     assert counters.merge_counter(quota, 1, CounterEntry(NOW_TICK, 3.0)) == 0.0
@@ -182,7 +184,7 @@
 
 
 def test_the_counter_of_a_later_incarnation_replaces_a_larger_one():
-    counters = confirmed_bench().gateway.quota_counters
+    counters = confirmed_gateway().gateway.quota_counters
     quota = counters.customers[7]
     counters.merge_counter(quota, 1, CounterEntry(NOW_TICK - 9, 4.0))
     assert counters.merge_counter(quota, 1, CounterEntry(NOW_TICK, 1.0)) == 1.0
--- a/tests/policy/test_replica_sets.py
+++ b/tests/policy/test_replica_sets.py
@@ -1,9 +1,9 @@
-"""Replica sets of any position and size."""
+"""Replica sets: membership and coordinators at any position and size."""
 
 from __future__ import annotations
 
 import pytest
-from conftest import SECOND, Bench
+from conftest import SECOND, GatewayHarness
 from policy_rig import (
     count_admitted,
     sent_messages,
@@ -17,10 +17,10 @@
     ("gateways", "first", "size"), [(1, 0, 1), (60, 0, 1), (60, 55, 12), (60, 7, 60)]
 )
 def test_a_replica_set_of_any_position_and_size_gets_its_messages(gateways, first, size):
-    bench = Bench(node_count=gateways)
-    assert count_admitted(bench, 1, first=first, size=size) == 1
+    harness = GatewayHarness(node_count=gateways)
+    assert count_admitted(harness, 1, first=first, size=size) == 1
     members = {(first + i) % gateways for i in range(size)}
-    assert {p for p, _ in sent_messages([*bench.log, *bench.run(2 * SECOND)])} <= members - {0}
+    assert {p for p, _ in sent_messages([*harness.log, *harness.run(2 * SECOND)])} <= members - {0}
 
 
 def test_positions_wrap_around_the_fleet():
--- a/tests/policy/test_state_transfer.py
+++ b/tests/policy/test_state_transfer.py
@@ -1,4 +1,4 @@
-"""What a process transfers to its successor: nothing is granted twice, nothing is lost."""
+"""State transfer in a hot restart: no quota is granted twice, and no state is lost."""
 
 from __future__ import annotations
 
@@ -6,120 +6,122 @@
 import json
 
 import pytest
-from conftest import SECOND, SETTINGS, T0, Bench, entry, listed, of
+from conftest import SECOND, SETTINGS, T0, GatewayHarness, entry, listed, of_type
 
 from saffrongw.policy import state_transfer
 from saffrongw.policy.actions import AdmitRequest, RejectRequest, SendAttempt
 from saffrongw.policy.events import AdmissionCheckArrived, AttemptOutcome, ExclusionChanged
 
-CEILED = 2
+WITH_CEILING = 2
 
 
-def successor_of(old: Bench, endpoints=4) -> Bench:
-    """Return a successor that has adopted all rows, through JSON as on the wire."""
-    new = Bench(endpoints=endpoints, now=old.now, seed=2)
+def successor_of(old: GatewayHarness, endpoints=4) -> GatewayHarness:
+    """Return a successor that has adopted all rows, encoded as JSON as in a hot restart."""
+    new = GatewayHarness(endpoints=endpoints, now=old.now, seed=2)
     for row in json.loads(json.dumps(list(state_transfer.export(old.gateway)))):
         state_transfer.adopt(new.gateway, new.now, row)
     return new
 
 
-def served(bench: Bench, requests: range, **more) -> int:
-    """Return how many of these requests are sent; each is served at once."""
+def served(harness: GatewayHarness, requests: range, **more) -> int:
+    """Return how many of these requests are sent; each is served immediately."""
     count = 0
     for number in requests:
-        for send in of(bench.ask(number, **more), SendAttempt):
-            bench.outcome(number, send.endpoint_id, AttemptOutcome.SERVED)
+        for send in of_type(harness.send_request(number, **more), SendAttempt):
+            harness.end_attempt(number, send.endpoint_id, AttemptOutcome.SERVED)
             count += 1
     return count
 
 
-def test_a_quota_that_is_spent_stays_spent(bench):
-    spent = served(bench, range(1, 30), size=1)
+def test_a_quota_that_is_spent_stays_spent(harness):
+    spent = served(harness, range(1, 30), size=1)
     assert 1 <= spent <= 10
-    new = successor_of(bench)
+    new = successor_of(harness)
     assert served(new, range(1, 30), size=1) == 0
-    new.run(4 * SECOND)  # two units a second, open again at 60% of ten
+    new.run(4 * SECOND)  # at two units per second; the quota reopens at 60% of ten
     assert 1 <= served(new, range(30, 60), size=1) <= 8
 
 
-def test_a_ceiling_goes_on_where_it_was():
-    bench = Bench()
-    served(bench, range(1, 40), plan=CEILED, size=1)
-    bench.run(SECOND)
-    bench.gateway.quota_counters.refill(bench.gateway.quota_counters.customers[7])
-    new = successor_of(bench)
-    quota, old_quota = (one.gateway.quota_counters.customers[7] for one in (new, bench))
+def test_a_successor_continues_with_the_ceiling_units_of_its_predecessor():
+    harness = GatewayHarness()
+    served(harness, range(1, 40), plan=WITH_CEILING, size=1)
+    harness.run(SECOND)
+    harness.gateway.quota_counters.refill(harness.gateway.quota_counters.customers[7])
+    new = successor_of(harness)
+    quota, old_quota = (one.gateway.quota_counters.customers[7] for one in (new, harness))
     assert quota.ceiling_units == old_quota.ceiling_units < 16
 
 
-def test_counters_go_on_under_the_same_start_so_that_peers_add_nothing_twice(bench):
-    assert served(bench, range(1, 2)) == 1
-    node_index = bench.settings.node_index
-    start, value = bench.gateway.quota_counters.customers[7].counters[node_index]
-    new = successor_of(bench)
+def test_a_successors_counters_keep_their_start_so_that_peers_count_nothing_twice(harness):
+    assert served(harness, range(1, 2)) == 1
+    node_index = harness.settings.node_index
+    start, value = harness.gateway.quota_counters.customers[7].counters[node_index]
+    new = successor_of(harness)
     assert served(new, range(1, 3)) == 2
     assert new.gateway.quota_counters.customers[7].counters[node_index] == (
         start,
         value + 2,
-    )  # a third of the burst is its own
+    )  # still within its share, a third of the burst
     assert 7 in new.gateway.quota_counters.changed
 
 
-def test_the_predecessor_rejects_new_requests_and_retries_the_ones_it_sent(bench):
-    (send,) = of(bench.ask(1), SendAttempt)
-    successor_of(bench)
-    assert of(bench.ask(2), RejectRequest)
-    assert not of(bench.feed(AdmissionCheckArrived(3, 9, 0, 0, 1.0, 0, 3)), AdmitRequest)
-    retries = bench.outcome(1, send.endpoint_id, AttemptOutcome.CONNECT_FAILED)
-    assert of(retries, SendAttempt)  # it has taken its units
+def test_the_predecessor_rejects_new_requests_and_retries_the_ones_it_sent(harness):
+    (send,) = of_type(harness.send_request(1), SendAttempt)
+    successor_of(harness)
+    assert of_type(harness.send_request(2), RejectRequest)
+    assert not of_type(harness.handle(AdmissionCheckArrived(3, 9, 0, 0, 1.0, 0, 3)), AdmitRequest)
+    retries = harness.end_attempt(1, send.endpoint_id, AttemptOutcome.CONNECT_FAILED)
+    assert of_type(retries, SendAttempt)  # the first attempt has spent its units already
 
 
-def test_an_excluded_endpoint_stays_excluded_and_a_restored_one_stays_warming(bench):
-    bench.feed(ExclusionChanged(entry(0).endpoint_id, "operator", True))
-    bench.feed(ExclusionChanged(entry(1).endpoint_id, "operator", True))
-    bench.run(SECOND)
-    bench.feed(ExclusionChanged(entry(1).endpoint_id, "operator", False))
-    back = bench.now
-    bench.run(SECOND)
-    new = successor_of(bench)
+def test_an_excluded_endpoint_stays_excluded_and_a_restored_one_stays_warming(harness):
+    harness.handle(ExclusionChanged(entry(0).endpoint_id, "operator", True))
+    harness.handle(ExclusionChanged(entry(1).endpoint_id, "operator", True))
+    harness.run(SECOND)
+    harness.handle(ExclusionChanged(entry(1).endpoint_id, "operator", False))
+    back = harness.now
+    harness.run(SECOND)
+    new = successor_of(harness)
     assert new.gateway.exclusions.sources == {entry(0).endpoint_id: {"operator": T0}}
     assert new.gateway.endpoints.by_id[entry(1).endpoint_id].entry.started_at_us == back
-    assert [host.entry.endpoint_id for host in new.gateway.endpoints.warming.endpoints] == [
+    assert [endpoint.entry.endpoint_id for endpoint in new.gateway.endpoints.warming.endpoints] == [
         entry(1).endpoint_id
     ]
-    new.feed(listed(*(entry(n) for n in range(4))))
-    sends = [of(new.ask(n, customer=n), SendAttempt) for n in range(1, 40)]
+    new.handle(listed(*(entry(n) for n in range(4))))
+    sends = [of_type(new.send_request(n, customer=n), SendAttempt) for n in range(1, 40)]
     assert entry(0).endpoint_id not in {send.endpoint_id for found in sends for send in found}
 
 
-def test_scores_of_endpoints_are_transferred(bench):
-    bench.ask(1)
-    (send,) = of(bench.log, SendAttempt)
-    bench.outcome(1, send.endpoint_id, AttemptOutcome.TIMED_OUT, duration_us=SECOND)
-    old = bench.gateway
-    new = successor_of(bench).gateway
+def test_scores_of_endpoints_are_transferred(harness):
+    harness.send_request(1)
+    (send,) = of_type(harness.log, SendAttempt)
+    harness.end_attempt(1, send.endpoint_id, AttemptOutcome.TIMED_OUT, duration_us=SECOND)
+    old = harness.gateway
+    new = successor_of(harness).gateway
     ours, theirs = (one.endpoints.by_id[send.endpoint_id] for one in (new, old))
-    assert ours.decayed_latency(bench.now, SECOND) == theirs.decayed_latency(bench.now, SECOND)
-    assert ours.decayed_failures(bench.now, SECOND) == theirs.decayed_failures(bench.now, SECOND)
+    assert ours.decayed_latency(harness.now, SECOND) == theirs.decayed_latency(harness.now, SECOND)
+    assert ours.decayed_failures(harness.now, SECOND) == theirs.decayed_failures(
+        harness.now, SECOND
+    )
     assert new.latency.typical_us == old.latency.typical_us
     assert new.latency.sample_counts == old.latency.sample_counts
     assert new.retry_policy.budget == old.retry_policy.budget
 
 
 def test_attempts_in_flight_at_the_predecessor_count_under_a_concurrency_limit():
-    bench = Bench()
-    assert of(bench.ask(1, plan=1, size=1), SendAttempt)
-    assert of(bench.ask(2, plan=1, size=1), SendAttempt)
-    new = successor_of(bench)
-    assert of(new.ask(1, plan=1, size=1), RejectRequest)
+    harness = GatewayHarness()
+    assert of_type(harness.send_request(1, plan=1, size=1), SendAttempt)
+    assert of_type(harness.send_request(2, plan=1, size=1), SendAttempt)
+    new = successor_of(harness)
+    assert of_type(new.send_request(1, plan=1, size=1), RejectRequest)
 
 
-def test_a_customer_that_is_known_already_is_not_overwritten(bench):
-    served(bench, range(1, 10), size=1)
-    new = Bench(now=bench.now)
+def test_a_customer_that_is_known_already_is_not_overwritten(harness):
+    served(harness, range(1, 10), size=1)
+    new = GatewayHarness(now=harness.now)
     served(new, range(1, 5), size=1)
     known = dataclasses.replace(new.gateway.quota_counters.customers[7])
-    for row in state_transfer.export(bench.gateway):
+    for row in state_transfer.export(harness.gateway):
         state_transfer.adopt(new.gateway, new.now, row)
     assert new.gateway.quota_counters.customers[7] == known
 
@@ -142,8 +144,8 @@
     ],
 )
 def test_a_malformed_row_is_named_and_changes_no_customer(row):
-    bench = Bench(node_count=SETTINGS.node_count)
+    harness = GatewayHarness(node_count=SETTINGS.node_count)
     with pytest.raises(state_transfer.MalformedRowError):
-        state_transfer.adopt(bench.gateway, bench.now, row)
-    assert bench.gateway.quota_counters.customers == {} == bench.gateway.exclusions.sources
-    assert served(bench, range(1, 3)) == 2
+        state_transfer.adopt(harness.gateway, harness.now, row)
+    assert harness.gateway.quota_counters.customers == {} == harness.gateway.exclusions.sources
+    assert served(harness, range(1, 3)) == 2
