--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: byte layouts, malformed input, and the process."""
+"""The simulator's binary protocol: byte layouts, malformed input, and the process."""
 
 from __future__ import annotations
 
@@ -90,11 +90,11 @@
     },
 }
 
-HOST = bytes.fromhex("0a124a072b23")
+ENDPOINT_ID = bytes.fromhex("0a124a072b23")
 
 
-def raw(text: str, size: int = codec.EVENT_SIZE) -> bytes:
-    """Return a record of the protocol page, padded with zeros to its size."""
+def hex_record(text: str, size: int = codec.EVENT_SIZE) -> bytes:
+    """Return a record from the hexadecimal text of the protocol page, padded to its size."""
     return bytes.fromhex(text.replace(" ", "")).ljust(size, b"\0")
 
 
@@ -104,7 +104,7 @@
 
 
 def encode(*actions: Action) -> bytes:
-    """Return the reply's bytes after its header."""
+    """Return the reply to these actions without its header."""
     encoder = codec.Encoder()
     for action in actions:
         encoder.add(3, action)
@@ -117,90 +117,92 @@
     return struct.pack("<IIQ", len(records), len(body), now) + body
 
 
-def init(gateway: int, settings: dict, at: int = 0, seed: int = 5) -> tuple[bytes, bytes]:
-    """Return a start record and its text for the tail."""
+def start_record(gateway: int, settings: dict, at: int = 0, seed: int = 5) -> tuple[bytes, bytes]:
+    """Return a start record and the settings for the tail, as JSON."""
     text = json.dumps(settings).encode()
     return struct.pack("<BHQII", 7, gateway, seed, at, len(text)).ljust(48, b"\0"), text
 
 
-def play(*frames: bytes) -> bytes:
-    """Return what the process answers."""
+def replies_to(*frames: bytes) -> bytes:
+    """Return the process's replies to these frames."""
     sink = io.BytesIO()
     process.serve(io.BytesIO(b"".join(frames)), sink)
     return sink.getvalue()
 
 
 def test_an_empty_batch_has_an_empty_reply():
-    assert play(bytes.fromhex("00000000000000005a5c800000000000")) == bytes(8)
+    assert replies_to(bytes.fromhex("00000000000000005a5c800000000000")) == bytes(8)
 
 
-def test_events_of_the_note():
-    order = raw(
+def test_events_of_the_protocol_page():
+    request = hex_record(
         "05 0300 c4913a5d 00 0000 640ad2557c3bf091 80a90300 00000040 00004040 0000803f 0100"
     )
-    timer = raw("01 0300 4d00000000000000")
-    disconnected = raw("03 0500 192b6f0e")
-    answer = raw(
+    timer = hex_record("01 0300 4d00000000000000")
+    disconnected = hex_record("03 0500 192b6f0e")
+    answer = hex_record(
         "06 0300 c4913a5d 0000 0a124a07 2b23 6400 44480000 01 5600 0300"
         " 0352b81e3f 00006841 0000e040 00000000"
     )
-    counted = raw("0a 0300 00001842 66080000 6400 90f6890000000000")
-    got = decode(order, timer, disconnected, answer, counted)
-    assert got[0] == (
+    shared_counter_answered = hex_record("0a 0300 00001842 66080000 6400 90f6890000000000")
+    events = decode(request, timer, disconnected, answer, shared_counter_answered)
+    assert events[0] == (
         3,
         RequestArrived(0x5D3A91C4, 0x91F03B7C55D20A64, 0, 0, 2.0, 240000, 1, 3, False),
     )
-    assert got[1] == (3, TimerFired(77))
-    assert got[2] == (5, ClientDisconnected(0x0E6F2B19))
-    ended = got[3][1]
-    assert ended.endpoint_id == HOST
+    assert events[1] == (3, TimerFired(77))
+    assert events[2] == (5, ClientDisconnected(0x0E6F2B19))
+    ended = events[3][1]
+    assert ended.endpoint_id == ENDPOINT_ID
     assert (ended.request, ended.attempt, ended.duration_us) == (0x5D3A91C4, 0, 18500)
     assert (ended.outcome, ended.is_answered, ended.use) == (AttemptOutcome.SERVED, True, 0x56)
     assert ended.actual_units == 3.0
     assert ended.report == pytest.approx((0.62, 14.5, 7.0))
-    assert got[4] == (3, SharedCounterAnswered(0x89F690, AttemptOutcome.SERVED, 38.0, 0x866))
+    assert events[4] == (3, SharedCounterAnswered(0x89F690, AttemptOutcome.SERVED, 38.0, 0x866))
 
 
-def test_a_list_of_the_note():
+def test_an_endpoint_list_of_the_protocol_page():
     tail = bytes.fromhex(
         "0000803f000a124a072b2300000000000000000001000000"[:46]
         + "0000c03f 00 0a9011f2 5423 01 20145d0000000000 01 0000".replace(" ", "")
     )
-    got = decode(
-        raw("0c 0000 00000000 02000000"), raw("09 0300 02 0000 2900000000000000"), tail=tail
+    events = decode(
+        hex_record("0c 0000 00000000 02000000"),
+        hex_record("09 0300 02 0000 2900000000000000"),
+        tail=tail,
     )
-    listed = got[0][1]
+    listed = events[0][1]
     assert (listed.kind, listed.version, len(listed.entries)) == (EndpointListKind.CACHED, 41, 2)
-    assert listed.entries[0] == EndpointEntry(HOST, EndpointState.READY, 0, 0, 0, 1.0)
+    assert listed.entries[0] == EndpointEntry(ENDPOINT_ID, EndpointState.READY, 0, 0, 0, 1.0)
     assert listed.entries[1].started_at_us == 0x5D1420
     assert (listed.entries[1].zone, listed.entries[1].size) == (1, 1.5)
 
 
-def test_actions_of_the_note():
-    send = SendAttempt(0x5D3A91C4, HOST, 0x8194DA)
-    assert encode(send) == raw("41 0300 c4913a5d 0a124a07 2b23 da94810000000000", 24)
-    assert encode(SetTimer(0x07A120, 77)) == raw("45 0300 20a10700 4d00000000000000", 24)
+def test_actions_of_the_protocol_page():
+    send = SendAttempt(0x5D3A91C4, ENDPOINT_ID, 0x8194DA)
+    assert encode(send) == hex_record("41 0300 c4913a5d 0a124a07 2b23 da94810000000000", 24)
+    assert encode(SetTimer(0x07A120, 77)) == hex_record("45 0300 20a10700 4d00000000000000", 24)
     gossip = encode(SendGossip(0xFFFF, bytes.fromhex("68692037")))
-    assert gossip == raw("48 0300 ffff 00000000 04000000", 24) + b"hi 7"
-    assert encode(RejectRequest(7, 9)) == raw("42 0300 07000000 09000000", 24)
-    assert encode(FailRequest(7)) == raw("43 0300 07000000", 24)
-    assert encode(CancelAttempt(7, 2)) == raw("44 0300 07000000 0200", 24)
-    assert encode(CheckHealth(HOST)) == raw("46 0300 0a124a07 2b23", 24)
-    assert encode(SubscribeEndpointList()) == raw("4b 0300 01", 24)
-    assert encode(FetchEndpointList()) == raw("4c 0300", 24)
+    assert gossip == hex_record("48 0300 ffff 00000000 04000000", 24) + b"hi 7"
+    assert encode(RejectRequest(7, 9)) == hex_record("42 0300 07000000 09000000", 24)
+    assert encode(FailRequest(7)) == hex_record("43 0300 07000000", 24)
+    assert encode(CancelAttempt(7, 2)) == hex_record("44 0300 07000000 0200", 24)
+    assert encode(CheckHealth(ENDPOINT_ID)) == hex_record("46 0300 0a124a07 2b23", 24)
+    assert encode(SubscribeEndpointList()) == hex_record("4b 0300 01", 24)
+    assert encode(FetchEndpointList()) == hex_record("4c 0300", 24)
 
 
 def test_one_process_acts_like_several():
-    one, text = init(1, SETTINGS)
-    two, _ = init(2, SETTINGS, seed=6)
-    order = [
+    one, text = start_record(1, SETTINGS)
+    two, _ = start_record(2, SETTINGS, seed=6)
+    requests = [
         struct.pack("<BHIBHQIfffH", 5, g, i, 0, 0, i % 3, 900000, 1.0, 3.0, 0.0, 0).ljust(48, b"\0")
         for i in range(20)
         for g in (1, 2)
     ]
-    together = play(frame(one, two, tail=text), frame(*order, now=9))
+    together = replies_to(frame(one, two, tail=text), frame(*requests, now=9))
     alone = [
-        play(frame(start, tail=text), frame(*(o for o in order if o[1] == g), now=9))
+        replies_to(frame(start, tail=text), frame(*(r for r in requests if r[1] == g), now=9))
         for g, start in ((1, one), (2, two))
     ]
 
@@ -217,7 +219,7 @@
 
 
 def without(*path: str) -> dict:
-    """Return the settings without one key."""
+    """Return the settings without the key at this path."""
     settings = json.loads(json.dumps(SETTINGS))
     inner = settings
     for key in path[:-1]:
@@ -226,15 +228,15 @@
     return settings
 
 
-BAD_INPUT = {
+MALFORMED_INPUT = {
     "a truncated header": b"\1\0\0",
-    "a truncated frame": frame(raw("01 0300"))[:-3],
+    "a truncated frame": frame(hex_record("01 0300"))[:-3],
     "too few records": struct.pack("<IIQ", 2, 48, 1) + bytes(48),
-    "an unknown record": frame(raw("63 0300")),
-    "an offset outside the tail": frame(raw("02 0300 0100 10000000 10000000")),
-    "an unknown outcome": frame(raw("06 0300 c4913a5d 0000 0a124a07 2b23 0900")),
-    "a list never sent": frame(raw("09 0300 01 0400")),
-    "a gateway never started": frame(raw("01 0300")),
+    "an unknown record": frame(hex_record("63 0300")),
+    "an offset outside the tail": frame(hex_record("02 0300 0100 10000000 10000000")),
+    "an unknown outcome": frame(hex_record("06 0300 c4913a5d 0000 0a124a07 2b23 0900")),
+    "a list never sent": frame(hex_record("09 0300 01 0400")),
+    "a gateway never started": frame(hex_record("01 0300")),
     "settings that are not JSON": frame(
         struct.pack("<BHQII", 7, 1, 1, 0, 3).ljust(48, b"\0"), tail=b"{x}"
     ),
@@ -242,12 +244,12 @@
         struct.pack("<BHQII", 7, 1, 1, 0, 2).ljust(48, b"\0"), tail=b"[]"
     ),
     "settings without a key": frame(
-        init(1, without("rules", "coldFrom"))[0], tail=init(1, without("rules"))[1]
+        start_record(1, without("rules", "coldFrom"))[0], tail=start_record(1, without("rules"))[1]
     ),
 }
 
 
-@pytest.mark.parametrize("bad", BAD_INPUT.values(), ids=BAD_INPUT.keys())
+@pytest.mark.parametrize("bad", MALFORMED_INPUT.values(), ids=MALFORMED_INPUT.keys())
 def test_malformed_input_ends_with_one_plain_line(bad):
     done = subprocess.run(
         [sys.executable, "-m", "saffrongw.simulator"],
@@ -276,18 +278,18 @@
 
 
 def test_an_exception_of_the_policy_becomes_a_record_of_the_reply(monkeypatch):
-    start, text = init(1, SETTINGS)
+    start, text = start_record(1, SETTINGS)
 
     def broken(*_):
         raise RuntimeError("no such thing")
 
     monkeypatch.setattr(process.Gateway, "handle", broken)
-    reply = play(frame(start, tail=text), frame(raw("01 0100")))
+    reply = replies_to(frame(start, tail=text), frame(hex_record("01 0100")))
     assert b"RuntimeError: no such thing" in reply
     assert reply[-24 - len("RuntimeError: no such thing")] == 74
 
 
 def test_a_stopped_gateway_may_restart_in_the_same_batch():
-    start, text = init(1, SETTINGS)
-    reply = play(frame(start, raw("08 0100"), start, tail=text))
+    start, text = start_record(1, SETTINGS)
+    reply = replies_to(frame(start, hex_record("08 0100"), start, tail=text))
     assert struct.unpack_from("<I", reply)[0] == 2
