--- a/saffrongw/policy/load_shedding.py
+++ b/saffrongw/policy/load_shedding.py
@@ -179,8 +179,8 @@
         # The virtual time of a plan without requests stands still. When it queues again, it must
         # not be served ahead of all others until it has caught up.
         waiting = [
-            service
-            for service, lanes in zip(self._virtual_time, self.lanes, strict=True)
+            virtual_time
+            for virtual_time, lanes in zip(self._virtual_time, self.lanes, strict=True)
             if _any_queued(lanes)
         ]
         if waiting:
@@ -289,7 +289,7 @@
         self.overloaded_since_us = 0
         # Without this the virtual times would grow without bound.
         lowest = min(self._virtual_time)
-        self._virtual_time = [service - lowest for service in self._virtual_time]
+        self._virtual_time = [virtual_time - lowest for virtual_time in self._virtual_time]
 
     def retry_after_us(self, now_us: int, max_us: int) -> int:
         """Return the Retry-After of rejected requests: it grows with the length of the overload."""
--- a/saffrongw/simulator/codec.py
+++ b/saffrongw/simulator/codec.py
@@ -1,7 +1,7 @@
 """Codec of the simulator's binary protocol: decodes frames to events and encodes actions.
 
 A frame is a header, records of one size, and a tail for data of variable size. All numbers are
-little-endian.
+little-endian. The simulator defines the codes of records and outcomes.
 """
 
 from __future__ import annotations
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -37,7 +37,7 @@
     return bool(sent)
 
 
-def test_a_check_takes_units_as_a_first_attempt_does(harness):
+def test_a_check_spends_units_like_a_first_attempt(harness):
     """Checks and requests share one quota, which is exhausted below a quarter of the burst."""
     admitted = [bool(of_type(check(harness, n), AdmitRequest)) for n in range(1, 13)]
     other = GatewayHarness()
@@ -46,14 +46,14 @@
     assert of_type(harness.send_request(100, size=1), RejectRequest)
 
 
-def test_a_request_takes_units_that_a_check_would_have_had(harness):
+def test_requests_and_checks_spend_the_same_quota(harness):
     assert all(send(harness, number) for number in range(1, 6))
     assert [bool(of_type(check(harness, 50 + n), AdmitRequest)) for n in range(5)] == [True] * 3 + [
         False
     ] * 2
 
 
-def test_a_rejected_check_takes_no_units_and_gets_a_retry_after(harness):
+def test_a_rejected_check_spends_no_units_and_gets_a_retry_after(harness):
     for number in range(1, 11):
         check(harness, number)
     (rejection,) = of_type(check(harness, 11), RejectRequest)
--- a/tests/policy/test_fleet_quotas.py
+++ b/tests/policy/test_fleet_quotas.py
@@ -33,7 +33,7 @@
     return gateway
 
 
-def played(
+def run_day(
     gateways: int, spread: int, plan, kind=Gateway, customers: int = 40, seconds: int = 15
 ) -> QuietDay:
     day = QuietDay(gateways, spread, customers, plan=plan, seed=1, kind=kind)
@@ -47,7 +47,7 @@
 def test_a_fleet_without_faults_stays_within_quotas_as_well_as_with_a_delayed_view_of_them(
     gateways, spread, plan
 ):
-    day = played(gateways, spread, plan)
+    day = run_day(gateways, spread, plan)
     ours, theirs = day.costs()
     assert ours <= theirs + COST_MARGIN / 2  # half of the margin remains
     assert day.served_inside()[0] >= 0.8  # not achieved by rejecting requests within the quotas
@@ -56,7 +56,7 @@
 
 def test_a_fleet_without_reports_exceeds_quotas():
     """Without reports no answer is missed, so no gateway leaves unreachable peers their share."""
-    ours, theirs = played(40, 16, QUIET, without_reports).costs()
+    ours, theirs = run_day(40, 16, QUIET, without_reports).costs()
     assert ours > theirs + COST_MARGIN
 
 
@@ -70,7 +70,7 @@
 @pytest.mark.parametrize("kind", [Gateway, without_extra_rows])
 def test_a_fleet_with_replica_sets_too_large_for_its_message_budget_stays_within_quotas(kind):
     """With 500 customers in replica sets of 100, one message per quota and gateway is too much."""
-    day = played(100, 100, QUIET, kind, customers=500, seconds=6)
+    day = run_day(100, 100, QUIET, kind, customers=500, seconds=6)
     ours, theirs = day.costs()
     assert (ours <= theirs + COST_MARGIN / 2) is (kind is Gateway)
     assert (ours > theirs + COST_MARGIN) is (kind is without_extra_rows)
@@ -78,7 +78,7 @@
 
 
 def test_the_set_of_exhausted_customers_shrinks():
-    day = played(3, 3, QUIET)
+    day = run_day(3, 3, QUIET)
     gateways = [node.machine.gateway for node in day.fleet.nodes.values()]
     for gateway in gateways:
         closed = [
--- a/tests/policy/test_fleet_rate_ceilings.py
+++ b/tests/policy/test_fleet_rate_ceilings.py
@@ -38,16 +38,16 @@
 
 
 def test_grants_that_are_not_deducted_exceed_a_ceiling():
-    def generous(*args) -> Gateway:
+    def without_deduction(*args) -> Gateway:
         gateway = Gateway(*args)
         gateway.token_grants.grant = lambda _quota, _node_index, wanted, _has_waiting: wanted
         return gateway
 
-    assert lowest_ceiling_level(generous) < -PLAN.ceiling_slack
+    assert lowest_ceiling_level(without_deduction) < -PLAN.ceiling_slack
 
 
 def test_a_full_part_at_each_start_exceeds_a_ceiling():
-    def fresh(*args) -> Gateway:
+    def with_full_part(*args) -> Gateway:
         gateway = Gateway(*args)
         plain = gateway.quota_counters.get_or_create
 
@@ -61,7 +61,7 @@
         gateway.quota_counters.get_or_create = create_with_full_part
         return gateway
 
-    assert lowest_ceiling_level(fresh, link=Link((2_500, 18_000))) < -PLAN.ceiling_slack
+    assert lowest_ceiling_level(with_full_part, link=Link((2_500, 18_000))) < -PLAN.ceiling_slack
 
 
 @pytest.mark.parametrize("share", [0.0, 0.7], ids=["all start", "seven in ten restart"])
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -20,7 +20,7 @@
 )
 
 
-def test_a_message_that_asks_is_answered_with_the_known_total():
+def test_a_message_that_requests_an_answer_gets_the_known_total():
     harness = confirmed_gateway()
     receive_rows(harness, 1, quota_row([(1, NOW_TICK - 9, 4.0)], total=4.0))
     ((peer, message),) = sent_messages(
--- a/tests/policy/test_load_shedding.py
+++ b/tests/policy/test_load_shedding.py
@@ -20,15 +20,15 @@
 )
 from saffrongw.policy.settings import Idempotency
 
-EXPENSIVE = dataclasses.replace(NON_IDEMPOTENT, priority_weight=5.0)
-TWIN = dataclasses.replace(
+HIGH_PRIORITY = dataclasses.replace(NON_IDEMPOTENT, priority_weight=5.0)
+EQUAL_PRIORITY = dataclasses.replace(
     IDEMPOTENT, idempotency=Idempotency.IDEMPOTENCY_KEY
 )  # of the same priority as IDEMPOTENT
-AMPLE = dataclasses.replace(PLAIN, price=1.6)
+EXPENSIVE_PLAN = dataclasses.replace(PLAIN, price=1.6)
 
 
 def new_shedder() -> LoadShedder:
-    return LoadShedder((IDEMPOTENT, EXPENSIVE, TWIN), (PLAIN, AMPLE))
+    return LoadShedder((IDEMPOTENT, HIGH_PRIORITY, EQUAL_PRIORITY), (PLAIN, EXPENSIVE_PLAN))
 
 
 def queued(customer: int, plan=0, kind=0, until=T0 + 2 * SECOND, tag=None) -> QueuedRequest:
@@ -60,20 +60,20 @@
 def test_a_full_queue_sheds_the_lowest_priority_and_never_a_higher_one():
     shedder = new_shedder()
     queue_to_capacity(shedder, kind=0)
-    late = queued(1)
-    assert shedder.offer(T0, late) is late
-    assert late.is_done
-    out = shedder.offer(T0, higher := queued(2, kind=1))
-    assert out.kind == 0
-    assert out.is_done
+    rejected = queued(1)
+    assert shedder.offer(T0, rejected) is rejected
+    assert rejected.is_done
+    shed = shedder.offer(T0, higher := queued(2, kind=1))
+    assert shed.kind == 0
+    assert shed.is_done
     assert not higher.is_done
     assert len(shedder) == shedder.capacity
     assert shedder.take(T0) is higher
 
 
-def test_one_customer_with_nine_tenths_of_the_load_gets_no_more_than_twice_the_others_part():
+def test_one_customer_with_nine_tenths_of_the_load_gets_no_more_than_twice_the_others_share():
     shedder, generator = new_shedder(), random.Random(7)
-    begun = {True: 0, False: 0}
+    started = {True: 0, False: 0}
     arrived = {True: 0, False: 0}
     for step in range(3_000):
         now = T0 + step * MS_US
@@ -85,15 +85,15 @@
             )
         shedder.pop_expired(now)
         if request := shedder.take(now):
-            begun[request.customer == 1] += 1
-    assert begun[False] > 0.85 * arrived[False]
+            started[request.customer == 1] += 1
+    assert started[False] > 0.85 * arrived[False]
     customers = len(shedder.count_by_customer)
     max_queued = max(MIN_CUSTOMER_CAPACITY, 2 * shedder.capacity / customers + 1)
     assert shedder.count_by_customer.get(1, 0) <= max_queued
 
 
 def test_a_cheap_plan_is_not_starved_by_an_expensive_one():
-    shedder, generator, begun = new_shedder(), random.Random(3), [0, 0]
+    shedder, generator, started = new_shedder(), random.Random(3), [0, 0]
     for step in range(4_000):
         now = T0 + step * MS_US
         for _ in range(4):
@@ -106,8 +106,8 @@
             shedder.offer(now, request)
         shedder.pop_expired(now)
         if request := shedder.take(now):
-            begun[request.plan] += 1
-    assert begun[1] > begun[0] > 0.35 * begun[1]
+            started[request.plan] += 1
+    assert started[1] > started[0] > 0.35 * started[1]
 
 
 def test_an_expired_request_is_returned_once_and_a_dropped_one_never():
@@ -151,42 +151,39 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_each_request_ends_exactly_once_whatever_comes(seed):
     """Each request is started, rejected, expired or dropped exactly once, and leaves no state."""
-    shedder, generator, not_ended, ended, now = new_shedder(), random.Random(seed), {}, {}, T0
+    shedder, generator, pending, ended, now = new_shedder(), random.Random(seed), {}, {}, T0
 
     def end(request: QueuedRequest, how: str) -> None:
         assert request.tag not in ended
         ended[request.tag] = how
-        not_ended.pop(request.tag, None)
+        pending.pop(request.tag, None)
 
     for number in range(6_000):
         now += generator.choice((0, 0, 0, 300, 5 * MS_US))
         customer, until = generator.choice((1, generator.randrange(300))), now + SECOND
         request = queued(customer, generator.randrange(2), generator.randrange(3), until, number)
-        not_ended[number] = request
-        if (out := shedder.offer(now, request)) is not None:
-            end(out, "refused")
+        pending[number] = request
+        if (shed := shedder.offer(now, request)) is not None:
+            end(shed, "rejected")
         if generator.random() < 0.3 and (request := shedder.take(now)):
-            end(request, "begun")
+            end(request, "started")
         if generator.random() < 0.1:
             for request in shedder.pop_expired(now):
                 end(request, "expired")
-        if generator.random() < 0.05 and not_ended:
-            request = not_ended[generator.choice(list(not_ended))]
+        if generator.random() < 0.05 and pending:
+            request = pending[generator.choice(list(pending))]
             shedder.drop(request)
-            end(request, "left")
+            end(request, "dropped")
         assert (
-            len(shedder)
-            == len(not_ended)
-            == sum(shedder.count_by_customer.values())
-            <= MAX_CAPACITY
+            len(shedder) == len(pending) == sum(shedder.count_by_customer.values()) <= MAX_CAPACITY
         )
     while request := shedder.take(now):
-        end(request, "begun")
+        end(request, "started")
     assert len(ended) == 6_000
     assert not shedder.count_by_customer
     assert not any(shedder.by_arrival)
     assert not any(lane.flows for lanes in shedder.lanes for lane in lanes)
-    assert set(ended.values()) == {"begun", "refused", "expired", "left"}
+    assert set(ended.values()) == {"started", "rejected", "expired", "dropped"}
 
 
 def test_a_request_that_exceeds_its_quota_is_recognized_without_counting():
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -15,7 +15,7 @@
 )
 
 
-def test_one_error_of_each_endpoint_does_not_close_an_idle_fleet(harness):
+def test_one_error_at_each_endpoint_does_not_shed_requests_to_an_idle_fleet(harness):
     """If errors counted as full failures, one at each endpoint would shed all for seconds."""
     for number in range(1, 5):
         harness.send_request(number, kind=2, customer=number)
@@ -25,7 +25,7 @@
     assert of_type(harness.send_request(9, customer=99), SendAttempt)
 
 
-def test_failures_of_all_endpoints_do_not_close_an_idle_fleet(harness):
+def test_failures_of_all_endpoints_do_not_shed_requests_to_an_idle_fleet(harness):
     """Successes lower failure scores, but a gateway that sheds all requests gets none."""
     for endpoint in harness.gateway.endpoints.warm.endpoints:
         endpoint.failure_score, endpoint.updated_at_us = 2.0, harness.now
@@ -44,7 +44,7 @@
     assert serve_one(harness, 300, lambda _: 60_000) is not None
 
 
-def test_a_slow_endpoint_gets_less_until_it_recovers():
+def test_a_slow_endpoint_gets_fewer_requests_until_it_recovers():
     harness = GatewayHarness(endpoints=4)
     slow = entry(0).endpoint_id
 
--- a/tests/policy/test_quota_counters.py
+++ b/tests/policy/test_quota_counters.py
@@ -75,7 +75,7 @@
     assert harness.gateway.quota_counters.customers[7].spent_units == 7.0
 
 
-def test_debt_does_not_lock_a_customer_out():
+def test_overspending_does_not_lock_a_customer_out():
     harness = confirmed_gateway()
     receive_rows(harness, 1, quota_row([(1, NOW_TICK - 9, 500.0)], total=500.0))
     harness.now += 4 * SECOND
@@ -114,7 +114,7 @@
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(ROWS)
-def test_counters_merge_alike_in_any_order_and_with_repeats(rows):
+def test_counters_merge_to_the_same_result_in_any_order_and_with_repeats(rows):
     results = [merge_rows(order)[0] for order in itertools.islice(itertools.permutations(rows), 6)]
     results.append(merge_rows(rows + rows[::-1])[0])
     assert all(r == results[0] for r in results)
@@ -138,7 +138,7 @@
     harness.run(SECOND)
 
 
-def test_customers_that_came_once_are_forgotten():
+def test_customers_with_a_single_request_are_forgotten():
     """Including unconfirmed ones, ones with a rate ceiling and ones in a replica set of one."""
     harness = GatewayHarness()
     for number in range(60):
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -78,7 +78,7 @@
     return shares_of_endpoints(harness, 2_000, report).get(warming.endpoint_id, 0.0)
 
 
-def test_a_warming_endpoint_with_idle_cores_gets_more_but_not_more_than_a_fair_part():
+def test_a_warming_endpoint_with_idle_cores_gets_more_but_not_more_than_an_even_share():
     # It starts at a quarter of its capacity; an even share of four endpoints is 0.25.
     plain = warming_share((), ())
     assert 0.04 < plain < 0.09
--- a/tests/policy/test_token_grants.py
+++ b/tests/policy/test_token_grants.py
@@ -108,7 +108,7 @@
     )
 
 
-def test_grants_that_come_late_or_twice_are_void():
+def test_late_or_repeated_grants_are_ignored():
     harness = GatewayHarness(node_index=OTHER)
     request_once(harness, 1)
     assert not of_type(receive_grant_row(harness, COORDINATOR, 1.0, ago=300), SendAttempt)
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -192,7 +192,7 @@
     assert encode(FetchEndpointList()) == hex_record("4c 0300", 24)
 
 
-def test_one_process_acts_like_several():
+def test_gateways_in_one_process_decide_as_in_separate_processes():
     one, text = start_record(1, SETTINGS)
     two, _ = start_record(2, SETTINGS, seed=6)
     requests = [
@@ -249,11 +249,11 @@
 }
 
 
-@pytest.mark.parametrize("bad", MALFORMED_INPUT.values(), ids=MALFORMED_INPUT.keys())
-def test_malformed_input_ends_with_one_plain_line(bad):
+@pytest.mark.parametrize("malformed", MALFORMED_INPUT.values(), ids=MALFORMED_INPUT.keys())
+def test_malformed_input_causes_one_line_on_standard_error(malformed):
     done = subprocess.run(
         [sys.executable, "-m", "saffrongw.simulator"],
-        input=bad,
+        input=malformed,
         capture_output=True,
         cwd=ROOT,
         check=False,
