--- a/saffrongw/policy/load_shedding.py
+++ b/saffrongw/policy/load_shedding.py
@@ -176,8 +176,8 @@
         self.count += 1
 
     def _advance_idle_virtual_time(self, plan: int) -> None:
-        # The virtual time of a plan without requests stands still. When it queues again, it must
-        # not be served ahead of all others until it has caught up.
+        # The virtual time of a plan without requests does not advance. When the plan queues again,
+        # it must not be served ahead of all others until it has caught up.
         waiting = [
             virtual_time
             for virtual_time, lanes in zip(self._virtual_time, self.lanes, strict=True)
--- a/saffrongw/policy/quota_broadcast.py
+++ b/saffrongw/policy/quota_broadcast.py
@@ -109,7 +109,7 @@
         changed = counters.changed
         considered = [counters.customers[c] for c in islice(changed, MAX_ROWS_CONSIDERED)]
         for quota in considered:
-            # A request may have changed the replica set to one gateway: there is no peer to tell.
+            # A request may have reduced the replica set to this gateway alone: it has no peers.
             if quota.set_size < 2:
                 del changed[quota.customer]
         if not changed:
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -47,7 +47,7 @@
 
 
 def test_records_of_removed_endpoints_are_forgotten():
-    """Long runs replace every endpoint many times, each in a new cell: records must not add up."""
+    """Long runs replace every endpoint many times, each in a new cell: records must not accumulate."""
     harness = GatewayHarness(endpoints=0)
     gateway = harness.gateway
     for number in range(200):
--- a/tests/policy/test_fleet_quotas.py
+++ b/tests/policy/test_fleet_quotas.py
@@ -12,7 +12,7 @@
 # fraction of the worth of the requests within the quotas.
 COST_MARGIN = 0.1
 # The delay of that view: about that of the operators' policy, as estimated from the cost that their
-# benchmark allows besides it.
+# benchmark allows.
 VIEW_DELAY = 50 * MS
 
 
--- a/tests/policy/test_load_balancer.py
+++ b/tests/policy/test_load_balancer.py
@@ -50,7 +50,7 @@
 
 
 def test_a_warm_endpoint_is_found_among_many_warming_ones():
-    """If the random sample had only warming endpoints, requests waited in vain (incident)."""
+    """With only warming endpoints in the sample, requests waited despite a warm one (incident)."""
     harness = GatewayHarness(endpoints=0)
     harness.handle(listed(entry(0), *(entry(i, started_at_us=harness.now) for i in range(1, 200))))
     assert [s.endpoint_id for s in of_type(harness.send_request(1), SendAttempt)] == [
--- a/tests/policy/test_quota_counters.py
+++ b/tests/policy/test_quota_counters.py
@@ -160,7 +160,7 @@
 
 
 def test_forgetting_a_customer_grants_no_more_than_its_quota():
-    """A forgotten customer starts again with a full burst, also if it is unconfirmed."""
+    """A forgotten customer starts with a full burst again, but must stay within burst and rate."""
     harness, granted, start = GatewayHarness(), 0, None
     start = harness.now
     for number in range(2_000):
