--- a/saffrongw/channel/table.py
+++ b/saffrongw/channel/table.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChannelTable:
-    """``[channel]``: datagrams between gateways, beside the peers' address."""
+    """``[channel]``: signed datagrams between gateways, on an address separate from gossip."""
 
     name: str = key(form=GATEWAY_NAME_PATTERN, about="of this gateway: no two have the same")
     listen: str = key(form=ADDRESS, about="HOST:PORT, UDP")
--- a/saffrongw/leases/claim.py
+++ b/saffrongw/leases/claim.py
@@ -97,7 +97,7 @@
 class FencingToken:
     """The fencing token of a held lease, under which a task acts.
 
-    Call ``valid`` just before each external effect: once it returns False, the task must stop.
+    Call ``valid`` just before each external effect: once it returns False, the token is void.
     """
 
     lease: str
--- a/saffrongw/leases/component.py
+++ b/saffrongw/leases/component.py
@@ -109,7 +109,7 @@
             self.store.pool.shutdown(wait=False)
 
     def drain(self, draining: bool) -> None:
-        """Release all leases when draining begins; become a candidate again when it is undone."""
+        """Release all leases when draining begins, and accept offers again when it is undone."""
         if self.node_driver:
             self.node_driver.drain(draining)
 
--- a/saffrongw/leases/messages.py
+++ b/saffrongw/leases/messages.py
@@ -43,7 +43,8 @@
 
     # Another proposer holds the lease, for ``remaining_us`` at most.
     HELD = 1
-    # The acceptor has promised, granted or seen released a higher ballot, ``ballot_number``.
+    # The acceptor has promised or granted a higher ballot, or this one was released; the next
+    # ballot must be above ``ballot_number``.
     OUTBID = 2
     # An operator has suspended the lease.
     SUSPENDED = 3
--- a/saffrongw/leases/node_driver.py
+++ b/saffrongw/leases/node_driver.py
@@ -92,7 +92,7 @@
         await self.runner.close()
 
     def drain(self, draining: bool) -> None:
-        """Release all leases at once, or become a candidate again."""
+        """Start draining, which releases all leases at once, or end it."""
         if self.node.draining == draining:
             return
         now = self.clock.now()
--- a/saffrongw/leases/proposer.py
+++ b/saffrongw/leases/proposer.py
@@ -1,8 +1,8 @@
 """The proposer of one gateway: it prepares, proposes, holds, renews and releases leases.
 
 No I/O: callers pass in the time and messages, and get messages back. All times are us of this
-gateway's own clock. A lease counts from before its request was sent, so a late answer leaves less
-time, and an answer after the lease's duration is void.
+gateway's own clock. A lease's duration counts from before its request was sent, so a late answer
+leaves less of it, and an answer after the duration is void.
 """
 
 from __future__ import annotations
@@ -255,7 +255,7 @@
         return self._start_round(now, claim, ClaimStage.PROPOSING)
 
     def _round_failed(self, now: int, claim: Claim) -> list[Outgoing]:
-        """Retry a round without a majority, after a backoff where the lease is not held."""
+        """Retry a round without a majority, after a backoff if the lease is not held."""
         claim.attempts += 1
         if claim.held_until_us:
             # The lease is still held: start the next round, but leave time for answers.
--- a/saffrongw/leases/spec.py
+++ b/saffrongw/leases/spec.py
@@ -16,11 +16,11 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskSpec:
-    """A periodic task; its turns have the same numbers, from the Unix epoch, on every gateway."""
+    """A periodic task; its turns are numbered from the Unix epoch, the same on every gateway."""
 
     name: str
     period_us: int
-    # "at-least" or "at-most": how often a turn runs, at least once or at most once.
+    # "at-least" or "at-most": whether a turn runs at least once or at most once.
     delivery: str = "at-least"
     # The longest a call may take; it starts only if the lease is held for longer.
     max_call_us: int = SECOND_US
--- a/saffrongw/leases/task_schedule.py
+++ b/saffrongw/leases/task_schedule.py
@@ -7,8 +7,8 @@
 
 ``at-least``: a turn runs unless its end is known, so a turn whose end was not reported runs again.
 ``at-most``: a turn starts only after a majority of the voters has stored its start, and never
-twice. If a voter of the majority that granted the lease has complete memory only since after the
-turn was due, the turn may have started and been forgotten, so it is skipped.
+twice. If the memory of a voter in the granting majority began only after the turn was due, the turn
+may have started and been forgotten, so it is skipped.
 
 The wall clock only says which turn is due. If a gateway's wall clock is behind the last known turn,
 the gateway continues from that turn and counts periods on its monotonic clock.
@@ -34,7 +34,7 @@
     """How a task's call ended; the values are names in /admin/leases and /admin/stats."""
 
     DONE = "done"
-    # It was not sent, or the receiver answered that it failed: it had no effect.
+    # It had no effect, or the receiver answered that it failed.
     FAILED = "failed"
     # It may have had an effect.
     UNKNOWN = "unknown"
--- a/saffrongw/leases/voter_set.py
+++ b/saffrongw/leases/voter_set.py
@@ -1,6 +1,6 @@
 """The replacement of one voter set by another.
 
-The operator file numbers the sets. Messages count only between two gateways at the same set, so a
+The operator file numbers the sets. Answers count only between two gateways at the same set, so a
 quorum never mixes sets. A voter of a new set first makes sure that no quorum of a former set can
 form again: for each former set that its file lists, it waits until a majority of that set's voters
 have replied that their own files are at this set or a later one. Those files are on disk, so a
--- a/tests/leases/test_lease_acceptor.py
+++ b/tests/leases/test_lease_acceptor.py
@@ -50,8 +50,8 @@
 
 
 def test_a_promise_forgotten_at_a_restart_does_not_let_another_take_a_held_lease():
-    """A renewal reaches an acceptor after its restart, and a promise of that acceptor from before the
-    restart reaches a competing proposer. Found by the explorer."""
+    """A renewal reaches an acceptor after its restart, and a promise of that acceptor from before
+    the restart reaches a competing proposer. Found by the explorer."""
     rig = ConsensusRig("a", "b")
     assert rig.acquire("a")
     a, b = rig.proposers["a"], rig.proposers["b"]
