--- a/saffrongw/gateway/components.py
+++ b/saffrongw/gateway/components.py
@@ -70,7 +70,7 @@
         """Return the component with this name; ``ComponentError`` if it is not enabled."""
         component = self.components.get(name)
         if component is None or not isinstance(component.instance, kind):
-            raise ComponentError(f"{name}: the component is needed and is off")
+            raise ComponentError(f"{name}: this component is required but not enabled")
         return component.instance
 
     def leader_guard(self, lease: str) -> LeaderGuard | None:
--- a/saffrongw/gateway/config.py
+++ b/saffrongw/gateway/config.py
@@ -159,7 +159,7 @@
     with _parsing_key("hosts"):
         zone, started_at_us = raw["site"], int(raw["born_ms"]) * US_PER_MS
         if not 0 <= started_at_us <= MAX_TIME_US:
-            raise ConfigError("born_ms", "not a time")
+            raise ConfigError("born_ms", "out of range")
         entry = EndpointEntry(
             endpoint_id=str(raw["host"]).encode(),
             state=ENDPOINT_STATES[raw["health"]],
