--- a/testbed/model/arrivals.py
+++ b/testbed/model/arrivals.py
@@ -1,6 +1,6 @@
-"""Clients' requests drawn ahead from the scenario's seed: when, whose, through which gateways, with which retries.
+"""Draws all client requests in advance from the scenario's seed: times, customers, gateways and retries.
 
-Pure: the same scenario gives the same arrivals, whatever the gateways do (an open loop).
+The load is open-loop: the same scenario gives the same arrivals, whatever the gateways do.
 """
 
 from __future__ import annotations
@@ -16,29 +16,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """One customer: its quota's plan, its set of gateways, what it asks for."""
+    """One customer: its plan, its set of gateways and its request rate."""
 
     number: int
     plan: Plan
     first: int
     spread: int
-    rate: float  # requests a second that it asks for
+    rate: float  # requests a second
     heeds: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Try:
-    """One try of a request, if it comes to that: through which gateway, after which wait, for how long."""
+    """One attempt of a request, made if the attempts before it fail."""
 
     gateway: int
-    pause: int  # us after the end of the try before it
-    wait: int  # us that the client waits
-    leaves: int  # us after which the client goes away; 0: stays
+    pause: int  # us after the end of the attempt before it
+    wait: int  # us that the client waits for an answer
+    leaves: int  # us after which the client disconnects; 0: never
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One request of a client, from its first try on."""
+    """One client request with all its possible attempts."""
 
     at: int  # us since the run began
     intent: int
@@ -49,7 +49,7 @@
 
 
 def customers_of(scenario: Scenario) -> list[Customer]:
-    """All customers, by seed."""
+    """Draws all customers from the scenario's seed."""
     found, random_ = [], random.Random(f"{scenario.seed}:customers")
     number = 1
     for plan in scenario.plan:
@@ -69,7 +69,7 @@
 
 
 class Weights:
-    """How a customer's requests are spread over its set, changing from time to time and at shifts."""
+    """How a customer's requests are distributed over its gateways; redrawn at random times and at ``shift`` faults."""
 
     def __init__(self, scenario: Scenario, customer: Customer) -> None:
         self.random = random.Random(f"{scenario.seed}:weights:{customer.number}")
@@ -93,14 +93,14 @@
         return list(itertools.accumulate(parts))
 
     def gateway(self, at: float, lot: float) -> int:
-        """The gateway for a request at a time, by a number from 0 to 1."""
+        """The gateway for a request at time ``at``; ``lot`` is a random number from 0 to 1."""
         sums = self.sums[bisect.bisect_right(self.starts, at) - 1]
         place = min(bisect.bisect_right(sums, lot * sums[-1]), len(sums) - 1)
         return (self.customer.first + place) % self.gateways
 
 
 def _times(scenario: Scenario, rate: float, random_: random.Random) -> list[float]:
-    """Arrivals of a Poisson process whose rate the bursts raise, by thinning."""
+    """Arrival times of a Poisson process whose rate bursts raise, drawn by thinning."""
     bursts = [(f.at, f.at + f.for_s, f.times) for f in scenario.fault if f.kind == "burst"]
     most = max([1.0, *(times for _, _, times in bursts)])
     found, at = [], 0.0
@@ -114,7 +114,7 @@
 
 
 def draw(scenario: Scenario) -> list[Arrival]:
-    """All arrivals in the order of their times."""
+    """Draws all arrivals, in the order of their times."""
     found: list[Arrival] = []
     shares = list(itertools.accumulate(c.share for c in scenario.cls))
     clients = scenario.clients
@@ -152,7 +152,7 @@
 
 
 def digest(arrivals: list[Arrival]) -> str:
-    """A short name for a list of arrivals: equal lists have equal names on every machine."""
+    """A short hash of a list of arrivals, the same on every machine."""
     hashed = hashlib.sha256()
     for a in arrivals:
         hashed.update(repr((a.at, a.intent, a.customer.number, a.cls, a.key, a.tries)).encode())
--- a/testbed/model/clock.py
+++ b/testbed/model/clock.py
@@ -1,4 +1,4 @@
-"""The run's clock, and how late the stand-ins themselves are."""
+"""The run's clock, and a heartbeat that detects when the testbed process itself was delayed."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 import time
 from collections.abc import Callable
 
-BEAT = 0.02  # seconds between two looks at the clock
-LATE = 30_000  # us by which a look may come late before it is noted
+HEARTBEAT_S = 0.02  # interval at which the heartbeat reads the clock
+LATE_THRESHOLD_US = 30_000  # delay of a heartbeat above which it is reported
 
 
 class Clock:
-    """Microseconds since the run began, by the monotonic clock; ``unix_ms`` tells the same in Unix time."""
+    """Microseconds since the run began, by the monotonic clock; ``unix_ms`` converts to Unix time."""
 
     def __init__(self) -> None:
         self.zero, self.unix = time.monotonic_ns(), time.time_ns()
@@ -20,23 +20,23 @@
         return (time.monotonic_ns() - self.zero) // 1000
 
     def unix_ms(self, at: int) -> int:
-        """A moment of the run as Unix time in milliseconds."""
+        """Converts a time of the run to Unix time in milliseconds."""
         return (self.unix // 1000 + at) // 1000
 
 
 class Heartbeat:
-    """Notes each span in which this process did not run, so that no one else is blamed for it."""
+    """Reports each span in which this process did not run, so that its delays are not blamed on a gateway."""
 
     def __init__(self, clock: Clock, late: Callable[[int, int], None]) -> None:
         self.clock, self.late, self.worst = clock, late, 0
 
     async def run(self) -> None:
-        """Until it is cancelled."""
+        """Runs until cancelled."""
         while True:
             before = self.clock()
-            await asyncio.sleep(BEAT)
+            await asyncio.sleep(HEARTBEAT_S)
             now = self.clock()
-            over = now - before - int(BEAT * 1e6)
-            self.worst = max(self.worst, over)
-            if over > LATE:
+            delay_us = now - before - int(HEARTBEAT_S * 1e6)
+            self.worst = max(self.worst, delay_us)
+            if delay_us > LATE_THRESHOLD_US:
                 self.late(before, now)
--- a/testbed/model/endpoint_model.py
+++ b/testbed/model/endpoint_model.py
@@ -1,5 +1,5 @@
-"""One stand-in host as a model: cores shared by what is in work, slots, a queue, a cold start that can fall over,
-late load reports, and racks that drop keyed repeats. Pure: events and the time go in, what happened comes out.
+"""A model of one simulated host: processor-shared cores, slots, a queue, a cold start during which it can crash under
+load, delayed load reports, and racks that deduplicate keyed requests. Does no I/O: the caller passes in the time.
 
 Times in microseconds, work in seconds of one core at nominal speed.
 """
@@ -15,17 +15,17 @@
 from .scenario import Hosts
 
 SECOND = 1_000_000
-STEP = 50_000  # us after which a warming host's speed is taken anew
-KEYS_MOST = 100_000  # keyed repeats that a rack remembers at most
+SPEED_UPDATE_US = 50_000  # us between updates of a warming host's speed
+MAX_REMEMBERED_KEYS = 100_000  # most keys that a rack remembers; the oldest are evicted first
 
 
 class Took(Enum):
-    """What a host does with a command that has come whole."""
+    """What a host does with a complete command."""
 
     WORKS = "works"
     WAITS = "waits"
     TURNS_AWAY = "turns away"
-    REPEAT = "repeat"  # a keyed one that the rack has seen: it is answered with the first one
+    REPEAT = "repeat"  # its key is known to the rack: it gets the answer of the first request
 
 
 @dataclass(slots=True, eq=False)
@@ -37,12 +37,12 @@
     key: str  # "" where the class is not keyed
     window: int
     work: float
-    tag: object = None  # the caller's
+    tag: object = None  # the caller's own data
     started: int = 0
     finish: float = 0.0  # on the host's virtual clock
     running: bool = False
-    gone: bool = False  # nobody waits for it any more
-    followers: list[Job] = field(default_factory=list)  # repeats that are answered with it
+    gone: bool = False  # its connection has ended
+    followers: list[Job] = field(default_factory=list)  # repeats that get its answer
 
 
 @dataclass(slots=True)
@@ -55,13 +55,13 @@
 
 
 class Rack:
-    """Hosts that together drop the repeats of a keyed request within its window."""
+    """The keys that the hosts of a rack share to deduplicate keyed requests within their window."""
 
     def __init__(self) -> None:
         self.seen: OrderedDict[str, Seen] = OrderedDict()
 
     def look(self, key: str, now: int, window: int) -> Seen | None:
-        """What is remembered of a key: nothing from the moment its window is over."""
+        """Returns the entry of a key, or None once its window is over."""
         found = self.seen.get(key)
         if found and now - found.at >= window:
             del self.seen[key]
@@ -69,10 +69,10 @@
         return found
 
     def note(self, key: str, now: int, job: Job) -> None:
-        """Remember one that begins."""
+        """Remembers a keyed job that was accepted."""
         self.seen[key] = Seen(now, job)
         self.seen.move_to_end(key)
-        while len(self.seen) > KEYS_MOST:
+        while len(self.seen) > MAX_REMEMBERED_KEYS:
             self.seen.popitem(last=False)
 
 
@@ -84,12 +84,13 @@
         self.speed = self.random.uniform(*figures.speed)
         self.born, self.cold = now, cold
         self.now = now
-        self.virtual = 0.0  # seconds of work that each job in work has had
+        self.virtual = 0.0  # seconds of work that a job running since the start has received
         self.working: list[tuple[float, int, Job]] = []
         self.waiting: deque[Job] = deque()
-        self.begun: list[Job] = []  # since ``take_begun`` was last called
+        self.begun: list[Job] = []  # jobs started since the last ``take_begun``
         self.orders = 0
-        self.pressed: deque[tuple[int, float]] = deque()  # work that has come within the last span
+        # (time, work) of the commands within the last ``fall_s``.
+        self.offered_work: deque[tuple[int, float]] = deque()
         self.fallen = False
         self.busy_area = 0.0
         self.period = int(self.random.uniform(*figures.report_period_ms) * 1000)
@@ -99,7 +100,7 @@
     # -- capacity -------------------------------------------------------------------------------------------
 
     def ramp(self, now: int) -> float:
-        """The share of its capacity that it has by now: it rises evenly with time."""
+        """The share of its full capacity that the host has reached; rises linearly from a cold start."""
         if not self.cold or self.f.cold_s <= 0:
             return 1.0
         return min(
@@ -109,11 +110,11 @@
         )
 
     def capacity(self, now: int) -> float:
-        """Seconds of work that it can do in a second."""
+        """Seconds of work that the host can do in a second."""
         return self.f.cores * self.speed * self.ramp(now)
 
     def _rate(self, now: int) -> float:
-        """Seconds of work that each job in work gets in a second."""
+        """Seconds of work that each running job receives in a second."""
         number = len(self.working)
         if not number:
             return 0.0
@@ -128,15 +129,15 @@
     # -- time -----------------------------------------------------------------------------------------------
 
     def due(self) -> int | None:
-        """When to call ``advance`` again at the latest; None while nothing is in work."""
+        """When to call ``advance`` again at the latest; None while no job runs."""
         if not self.working:
             return None
         left = max(0.0, self.working[0][0] - self.virtual)
         at = self.now + int(left / max(1e-9, self._rate(self.now)) * SECOND) + 1
-        return min(at, self.now + STEP) if self.ramp(self.now) < 1 else at
+        return min(at, self.now + SPEED_UPDATE_US) if self.ramp(self.now) < 1 else at
 
     def advance(self, now: int) -> list[Job]:
-        """Let time pass; the jobs that are done by then, in their order."""
+        """Advances to ``now`` and returns the jobs that finished, in order."""
         done: list[Job] = []
         while self.now < now:
             until = min(now, self.due() or now)
@@ -147,30 +148,30 @@
             self.now = until
             while self.working and self.working[0][0] <= self.virtual + 1e-9:
                 done.append(heapq.heappop(self.working)[2])
-                self._next()
+                self._start_waiting_jobs()
         self._report(now)
         return done
 
-    def _next(self) -> None:
+    def _start_waiting_jobs(self) -> None:
         while self.waiting and len(self.working) < self.f.slots:
-            self._begin(self.waiting.popleft())
+            self._start_job(self.waiting.popleft())
 
-    def _begin(self, job: Job) -> None:
+    def _start_job(self, job: Job) -> None:
         job.running, job.started, job.finish = True, self.now, self.virtual + job.work
         self.orders += 1
         heapq.heappush(self.working, (job.finish, self.orders, job))
         self.begun.append(job)
 
     def take_begun(self) -> list[Job]:
-        """Jobs that began to run since the last call."""
+        """Returns the jobs started since the last call."""
         begun, self.begun = self.begun, []
         return begun
 
     # -- commands -------------------------------------------------------------------------------------------
 
     def arrive(self, now: int, job: Job, draining: bool) -> tuple[Took, str | None]:
-        """A command has come whole. The second part is the value of a repeat whose first run has ended."""
-        self._press(now, job.work)
+        """Handles a complete command. The second item is the value, if it repeats a job that has ended."""
+        self._track_offered_work(now, job.work)
         if job.key and (seen := self.rack.look(job.key, now, job.window)):
             if seen.value is not None:
                 return Took.REPEAT, seen.value
@@ -182,13 +183,13 @@
         if job.key:
             self.rack.note(job.key, now, job)
         if len(self.working) < self.f.slots:
-            self._begin(job)
+            self._start_job(job)
             return Took.WORKS, None
         self.waiting.append(job)
         return Took.WAITS, None
 
     def cancel(self, job: Job) -> bool:
-        """Its connection has ended; True where it was waiting and is dropped, so that it never runs."""
+        """Handles the end of a job's connection; True if the job was still queued and was dropped."""
         job.gone = True
         if self.f.drops_cancelled and job in self.waiting and not job.followers:
             self.waiting.remove(job)
@@ -198,7 +199,7 @@
         return False
 
     def ended(self, job: Job, now: int, value: str) -> None:
-        """A job is done and this is its value: repeats get it too."""
+        """Records the value of a finished job, which later repeats get as well."""
         took = (now - job.started) / 1000
         self.latency += 0.2 * (took - self.latency) if self.latency else took
         if job.key and (seen := self.rack.seen.get(job.key)) and seen.job is job:
@@ -206,20 +207,20 @@
 
     # -- falling over, reports ------------------------------------------------------------------------------
 
-    def _press(self, now: int, work: float) -> None:
-        """All work that comes adds to the pressure, also what is turned away; a cold host may fall over."""
+    def _track_offered_work(self, now: int, work: float) -> None:
+        """Adds a command's work, refused or not, to the recent offered work; too much of it crashes a cold host."""
         span = int(self.f.fall_s * SECOND)
-        self.pressed.append((now, work))
-        while self.pressed[0][0] <= now - span:
-            self.pressed.popleft()
+        self.offered_work.append((now, work))
+        while self.offered_work[0][0] <= now - span:
+            self.offered_work.popleft()
         if not self.cold or self.ramp(now) >= 1:
             return
         budget = self.f.fall_multiple * self.capacity(now) * self.f.fall_s
-        if sum(work for _, work in self.pressed) > budget:
+        if sum(work for _, work in self.offered_work) > budget:
             self.fallen = True
 
     def _report(self, now: int) -> None:
-        """The load report: it is refreshed now and then only."""
+        """Refreshes the load report once its period has passed."""
         if now - self.reported_at < self.period:
             return
         span = max(1, now - self.reported_at) / SECOND
--- a/testbed/model/lease_day.py
+++ b/testbed/model/lease_day.py
@@ -1,4 +1,4 @@
-"""A day of leases with real processes: how many gateways, which faults, drawn from a seed. Pure."""
+"""Scenarios that test leases with real processes: the number of gateways and the faults, drawn from a seed."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 KINDS = ("stop", "kill", "term", "voters", "split", "one_way", "delay", "noise", "loss", "receiver")
 
-LENGTHS = {
+FAULT_LENGTHS_S = {
     "stop": (0.3, 3.0),
     "kill": (0.05, 1.5),
     "term": (0.05, 1.0),
@@ -17,24 +17,24 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseFault:
-    """One fault: seconds from the day's begin, its length, whom it hits (numbers of gateways; empty, for ``split`` and
-    ``stop`` and ``kill``: whoever holds the first task's lease then)."""
+    """One fault: its start in seconds, its length and the gateways affected (by number; empty, for ``split``, ``stop``
+    and ``kill``: the holder of the first task's lease at that time)."""
 
     kind: str
     at: float
     for_s: float
     whom: tuple[int, ...] = ()
-    size: float = 0.0  # of a delay in seconds, or a chance
+    size: float = 0.0  # a delay in seconds, or a probability
 
     def words(self) -> str:
-        """For findings."""
+        """A description for findings."""
         who = " of " + " ".join(f"n{n}" for n in self.whom) if self.whom else ""
         return f"{self.kind}{who} from {self.at:.2f} s for {self.for_s:.2f} s"
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseDay:
-    """The whole day; spans in seconds. The first ``voters`` gateways are the voters."""
+    """One scenario; times in seconds. The first ``voters`` gateways are the voters."""
 
     seed: int = 1
     gateways: int = 6
@@ -45,25 +45,25 @@
     every_s: float = 0.25
     length_s: float = 12.0
     drift: float = 0.01
-    voters_stand: bool = True  # voters do tasks as well
-    settles: bool = True  # it ends quiet for so long that every lease has to be held again
+    voters_stand: bool = True  # voters run tasks as well
+    settles: bool = True  # the fault-free end is long enough for every lease to be held again
     faults: tuple[LeaseFault, ...] = ()
 
     @property
     def quiet_from(self) -> float:
-        """From when on nothing is broken any more."""
+        """The time at which the last fault ends."""
         return max((f.at + f.for_s for f in self.faults), default=0.0)
 
 
 def drawn(seed: int) -> LeaseDay:
-    """A day of mixed faults; the last 4 s are quiet."""
+    """Draws a scenario of mixed faults; the last 4 s have none."""
     draw = random.Random(f"leases {seed}")
     gateways = draw.randint(5, 8)
     day = LeaseDay(seed, gateways, draw.choice((3, 3, 5)))
     last, faults = day.length_s - 4.0, []
     for _ in range(draw.randint(2, 5)):
         kind = draw.choice(KINDS)
-        for_s = draw.uniform(*LENGTHS.get(kind, (1.0, 5.0)))
+        for_s = draw.uniform(*FAULT_LENGTHS_S.get(kind, (1.0, 5.0)))
         at = draw.uniform(2.5, max(2.6, last - for_s))
         whom: tuple[int, ...] = ()
         if kind in ("stop", "kill", "term"):
--- a/testbed/model/list_service.py
+++ b/testbed/model/list_service.py
@@ -1,8 +1,8 @@
-"""A list service with one worker, as a queue of calls that cost it work. Pure: time in seconds goes in.
+"""A model of a list service with one worker and a FIFO queue of calls. Does no I/O; times are in seconds.
 
-It does one call at a time, in the order of their coming. Whole lists are dearer than changes; a call that has waited
-for too long is turned away when its turn comes, and costs work even then. What a caller no longer waits for is done
-all the same: a service learns that only when it writes.
+The worker handles one call at a time. A whole list costs more work than changes. A call that has waited too long is
+refused when its turn comes, which costs some work as well. Calls whose caller has left are handled all the same, as a
+service notices that only when it writes the answer.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Said(Enum):
-    """What a call got."""
+    """The kind of answer that a call got."""
 
     WHOLE = "whole list"
     CHANGES = "changes"
@@ -23,18 +23,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Costs:
-    """Of one call, in seconds of the worker; patience: how long a call may wait for its turn."""
+    """Cost of one call in seconds of the worker's time; ``patience``: longest time in the queue before refusal."""
 
     whole: float = 0.025
     changes: float = 0.005
     refusal: float = 0.0025
     patience: float = 1.0
-    keeps_changes: bool = True  # False: every call gets, and costs, the whole list
+    keeps_changes: bool = True  # False: every call gets the whole list, at its cost
 
 
 @dataclass(slots=True)
 class Waiting:
-    """A call that waits for its turn."""
+    """A queued call."""
 
     came: float
     whole: bool
@@ -43,29 +43,29 @@
 
 @dataclass(slots=True)
 class Desk:
-    """The queue and its worker."""
+    """The queue and its single worker."""
 
     costs: Costs = field(default_factory=Costs)
     waiting: deque[Waiting] = field(default_factory=deque)
-    doing: tuple[float, Waiting, Said] | None = None  # ends at, which, with what
-    down: bool = False  # nothing is begun
-    refusing: bool = False  # all are turned away
+    doing: tuple[float, Waiting, Said] | None = None  # end time, call, answer
+    down: bool = False  # no queued call is started
+    refusing: bool = False  # every call is refused
     worked: float = 0.0
     counts: Counter[Said] = field(default_factory=Counter)
-    came: list[float] = field(default_factory=list)  # when each call came; the caller may empty it
+    came: list[float] = field(default_factory=list)  # arrival times; the owner may clear them
 
     def arrive(self, now: float, whole: bool, tag: Any) -> None:
-        """A call has come."""
+        """Queues a call."""
         self.came.append(now)
         self.waiting.append(Waiting(now, whole or not self.costs.keeps_changes, tag))
         self._begin(now)
 
     def due(self) -> float | None:
-        """When the one in work is done."""
+        """When the call being handled ends; None: there is none."""
         return self.doing[0] if self.doing else None
 
     def advance(self, now: float) -> list[tuple[Any, Said]]:
-        """Let time pass; the calls that are done, with what they get."""
+        """Advances to ``now`` and returns the calls that ended, with their answers."""
         done = []
         while self.doing and self.doing[0] <= now:
             ended, call, said = self.doing
@@ -76,7 +76,7 @@
         return done
 
     def switch(self, now: float, down: bool = False, refusing: bool = False) -> None:
-        """It falls silent or is back, refuses all or no longer."""
+        """Sets whether the service is down and whether it refuses every call."""
         self.down, self.refusing = down, refusing
         self._begin(now)
 
--- a/testbed/model/registry.py
+++ b/testbed/model/registry.py
@@ -1,7 +1,7 @@
-"""The registry of hosts and what each gateway's agent has been sent of it. Pure.
+"""The registry of hosts, and the changes of it that each gateway's agent has received. Does no I/O.
 
-Each agent keeps what has come in the order in which it came: a watch is answered with what came after its last answer,
-even where that is older news than what it told before.
+An agent logs changes in the order of their arrival. A watch is answered with the changes that arrived after its last
+answer, even where those have older versions than changes answered before.
 """
 
 from __future__ import annotations
@@ -9,14 +9,13 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-LOG_MOST = (
-    2_000  # changes an agent keeps for watches; a watch that is further back gets the whole list
-)
+# Changes that an agent keeps for watches; a watch that lags further behind gets the whole list.
+MAX_LOGGED_CHANGES = 2_000
 
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """One host in the registry; born in ms Unix time, 0 for long ago."""
+    """One host in the registry; ``born_ms`` is Unix time, 0 for a host that started long ago."""
 
     host: str
     zone: str
@@ -25,7 +24,7 @@
     born_ms: int = 0
 
     def shown(self, dial: str) -> dict[str, Any]:
-        """In the protocol's form."""
+        """The line as the protocol's JSON object."""
         return {
             "host": self.host,
             "dial": dial,
@@ -40,26 +39,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One version: a line that is new, or became so."""
+    """One version of the registry: a line that was added or changed."""
 
     seq: int
     line: Line
 
 
 class Registry:
-    """The truth: versions counted up, the list as it stands."""
+    """The authoritative list of hosts, with a version that each change increments."""
 
     def __init__(self) -> None:
         self.seq, self.lines = 0, {}
 
     def put(self, line: Line) -> Change:
-        """A host that is new or has changed."""
+        """Adds or replaces a host."""
         self.seq += 1
         self.lines[line.host] = line
         return Change(self.seq, line)
 
     def health(self, host: str, health: str) -> Change:
-        """A host drains or is gone."""
+        """Changes a host's health; ``DELETED`` removes the host."""
         change = self.put(replace(self.lines[host], health=health))
         if health == "DELETED":
             del self.lines[host]
@@ -67,26 +66,26 @@
 
 
 class Agent:
-    """What one gateway's agent has been sent."""
+    """The changes and the host list that one gateway's agent has received."""
 
     def __init__(self) -> None:
         self.lines: dict[str, Line] = {}
         self.log: list[Change] = []
         self.dropped = 0  # changes no longer in the log
-        self.seq = 0  # as last told
-        self.places: dict[int, int] = {}  # seq as told -> how many changes had come by then
-        self.hidden: frozenset[str] = frozenset()  # left out of whole lists, wrongly
+        self.seq = 0  # version of the last answer
+        self.places: dict[int, int] = {}  # version of an answer -> changes received by then
+        self.hidden: frozenset[str] = frozenset()  # hosts that whole lists omit (a fault)
         self.shrunk = False  # the next answer to a watch is a whole list
 
     def receive(self, change: Change) -> None:
-        """One change has come, perhaps later than newer ones."""
+        """Receives one change, possibly after newer ones."""
         self.log.append(change)
         if change.line.health == "DELETED":
             self.lines.pop(change.line.host, None)
         else:
             self.lines[change.line.host] = change.line
-        if len(self.log) > LOG_MOST:
-            cut = len(self.log) - LOG_MOST
+        if len(self.log) > MAX_LOGGED_CHANGES:
+            cut = len(self.log) - MAX_LOGGED_CHANGES
             del self.log[:cut]
             self.dropped += cut
             self.places = {
@@ -95,15 +94,15 @@
 
     @property
     def count(self) -> int:
-        """How many changes have come."""
+        """How many changes have been received."""
         return self.dropped + len(self.log)
 
     def news(self, index: int) -> bool:
-        """Whether a watch that was told ``index`` has something to hear."""
+        """Whether there are changes for a watch whose last answer had version ``index``."""
         return self.shrunk or self.places.get(index, -1) < self.count
 
     def whole(self) -> tuple[int, bool, tuple[Line, ...]]:
-        """The whole list: its version, that it is whole, its lines."""
+        """Answers with the whole list: (version, True, lines)."""
         self.shrunk = False
         return (
             self._told(max([self.seq, *(c.seq for c in self.log)])),
@@ -112,7 +111,7 @@
         )
 
     def since(self, index: int) -> tuple[int, bool, tuple[Line, ...]]:
-        """What came after the answer that had this version, in its order, the last word on each host only."""
+        """Answers with the changes received after the answer of version ``index``, only the last for each host."""
         place = self.places.get(index)
         if place is None or place < self.dropped or self.shrunk:
             return self.whole()
--- a/testbed/model/scenario.py
+++ b/testbed/model/scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios: one TOML file with a seed, a site and a timeline of faults. Times in seconds unless a name says ms."""
+"""Scenarios: a TOML file with a seed, a deployment and a timeline of faults. Times are in seconds unless named ms."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One plan, and how its customers behave."""
+    """One plan and the behaviour of its customers."""
 
     name: str = key(form="[a-z][a-z0-9-]{0,31}")
     customers: int = key(minimum=0, maximum=10_000)
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Hosts:
-    """The fleet."""
+    """The fleet of simulated hosts."""
 
     count: int = key(10, minimum=1, maximum=500)
     rack_size: int = key(4, minimum=1)
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Network:
-    """Datagrams between gateways, and discovery's delays."""
+    """Conditions of the datagrams between gateways, and the delay of discovery."""
 
     peer_ms: Span = key((2.5, 18.0), minimum=0)
     peer_loss: float = key(0.03, minimum=0, maximum=1)
@@ -108,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Clients:
-    """How callers behave."""
+    """How clients behave."""
 
     retries: int = key(2, minimum=0, maximum=5)
     backoff_ms: Span = key((40.0, 320.0), minimum=1)
@@ -124,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Authoriser:
-    """External authorisers that every gateway asks; count 0: none."""
+    """External authorisation servers that every gateway asks; count 0: none."""
 
     count: int = key(0, minimum=0, maximum=8)
     deny: float = key(0.0, minimum=0, maximum=1, about="share of the customers that are denied")
@@ -164,7 +164,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Expect:
-    """What the scenario itself asks for beside the rules."""
+    """Requirements of this scenario in addition to the general rules."""
 
     service: float = key(
         0.0, minimum=0, maximum=1, about="worth served in time of that offered inside the quotas"
@@ -187,7 +187,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A whole day in short."""
+    """A complete scenario."""
 
     name: str = key(form="[a-z][a-z0-9-]{0,47}")
     about: str = key("")
@@ -234,17 +234,17 @@
                     )
 
     def spread(self, plan: Plan) -> tuple[int, int]:
-        """The sizes of sets of this plan's customers, within the gateways that there are."""
+        """Least and greatest gateway set size of the plan's customers, limited to the number of gateways."""
         return min(plan.spread[0], self.gateways), min(plan.spread[1], self.gateways)
 
 
 def load(path: Path | str) -> Scenario:
-    """A scenario from its file; ``toml_schema.FormError`` names file, line, key and cause."""
+    """Loads a scenario; raises ``toml_schema.SchemaError`` with file, line, key and cause."""
     return toml_schema.load(Scenario, path)
 
 
 def named(name: str) -> Path:
-    """The file of a scenario by its name, or a path as it stands."""
+    """The file of the scenario with this name; a path is returned as it is."""
     if "/" in name or name.endswith(".toml"):
         return Path(name)
     path = FOLDER / f"{name}.toml"
@@ -255,7 +255,7 @@
 
 
 def settings_of(scenario: Scenario, rank: int) -> dict[str, Any]:
-    """The settings that a gateway is told, in the protocol's form; times in microseconds."""
+    """The policy settings for a gateway, in their JSON form; times in microseconds."""
     effects = {"safe": "repeatable", "keyed": "by_key", "unsafe": "once"}
     hosts = scenario.hosts
     return {
@@ -322,12 +322,12 @@
 
 
 def slack(plan: Plan) -> float:
-    """The slack of a plan's ceiling in units: a tenth of its burst, one request at least."""
+    """The slack of a plan's rate ceiling in units: a tenth of the ceiling's burst, at least one request."""
     return max(1.0, 0.1 * plan.burst * plan.ceiling)
 
 
 def operator_text(scenario: Scenario, addresses: list[str]) -> str:
-    """The operator file of gateways that ask these authorisers."""
+    """The operator file of gateways that use these authorisation servers."""
     a = scenario.authoriser
     names = ", ".join(f'"{address}"' for address in addresses)
     return (
