--- a/testbed/simulation/__init__.py
+++ b/testbed/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Any pure machine in any number on one virtual clock, and all interleavings of a few. Knows no machine of ours."""
+"""Discrete-event simulation of state machines, and exhaustive exploration of small cases. Independent of saffrongw."""
--- a/testbed/simulation/clock.py
+++ b/testbed/simulation/clock.py
@@ -1,7 +1,7 @@
-"""Many nodes on one virtual clock, with a network and faults, all from one seed.
+"""Simulates many nodes on one virtual clock, with a network and faults, all drawn from one seed.
 
-True time is us from 0. Each node has a clock with a rate of its own, and what it is told is that clock. Nothing here
-waits: a day of a fleet takes as long as its machines need to compute.
+True time is in us from 0. Each node has its own clock with its own rate and is passed only that clock's times. The
+simulation never sleeps: it takes only as long as the nodes compute.
 """
 
 from __future__ import annotations
@@ -15,25 +15,25 @@
 
 from .machine import Machine, Make, Sent
 
-TOLD_MOST = 400  # events that are kept for a story
-LATE_MOST = 500_000  # messages on their way at once
+MAX_EVENT_LINES = 400  # latest event lines kept for ``story``
+MAX_QUEUED_EVENTS = 500_000  # queue length above which messages are dropped
 
 
 @dataclass(slots=True)
 class Link:
-    """What happens to messages one way: delay in us (least, usual most), chances from 0 to 1."""
+    """Network conditions in one direction: delay in us (least, greatest without reordering), chances from 0 to 1."""
 
     delay: tuple[int, int] = (200, 2_000)
     loss: float = 0.0
     double: float = 0.0
-    reorder: float = 0.0  # arrives after up to ``reorder_by`` us more
+    reorder: float = 0.0  # chance of up to ``reorder_by`` us of additional delay
     reorder_by: int = 50_000
     cut: bool = False
 
 
 @dataclass(slots=True, eq=False)
 class Node:
-    """One node, over all its lives."""
+    """One node, across restarts."""
 
     name: str
     make: Make
@@ -41,22 +41,22 @@
     rate: float = 1.0
     offset: int = 0  # of its clock at true time 0
     life: int = 0
-    machine: Machine | None = None  # None: it is down
+    machine: Machine | None = None  # None: the node is down
     stopped: bool = False
-    waiting: list[tuple[str, Any]] = field(default_factory=list)  # came while it stood still
-    wake_at: int = -1  # true time of the wake that counts
+    waiting: list[tuple[str, Any]] = field(default_factory=list)  # messages received while stopped
+    wake_at: int = -1  # true time of the current wake-up; queued earlier ones are ignored
 
     def clock(self, at: int) -> int:
-        """Its own clock at a true time."""
+        """The node's clock at a true time."""
         return self.offset + int(at * self.rate)
 
     def when(self, clock: int) -> int:
-        """The first true time at which its own clock shows at least this."""
+        """The first true time at which the node's clock shows at least ``clock``."""
         return max(0, int((clock - self.offset) / self.rate) + 1)
 
 
 class Fleet:
-    """Nodes, network, and the order of everything that happens."""
+    """The nodes, the network and the queue of events."""
 
     def __init__(self, seed: str, link: Link | None = None) -> None:
         self.random = random.Random(seed)
@@ -64,23 +64,23 @@
         self.now = 0
         self.nodes: dict[str, Node] = {}
         self.links: dict[tuple[str, str], Link] = {}
-        self.queue: list[tuple[int, int, int, Any]] = []  # true time, order, kind, what
-        self.orders = 0
+        # (true time, event number, kind, content); kind 0: call, 1: delivery, 2: wake-up.
+        self.queue: list[tuple[int, int, int, Any]] = []
+        self.event_number = 0
         self.counts: Counter[str] = Counter()
-        self.told: deque[tuple[int, str]] = deque(maxlen=TOLD_MOST)
+        self.event_lines: deque[tuple[int, str]] = deque(maxlen=MAX_EVENT_LINES)
         self.watchers: list[Callable[[int, Node], None]] = []  # called after each step of a node
-        self.size: Callable[[Any], int] | None = (
-            None  # bytes of a message, where they are to be counted
-        )
+        # The size of a message in bytes; None: bytes aren't counted.
+        self.size: Callable[[Any], int] | None = None
         self.sent: Counter[str] = Counter()
         self.got: Counter[str] = Counter()
 
-    # -- making it ---------------------------------------------------------------------------------------------------
+    # -- setup -------------------------------------------------------------------------------------------------------
 
     def add(
         self, name: str, make: Make, rate: float = 1.0, offset: int = 0, start: int | None = 0
     ) -> Node:
-        """One more node; started at a true time, or not at all."""
+        """Adds a node, which starts at true time ``start``; None: it isn't started."""
         node = Node(name, make, random.Random(f"{self.seed}:{name}"), rate, offset)
         self.nodes[name] = node
         if start is not None:
@@ -88,26 +88,28 @@
         return node
 
     def link(self, a: str, b: str) -> Link:
-        """The way from one to another, to be changed."""
+        """Returns the link from ``a`` to ``b``, which the caller may change."""
         found = self.links.get((a, b))
         if found is None:
-            p = self.plain
-            found = Link(p.delay, p.loss, p.double, p.reorder, p.reorder_by)
+            default = self.plain
+            found = Link(
+                default.delay, default.loss, default.double, default.reorder, default.reorder_by
+            )
             self.links[a, b] = found
         return found
 
     def at(self, when: int, do: Callable[[], None]) -> None:
-        """Have something happen at a true time."""
+        """Schedules a call at a true time."""
         self._push(when, 0, do)
 
     def _push(self, when: int, kind: int, what: Any) -> None:
-        self.orders += 1
-        heapq.heappush(self.queue, (when, self.orders, kind, what))
+        self.event_number += 1
+        heapq.heappush(self.queue, (when, self.event_number, kind, what))
 
     # -- faults ------------------------------------------------------------------------------------------------------
 
     def start(self, name: str) -> None:
-        """A new life, with empty memory."""
+        """Starts a node with a new machine, which has no state of earlier lives."""
         node = self.nodes[name]
         node.life += 1
         node.stopped, node.wake_at = False, -1
@@ -117,7 +119,7 @@
         self._step(node, node.machine.due(node.clock(self.now)))
 
     def kill(self, name: str) -> None:
-        """It is gone, and what it knew."""
+        """Kills a node; its state and waiting messages are lost."""
         node = self.nodes[name]
         self.tell(f"{name} is killed")
         node.machine, node.stopped = None, False
@@ -125,12 +127,12 @@
         self._watch(node)
 
     def stop(self, name: str) -> None:
-        """It stands still; its clock goes on."""
+        """Stops a node as SIGSTOP does; its clock runs on."""
         self.tell(f"{name} is stopped")
         self.nodes[name].stopped = True
 
     def go_on(self, name: str) -> None:
-        """It goes on: first with what came meanwhile, as a socket's buffer has it."""
+        """Resumes a stopped node; it first handles the messages received meanwhile, as from a socket's buffer."""
         node = self.nodes[name]
         if not node.stopped:
             return
@@ -144,7 +146,7 @@
         self._step(node, node.machine.due(node.clock(self.now)))
 
     def split(self, groups: Iterable[Iterable[str]], one_way: bool = False) -> Callable[[], None]:
-        """Cut the ways between groups (one way: from the first to the others); what is returned heals them."""
+        """Cuts the links between groups (one way: from the first to the others) and returns a function that heals them."""
         sides = [tuple(group) for group in groups]
         ways = [
             (a, b)
@@ -170,7 +172,7 @@
     # -- running -----------------------------------------------------------------------------------------------------
 
     def run(self, until: int) -> None:
-        """Let all happen up to a true time."""
+        """Runs all events up to a true time."""
         while self.queue and self.queue[0][0] <= until:
             self.now, _, kind, what = heapq.heappop(self.queue)
             if kind == 0:
@@ -186,7 +188,7 @@
         self.now = until
 
     def call(self, name: str, do: Callable[[Machine, int], Sent]) -> None:
-        """Have a node's machine do something from outside; what it sends is sent."""
+        """Calls a running node's machine and sends the messages that the call returns."""
         node = self.nodes[name]
         if node.machine is not None and not node.stopped:
             self._step(node, do(node.machine, node.clock(self.now)))
@@ -234,15 +236,15 @@
             wait = self.random.uniform(*link.delay)
             if link.reorder and self.random.random() < link.reorder:
                 wait += self.random.random() * link.reorder_by
-            if len(self.queue) < LATE_MOST:
+            if len(self.queue) < MAX_QUEUED_EVENTS:
                 self._push(self.now + int(wait), 1, (sender, to, message))
 
-    # -- stories -----------------------------------------------------------------------------------------------------
+    # -- event log ---------------------------------------------------------------------------------------------------
 
     def tell(self, what: str) -> None:
-        """Keep a line for the story of a run."""
-        self.told.append((self.now, what))
+        """Adds a line to the event log."""
+        self.event_lines.append((self.now, what))
 
     def story(self, last: int = 40) -> str:
-        """The last lines, with true times in seconds."""
-        return "\n".join(f"{at / 1e6:9.3f}  {what}" for at, what in list(self.told)[-last:])
+        """The last lines of the event log, with true times in seconds."""
+        return "\n".join(f"{at / 1e6:9.3f}  {what}" for at, what in list(self.event_lines)[-last:])
--- a/testbed/simulation/explore.py
+++ b/testbed/simulation/explore.py
@@ -1,8 +1,8 @@
-"""All interleavings of a small case, breadth first, with states hashed and counted. Knows no machine of ours.
+"""Explores all interleavings of a small case breadth first. Independent of saffrongw.
 
-A case says how a state looks, what may happen next, and what must never be. A state is a value that can be hashed;
-those that differ only in names that do not matter, or in how long ago something was, are one if the case makes them
-equal. Breadth first means that the first breach found is a shortest one; it is told as a story, step by step.
+A case defines the initial state, the steps from a state and the invariants. States with equal keys are explored once:
+a case can so merge states that differ only in irrelevant names or ages. The search is breadth first, so the trace of
+the first breach found is a shortest one.
 """
 
 from __future__ import annotations
@@ -16,34 +16,34 @@
 
 
 class Case(Protocol[S]):
-    """What is explored."""
+    """A state space with invariants."""
 
     def first(self) -> S:
-        """Where it begins."""
+        """The initial state."""
 
     def next(self, state: S) -> Iterable[tuple[str, S]]:
-        """All that may happen, each with words for it."""
+        """The possible steps from a state: a description and the state after each."""
 
     def key(self, state: S) -> Hashable:
-        """Equal for states that need not be told apart."""
+        """A hashable key, equal for states that are equivalent."""
 
     def breach(self, state: S) -> str:
-        """What is wrong in a state; empty: nothing."""
+        """The violated invariant; empty if there is none."""
 
 
 @dataclass(slots=True)
 class Found:
-    """What an exploration came to."""
+    """The result of an exploration."""
 
     states: int = 0
-    steps: int = 0  # between states
+    steps: int = 0  # transitions between states
     deepest: int = 0
-    whole: bool = False  # every state was seen
+    whole: bool = False  # the whole state space was explored
     breach: str = ""
     story: list[str] = field(default_factory=list)
 
     def text(self) -> str:
-        """For people."""
+        """A readable summary, with the trace of a breach."""
         head = f"{self.states} states, {self.steps} steps, depth {self.deepest}"
         head += "" if self.whole else ", not all of them"
         if not self.breach:
@@ -53,13 +53,13 @@
 
 
 class Explorer(Generic[S]):
-    """Walks a case."""
+    """Explores the states of a case, ``most`` at most."""
 
     def __init__(self, case: Case[S], most: int = 2_000_000) -> None:
         self.case, self.most = case, most
 
     def run(self) -> Found:
-        """Every state, until a breach or ``most`` states."""
+        """Explores until all states are seen, an invariant is violated or ``most`` is reached."""
         case, found = self.case, Found()
         first = case.first()
         parents: dict[Hashable, tuple[Hashable | None, str]] = {case.key(first): (None, "")}
@@ -70,7 +70,7 @@
             found.deepest = max(found.deepest, depth)
             if wrong := case.breach(state):
                 found.breach = wrong
-                found.story = self._story(parents, key)
+                found.story = self._trace(parents, key)
                 return found
             if found.states >= self.most:
                 return found
@@ -84,7 +84,7 @@
         return found
 
     @staticmethod
-    def _story(parents: dict[Hashable, tuple[Hashable | None, str]], key: Hashable) -> list[str]:
+    def _trace(parents: dict[Hashable, tuple[Hashable | None, str]], key: Hashable) -> list[str]:
         lines: list[str] = []
         at: Hashable | None = key
         while at is not None:
--- a/testbed/simulation/machine.py
+++ b/testbed/simulation/machine.py
@@ -1,4 +1,4 @@
-"""What a machine is to the virtual clock: time and messages in, messages and the time of its next look out."""
+"""The interface of a simulated state machine: it takes times and messages, and returns messages and its next wake-up."""
 
 from __future__ import annotations
 
@@ -6,20 +6,22 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-Sent = list[tuple[str, Any]]  # to whom, what; a message must not be changed once it was handed out
+# (receiver, message); a message must not be changed after it was returned.
+Sent = list[tuple[str, Any]]
 
 
 class Machine(Protocol):
-    """One life of one node. Times are us of the node's own clock."""
+    """The state machine of one node, from start to kill. Times are us of the node's own clock."""
 
     def receive(self, now: int, sender: str, message: Any) -> Sent:
-        """A message has come."""
+        """Handles a message."""
 
     def due(self, now: int) -> Sent:
-        """Its time has come, or it was asked for."""
+        """Handles the passing of time; may be called before ``next_at``."""
 
     def next_at(self) -> int:
-        """When ``due`` is wanted, at the latest."""
+        """The latest time at which ``due`` has to be called next."""
 
 
-Make = Callable[[str, int, int, random.Random], Machine]  # name, life, own clock, random numbers
+# Arguments: node name, life number, time of the node's clock, random generator.
+Make = Callable[[str, int, int, random.Random], Machine]
