--- a/testbed/acme_server/__init__.py
+++ b/testbed/acme_server/__init__.py
@@ -1,1 +1,1 @@
-"""An authority that issues certificates by RFC 8555, for gateways to obtain theirs from, with faults to switch on."""
+"""A test ACME server (RFC 8555) with configurable faults, from which gateways obtain certificates."""
--- a/testbed/acme_server/model.py
+++ b/testbed/acme_server/model.py
@@ -1,7 +1,7 @@
-"""RFC 8555 from the authority's side as a model: requests in, replies out, checks to carry out. No sockets.
+"""The server side of RFC 8555 without sockets: takes requests, returns replies and lists challenge checks to make.
 
-Signatures are verified by a library (``jwcrypto``) that the gateway does not use. What comes out may be spoilt on its
-way by ``Faults``; the model itself keeps the truth, so that a test can ask how many orders there were.
+Signatures are verified with ``jwcrypto``, a library that the gateway does not use. ``Faults`` changes replies on their
+way out; the state stays correct, so that tests can count orders, for example.
 """
 
 from __future__ import annotations
@@ -24,33 +24,34 @@
 from .issuer import Issuer, request_of, unb64
 
 ERROR = "urn:ietf:params:acme:error:"
-NONCES_MOST = 10_000
-PAGE = 20  # orders on a page of an account's list
+MAX_NONCES = 10_000
+ORDERS_PER_PAGE = 20
 
 
 @dataclass(slots=True)
 class Faults:
-    """What goes wrong; all off."""
-
-    status: int = 0  # each answer has it, with no problem document
-    problem: str = ""  # each signed request gets this one
-    rate_limited: float = -1.0  # new orders get it, with this Retry-After; below 0: no
-    bad_nonces: int = 0  # so many signed requests more get badNonce
-    pending: bool = False  # checks never end
-    processing: bool = False  # orders stay there
+    """Faults to inject; all are off by default."""
+
+    status: int = 0  # status of every answer, without a problem document; 0: off
+    problem: str = ""  # problem type in answer to every signed request
+    rate_limited: float = -1.0  # new orders get rateLimited with this Retry-After; below 0: off
+    bad_nonces: int = 0  # number of coming signed requests that get badNonce
+    pending: bool = False  # challenges stay unvalidated
+    processing: bool = False  # orders stay in this status
     wrong_key: bool = False
     wrong_name: bool = False
     not_yet: bool = False
     expired: bool = False
     broken_chain: bool = False
-    fail_checks: bool = False  # whatever was found
-    retry_after: str = ""  # in polls
-    spoil: Callable[[str, Reply], Reply] | None = None  # by the name of the resource
+    fail_checks: bool = False  # every challenge check fails
+    retry_after: str = ""  # Retry-After header of polled resources
+    # Changes replies; its first argument is the name of the resource.
+    spoil: Callable[[str, Reply], Reply] | None = None
 
 
 @dataclass(slots=True)
 class Reply:
-    """What is sent back."""
+    """An HTTP reply."""
 
     status: int
     body: bytes = b""
@@ -60,7 +61,7 @@
 
 @dataclass(slots=True)
 class Check:
-    """A challenge that the authority goes and looks at."""
+    """A challenge for the server to validate."""
 
     place: str
     type: str
@@ -107,7 +108,7 @@
 
 
 class Problem(Exception):
-    """An error by RFC 8555, 6.7."""
+    """An error that is answered as a problem document (RFC 8555, section 6.7)."""
 
     def __init__(self, status: int, type: str, detail: str, **headers: str) -> None:
         super().__init__(detail)
@@ -115,7 +116,8 @@
 
 
 class Authority:
-    """All its state. ``life`` in seconds of a certificate, ``valid_for`` of an authorisation (0: asked anew)."""
+    """The state of the ACME server. ``life``: seconds that certificates are valid; ``valid_for``: seconds for which a
+    validated name needs no new challenge (0: every order validates anew)."""
 
     def __init__(
         self,
@@ -136,15 +138,16 @@
         self.authorisations: dict[str, _Authorisation] = {}
         self.certificates: dict[str, x509.Certificate] = {}
         self.revoked: dict[str, int] = {}
-        self.proved: dict[tuple[str, str], float] = {}  # account and name: until when
-        self.windows: dict[str, tuple[float, float]] = {}  # by the name of RFC 9773
-        self.checks: list[Check] = []  # to be carried out
+        self.proved: dict[tuple[str, str], float] = {}  # (account, name) -> end of the validation
+        # Renewal windows by ARI certificate id (RFC 9773).
+        self.windows: dict[str, tuple[float, float]] = {}
+        self.checks: list[Check] = []  # to be made by the caller
         self.counts: Counter[str] = Counter()
 
-    # -- the way in -----------------------------------------------------------------------------------------------
+    # -- requests -------------------------------------------------------------------------------------------------
 
     def handle(self, method: str, path: str, body: bytes) -> Reply:
-        """One request."""
+        """Handles one request."""
         name = path.strip("/").split("/")[0] or "nothing"
         self.counts[f"{method} {name}"] += 1
         if self.faults.status:
@@ -171,11 +174,11 @@
                     200 if method == "HEAD" else 204, headers={"cache-control": "no-store"}
                 )
             if parts[0] == "renewal-info" and len(parts) == 2 and self.ari:
-                return self._window(parts[1])
+                return self._renewal_info(parts[1])
             raise Problem(404 if method == "GET" else 405, "malformed", "not here")
         if method != "POST":
             raise Problem(405, "malformed", "no such method")
-        head, payload, account = self._open(path, body)
+        head, payload, account = self._verify_request(path, body)
         if self.faults.problem:
             status = 429 if self.faults.problem == "rateLimited" else 400
             raise Problem(status, self.faults.problem, "as the fault says")
@@ -199,7 +202,7 @@
             raise Problem(404, "malformed", "not here")
         return act()
 
-    def _json(self, status: int, value: Any, **headers: str) -> Reply:
+    def _json_reply(self, status: int, value: Any, **headers: str) -> Reply:
         return Reply(
             status, json.dumps(value).encode(), {"content-type": "application/json"} | headers
         )
@@ -210,12 +213,14 @@
     def _new_nonce(self) -> str:
         nonce = secrets.token_urlsafe(12)
         self.nonces[nonce] = None
-        while len(self.nonces) > NONCES_MOST:
+        while len(self.nonces) > MAX_NONCES:
             del self.nonces[next(iter(self.nonces))]
         return nonce
 
-    def _open(self, path: str, body: bytes) -> tuple[dict[str, Any], Any, _Account | None]:
-        """A JWS as RFC 8555, 6.2 wants it: who signed what for which URL, with a nonce that is good once."""
+    def _verify_request(
+        self, path: str, body: bytes
+    ) -> tuple[dict[str, Any], Any, _Account | None]:
+        """Verifies a request's JWS (RFC 8555, section 6.2), with its URL and single-use nonce."""
         try:
             outer = json.loads(body)
             head = json.loads(unb64(outer["protected"]))
@@ -274,7 +279,7 @@
         }
         if self.ari:
             found["renewalInfo"] = self._url("renewal-info")
-        return self._json(200, found)
+        return self._json_reply(200, found)
 
     def _new_account(self, head: dict[str, Any], payload: Any) -> Reply:
         if "jwk" not in head:
@@ -286,18 +291,20 @@
         if old:
             if old.status != "valid":
                 raise Problem(401, "unauthorized", f"the account is {old.status}")
-            return self._json(200, {"status": "valid", "contact": old.contact}, location=old.place)
+            return self._json_reply(
+                200, {"status": "valid", "contact": old.contact}, location=old.place
+            )
         if payload.get("onlyReturnExisting"):
             raise Problem(400, "accountDoesNotExist", "no account has this key")
         if self.external is not None:
-            self._bound(payload.get("externalAccountBinding"), key)
+            self._verify_account_binding(payload.get("externalAccountBinding"), key)
         place = self._url("account", len(self.accounts) + 1)
         self.accounts[place] = _Account(place, key, payload.get("contact", []))
         self.counts["accounts"] += 1
         text = {"status": "valid", "orders": self._url("orders", len(self.accounts))}
-        return self._json(201, text, location=place)
+        return self._json_reply(201, text, location=place)
 
-    def _bound(self, binding: Any, key: jwk.JWK) -> None:
+    def _verify_account_binding(self, binding: Any, key: jwk.JWK) -> None:
         if not binding:
             raise Problem(403, "externalAccountRequired", "an external account is needed")
         head = json.loads(unb64(binding["protected"]))
@@ -321,12 +328,16 @@
             raise Problem(403, "unauthorized", "not yours")
         if payload and payload.get("status") == "deactivated":
             account.status = "deactivated"
-        return self._json(200, {"status": account.status, "orders": self._url("orders", number)})
+        return self._json_reply(
+            200, {"status": account.status, "orders": self._url("orders", number)}
+        )
 
     def _orders(self, account: _Account, page: int) -> Reply:
         mine = account.orders[::-1]
-        reply = self._json(200, {"orders": mine[page * PAGE : (page + 1) * PAGE]})
-        if len(mine) > (page + 1) * PAGE:
+        reply = self._json_reply(
+            200, {"orders": mine[page * ORDERS_PER_PAGE : (page + 1) * ORDERS_PER_PAGE]}
+        )
+        if len(mine) > (page + 1) * ORDERS_PER_PAGE:
             number = account.place.rpartition("/")[2]
             reply.links.append(f'<{self._url("orders", number, page + 1)}>;rel="next"')
         return reply
@@ -358,7 +369,7 @@
         self.counts["orders"] += 1
         return self._show_order(number, 201)
 
-    def _settle(self, order: _Order) -> None:
+    def _update_status(self, order: _Order) -> None:
         states = [self.authorisations[p].status for p in order.authorisations]
         if order.status == "pending":
             if "invalid" in states:
@@ -376,10 +387,10 @@
 
     def _show_order(self, number: str, status: int = 200) -> Reply:
         order = self.orders[number]
-        self._settle(order)
+        self._update_status(order)
         found: dict[str, Any] = {
             "status": order.status,
-            "expires": _text(order.expires),
+            "expires": _timestamp(order.expires),
             "identifiers": [{"type": "dns", "value": name} for name in order.names],
             "authorizations": [self._url("authz", place) for place in order.authorisations],
             "finalize": self._url("finalize", number),
@@ -391,7 +402,7 @@
         headers = {"location": self._url("order", number)}
         if self.faults.retry_after:
             headers["retry-after"] = self.faults.retry_after
-        return self._json(status, found, **headers)
+        return self._json_reply(status, found, **headers)
 
     def _order(self, account: _Account, number: str) -> Reply:
         order = self.orders.get(number)
@@ -416,10 +427,10 @@
             "status": found.status,
             "identifier": {"type": "dns", "value": found.name},
             "challenges": challenges,
-            "expires": _text(self.clock() + 86_400),
+            "expires": _timestamp(self.clock() + 86_400),
         }
         headers = {"retry-after": self.faults.retry_after} if self.faults.retry_after else {}
-        return self._json(200, text, **headers)
+        return self._json_reply(200, text, **headers)
 
     def _challenge(self, account: _Account, place: str, at: int) -> Reply:
         found = self.authorisations.get(place)
@@ -433,10 +444,10 @@
                 Check(f"{place}/{at}", one.type, found.name, one.token, authorisation)
             )
         text = {"type": one.type, "url": self._url("challenge", place, at), "token": one.token}
-        return self._json(200, text | {"status": one.status})
+        return self._json_reply(200, text | {"status": one.status})
 
     def checked(self, check: Check, wrong: str) -> None:
-        """What a check found; empty: the name is proved."""
+        """Records the result of a challenge check; an empty ``wrong``: the name is validated."""
         if self.faults.pending:
             return
         place, at = check.place.split("/")
@@ -457,7 +468,7 @@
         order = self.orders.get(number)
         if order is None or order.account != account.place:
             raise Problem(404, "malformed", "no such order")
-        self._settle(order)
+        self._update_status(order)
         if order.status != "ready":
             raise Problem(403, "orderNotReady", f"the order is {order.status}")
         try:
@@ -498,7 +509,7 @@
             reply.links.append(f'<{self._url("cert", number, "alternate")}>;rel="alternate"')
         return reply
 
-    def _window(self, name: str) -> Reply:
+    def _renewal_info(self, name: str) -> Reply:
         leaf = next((c for c in self.certificates.values() if ari_name(c) == name), None)
         if leaf is None:
             raise Problem(404, "malformed", "no such certificate")
@@ -506,8 +517,8 @@
         start, stop = self.windows.get(
             name, (end - self.life / 3, end - self.life / 3 + self.life / 45)
         )
-        text = {"suggestedWindow": {"start": _text(start), "end": _text(stop)}}
-        return self._json(200, text, **{"retry-after": self.faults.retry_after or "21600"})
+        text = {"suggestedWindow": {"start": _timestamp(start), "end": _timestamp(stop)}}
+        return self._json_reply(200, text, **{"retry-after": self.faults.retry_after or "21600"})
 
     def _revoke(self, payload: Any) -> Reply:
         der = unb64(payload["certificate"])
@@ -540,7 +551,7 @@
 
 
 def ari_name(leaf: x509.Certificate) -> str:
-    """RFC 9773, 4.1."""
+    """The ARI certificate id (RFC 9773, section 4.1)."""
     of = leaf.extensions.get_extension_for_class(x509.AuthorityKeyIdentifier).value.key_identifier
     serial = leaf.serial_number
     raw = serial.to_bytes((serial.bit_length() + 8) // 8, "big")
@@ -548,9 +559,9 @@
 
 
 def fingerprint(leaf: x509.Certificate) -> str:
-    """SHA-256, hexadecimal."""
+    """The SHA-256 fingerprint in hexadecimal."""
     return leaf.fingerprint(hashes.SHA256()).hex()
 
 
-def _text(at: float) -> str:
+def _timestamp(at: float) -> str:
     return datetime.fromtimestamp(at, UTC).isoformat().replace("+00:00", "Z")
--- a/testbed/acme_server/server.py
+++ b/testbed/acme_server/server.py
@@ -1,4 +1,4 @@
-"""The authority on a socket: HTTPS on loopback, and its checks, which really connect to whoever claims a name."""
+"""The ACME server on loopback HTTPS. Its challenge checks make real connections to the gateways."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from .model import Authority, Check, Reply
 
 LOCAL = "127.0.0.1"
-CHECK_WITHIN = 5.0  # seconds
-IDENTIFIER = x509.ObjectIdentifier("1.3.6.1.5.5.7.1.31")
+CHECK_TIMEOUT_S = 5.0
+ACME_IDENTIFIER_OID = x509.ObjectIdentifier("1.3.6.1.5.5.7.1.31")
 
 
 class AuthorityServer:
-    """``http`` and ``tls``: where names are checked, as addresses drawn in turn: several gateways have one name."""
+    """``http`` and ``tls``: addresses for the challenge checks, used in turn, as several gateways serve one name."""
 
     def __init__(self, clock: Callable[[], float] = time.time, **settings) -> None:
         self.clock, self.settings = clock, settings
@@ -31,8 +31,8 @@
         self.tls: list[tuple[str, int]] = []
         self.turn = 0
         self.delay = 0.0  # seconds before each answer
-        self.hung = False  # connections are taken and not answered
-        self.cut = 0  # so many answers more end in their middle
+        self.hung = False  # requests are read and not answered
+        self.cut = 0  # number of coming answers that are truncated
         self.server: asyncio.Server | None = None
         self.port = 0
         self.authority: Authority | None = None
@@ -40,7 +40,7 @@
         self.tasks: set[asyncio.Task] = set()
 
     async def listen(self) -> AuthorityServer:
-        """Serve; after ``away`` again on the same port: nobody is given it meanwhile."""
+        """Listens; after ``away`` on the same port, which the kernel gives to no outgoing connection."""
         if self.server:
             return self
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
@@ -53,24 +53,24 @@
 
     @property
     def directory(self) -> str:
-        """Its URL."""
+        """The URL of the ACME directory."""
         return f"https://{LOCAL}:{self.port}/dir"
 
     def write_ca(self, folder: Path) -> Path:
-        """The file by which its own certificate is verified."""
+        """Writes the CA certificate that verifies the server's own TLS certificate."""
         path = folder / "authority-ca.pem"
         self.root.cert_pem.write_to_path(str(path))
         return path
 
     async def away(self) -> None:
-        """Nobody listens; what it knows stays."""
+        """Stops listening; the state is kept."""
         self.server.close()
         for writer in list(self.open):
             writer.transport.abort()
         self.server = None
 
     async def close(self) -> None:
-        """The end."""
+        """Stops listening and cancels the running checks."""
         if self.server:
             await self.away()
         for task in self.tasks:
@@ -98,8 +98,8 @@
             if self.delay:
                 await asyncio.sleep(self.delay)
             reply = self.authority.handle(request.method.decode(), request.target.decode(), body)
-            self._check_all()
-            out = _bytes(http, request.method, reply)
+            self._start_checks()
+            out = _encode_reply(http, request.method, reply)
             if self.cut > 0:
                 self.cut -= 1
                 out = out[: len(out) // 2]
@@ -111,7 +111,7 @@
             self.open.discard(writer)
             writer.close()
 
-    def _check_all(self) -> None:
+    def _start_checks(self) -> None:
         checks, self.authority.checks = self.authority.checks, []
         for check in checks:
             task = asyncio.get_running_loop().create_task(self._check(check))
@@ -120,19 +120,21 @@
 
     async def _check(self, check: Check) -> None:
         try:
-            async with asyncio.timeout(CHECK_WITHIN):
-                wrong = await (self._by_http if check.type == "http-01" else self._by_tls)(check)
+            async with asyncio.timeout(CHECK_TIMEOUT_S):
+                wrong = await (
+                    self._check_http_01 if check.type == "http-01" else self._check_tls_alpn_01
+                )(check)
         except (OSError, TimeoutError, IndexError, ValueError) as failed:
             wrong = f"{check.name}: {failed!r}"
         self.authority.checked(check, wrong)
 
-    def _place(self, places: list[tuple[str, int]]) -> tuple[str, int]:
+    def _next_address(self, places: list[tuple[str, int]]) -> tuple[str, int]:
         self.turn += 1
         return places[self.turn % len(places)] if places else (LOCAL, 1)
 
-    async def _by_http(self, check: Check) -> str:
-        """RFC 8555, 8.3."""
-        reader, writer = await asyncio.open_connection(*self._place(self.http))
+    async def _check_http_01(self, check: Check) -> str:
+        """Validates an http-01 challenge (RFC 8555, section 8.3)."""
+        reader, writer = await asyncio.open_connection(*self._next_address(self.http))
         try:
             ask = f"GET /.well-known/acme-challenge/{check.token} HTTP/1.1\r\nHost: {check.name}\r\n\r\n"
             writer.write(ask.encode())
@@ -149,19 +151,19 @@
         finally:
             writer.close()
 
-    async def _by_tls(self, check: Check) -> str:
-        """RFC 8737."""
+    async def _check_tls_alpn_01(self, check: Check) -> str:
+        """Validates a tls-alpn-01 challenge (RFC 8737)."""
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
         context.check_hostname, context.verify_mode = False, ssl.CERT_NONE
         context.set_alpn_protocols(["acme-tls/1"])
-        place = self._place(self.tls)
+        place = self._next_address(self.tls)
         _, writer = await asyncio.open_connection(*place, ssl=context, server_hostname=check.name)
         try:
             shown = writer.get_extra_info("ssl_object")
             if shown.selected_alpn_protocol() != "acme-tls/1":
                 return f"{check.name}: no acme-tls/1"
             leaf = x509.load_der_x509_certificate(shown.getpeercert(binary_form=True))
-            found = leaf.extensions.get_extension_for_oid(IDENTIFIER)
+            found = leaf.extensions.get_extension_for_oid(ACME_IDENTIFIER_OID)
             names = leaf.extensions.get_extension_for_class(x509.SubjectAlternativeName).value
             expected = b"\x04\x20" + hashlib.sha256(check.authorisation.encode()).digest()
             if not found.critical or found.value.value != expected:
@@ -175,7 +177,7 @@
             writer.transport.abort()
 
 
-def _bytes(http: h11.Connection, method: bytes, reply: Reply) -> bytes:
+def _encode_reply(http: h11.Connection, method: bytes, reply: Reply) -> bytes:
     headers = [*reply.headers.items(), *(("link", link) for link in reply.links)]
     headers += [("content-length", str(len(reply.body))), ("connection", "close")]
     out = http.send(h11.Response(status_code=reply.status, headers=headers))
--- a/testbed/ext_authz_server/__init__.py
+++ b/testbed/ext_authz_server/__init__.py
@@ -1,1 +1,1 @@
-"""The authoriser that a gateway may ask."""
+"""A test authorisation server that implements Envoy's external authorization service."""
--- a/testbed/ext_authz_server/server.py
+++ b/testbed/ext_authz_server/server.py
@@ -1,6 +1,6 @@
-"""A stand-in authoriser: Envoy's published Check over HTTP/2, with faults below the level of any gRPC library.
+"""A test authorisation server: Envoy's ext_authz Check over HTTP/2, with faults that a gRPC library can't produce.
 
-It speaks by ``h2`` (frames) and ``xds-protos`` (the published messages), and shares no code with the gateway.
+It uses ``h2`` for the frames and ``xds-protos`` for the messages, and shares no code with the gateway.
 """
 
 from __future__ import annotations
@@ -25,26 +25,26 @@
 
 PATH = "/envoy.service.auth.v3.Authorization/Check"
 MODES = (
-    "answer",  # as decided
-    "delay",  # the same, later
-    "hang",  # headers of an answer, then nothing
-    "silent",  # not even those
-    "half",  # half of a message, then nothing
+    "answer",  # the decision, at once
+    "delay",  # the decision, later
+    "hang",  # response headers, then nothing
+    "silent",  # no response at all
+    "half",  # part of a message, then nothing
     "reset",  # RST_STREAM
-    "goaway",  # GOAWAY, then the connection ends
-    "twice",  # two messages
-    "metadata",  # 1 MB of headers
+    "goaway",  # GOAWAY, then the connection is closed
+    "twice",  # two messages in one response
+    "metadata",  # 1 MB of response headers
     "status",  # a grpc-status that does not exist
-    "lies",  # allowed and denied at once
-    "noise",  # bytes that are no message
+    "lies",  # a response that is both allowed and denied
+    "noise",  # bytes that don't decode as a message
 )
-STREAMS_MOST = 2000  # checks at once on a connection; clients queue what is beyond
-HEAD = [(":status", "200"), ("content-type", "application/grpc")]
+MAX_STREAMS = 2000  # concurrent checks on a connection; clients queue further ones
+RESPONSE_HEADERS = [(":status", "200"), ("content-type", "application/grpc")]
 
 
 @dataclass(slots=True)
-class Asked:
-    """One check that came, as the published message has it."""
+class ReceivedCheck:
+    """One received check."""
 
     at: float
     request: published.CheckRequest
@@ -53,37 +53,39 @@
 
     @property
     def id(self) -> str:
-        """The client's id of the request."""
+        """The id of the request that the check is for."""
         return self.request.attributes.request.http.id
 
 
 @dataclass(slots=True)
 class Behaviour:
-    """What it does: each mode with its chance, the rest is answered; delays in seconds."""
+    """The chance of each fault mode (the remaining checks are answered) and the delay range in seconds."""
 
     chances: dict[str, float] = field(default_factory=dict)
     delay: tuple[float, float] = (0.05, 0.05)
-    window_shut: bool = False  # nobody may send it a body
+    window_shut: bool = False  # flow-control windows of 0: clients can't send a body
 
 
 def allow(cache_ms: float = 0, plan: str = "") -> published.CheckResponse:
-    """An answer that lets on."""
+    """A response that allows the request."""
     response = published.CheckResponse()
     response.status.code = 0
     response.ok_response.SetInParent()
-    told = response.dynamic_metadata.get_or_create_struct("saffrongw") if cache_ms or plan else None
-    if told is not None:
+    metadata = (
+        response.dynamic_metadata.get_or_create_struct("saffrongw") if cache_ms or plan else None
+    )
+    if metadata is not None:
         if cache_ms:
-            told["cache_ms"] = cache_ms
+            metadata["cache_ms"] = cache_ms
         if plan:
-            told["plan"] = plan
+            metadata["plan"] = plan
     return response
 
 
 def deny(
     status: int = 403, retry_after: int | None = None, cache_ms: float = 0
 ) -> published.CheckResponse:
-    """An answer that does not; retry_after in seconds."""
+    """A response that denies the request; ``retry_after`` is in seconds."""
     response = published.CheckResponse()
     response.status.code = 8 if status == 429 else 7
     response.denied_response.status.code = status
@@ -96,7 +98,7 @@
 
 
 def framed(body: bytes) -> bytes:
-    """A message with gRPC's prefix: not compressed, its length."""
+    """Frames a message with gRPC's prefix: an uncompressed flag and the length."""
     return b"\x00" + len(body).to_bytes(4, "big") + body
 
 
@@ -105,7 +107,7 @@
         self.server = server
         config = h2.config.H2Configuration(client_side=False, header_encoding="utf-8")
         self.http = h2.connection.H2Connection(config)
-        # Huffman codes of a megabyte in Python would hold up the loop that all stand-ins share.
+        # Huffman coding of 1 MB of headers in Python would block the event loop that all test servers share.
         self.http.encoder.encode = functools.partial(self.http.encoder.encode, huffman=False)
         self.bodies: dict[int, bytearray] = {}
         self.transport: asyncio.Transport | None = None
@@ -115,13 +117,13 @@
         self.server.connections.add(self)
         self.server.connected += 1
         self.http.initiate_connection()
-        self.http.update_settings({h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: STREAMS_MOST})
+        self.http.update_settings({h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: MAX_STREAMS})
         if self.server.behaviour.window_shut:
             self.http.update_settings({h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: 0})
         self.flush()
 
     def flush(self) -> None:
-        """Write what the state machine has to say."""
+        """Writes the pending output of the HTTP/2 state machine."""
         if (
             self.transport
             and not self.transport.is_closing()
@@ -148,16 +150,18 @@
                 self.bodies.pop(event.stream_id, None)
                 self.server.called_off += 1
             if isinstance(event, h2.events.StreamEnded) and event.stream_id in self.bodies:
-                self.server.asked_on(self, event.stream_id, bytes(self.bodies.pop(event.stream_id)))
+                self.server.receive_check(
+                    self, event.stream_id, bytes(self.bodies.pop(event.stream_id))
+                )
         self.flush()
 
     def connection_lost(self, error: Exception | None) -> None:
         self.server.connections.discard(self)
 
     def reply(self, stream: int, body: bytes, status: str = "0", copies: int = 1) -> bool:
-        """A whole answer; False where the stream is over."""
+        """Sends a complete response; returns False if the stream has already ended."""
         try:
-            self.http.send_headers(stream, HEAD)
+            self.http.send_headers(stream, RESPONSE_HEADERS)
             self.http.send_data(stream, framed(body) * copies)
             self.http.send_headers(stream, [("grpc-status", status)], end_stream=True)
         except h2.exceptions.ProtocolError:
@@ -167,7 +171,7 @@
 
 
 class Authoriser:
-    """A listener that decides checks, and misbehaves by seed."""
+    """A listener that answers checks, with faults drawn from a seed."""
 
     def __init__(
         self,
@@ -180,7 +184,7 @@
         self.decide, self.random = decide, random.Random(seed)
         self.behaviour = behaviour or Behaviour()
         self.loop = asyncio.get_running_loop()
-        self.asked: list[Asked] = []
+        self.asked: list[ReceivedCheck] = []
         self.counts: Counter[str] = Counter()
         self.connections: set[_Connection] = set()
         self.connected = self.called_off = self.odd = 0
@@ -190,11 +194,11 @@
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """The address of the listener."""
         return text_of((LOCAL, self.port))
 
     async def start(self) -> Authoriser:
-        """Listen, at the same port as before if there was one: nobody is given it while this one is away."""
+        """Listens; after ``stop`` on the same port, which the kernel gives to no outgoing connection."""
         self.port = self.port or free_port()
         self.server = await self.loop.create_server(
             lambda: _Connection(self), LOCAL, self.port, ssl=self.ssl
@@ -202,7 +206,7 @@
         return self
 
     def stop(self) -> None:
-        """As if killed: connections end, new ones are refused."""
+        """Stops as if killed: connections are aborted, new ones refused."""
         if self.server:
             self.server.close()
             self.server = None
@@ -210,7 +214,7 @@
             connection.transport.abort()
 
     async def restart(self, after: float) -> None:
-        """GOAWAY on all connections, then away for some time."""
+        """Sends GOAWAY on all connections, stops, and starts again ``after`` seconds later."""
         for connection in list(self.connections):
             connection.http.close_connection()
             connection.flush()
@@ -218,7 +222,7 @@
         await asyncio.sleep(after)
         await self.start()
 
-    def _mode(self) -> str:
+    def _draw_mode(self) -> str:
         lot = self.random.random()
         for mode, chance in self.behaviour.chances.items():
             if lot < chance:
@@ -226,11 +230,11 @@
             lot -= chance
         return "answer"
 
-    def asked_on(self, connection: _Connection, stream: int, data: bytes) -> None:
-        """A check has come whole."""
+    def receive_check(self, connection: _Connection, stream: int, data: bytes) -> None:
+        """Handles a complete check request."""
         request = published.CheckRequest()
         request.ParseFromString(data[5:])
-        asked = Asked(self.loop.time(), request, self._mode())
+        asked = ReceivedCheck(self.loop.time(), request, self._draw_mode())
         self.asked.append(asked)
         self.counts[asked.mode] += 1
         if asked.mode == "delay":
@@ -239,7 +243,7 @@
         else:
             self._answer(connection, stream, asked)
 
-    def _answer(self, connection: _Connection, stream: int, asked: Asked) -> None:
+    def _answer(self, connection: _Connection, stream: int, asked: ReceivedCheck) -> None:
         http, mode = connection.http, asked.mode
         if connection.transport.is_closing():
             return
@@ -248,9 +252,9 @@
             if mode in ("answer", "delay"):
                 asked.answered = connection.reply(stream, body)
             elif mode == "hang":
-                http.send_headers(stream, HEAD)
+                http.send_headers(stream, RESPONSE_HEADERS)
             elif mode == "half":
-                http.send_headers(stream, HEAD)
+                http.send_headers(stream, RESPONSE_HEADERS)
                 http.send_data(stream, framed(body + b"\x00" * 64)[:20])
             elif mode == "reset":
                 http.reset_stream(stream, h2.errors.ErrorCodes.INTERNAL_ERROR)
@@ -262,7 +266,7 @@
                 connection.reply(stream, body, copies=2)
             elif mode == "metadata":
                 many = [(f"x-{n}", "y" * 4000) for n in range(256)]
-                http.send_headers(stream, [*HEAD, *many])
+                http.send_headers(stream, [*RESPONSE_HEADERS, *many])
                 http.send_data(stream, framed(body))
                 http.send_headers(stream, [("grpc-status", "0")], end_stream=True)
             elif mode == "status":
--- a/testbed/task_receiver/__init__.py
+++ b/testbed/task_receiver/__init__.py
@@ -1,1 +1,1 @@
-"""A stand-in for what tasks of the fleet call: it refuses older numbers, as a receiver has to."""
+"""A test receiver of the calls that leased tasks make; it rejects outdated fencing tokens."""
--- a/testbed/task_receiver/server.py
+++ b/testbed/task_receiver/server.py
@@ -1,4 +1,4 @@
-"""An HTTP receiver on loopback. It notes each call by the run's clock, and answers as it is told to."""
+"""An HTTP receiver on loopback that records each call with the run's clock and answers with configured faults."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 from ..net.relay import LOCAL
 
-CONNECTIONS_MOST = 256
+MAX_CONNECTIONS = 256
 
 
 @dataclass(slots=True)
 class Manner:
-    """How it answers: after so many seconds; chances that a call is cut before its answer, or fails (500)."""
+    """How calls are answered: delay in seconds, chances of a close before the answer (``cut``) and of a 500 (``fail``)."""
 
     delay: tuple[float, float] = (0.0, 0.01)
     cut: float = 0.0
@@ -24,8 +24,8 @@
 
 
 @dataclass(slots=True)
-class Called:
-    """One call: when its head was read and its answer written (-1: never), what it said, whether it was accepted."""
+class RecordedCall:
+    """One call: times of its head and of its answer (-1: none), its headers, whether it was accepted and answered."""
 
     at: int
     ended: int
@@ -38,41 +38,43 @@
 
 
 class Receiver:
-    """Listens from ``open`` to ``close``."""
+    """The receiver; ``fences``: calls with an outdated fencing token are rejected."""
 
     def __init__(self, clock: Callable[[], int], seed: str, fences: bool = True) -> None:
         self.clock, self.random, self.fences = clock, random.Random(seed), fences
         self.manner = Manner()
-        self.calls: list[Called] = []
+        self.calls: list[RecordedCall] = []
         self.highest: dict[str, int] = {}
         self.server: asyncio.Server | None = None
         self.open_now = 0
 
     async def open(self) -> str:
-        """Its address."""
+        """Starts listening and returns the address."""
         self.server = await asyncio.start_server(self._serve, LOCAL, 0)
         return "{}:{}".format(*self.server.sockets[0].getsockname()[:2])
 
     def close(self) -> None:
-        """The end."""
+        """Stops listening."""
         if self.server:
             self.server.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.open_now >= CONNECTIONS_MOST:
+        if self.open_now >= MAX_CONNECTIONS:
             writer.close()
             return
         self.open_now += 1
         try:
             async with asyncio.timeout(30):
-                await self._one(reader, writer)
+                await self._handle_call(reader, writer)
         except (OSError, TimeoutError, h11.RemoteProtocolError):
             pass
         finally:
             self.open_now -= 1
             writer.close()
 
-    async def _one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _handle_call(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         http = h11.Connection(h11.SERVER)
         while True:
             event = http.next_event()
@@ -82,16 +84,23 @@
                 break
             else:
                 return
-        told = {name.decode(): value.decode() for name, value in event.headers}
-        number, task = int(told["fencing-token"]), told["task"]
+        request_headers = {name.decode(): value.decode() for name, value in event.headers}
+        number, task = int(request_headers["fencing-token"]), request_headers["task"]
         manner = self.manner
         fails = self.random.random() < manner.fail
         newer = number >= self.highest.get(task, 0)
         accepted = (newer or not self.fences) and not fails
         if accepted:
             self.highest[task] = max(number, self.highest.get(task, 0))
-        call = Called(
-            self.clock(), -1, task, int(told["turn"]), number, told["holder"], accepted, False
+        call = RecordedCall(
+            self.clock(),
+            -1,
+            task,
+            int(request_headers["turn"]),
+            number,
+            request_headers["holder"],
+            accepted,
+            False,
         )
         self.calls.append(call)
         cut = self.random.random() < manner.cut
