--- a/tests/testbed/test_endpoints_over_sockets.py
+++ b/tests/testbed/test_endpoints_over_sockets.py
@@ -1,4 +1,4 @@
-"""Stand-in hosts, agents and clients on sockets, without a gateway."""
+"""Simulated hosts, discovery agents and clients over sockets, without a gateway."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
 
 
 @asyncio_test
-async def test_a_host_serves_and_records_what_it_saw():
+async def test_a_host_serves_a_request_and_records_attempt_effect_and_value():
     fleet, log = await fleet_of()
     host = await fleet.add(0, cold=False)
     caller = await caller_to(host, gateway=1)
@@ -104,7 +104,7 @@
 
 
 @asyncio_test
-async def test_full_and_draining_hosts_say_busy():
+async def test_full_and_draining_hosts_answer_busy():
     scenario = Scenario(
         "full",
         gateways=1,
@@ -127,7 +127,7 @@
 
 
 @asyncio_test
-async def test_a_frozen_host_accepts_says_nothing_and_goes_on():
+async def test_a_frozen_host_accepts_connections_and_answers_only_after_thawing():
     fleet, log = await fleet_of()
     host = await fleet.add(0, cold=False)
     first = await caller_to(host)
@@ -143,13 +143,13 @@
     host.thaw()
     await first.replied(2)
     await second.replied()
-    # Their bytes came on the gateway's side while the host stood still: that is the time that counts.
+    # The bytes reached the relay while the host was frozen; attempts are recorded with that time.
     assert all(a.began < frozen for a in log.of(Attempt))
     fleet.close()
 
 
 @asyncio_test
-async def test_a_dead_host_resets_and_refuses_and_comes_back_in_a_new_life():
+async def test_a_stopped_host_resets_and_refuses_connections_and_restarts_in_a_new_life():
     fleet, log = await fleet_of()
     host = await fleet.add(0, cold=False)
     caller = await caller_to(host)
@@ -167,7 +167,7 @@
 
 
 @asyncio_test
-async def test_what_is_pushed_while_cold_falls_over():
+async def test_a_cold_host_crashes_under_too_much_load():
     slow = (Class("read", 1.0, (500.0, 500.0)),)
     scenario = Scenario(
         "cold", gateways=1, cls=slow, plan=FAST.plan, hosts=Hosts(fall_s=1.0, error_share=0.0)
@@ -183,7 +183,7 @@
 
 
 @asyncio_test
-async def test_a_cut_command_and_one_of_no_form_are_recorded():
+async def test_truncated_and_malformed_commands_are_recorded():
     fleet, log = await fleet_of()
     host = await fleet.add(0, cold=False)
     caller = await caller_to(host)
@@ -200,7 +200,7 @@
 
 
 @asyncio_test
-async def test_every_kind_of_spoilt_answer_comes_and_only_good_values_count_as_made():
+async def test_every_kind_of_spoilt_answer_occurs_and_only_intact_values_are_recorded_as_made():
     fleet, log = await fleet_of()
     host = await fleet.add(0, cold=False)
     host.spoil = 1.0
@@ -219,7 +219,7 @@
 TERMS = b"c=read,t=team,d=900,units=1,spread=2,first=0"
 
 
-# -- the agent ----------------------------------------------------------------------------------------------
+# -- discovery agent ----------------------------------------------------------------------------------------------
 
 
 async def fetch(address, target: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
@@ -235,7 +235,7 @@
 
 
 @asyncio_test
-async def test_an_agent_answers_lists_and_watches_and_is_silent_when_told_to():
+async def test_an_agent_answers_lists_and_watches_and_is_silent_while_silenced():
     agent, told = Agent(), []
     agent.receive(Change(1, Line("a", "z", 1)))
     server = AgentServer(agent, lambda line: "127.0.0.1:1", lambda *given: told.append(given))
@@ -266,7 +266,7 @@
 
 
 class Scripted(asyncio.Protocol):
-    """A gateway that does with each request what its script says."""
+    """A gateway whose script gives the reply to each request: None aborts, empty bytes leave it unanswered."""
 
     def __init__(self, script, seen) -> None:
         self.script, self.seen, self.reader = script, seen, hiredis.Reader()
@@ -299,7 +299,7 @@
 
 
 @asyncio_test
-async def test_a_client_takes_one_answer_and_keeps_its_connection():
+async def test_a_client_reuses_its_connection_after_an_answer():
     clients, log, seen = await clients_of(lambda n: b"$2\r\nok\r\n")
     for intent in (1, 2):
         clients.start(arrival(intent))
@@ -311,7 +311,7 @@
 
 
 @asyncio_test
-async def test_a_client_comes_again_with_a_new_id_and_heeds_the_time_if_it_does_so():
+async def test_a_client_retries_with_a_new_id_and_heeds_the_retry_delay_if_it_is_configured_to():
     for heeds, least in ((True, 0.15), (False, 0.0)):
         clients, log, seen = await clients_of(
             lambda n: b"-BUSY 200\r\n" if n == 1 else b"$2\r\nok\r\n"
@@ -326,19 +326,19 @@
 
 
 @asyncio_test
-async def test_a_close_that_crossed_a_request_on_a_kept_connection_is_met_once():
+async def test_a_request_that_crossed_the_close_of_a_reused_connection_is_resent_once():
     clients, log, seen = await clients_of(lambda n: b"$2\r\nok\r\n" if n != 2 else None)
     clients.start(arrival(1))
     await clients.finish(5)
     clients.start(arrival(2))
     await clients.finish(5)
     assert [a.kind for a in log.of(Answered)] == ["served", "served"]
-    assert seen[1][2] == seen[2][2]  # the same id
+    assert seen[1][2] == seen[2][2]  # the same request id
     assert [(c.by, c.reused) for c in log.of(Closed)] == [("gateway", True)]
 
 
 @asyncio_test
-async def test_a_silent_gateway_is_given_up_and_bytes_behind_an_answer_are_noted():
+async def test_a_client_gives_up_on_a_silent_gateway_and_records_bytes_after_an_answer():
     clients, log, _ = await clients_of(lambda n: b"" if n == 1 else b"$2\r\nok\r\n+more\r\n")
     clients.start(arrival(1, wait=50_000))
     await clients.finish(5)
@@ -349,7 +349,7 @@
 
 
 @asyncio_test
-async def test_a_client_that_leaves_closes_and_does_not_come_again():
+async def test_a_client_that_leaves_closes_its_connection_and_does_not_retry():
     clients, log, seen = await clients_of(lambda n: b"")
     clients.start(arrival(leaves=30_000, tries=3))
     await clients.finish(5)
@@ -358,7 +358,7 @@
 
 
 @asyncio_test
-async def test_a_gateway_that_is_not_there_has_taken_nothing():
+async def test_an_unreachable_gateway_is_recorded_as_unreached_and_not_as_sent():
     scenario = Scenario("c", gateways=1, cls=FAST.cls, plan=FAST.plan)
     clients = ClientSide(scenario, Clock(), log := Log(), [("127.0.0.1", 1)])
     clients.start(arrival())
--- a/tests/testbed/test_models.py
+++ b/tests/testbed/test_models.py
@@ -1,4 +1,4 @@
-"""The stand-ins' pure parts: arrivals by seed, the host's model, the registry's agents, scenario files."""
+"""The models of the testbed: arrivals, the host model, the registry and its agents, scenario files."""
 
 from __future__ import annotations
 
@@ -34,19 +34,19 @@
 # -- arrivals --------------------------------------------------------------------------------------------
 
 
-def test_the_same_scenario_gives_the_same_arrivals_and_another_seed_others():
+def test_equal_scenarios_give_equal_arrivals_and_another_seed_gives_others():
     day = Scenario("x", length_s=5)
     assert digest(draw(day)) == digest(draw(Scenario("x", length_s=5)))
     assert digest(draw(day)) != digest(draw(dataclasses.replace(day, seed=2)))
 
 
 def test_the_arrivals_of_a_scenario_are_the_same_on_every_machine():
-    """Pinned: a change here changes what every scenario plays."""
+    """The digest is pinned: if it changes, the load of every scenario changes."""
     day = Scenario("pinned", seed=5, length_s=3, plan=(Plan("one", 5, 2.0, 5.0),))
     assert digest(draw(day)) == "cbe7c48a41d1f40b"
 
 
-def test_a_heavy_customer_asks_so_many_times_its_quota():
+def test_a_heavy_customer_requests_the_configured_multiple_of_its_quota():
     day = Scenario(
         "x", length_s=200, plan=(Plan("p", 3, 5.0, 10.0, heavy=1, use=(0.2, 0.2), full=0.0),)
     )
@@ -55,7 +55,7 @@
     assert asked[1:] == [pytest.approx(0.2, rel=0.35)] * 2
 
 
-def test_a_burst_raises_the_rate_for_its_time_only():
+def test_a_burst_raises_the_rate_only_while_it_lasts():
     plan = (Plan("p", 50, 1.0, 5.0, use=(1.0, 1.0), full=0.0),)
     day = Scenario("x", length_s=30, plan=plan, fault=(Fault(10, "burst", for_s=10, times=2.5),))
     counts = [sum(lo * S <= a.at < (lo + 10) * S for a in draw(day)) for lo in (0, 10, 20)]
@@ -63,14 +63,14 @@
     assert counts[2] / counts[0] == pytest.approx(1.0, rel=0.2)
 
 
-def test_requests_come_only_through_the_gateways_of_their_set():
+def test_requests_use_only_the_gateways_of_their_customer():
     day = Scenario("x", length_s=5, gateways=4)
     for arrival in draw(day):
         own = {(arrival.customer.first + n) % 4 for n in range(arrival.customer.spread)}
         assert {this.gateway for this in arrival.tries} <= own
 
 
-def test_a_shift_moves_customers_at_its_time():
+def test_a_shift_changes_the_gateways_that_customers_prefer():
     plan = (Plan("p", 30, 20.0, 50.0, use=(1.0, 1.0), full=0.0, spread=(3, 3)),)
     slow = scenario.Clients(shift_s=(900.0, 900.0), skew=2.0)
     day = Scenario(
@@ -88,15 +88,15 @@
     assert sum(before[n] != mid[n] for n in before) < sum(mid[n] != after[n] for n in mid)
 
 
-def test_customers_are_numbered_once_over_all_plans():
+def test_customer_numbers_are_unique_over_all_plans():
     numbers = [c.number for c in customers_of(Scenario("x"))]
     assert numbers == list(range(1, len(numbers) + 1))
 
 
-# -- the host's model ------------------------------------------------------------------------------------
+# -- the host model --------------------------------------------------------------------------------------
 
 
-def test_cores_are_shared_by_what_is_in_work():
+def test_running_jobs_share_the_cores():
     host = model()
     for n in range(4):
         assert host.arrive(0, job(str(n), 1.0), False)[0] is Took.WORKS
@@ -104,7 +104,7 @@
     assert len(host.advance(2_001 * MS)) == 4
 
 
-def test_what_finds_no_slot_waits_and_what_finds_no_queue_is_turned_away():
+def test_jobs_wait_when_the_slots_are_full_and_are_refused_when_the_queue_is_full():
     host = model()
     took = [host.arrive(0, job(str(n)), False)[0] for n in range(7)]
     assert took == [Took.WORKS] * 4 + [Took.WAITS] * 2 + [Took.TURNS_AWAY]
@@ -113,21 +113,21 @@
     assert [j.request for j in host.take_begun()] == ["4", "5"]
 
 
-def test_a_draining_host_turns_new_work_away_and_ends_what_it_has():
+def test_a_draining_host_refuses_new_jobs_and_finishes_running_ones():
     host = model()
     host.arrive(0, job("a"), False)
     assert host.arrive(0, job("b"), True)[0] is Took.TURNS_AWAY
     assert [j.request for j in host.advance(2 * S)] == ["a"]
 
 
-def test_a_cold_host_ramps_evenly():
+def test_the_capacity_of_a_cold_host_rises_linearly():
     host = model(cold=True)
     assert [host.ramp(n * S) for n in range(6)] == [0.25, 0.4375, 0.625, 0.8125, 1.0, 1.0]
     assert model().ramp(0) == 1.0
 
 
-def test_a_cold_host_falls_over_when_it_is_pushed_and_a_warm_one_does_not():
-    # 0.5 a second, times 3, over 2 s: 3 s of work.
+def test_overload_crashes_a_cold_host_but_not_a_warm_one():
+    # Limit: capacity 0.5/s x fall_multiple 3 x fall_s 2 s = 3 s of work.
     cold, warm = model(cold=True), model()
     for n in range(7):
         for host in (cold, warm):
@@ -136,14 +136,14 @@
     assert not warm.fallen
 
 
-def test_work_that_is_turned_away_pushes_too():
+def test_refused_work_counts_towards_the_overload_of_a_cold_host():
     host = model(cold=True, slots=1, queue=0)
     for n in range(8):
         host.arrive(0, job(str(n), 0.5), False)
     assert host.fallen
 
 
-def test_a_keyed_repeat_is_dropped_within_its_rack_and_window():
+def test_a_keyed_repeat_is_deduplicated_within_its_rack_and_window():
     rack = Rack()
     one, two, far = model(rack=rack), model(rack=rack), model()
     assert one.arrive(0, job("a", key="k"), False)[0] is Took.WORKS
@@ -156,7 +156,7 @@
     assert two.arrive(5 * S, job("e", key="k"), False)[0] is Took.WORKS
 
 
-def test_a_waiting_job_whose_client_left_never_runs_and_its_key_is_forgotten():
+def test_a_queued_job_whose_connection_ended_never_runs_and_its_key_is_forgotten():
     host = model(slots=1)
     host.arrive(0, job("a"), False)
     waiting = job("b", key="k")
@@ -167,7 +167,7 @@
     assert host.arrive(5 * S, job("c", key="k"), False)[0] is Took.WORKS
 
 
-def test_a_running_job_goes_on_when_its_client_leaves():
+def test_a_running_job_continues_when_its_connection_ends():
     host = model()
     running = job("a")
     host.arrive(0, running, False)
@@ -175,7 +175,7 @@
     assert host.advance(2 * S) == [running]
 
 
-def test_reports_come_late():
+def test_load_reports_are_refreshed_once_a_period():
     host = model(report_period_ms=(500.0, 500.0))
     before = host.report
     host.arrive(0, job("a", 10.0), False)
@@ -186,7 +186,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 300), st.floats(0.001, 0.5)), max_size=40), st.booleans())
-def test_all_work_that_began_ends_and_none_ends_twice(jobs, cold):
+def test_every_accepted_job_finishes_exactly_once(jobs, cold):
     host, now, done, taken = model(cold=cold, fall_multiple=1e9), 0, [], 0
     for number, (gap, work) in enumerate(jobs):
         now += gap * MS
@@ -200,7 +200,7 @@
 # -- the registry ----------------------------------------------------------------------------------------
 
 
-def test_a_watch_hears_what_came_after_its_last_answer_even_if_it_is_older():
+def test_a_watch_gets_changes_that_arrived_after_its_last_answer_even_older_versions():
     registry, agent = Registry(), Agent()
     agent.receive(registry.put(Line("a", "z", 1)))
     assert agent.whole()[0] == 1
@@ -214,7 +214,7 @@
     assert [line.host for line in agent.since(3)[2]] == ["b"]
 
 
-def test_a_gone_host_is_told_and_then_no_longer_listed():
+def test_a_deleted_host_is_reported_to_watches_and_missing_from_whole_lists():
     registry, agent = Registry(), Agent()
     agent.receive(registry.put(Line("a", "z", 1)))
     agent.whole()
@@ -230,7 +230,7 @@
     assert agent.since(99)[1] is True
 
 
-def test_a_list_that_shrinks_is_whole_and_wrong():
+def test_a_shrunk_list_is_whole_and_omits_the_hidden_hosts():
     agent = Agent()
     for number, name in enumerate("ab", 1):
         agent.receive(Change(number, Line(name, "z", 1)))
@@ -251,7 +251,7 @@
 # -- scenarios -------------------------------------------------------------------------------------------
 
 
-def test_every_scenario_of_the_repository_is_good_and_every_fault_is_played():
+def test_every_scenario_of_the_repository_loads_and_every_fault_kind_occurs():
     loaded = [scenario.load(scenario.named(name)) for name in runs.names()]
     assert len(loaded) >= 14
     played = {fault.kind for s in loaded for fault in s.fault}
@@ -284,7 +284,7 @@
         ('name = "x"\nplan = []\n', "at least one class and one plan"),
     ],
 )
-def test_a_wrong_scenario_gets_one_line(tmp_path, text, expected):
+def test_an_invalid_scenario_gives_a_one_line_error(tmp_path, text, expected):
     (tmp_path / "s.toml").write_text(text)
     with pytest.raises(toml_schema.SchemaError) as wrong:
         scenario.load(tmp_path / "s.toml")
@@ -292,12 +292,12 @@
     assert "\n" not in str(wrong.value)
 
 
-def test_an_unknown_scenario_names_those_that_there_are():
+def test_an_unknown_scenario_name_gives_an_error_that_lists_the_known_ones():
     with pytest.raises(toml_schema.SchemaError, match=r"there are: .*calm"):
         scenario.named("calmm")
 
 
-def test_the_settings_are_those_that_a_gateway_reads():
+def test_a_gateway_can_parse_the_settings_of_a_scenario():
     from saffrongw.policy.settings_schema import parse_settings
 
     day = Scenario("x")
--- a/tests/testbed/test_relay.py
+++ b/tests/testbed/test_relay.py
@@ -1,4 +1,4 @@
-"""The relays on loopback: what passes, what each fault does to it, and that nothing stays behind."""
+"""The TCP and UDP relays: forwarding, the effect of each fault, and clean-up."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Peer(asyncio.Protocol):
-    """One end: keeps what came in pieces and how it ended; echoes if told to."""
+    """One end of a connection: keeps the received pieces and the error at its end; answers with ``echo``, if set."""
 
     def __init__(self, echo: bytes | None = None) -> None:
         self.echo, self.pieces, self.ended, self.error = echo, [], False, None
@@ -35,7 +35,7 @@
 
 
 class Wire:
-    """A relay between a target that keeps its peers, and callers."""
+    """A relay in front of a target that keeps its peers."""
 
     async def open(self, echo: bytes | None = None) -> Wire:
         self.loop, self.peers = asyncio.get_running_loop(), []
@@ -55,7 +55,7 @@
 
 
 @asyncio_test
-async def test_bytes_pass_both_ways_and_an_end_passes_too():
+async def test_bytes_and_closes_are_relayed_in_both_directions():
     wire = await Wire().open(echo=b"back")
     caller = await wire.call()
     caller.transport.write(b"there")
@@ -67,7 +67,7 @@
 
 
 @asyncio_test
-async def test_the_relay_tells_when_each_byte_came():
+async def test_the_relay_records_the_arrival_time_of_each_byte():
     wire = await Wire().open()
     caller = await wire.call()
     caller.transport.write(b"ab")
@@ -83,7 +83,7 @@
 
 
 @asyncio_test
-async def test_refused_connections_are_refused_and_the_port_stays():
+async def test_the_refuse_fault_refuses_connections_and_keeps_the_port():
     wire = await Wire().open()
     caller = await wire.call()
     wire.relay.set(TcpFault("refuse"))
@@ -95,29 +95,26 @@
 
 
 @asyncio_test
-async def test_nobody_else_is_found_at_an_address_that_was_left():
-    """A host of another run took the port of one that had moved: a value that nobody had made was served."""
+async def test_a_retired_address_stays_reserved_until_the_relay_is_closed():
+    """A freed port could be taken by a host of another run, whose values were then served by gateways of this run."""
     wire = await Wire().open()
     caller = await wire.call()
     wire.relay.retire()
     await until(lambda: caller.ended)
     with pytest.raises(ConnectionRefusedError):
         await wire.call()
-    with (
-        socket.socket() as other,
-        pytest.raises(OSError),
-    ):  # as the kernel gives ports out: to one alone
+    # Without SO_REUSEPORT, a port in use cannot be bound.
+    with socket.socket() as other, pytest.raises(OSError):
         other.bind(wire.relay.address)
     wire.relay.close()
     with socket.socket() as other:
-        other.setsockopt(
-            socket.SOL_SOCKET, socket.SO_REUSEADDR, 1
-        )  # the ended connection may still rest there
+        # The closed connection may still be in TIME_WAIT.
+        other.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         other.bind(wire.relay.address)
 
 
 @asyncio_test
-async def test_silence_lets_nothing_through_and_no_connection_come_up_and_ends_in_resets():
+async def test_the_silent_fault_blocks_bytes_and_connections_and_ends_with_resets():
     wire = await Wire().open(echo=b"back")
     caller = await wire.call()
     caller.transport.write(b"x")
@@ -133,11 +130,11 @@
     again = await wire.call()
     again.transport.write(b"z")
     await until(lambda: again.got == b"back")
-    assert wire.peers[0].got == b"x"  # what was sent into the silence is lost
+    assert wire.peers[0].got == b"x"  # bytes sent during the fault are lost
 
 
 @asyncio_test
-async def test_a_request_is_cut_before_its_last_byte():
+async def test_reset_before_resets_before_the_last_byte_of_the_request():
     wire = await Wire().open(echo=b"back")
     wire.relay.set(TcpFault("reset_before"))
     caller = await wire.call()
@@ -148,7 +145,7 @@
 
 
 @asyncio_test
-async def test_an_answer_is_cut_after_the_request_came_whole():
+async def test_reset_after_resets_after_the_whole_request_and_before_the_answer():
     wire = await Wire().open(echo=b"back")
     wire.relay.set(TcpFault("reset_after"))
     caller = await wire.call()
@@ -159,7 +156,7 @@
 
 
 @asyncio_test
-async def test_bytes_travel_alone():
+async def test_the_split_fault_sends_bytes_separately():
     wire = await Wire().open()
     wire.relay.set(TcpFault("split"))
     caller = await wire.call()
@@ -169,7 +166,7 @@
 
 
 @asyncio_test
-async def test_a_slow_link_loses_and_reorders_nothing_when_it_is_fast_again():
+async def test_ending_the_throttle_fault_loses_and_reorders_no_bytes():
     wire = await Wire().open()
     wire.relay.set(TcpFault("throttle", bytes_per_s=2000))
     caller = await wire.call()
@@ -182,7 +179,7 @@
 
 
 @asyncio_test
-async def test_a_late_link_is_late():
+async def test_the_delay_fault_delays_bytes():
     wire = await Wire().open()
     wire.relay.set(TcpFault("delay", delay=0.2))
     caller = await wire.call()
@@ -193,14 +190,14 @@
 
 
 @asyncio_test
-async def test_a_relay_without_a_target_resets():
+async def test_a_relay_without_a_target_resets_connections():
     relay = TcpRelay(Clock(), lambda: None, "seed")
     _, caller = await asyncio.get_running_loop().create_connection(Peer, *relay.address)
     await until(lambda: caller.ended)
 
 
 @asyncio_test
-async def test_a_reset_is_a_reset():
+async def test_reset_ends_the_connection():
     wire = await Wire().open()
     caller = await wire.call()
     caller.transport.write(b"x")
@@ -238,7 +235,7 @@
 
 
 @asyncio_test
-async def test_datagrams_come_from_the_address_under_which_their_sender_is_known():
+async def test_a_datagram_arrives_from_the_address_under_which_its_receiver_knows_the_sender():
     net = await Net().open()
     net.send(0, 1, b"hello")
     await until(lambda: net.relay.counts["passed"] == 1)
@@ -248,7 +245,7 @@
 
 
 @asyncio_test
-async def test_one_address_reaches_all_others():
+async def test_the_shared_address_reaches_all_peers():
     net = await Net().open()
     net.send(0, None, b"all")
     await until(lambda: net.relay.counts["passed"] == 2)
@@ -257,7 +254,7 @@
 
 
 @asyncio_test
-async def test_a_cut_is_one_way_if_it_is_said_to_be():
+async def test_a_cut_of_one_direction_leaves_the_other_open():
     net = await Net().open()
     net.relay.ways[0, 1].cut = True
     net.send(0, 1, b"lost")
@@ -269,7 +266,7 @@
 
 
 @asyncio_test
-async def test_datagrams_are_lost_doubled_and_reordered_by_chance():
+async def test_datagrams_are_lost_duplicated_and_reordered_by_chance():
     net = await Net().open(loss=0.3, double=0.3, reorder=0.3, delay=(0.001, 0.003))
     for number in range(200):
         net.send(0, 1, b"%d" % number)
@@ -288,7 +285,7 @@
 
 
 @asyncio_test
-async def test_strangers_are_not_relayed_and_long_datagrams_are_counted():
+async def test_datagrams_of_unknown_senders_are_dropped_and_long_ones_counted():
     net = await Net().open()
     stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     stranger.sendto(b"x", net.relay.address(0, 1))
@@ -298,7 +295,7 @@
 
 
 @asyncio_test
-async def test_the_heartbeat_notes_that_this_process_stood_still():
+async def test_the_heartbeat_reports_that_this_process_was_blocked():
     import time
 
     noted = []
--- a/tests/testbed/test_simulation_clock.py
+++ b/tests/testbed/test_simulation_clock.py
@@ -7,7 +7,7 @@
 
 
 class Echo:
-    """Sends one message each second, and counts what comes."""
+    """Sends one message each second and counts the messages received."""
 
     def __init__(self, to: str) -> None:
         self.to, self.at, self.got = to, 0, 0
@@ -26,7 +26,7 @@
         return []
 
 
-def test_loss_doubling_and_cuts_of_a_link_change_what_arrives():
+def test_loss_duplication_and_cuts_of_a_link_change_what_arrives():
     for change, at_least, at_most in (
         ({}, 100, 100),
         ({"loss": 0.5}, 30, 70),
@@ -43,7 +43,7 @@
         assert fleet.nodes["a"].machine.got == 100
 
 
-def test_clocks_run_at_their_rates_and_a_stopped_node_receives_later():
+def test_clocks_run_at_their_rates_and_a_stopped_node_receives_its_messages_on_resuming():
     fleet = Fleet("rates")
     fleet.add("fast", lambda *_: Echo("slow"), rate=2.0)
     fleet.add("slow", lambda *_: Echo("fast"), rate=0.5)
