--- a/testbed/model/endpoint_model.py
+++ b/testbed/model/endpoint_model.py
@@ -19,12 +19,12 @@
 MAX_REMEMBERED_KEYS = 100_000  # most keys that a rack remembers; the oldest are evicted first
 
 
-class Took(Enum):
+class Acceptance(Enum):
     """What a host does with a complete command."""
 
-    WORKS = "works"
-    WAITS = "waits"
-    TURNS_AWAY = "turns away"
+    STARTED = "works"
+    QUEUED = "waits"
+    REFUSED = "turns away"
     REPEAT = "repeat"  # its key is known to the rack: it gets the answer of the first request
 
 
@@ -41,7 +41,7 @@
     started: int = 0
     finish: float = 0.0  # on the host's virtual clock
     running: bool = False
-    gone: bool = False  # its connection has ended
+    gone: bool = False  # its connection is closed
     followers: list[Job] = field(default_factory=list)  # repeats that get its answer
 
 
@@ -60,7 +60,7 @@
     def __init__(self) -> None:
         self.seen: OrderedDict[str, Seen] = OrderedDict()
 
-    def look(self, key: str, now: int, window: int) -> Seen | None:
+    def find(self, key: str, now: int, window: int) -> Seen | None:
         """Returns the entry of a key, or None once its window is over."""
         found = self.seen.get(key)
         if found and now - found.at >= window:
@@ -68,7 +68,7 @@
             return None
         return found
 
-    def note(self, key: str, now: int, job: Job) -> None:
+    def remember(self, key: str, now: int, job: Job) -> None:
         """Remembers a keyed job that was accepted."""
         self.seen[key] = Seen(now, job)
         self.seen.move_to_end(key)
@@ -80,18 +80,18 @@
     """The state of one life of one host."""
 
     def __init__(self, figures: Hosts, rack: Rack, seed: str, cold: bool, now: int) -> None:
-        self.f, self.rack, self.random = figures, rack, random.Random(seed)
+        self.figures, self.rack, self.random = figures, rack, random.Random(seed)
         self.speed = self.random.uniform(*figures.speed)
         self.born, self.cold = now, cold
         self.now = now
         self.virtual = 0.0  # seconds of work that a job running since the start has received
         self.working: list[tuple[float, int, Job]] = []
         self.waiting: deque[Job] = deque()
-        self.begun: list[Job] = []  # jobs started since the last ``take_begun``
+        self.started_jobs: list[Job] = []  # since the last ``take_started_jobs``
         self.orders = 0
         # (time, work) of the commands within the last ``fall_s``.
         self.offered_work: deque[tuple[int, float]] = deque()
-        self.fallen = False
+        self.crashed = False
         self.busy_area = 0.0
         self.period = int(self.random.uniform(*figures.report_period_ms) * 1000)
         self.reported_at, self.report = now, "util=0,latency_ms=1,inflight=0"
@@ -101,29 +101,29 @@
 
     def ramp(self, now: int) -> float:
         """The share of its full capacity that the host has reached; rises linearly from a cold start."""
-        if not self.cold or self.f.cold_s <= 0:
+        if not self.cold or self.figures.cold_s <= 0:
             return 1.0
         return min(
             1.0,
-            self.f.cold_from
-            + (1 - self.f.cold_from) * (now - self.born) / (self.f.cold_s * SECOND),
+            self.figures.cold_from
+            + (1 - self.figures.cold_from) * (now - self.born) / (self.figures.cold_s * SECOND),
         )
 
     def capacity(self, now: int) -> float:
         """Seconds of work that the host can do in a second."""
-        return self.f.cores * self.speed * self.ramp(now)
+        return self.figures.cores * self.speed * self.ramp(now)
 
     def _rate(self, now: int) -> float:
         """Seconds of work that each running job receives in a second."""
         number = len(self.working)
         if not number:
             return 0.0
-        crowd = max(0.0, number / self.f.cores - 2)
+        crowd = max(0.0, number / self.figures.cores - 2)
         return (
-            min(1.0, self.f.cores / number)
+            min(1.0, self.figures.cores / number)
             * self.speed
             * self.ramp(now)
-            / (1 + self.f.thrash * crowd)
+            / (1 + self.figures.thrash * crowd)
         )
 
     # -- time -----------------------------------------------------------------------------------------------
@@ -143,7 +143,7 @@
             until = min(now, self.due() or now)
             until = max(until, min(now, self.now + 1))
             span = (until - self.now) / SECOND
-            self.busy_area += span * min(1.0, len(self.working) / self.f.cores)
+            self.busy_area += span * min(1.0, len(self.working) / self.figures.cores)
             self.virtual += span * self._rate(self.now)
             self.now = until
             while self.working and self.working[0][0] <= self.virtual + 1e-9:
@@ -153,55 +153,57 @@
         return done
 
     def _start_waiting_jobs(self) -> None:
-        while self.waiting and len(self.working) < self.f.slots:
+        while self.waiting and len(self.working) < self.figures.slots:
             self._start_job(self.waiting.popleft())
 
     def _start_job(self, job: Job) -> None:
         job.running, job.started, job.finish = True, self.now, self.virtual + job.work
         self.orders += 1
         heapq.heappush(self.working, (job.finish, self.orders, job))
-        self.begun.append(job)
+        self.started_jobs.append(job)
 
-    def take_begun(self) -> list[Job]:
+    def take_started_jobs(self) -> list[Job]:
         """Returns the jobs started since the last call."""
-        begun, self.begun = self.begun, []
-        return begun
+        started_jobs, self.started_jobs = self.started_jobs, []
+        return started_jobs
 
     # -- commands -------------------------------------------------------------------------------------------
 
-    def arrive(self, now: int, job: Job, draining: bool) -> tuple[Took, str | None]:
-        """Handles a complete command. The second item is the value, if it repeats a job that has ended."""
+    def arrive(self, now: int, job: Job, draining: bool) -> tuple[Acceptance, str | None]:
+        """Handles a complete command. The second item is the value, if it repeats a finished job."""
         self._track_offered_work(now, job.work)
-        if job.key and (seen := self.rack.look(job.key, now, job.window)):
+        if job.key and (seen := self.rack.find(job.key, now, job.window)):
             if seen.value is not None:
-                return Took.REPEAT, seen.value
+                return Acceptance.REPEAT, seen.value
             if not seen.job.gone or seen.job.running:
                 seen.job.followers.append(job)
-                return Took.REPEAT, None
-        if draining or (len(self.working) >= self.f.slots and len(self.waiting) >= self.f.queue):
-            return Took.TURNS_AWAY, None
+                return Acceptance.REPEAT, None
+        if draining or (
+            len(self.working) >= self.figures.slots and len(self.waiting) >= self.figures.queue
+        ):
+            return Acceptance.REFUSED, None
         if job.key:
-            self.rack.note(job.key, now, job)
-        if len(self.working) < self.f.slots:
+            self.rack.remember(job.key, now, job)
+        if len(self.working) < self.figures.slots:
             self._start_job(job)
-            return Took.WORKS, None
+            return Acceptance.STARTED, None
         self.waiting.append(job)
-        return Took.WAITS, None
+        return Acceptance.QUEUED, None
 
     def cancel(self, job: Job) -> bool:
         """Handles the end of a job's connection; True if the job was still queued and was dropped."""
         job.gone = True
-        if self.f.drops_cancelled and job in self.waiting and not job.followers:
+        if self.figures.drops_cancelled and job in self.waiting and not job.followers:
             self.waiting.remove(job)
             if job.key and (seen := self.rack.seen.get(job.key)) and seen.job is job:
                 del self.rack.seen[job.key]
             return True
         return False
 
-    def ended(self, job: Job, now: int, value: str) -> None:
-        """Records the value of a finished job, which later repeats get as well."""
-        took = (now - job.started) / 1000
-        self.latency += 0.2 * (took - self.latency) if self.latency else took
+    def record_value(self, job: Job, now: int, value: str) -> None:
+        """Records the value of a finished job, which later repeats of its key get as well."""
+        latency_ms = (now - job.started) / 1000
+        self.latency += 0.2 * (latency_ms - self.latency) if self.latency else latency_ms
         if job.key and (seen := self.rack.seen.get(job.key)) and seen.job is job:
             seen.value = value
 
@@ -209,15 +211,15 @@
 
     def _track_offered_work(self, now: int, work: float) -> None:
         """Adds a command's work, refused or not, to the recent offered work; too much of it crashes a cold host."""
-        span = int(self.f.fall_s * SECOND)
+        span = int(self.figures.fall_s * SECOND)
         self.offered_work.append((now, work))
         while self.offered_work[0][0] <= now - span:
             self.offered_work.popleft()
         if not self.cold or self.ramp(now) >= 1:
             return
-        budget = self.f.fall_multiple * self.capacity(now) * self.f.fall_s
+        budget = self.figures.fall_multiple * self.capacity(now) * self.figures.fall_s
         if sum(work for _, work in self.offered_work) > budget:
-            self.fallen = True
+            self.crashed = True
 
     def _report(self, now: int) -> None:
         """Refreshes the load report once its period has passed."""
--- a/testbed/net/__init__.py
+++ b/testbed/net/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins on sockets: clients, hosts, discovery, and the network between gateways and them."""
+"""Simulated clients, hosts and discovery agents on sockets, and relays that simulate the network."""
--- a/testbed/net/clients.py
+++ b/testbed/net/clients.py
@@ -17,13 +17,13 @@
 
 
 @dataclass(slots=True, eq=False)
-class Call:
+class AttemptInFlight:
     """One attempt in flight."""
 
     arrival: Arrival
     number: int
     request: str
-    this: Try
+    attempt: Try
     command: bytes
     gateway: int
     resent: bool = False
@@ -33,9 +33,9 @@
 class _Connection(asyncio.Protocol):
     def __init__(self, clients: ClientSide, gateway: int) -> None:
         self.clients, self.gateway = clients, gateway
-        self.number = clients.next_connection()
+        self.number = clients.next_connection_number()
         self.reader = hiredis.Reader(replyError=lambda text: hiredis.ReplyError(text))
-        self.call: Call | None = None
+        self.call: AttemptInFlight | None = None
         self.used = 0
         self.partial_answer = False
         self.last = ""
@@ -44,7 +44,7 @@
     def connection_made(self, transport: asyncio.Transport) -> None:
         self.transport = transport
 
-    def begin(self, call: Call) -> None:
+    def begin(self, call: AttemptInFlight) -> None:
         """Records a request and writes it to the gateway."""
         self.call, self.partial_answer = call, False
         a, side = call.arrival, self.clients
@@ -61,7 +61,7 @@
                 a.customer.plan.name,
                 side.scenario.cls[a.cls].name,
                 1.0,
-                call.this.wait,
+                call.attempt.wait,
                 a.key,
                 a.customer.first,
                 a.customer.spread,
@@ -93,7 +93,9 @@
         elif isinstance(reply, hiredis.ReplyError) and str(reply).split(" ")[0] == "BUSY":
             words = str(reply).split(" ")
             self._record_answer(
-                "refused", now, after=int(words[1]) if len(words) == 2 and words[1].isdigit() else 0
+                "refused",
+                now,
+                retry_after_ms=int(words[1]) if len(words) == 2 and words[1].isdigit() else 0,
             )
         else:
             self._record_answer("failed", now, str(reply)[:80])
@@ -103,18 +105,18 @@
             )
             self.transport.abort()
 
-    def _record_answer(self, kind: str, now: int, value: str = "", after: int = 0) -> None:
+    def _record_answer(self, kind: str, now: int, value: str = "", retry_after_ms: int = 0) -> None:
         call, self.call = self.call, None
         self.last = call.request
         self.clients.log.add(
-            Answered(now, call.request, self.gateway, self.number, kind, value, after)
+            Answered(now, call.request, self.gateway, self.number, kind, value, retry_after_ms)
         )
         if not call.done.done():
-            call.done.set_result((kind, after))
-        self.clients.free(self)
+            call.done.set_result((kind, retry_after_ms))
+        self.clients.release(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.clients.gone(self)
+        self.clients.remove(self)
         if self.call:
             self.closed("gateway")
 
@@ -146,15 +148,15 @@
     ) -> None:
         self.scenario, self.clock, self.log, self.addresses = scenario, clock, log, addresses
         self.loop = asyncio.get_running_loop()
-        self.idle: list[list[_Connection]] = [[] for _ in addresses]
-        self.open: set[_Connection] = set()
+        self.idle_connections: list[list[_Connection]] = [[] for _ in addresses]
+        self.open_connections: set[_Connection] = set()
         self.down: set[int] = set()  # gateways that the front has detected as down
         self.numbers = self.requests = 0
         self.tasks: set[asyncio.Task] = set()
         self.counts = {"offered": 0, "served": 0, "refused": 0, "failed": 0, "tries": 0}
         self.effects = [c.effect for c in scenario.cls]
 
-    def next_connection(self) -> int:
+    def next_connection_number(self) -> int:
         """Returns the next connection number, unique over all gateways."""
         self.numbers += 1
         return self.numbers
@@ -169,17 +171,17 @@
     async def _run_request(self, arrival: Arrival) -> None:
         customer = arrival.customer
         ready, kind = arrival.at, "failed"
-        for number, this in enumerate(arrival.tries):
+        for number, attempt in enumerate(arrival.tries):
             wait = (ready - self.clock()) / 1e6
             if wait > 0:
                 await asyncio.sleep(wait)
-            kind, after = await self._run_attempt(arrival, number, this)
+            kind, retry_after_ms = await self._run_attempt(arrival, number, attempt)
             if kind in ("served", "left"):
                 break
             if number + 1 < len(arrival.tries):
                 pause = arrival.tries[number + 1].pause
-                if kind == "refused" and after and customer.heeds:
-                    pause = max(pause, after * 1000)
+                if kind == "refused" and retry_after_ms and customer.heeds:
+                    pause = max(pause, retry_after_ms * 1000)
                 ready = self.clock() + pause
         self.counts[kind if kind in self.counts else "failed"] += 1
 
@@ -193,13 +195,18 @@
                 return gateway
         return wanted
 
-    async def _run_attempt(self, arrival: Arrival, number: int, this: Try) -> tuple[str, int]:
+    async def _run_attempt(self, arrival: Arrival, number: int, attempt: Try) -> tuple[str, int]:
         self.requests += 1
         self.counts["tries"] += 1
         request = f"{arrival.intent:08x}{self.requests:08x}"
-        gateway = self._choose_gateway(arrival, this.gateway)
-        call = Call(
-            arrival, number, request, this, self._command(arrival, number, request, this), gateway
+        gateway = self._choose_gateway(arrival, attempt.gateway)
+        call = AttemptInFlight(
+            arrival,
+            number,
+            request,
+            attempt,
+            self._encode_command(arrival, number, request, attempt),
+            gateway,
         )
         while True:
             call.done = self.loop.create_future()
@@ -208,27 +215,27 @@
                 self.log.add(Unreached(self.clock(), request, gateway))
                 return "unreached", 0
             connection.begin(call)
-            kind, after = await self._wait_for_answer(connection, call, this)
+            kind, retry_after_ms = await self._wait_for_answer(connection, call, attempt)
             if kind != "crossed":
-                return kind, after
+                return kind, retry_after_ms
             call.resent = True
 
     async def _wait_for_answer(
-        self, connection: _Connection, call: Call, this: Try
+        self, connection: _Connection, call: AttemptInFlight, attempt: Try
     ) -> tuple[str, int]:
-        limit = this.leaves or this.wait + ANSWER_GRACE_US
+        limit = attempt.leaves or attempt.wait + ANSWER_GRACE_US
         try:
             async with asyncio.timeout(limit / 1e6):
                 return await call.done
         except TimeoutError:
             if connection.call is call:
-                connection.closed("left" if this.leaves else "gave_up")
+                connection.closed("left" if attempt.leaves else "gave_up")
                 connection.transport.abort()
-            return ("left" if this.leaves else "unanswered"), 0
+            return ("left" if attempt.leaves else "unanswered"), 0
 
-    def _command(self, arrival: Arrival, number: int, request: str, this: Try) -> bytes:
+    def _encode_command(self, arrival: Arrival, number: int, request: str, attempt: Try) -> bytes:
         customer, cls = arrival.customer, self.scenario.cls[arrival.cls]
-        terms = f"c={cls.name},t={customer.plan.name},d={this.wait // 1000}"
+        terms = f"c={cls.name},t={customer.plan.name},d={attempt.wait // 1000}"
         if cls.effect == "keyed":
             terms += f",k={arrival.key}"
         terms += f",units=1,spread={customer.spread},first={customer.first}" + (
@@ -245,8 +252,8 @@
         return hiredis.pack_command(tuple(words))
 
     async def _take_connection(self, gateway: int, new: bool) -> _Connection | None:
-        while self.idle[gateway] and not new:
-            connection = self.idle[gateway].pop()
+        while self.idle_connections[gateway] and not new:
+            connection = self.idle_connections[gateway].pop()
             if not connection.transport.is_closing():
                 return connection
         try:
@@ -258,19 +265,19 @@
             return None
         if connection.transport.is_closing():
             return None
-        self.open.add(connection)
+        self.open_connections.add(connection)
         return connection
 
-    def free(self, connection: _Connection) -> None:
+    def release(self, connection: _Connection) -> None:
         """Returns a connection to the idle pool."""
         if not connection.transport.is_closing():
-            self.idle[connection.gateway].append(connection)
+            self.idle_connections[connection.gateway].append(connection)
 
-    def gone(self, connection: _Connection) -> None:
+    def remove(self, connection: _Connection) -> None:
         """Removes a closed connection from the pool."""
-        self.open.discard(connection)
-        if connection in self.idle[connection.gateway]:
-            self.idle[connection.gateway].remove(connection)
+        self.open_connections.discard(connection)
+        if connection in self.idle_connections[connection.gateway]:
+            self.idle_connections[connection.gateway].remove(connection)
 
     async def finish(self, within: float) -> None:
         """Waits up to ``within`` seconds for the requests in flight."""
@@ -281,5 +288,5 @@
         """Cancels all requests and aborts all connections."""
         for task in self.tasks:
             task.cancel()
-        for connection in list(self.open):
+        for connection in list(self.open_connections):
             connection.transport.abort()
--- a/testbed/net/endpoints.py
+++ b/testbed/net/endpoints.py
@@ -11,7 +11,7 @@
 import hiredis
 
 from ..checker.record import Attempt, Effect, HostEvent, Log, Made, Turned
-from ..model.endpoint_model import HostModel, Job, Rack, Took
+from ..model.endpoint_model import Acceptance, HostModel, Job, Rack
 from ..model.scenario import Class, Scenario
 from .relay import LOCAL, Session, TcpRelay, reset, text_of
 
@@ -293,14 +293,14 @@
             )
         )
         connection.jobs[slot] = job
-        took, value = self.model.arrive(now, job, self.draining)
+        acceptance, value = self.model.arrive(now, job, self.draining)
         self._record_started_jobs()
-        if took is Took.TURNS_AWAY:
+        if acceptance is Acceptance.REFUSED:
             fleet.log.add(Turned(now, request, self.name, connection.number))
             slot.reply = b"-BUSY\r\n"
         elif value is not None:
             self._serve(slot, value)
-        if self.model.fallen:
+        if self.model.crashed:
             self.stop("fell")
             return
         self._schedule_advance()
@@ -341,7 +341,7 @@
 
     def _record_started_jobs(self) -> None:
         now = self.fleet.clock()
-        for job in self.model.take_begun():
+        for job in self.model.take_started_jobs():
             self.fleet.log.add(Effect(now, job.request, self.name, self.life, job.cls, job.key))
 
     def _advance(self) -> None:
@@ -350,7 +350,7 @@
         for job in self.model.advance(self.fleet.clock()):
             self.values += 1
             value = f"{job.request}:{self.name}:{self.life}:{self.values}"
-            self.model.ended(job, self.fleet.clock(), value)
+            self.model.record_value(job, self.fleet.clock(), value)
             for one in (job, *job.followers):
                 self._serve(one.tag, value)
         self._record_started_jobs()
--- a/testbed/net/relay.py
+++ b/testbed/net/relay.py
@@ -197,7 +197,7 @@
             self._plan(side)
 
     def half_closed(self, side: _Side) -> None:
-        """Closes the other side after one side has sent EOF; bytes already passed on are paused sent."""
+        """Closes the other side after one side has sent EOF; bytes already passed on are still sent."""
         to = self.other(side).transport
         if to is not None and not to.is_closing():
             to.close()
--- a/tests/testbed/test_models.py
+++ b/tests/testbed/test_models.py
@@ -12,7 +12,7 @@
 import toml_schema
 from testbed.model import scenario
 from testbed.model.arrivals import customers_of, digest, draw
-from testbed.model.endpoint_model import HostModel, Job, Rack, Took
+from testbed.model.endpoint_model import Acceptance, HostModel, Job, Rack
 from testbed.model.registry import Agent, Change, Line, Registry
 from testbed.model.scenario import FAULTS, Fault, Hosts, Plan, Scenario, settings_of
 from testbed.runner import runs
@@ -99,24 +99,24 @@
 def test_running_jobs_share_the_cores():
     host = model()
     for n in range(4):
-        assert host.arrive(0, job(str(n), 1.0), False)[0] is Took.WORKS
+        assert host.arrive(0, job(str(n), 1.0), False)[0] is Acceptance.STARTED
     assert host.advance(1_900 * MS) == []
     assert len(host.advance(2_001 * MS)) == 4
 
 
 def test_jobs_wait_when_the_slots_are_full_and_are_refused_when_the_queue_is_full():
     host = model()
-    took = [host.arrive(0, job(str(n)), False)[0] for n in range(7)]
-    assert took == [Took.WORKS] * 4 + [Took.WAITS] * 2 + [Took.TURNS_AWAY]
-    host.take_begun()
+    outcomes = [host.arrive(0, job(str(n)), False)[0] for n in range(7)]
+    assert outcomes == [Acceptance.STARTED] * 4 + [Acceptance.QUEUED] * 2 + [Acceptance.REFUSED]
+    host.take_started_jobs()
     host.advance(2_100 * MS)
-    assert [j.request for j in host.take_begun()] == ["4", "5"]
+    assert [j.request for j in host.take_started_jobs()] == ["4", "5"]
 
 
 def test_a_draining_host_refuses_new_jobs_and_finishes_running_ones():
     host = model()
     host.arrive(0, job("a"), False)
-    assert host.arrive(0, job("b"), True)[0] is Took.TURNS_AWAY
+    assert host.arrive(0, job("b"), True)[0] is Acceptance.REFUSED
     assert [j.request for j in host.advance(2 * S)] == ["a"]
 
 
@@ -132,28 +132,28 @@
     for n in range(7):
         for host in (cold, warm):
             host.arrive(0, job(str(n), 0.5), False)
-        assert cold.fallen is (n >= 6)
-    assert not warm.fallen
+        assert cold.crashed is (n >= 6)
+    assert not warm.crashed
 
 
 def test_refused_work_counts_towards_the_overload_of_a_cold_host():
     host = model(cold=True, slots=1, queue=0)
     for n in range(8):
         host.arrive(0, job(str(n), 0.5), False)
-    assert host.fallen
+    assert host.crashed
 
 
 def test_a_keyed_repeat_is_deduplicated_within_its_rack_and_window():
     rack = Rack()
     one, two, far = model(rack=rack), model(rack=rack), model()
-    assert one.arrive(0, job("a", key="k"), False)[0] is Took.WORKS
-    assert two.arrive(S, job("b", key="k"), False) == (Took.REPEAT, None)
-    assert far.arrive(S, job("c", key="k"), False)[0] is Took.WORKS
+    assert one.arrive(0, job("a", key="k"), False)[0] is Acceptance.STARTED
+    assert two.arrive(S, job("b", key="k"), False) == (Acceptance.REPEAT, None)
+    assert far.arrive(S, job("c", key="k"), False)[0] is Acceptance.STARTED
     (done,) = one.advance(1_100 * MS)
-    one.ended(done, 1_100 * MS, "value")
+    one.record_value(done, 1_100 * MS, "value")
     assert [f.request for f in done.followers] == ["b"]
-    assert two.arrive(5 * S - 1, job("d", key="k"), False) == (Took.REPEAT, "value")
-    assert two.arrive(5 * S, job("e", key="k"), False)[0] is Took.WORKS
+    assert two.arrive(5 * S - 1, job("d", key="k"), False) == (Acceptance.REPEAT, "value")
+    assert two.arrive(5 * S, job("e", key="k"), False)[0] is Acceptance.STARTED
 
 
 def test_a_queued_job_whose_connection_ended_never_runs_and_its_key_is_forgotten():
@@ -163,8 +163,8 @@
     host.arrive(0, waiting, False)
     assert host.cancel(waiting)
     host.advance(5 * S)
-    assert [j.request for j in host.take_begun()] == ["a"]
-    assert host.arrive(5 * S, job("c", key="k"), False)[0] is Took.WORKS
+    assert [j.request for j in host.take_started_jobs()] == ["a"]
+    assert host.arrive(5 * S, job("c", key="k"), False)[0] is Acceptance.STARTED
 
 
 def test_a_running_job_continues_when_its_connection_ends():
@@ -191,7 +191,7 @@
     for number, (gap, work) in enumerate(jobs):
         now += gap * MS
         done += host.advance(now)
-        taken += host.arrive(now, job(str(number), work), False)[0] is not Took.TURNS_AWAY
+        taken += host.arrive(now, job(str(number), work), False)[0] is not Acceptance.REFUSED
     done += host.advance(now + 600 * S)
     assert len(done) == taken == len({j.request for j in done})
     assert host.due() is None
