--- a/testbed/acme_server/model.py
+++ b/testbed/acme_server/model.py
@@ -138,7 +138,8 @@
         self.authorisations: dict[str, _Authorisation] = {}
         self.certificates: dict[str, x509.Certificate] = {}
         self.revoked: dict[str, int] = {}
-        self.proved: dict[tuple[str, str], float] = {}  # (account, name) -> end of the validation
+        # (account, name) -> time until which the name needs no new challenge.
+        self.validated: dict[tuple[str, str], float] = {}
         # Renewal windows by ARI certificate id (RFC 9773).
         self.windows: dict[str, tuple[float, float]] = {}
         self.checks: list[Check] = []  # to be made by the caller
@@ -355,7 +356,7 @@
         places = []
         for name in names:
             place = str(len(self.authorisations) + 1)
-            known = self.proved.get((account.place, name), 0) > self.clock()
+            known = self.validated.get((account.place, name), 0) > self.clock()
             status = "valid" if known else "pending"
             challenges = [
                 _Challenge(type, secrets.token_urlsafe(24), status)
@@ -462,7 +463,7 @@
         else:
             one.status = found.status = "valid"
             if self.valid_for:
-                self.proved[found.account, found.name] = self.clock() + self.valid_for
+                self.validated[found.account, found.name] = self.clock() + self.valid_for
 
     def _finalize(self, account: _Account, number: str, payload: Any) -> Reply:
         order = self.orders.get(number)
--- a/testbed/acme_server/server.py
+++ b/testbed/acme_server/server.py
@@ -29,7 +29,7 @@
         self.root = trustme.CA()
         self.http: list[tuple[str, int]] = []
         self.tls: list[tuple[str, int]] = []
-        self.turn = 0
+        self.next_index = 0
         self.delay = 0.0  # seconds before each answer
         self.hung = False  # requests are read and not answered
         self.cut = 0  # number of coming answers that are truncated
@@ -121,23 +121,23 @@
     async def _check(self, check: Check) -> None:
         try:
             async with asyncio.timeout(CHECK_TIMEOUT_S):
-                wrong = await (
+                failure = await (
                     self._check_http_01 if check.type == "http-01" else self._check_tls_alpn_01
                 )(check)
         except (OSError, TimeoutError, IndexError, ValueError) as failed:
-            wrong = f"{check.name}: {failed!r}"
-        self.authority.checked(check, wrong)
+            failure = f"{check.name}: {failed!r}"
+        self.authority.checked(check, failure)
 
     def _next_address(self, places: list[tuple[str, int]]) -> tuple[str, int]:
-        self.turn += 1
-        return places[self.turn % len(places)] if places else (LOCAL, 1)
+        self.next_index += 1
+        return places[self.next_index % len(places)] if places else (LOCAL, 1)
 
     async def _check_http_01(self, check: Check) -> str:
         """Validates an http-01 challenge (RFC 8555, section 8.3)."""
         reader, writer = await asyncio.open_connection(*self._next_address(self.http))
         try:
-            ask = f"GET /.well-known/acme-challenge/{check.token} HTTP/1.1\r\nHost: {check.name}\r\n\r\n"
-            writer.write(ask.encode())
+            request = f"GET /.well-known/acme-challenge/{check.token} HTTP/1.1\r\nHost: {check.name}\r\n\r\n"
+            writer.write(request.encode())
             head, _, body = (await reader.read(65_536)).partition(b"\r\n\r\n")
             while len(body) < len(check.authorisation) and (more := await reader.read(65_536)):
                 body += more
@@ -159,10 +159,10 @@
         place = self._next_address(self.tls)
         _, writer = await asyncio.open_connection(*place, ssl=context, server_hostname=check.name)
         try:
-            shown = writer.get_extra_info("ssl_object")
-            if shown.selected_alpn_protocol() != "acme-tls/1":
+            tls_object = writer.get_extra_info("ssl_object")
+            if tls_object.selected_alpn_protocol() != "acme-tls/1":
                 return f"{check.name}: no acme-tls/1"
-            leaf = x509.load_der_x509_certificate(shown.getpeercert(binary_form=True))
+            leaf = x509.load_der_x509_certificate(tls_object.getpeercert(binary_form=True))
             found = leaf.extensions.get_extension_for_oid(ACME_IDENTIFIER_OID)
             names = leaf.extensions.get_extension_for_class(x509.SubjectAlternativeName).value
             expected = b"\x04\x20" + hashlib.sha256(check.authorisation.encode()).digest()
--- a/testbed/ext_authz_server/server.py
+++ b/testbed/ext_authz_server/server.py
@@ -141,7 +141,7 @@
             if isinstance(event, h2.events.RequestReceived):
                 self.bodies[event.stream_id] = bytearray()
                 if dict(event.headers).get(":path") != PATH:
-                    self.server.odd += 1
+                    self.server.unexpected_paths += 1
             elif isinstance(event, h2.events.DataReceived):
                 self.http.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
                 if event.stream_id in self.bodies:
@@ -187,7 +187,7 @@
         self.asked: list[ReceivedCheck] = []
         self.counts: Counter[str] = Counter()
         self.connections: set[_Connection] = set()
-        self.connected = self.called_off = self.odd = 0
+        self.connected = self.called_off = self.unexpected_paths = 0
         self.server: asyncio.Server | None = None
         self.port = 0
         self.ssl = None
@@ -223,11 +223,11 @@
         await self.start()
 
     def _draw_mode(self) -> str:
-        lot = self.random.random()
+        draw = self.random.random()
         for mode, chance in self.behaviour.chances.items():
-            if lot < chance:
+            if draw < chance:
                 return mode
-            lot -= chance
+            draw -= chance
         return "answer"
 
     def receive_check(self, connection: _Connection, stream: int, data: bytes) -> None:
--- a/testbed/model/arrivals.py
+++ b/testbed/model/arrivals.py
@@ -50,22 +50,22 @@
 
 def customers_of(scenario: Scenario) -> list[Customer]:
     """Draws all customers from the scenario's seed."""
-    found, random_ = [], random.Random(f"{scenario.seed}:customers")
+    result, rng = [], random.Random(f"{scenario.seed}:customers")
     number = 1
     for plan in scenario.plan:
         least, most = scenario.spread(plan)
         for place in range(plan.customers):
-            spread = random_.randint(least, most)
-            use = random_.uniform(*plan.use)
+            spread = rng.randint(least, most)
+            use = rng.uniform(*plan.use)
             if place < plan.heavy:
                 use = plan.heavy_x
-            elif random_.random() < plan.full:
-                use = random_.uniform(0.85, 0.97)
-            heeds = random_.random() < scenario.clients.heed
-            first = random_.randrange(scenario.gateways)
-            found.append(Customer(number, plan, first, spread, use * plan.rate, heeds))
+            elif rng.random() < plan.full:
+                use = rng.uniform(0.85, 0.97)
+            heeds = rng.random() < scenario.clients.heed
+            first = rng.randrange(scenario.gateways)
+            result.append(Customer(number, plan, first, spread, use * plan.rate, heeds))
             number += 1
-    return found
+    return result
 
 
 class Weights:
@@ -85,63 +85,60 @@
             )
             if fault.kind == "shift" and chosen:
                 changes.append(fault.at)
-        self.starts = sorted(changes)
-        self.sums = [self._draw(clients) for _ in self.starts]
+        self.change_times = sorted(changes)
+        self.cumulative_weights = [self._draw(clients) for _ in self.change_times]
 
     def _draw(self, clients: Clients) -> list[float]:
-        parts = [self.random.lognormvariate(0, clients.skew) for _ in range(self.customer.spread)]
-        return list(itertools.accumulate(parts))
+        weights = [self.random.lognormvariate(0, clients.skew) for _ in range(self.customer.spread)]
+        return list(itertools.accumulate(weights))
 
     def gateway(self, at: float, lot: float) -> int:
         """The gateway for a request at time ``at``; ``lot`` is a random number from 0 to 1."""
-        sums = self.sums[bisect.bisect_right(self.starts, at) - 1]
-        place = min(bisect.bisect_right(sums, lot * sums[-1]), len(sums) - 1)
+        cumulative_weights = self.cumulative_weights[bisect.bisect_right(self.change_times, at) - 1]
+        place = min(
+            bisect.bisect_right(cumulative_weights, lot * cumulative_weights[-1]),
+            len(cumulative_weights) - 1,
+        )
         return (self.customer.first + place) % self.gateways
 
 
-def _times(scenario: Scenario, rate: float, random_: random.Random) -> list[float]:
+def _arrival_times(scenario: Scenario, rate: float, rng: random.Random) -> list[float]:
     """Arrival times of a Poisson process whose rate bursts raise, drawn by thinning."""
     bursts = [(f.at, f.at + f.for_s, f.times) for f in scenario.fault if f.kind == "burst"]
     most = max([1.0, *(times for _, _, times in bursts)])
-    found, at = [], 0.0
+    result, at = [], 0.0
     if rate <= 0:
-        return found
-    while (at := at + random_.expovariate(rate * most)) < scenario.length_s:
+        return result
+    while (at := at + rng.expovariate(rate * most)) < scenario.length_s:
         now = max([1.0, *(times for begin, end, times in bursts if begin <= at < end)])
-        if random_.random() * most < now:
-            found.append(at)
-    return found
+        if rng.random() * most < now:
+            result.append(at)
+    return result
 
 
 def draw(scenario: Scenario) -> list[Arrival]:
     """Draws all arrivals, in the order of their times."""
-    found: list[Arrival] = []
+    result: list[Arrival] = []
     shares = list(itertools.accumulate(c.share for c in scenario.cls))
     clients = scenario.clients
     for customer in customers_of(scenario):
-        random_ = random.Random(f"{scenario.seed}:arrivals:{customer.number}")
+        rng = random.Random(f"{scenario.seed}:arrivals:{customer.number}")
         weights = Weights(scenario, customer)
-        for at in _times(scenario, customer.rate, random_):
-            cls = min(bisect.bisect_right(shares, random_.random() * shares[-1]), len(shares) - 1)
+        for at in _arrival_times(scenario, customer.rate, rng):
+            cls = min(bisect.bisect_right(shares, rng.random() * shares[-1]), len(shares) - 1)
             deadline, tries = scenario.cls[cls].deadline_ms * 1000, []
             for number in range(clients.retries + 1):
-                pause = (
-                    random_.uniform(*clients.backoff_ms) * 1000 * 2 ** (number - 1) if number else 0
-                )
-                wait = int(deadline * random_.uniform(*clients.patience))
-                leaves = (
-                    int(wait * random_.uniform(0.02, 0.9))
-                    if random_.random() < clients.leave
-                    else 0
-                )
-                gateway = weights.gateway(at, random_.random())
+                pause = rng.uniform(*clients.backoff_ms) * 1000 * 2 ** (number - 1) if number else 0
+                wait = int(deadline * rng.uniform(*clients.patience))
+                leaves = int(wait * rng.uniform(0.02, 0.9)) if rng.random() < clients.leave else 0
+                gateway = weights.gateway(at, rng.random())
                 tries.append(Try(gateway, int(pause), wait // 1000 * 1000, leaves))
-            key = f"{random_.getrandbits(64):016x}"
-            found.append(Arrival(int(at * 1e6), 0, customer, cls, key, tuple(tries)))
-    found.sort(key=lambda arrival: (arrival.at, arrival.customer.number))
+            key = f"{rng.getrandbits(64):016x}"
+            result.append(Arrival(int(at * 1e6), 0, customer, cls, key, tuple(tries)))
+    result.sort(key=lambda arrival: (arrival.at, arrival.customer.number))
     return [
         Arrival(a.at, number, a.customer, a.cls, a.key, a.tries)
-        for number, a in enumerate(found, 1)
+        for number, a in enumerate(result, 1)
     ]
 
 
--- a/testbed/model/list_service.py
+++ b/testbed/model/list_service.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True)
-class Waiting:
+class QueuedCall:
     """A queued call."""
 
     came: float
@@ -46,8 +46,8 @@
     """The queue and its single worker."""
 
     costs: Costs = field(default_factory=Costs)
-    waiting: deque[Waiting] = field(default_factory=deque)
-    doing: tuple[float, Waiting, Said] | None = None  # end time, call, answer
+    waiting: deque[QueuedCall] = field(default_factory=deque)
+    current_call: tuple[float, QueuedCall, Said] | None = None  # end time, call, kind of answer
     down: bool = False  # no queued call is started
     refusing: bool = False  # every call is refused
     worked: float = 0.0
@@ -57,39 +57,39 @@
     def arrive(self, now: float, whole: bool, tag: Any) -> None:
         """Queues a call."""
         self.came.append(now)
-        self.waiting.append(Waiting(now, whole or not self.costs.keeps_changes, tag))
-        self._begin(now)
+        self.waiting.append(QueuedCall(now, whole or not self.costs.keeps_changes, tag))
+        self._start_next(now)
 
     def due(self) -> float | None:
         """When the call being handled ends; None: there is none."""
-        return self.doing[0] if self.doing else None
+        return self.current_call[0] if self.current_call else None
 
     def advance(self, now: float) -> list[tuple[Any, Said]]:
         """Advances to ``now`` and returns the calls that ended, with their answers."""
         done = []
-        while self.doing and self.doing[0] <= now:
-            ended, call, said = self.doing
-            self.doing = None
-            self.counts[said] += 1
-            done.append((call.tag, said))
-            self._begin(ended)
+        while self.current_call and self.current_call[0] <= now:
+            ended, call, answer = self.current_call
+            self.current_call = None
+            self.counts[answer] += 1
+            done.append((call.tag, answer))
+            self._start_next(ended)
         return done
 
     def switch(self, now: float, down: bool = False, refusing: bool = False) -> None:
         """Sets whether the service is down and whether it refuses every call."""
         self.down, self.refusing = down, refusing
-        self._begin(now)
+        self._start_next(now)
 
-    def _begin(self, now: float) -> None:
-        if self.doing or self.down or not self.waiting:
+    def _start_next(self, now: float) -> None:
+        if self.current_call or self.down or not self.waiting:
             return
         call = self.waiting.popleft()
         costs = self.costs
         if self.refusing or now - call.came > costs.patience:
-            said, cost = Said.REFUSED, costs.refusal
+            answer, cost = Said.REFUSED, costs.refusal
         elif call.whole:
-            said, cost = Said.WHOLE, costs.whole
+            answer, cost = Said.WHOLE, costs.whole
         else:
-            said, cost = Said.CHANGES, costs.changes
+            answer, cost = Said.CHANGES, costs.changes
         self.worked += cost
-        self.doing = now + cost, call, said
+        self.current_call = now + cost, call, answer
--- a/testbed/model/registry.py
+++ b/testbed/model/registry.py
@@ -73,7 +73,7 @@
         self.log: list[Change] = []
         self.dropped = 0  # changes no longer in the log
         self.seq = 0  # version of the last answer
-        self.places: dict[int, int] = {}  # version of an answer -> changes received by then
+        self.change_counts: dict[int, int] = {}  # version of an answer -> changes received by then
         self.hidden: frozenset[str] = frozenset()  # hosts that whole lists omit (a fault)
         self.shrunk = False  # the next answer to a watch is a whole list
 
@@ -88,8 +88,10 @@
             cut = len(self.log) - MAX_LOGGED_CHANGES
             del self.log[:cut]
             self.dropped += cut
-            self.places = {
-                seq: place for seq, place in self.places.items() if place >= self.dropped
+            self.change_counts = {
+                seq: change_count
+                for seq, change_count in self.change_counts.items()
+                if change_count >= self.dropped
             }
 
     @property
@@ -99,26 +101,30 @@
 
     def news(self, index: int) -> bool:
         """Whether there are changes for a watch whose last answer had version ``index``."""
-        return self.shrunk or self.places.get(index, -1) < self.count
+        return self.shrunk or self.change_counts.get(index, -1) < self.count
 
     def whole(self) -> tuple[int, bool, tuple[Line, ...]]:
         """Answers with the whole list: (version, True, lines)."""
         self.shrunk = False
         return (
-            self._told(max([self.seq, *(c.seq for c in self.log)])),
+            self._record_answered_version(max([self.seq, *(c.seq for c in self.log)])),
             True,
             tuple(line for line in self.lines.values() if line.host not in self.hidden),
         )
 
     def since(self, index: int) -> tuple[int, bool, tuple[Line, ...]]:
         """Answers with the changes received after the answer of version ``index``, only the last for each host."""
-        place = self.places.get(index)
-        if place is None or place < self.dropped or self.shrunk:
+        change_count = self.change_counts.get(index)
+        if change_count is None or change_count < self.dropped or self.shrunk:
             return self.whole()
-        changes = self.log[place - self.dropped :]
+        changes = self.log[change_count - self.dropped :]
         lines = {change.line.host: change.line for change in changes}
-        return self._told(changes[-1].seq if changes else index), False, tuple(lines.values())
+        return (
+            self._record_answered_version(changes[-1].seq if changes else index),
+            False,
+            tuple(lines.values()),
+        )
 
-    def _told(self, seq: int) -> int:
-        self.seq, self.places[seq] = seq, self.count
+    def _record_answered_version(self, seq: int) -> int:
+        self.seq, self.change_counts[seq] = seq, self.count
         return seq
--- a/testbed/net/discovery.py
+++ b/testbed/net/discovery.py
@@ -93,9 +93,9 @@
         self,
         agent: Agent,
         dial: Callable[[Line], str],
-        told: Callable[[int, bool, tuple[Line, ...]], None],
+        on_answer: Callable[[int, bool, tuple[Line, ...]], None],
     ) -> None:
-        self.agent, self.dial, self.told = agent, dial, told
+        self.agent, self.dial, self.on_answer = agent, dial, on_answer
         self.loop = asyncio.get_running_loop()
         self.open: set[_AgentConnection] = set()
         self.silent = False
@@ -122,7 +122,7 @@
         if self.silent or call.index is None:
             return
         found = self.agent.whole() if call.index < 0 else self.agent.since(call.index)
-        self.told(*found)
+        self.on_answer(*found)
         call.reply(self.body(*found))
 
     def changed(self) -> None:
--- a/testbed/net/relay.py
+++ b/testbed/net/relay.py
@@ -266,11 +266,11 @@
                 return
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             session = Session(self)
-            task = self.loop.create_task(self._take(session, sock))
+            task = self.loop.create_task(self._start_session(session, sock))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def _take(self, session: Session, sock: socket.socket) -> None:
+    async def _start_session(self, session: Session, sock: socket.socket) -> None:
         try:
             await self.loop.connect_accepted_socket(lambda: session.up, sock)
         except OSError:
@@ -362,8 +362,8 @@
         }
         self.transports: dict[tuple[int, int | None], asyncio.DatagramTransport] = {}
         self.counts = {"passed": 0, "lost": 0, "cut": 0, "doubled": 0, "long": 0}
-        self.late: list[tuple[float, int, int, int, bytes]] = []
-        self.orders = 0
+        self.pending: list[tuple[float, int, int, int, bytes]] = []
+        self.datagram_number = 0
         self.timer: asyncio.TimerHandle | None = None
 
     async def open(self) -> None:
@@ -396,27 +396,29 @@
             wait = self.random.uniform(*way.delay)
             if self.random.random() < way.reorder:
                 wait += 3 * way.delay[1]
-            self.orders += 1
-            heapq.heappush(self.late, (self.loop.time() + wait, self.orders, a, b, data))
+            self.datagram_number += 1
+            heapq.heappush(
+                self.pending, (self.loop.time() + wait, self.datagram_number, a, b, data)
+            )
         self._plan()
 
     def _plan(self) -> None:
         if self.timer:
             self.timer.cancel()
         self.timer = self.loop.call_later(
-            max(0.0, self.late[0][0] - self.loop.time()), self._deliver
+            max(0.0, self.pending[0][0] - self.loop.time()), self._deliver
         )
 
     def _deliver(self) -> None:
         self.timer = None
-        while self.late and self.late[0][0] <= self.loop.time() + 0.0005:
-            _, _, a, b, data = heapq.heappop(self.late)
+        while self.pending and self.pending[0][0] <= self.loop.time() + 0.0005:
+            _, _, a, b, data = heapq.heappop(self.pending)
             # The source address must be the one under which b knows a.
             transport = self.transports[b, a]
             if not transport.is_closing():
                 self.counts["passed"] += 1
                 transport.sendto(data, self.real[b])
-        if self.late:
+        if self.pending:
             self._plan()
 
     def close(self) -> None:
--- a/testbed/simulation/clock.py
+++ b/testbed/simulation/clock.py
@@ -100,9 +100,9 @@
 
     def at(self, when: int, do: Callable[[], None]) -> None:
         """Schedules a call at a true time."""
-        self._push(when, 0, do)
+        self._queue_event(when, 0, do)
 
-    def _push(self, when: int, kind: int, what: Any) -> None:
+    def _queue_event(self, when: int, kind: int, what: Any) -> None:
         self.event_number += 1
         heapq.heappush(self.queue, (when, self.event_number, kind, what))
 
@@ -124,7 +124,7 @@
         self.tell(f"{name} is killed")
         node.machine, node.stopped = None, False
         node.waiting.clear()
-        self._watch(node)
+        self._notify_watchers(node)
 
     def stop(self, name: str) -> None:
         """Stops a node as SIGSTOP does; its clock runs on."""
@@ -212,10 +212,10 @@
             at = max(self.now + 1, node.when(node.machine.next_at()))
             if node.wake_at != at:
                 node.wake_at = at
-                self._push(at, 2, (node, at))
-        self._watch(node)
+                self._queue_event(at, 2, (node, at))
+        self._notify_watchers(node)
 
-    def _watch(self, node: Node) -> None:
+    def _notify_watchers(self, node: Node) -> None:
         for watcher in self.watchers:
             watcher(self.now, node)
 
@@ -237,7 +237,7 @@
             if link.reorder and self.random.random() < link.reorder:
                 wait += self.random.random() * link.reorder_by
             if len(self.queue) < MAX_QUEUED_EVENTS:
-                self._push(self.now + int(wait), 1, (sender, to, message))
+                self._queue_event(self.now + int(wait), 1, (sender, to, message))
 
     # -- event log ---------------------------------------------------------------------------------------------------
 
--- a/tests/testbed/test_endpoints_over_sockets.py
+++ b/tests/testbed/test_endpoints_over_sockets.py
@@ -236,9 +236,9 @@
 
 @asyncio_test
 async def test_an_agent_answers_lists_and_watches_and_is_silent_while_silenced():
-    agent, told = Agent(), []
+    agent, answers = Agent(), []
     agent.receive(Change(1, Line("a", "z", 1)))
-    server = AgentServer(agent, lambda line: "127.0.0.1:1", lambda *given: told.append(given))
+    server = AgentServer(agent, lambda line: "127.0.0.1:1", lambda *given: answers.append(given))
     await server.listen()
     path = "/registry/instances"
     reader, writer = await fetch(server.address, path)
@@ -258,7 +258,7 @@
             await answer(quiet)
     server.silence(False)
     assert len((await answer(quiet))["hosts"]) == 2
-    assert len(told) == 4
+    assert len(answers) == 4
     server.close()
 
 
