--- a/tests/testbed/test_endpoints_over_sockets.py
+++ b/tests/testbed/test_endpoints_over_sockets.py
@@ -219,7 +219,7 @@
 TERMS = b"c=read,t=team,d=900,units=1,spread=2,first=0"
 
 
-# -- discovery agent ----------------------------------------------------------------------------------------------
+# -- discovery agent -----------------------------------------------------------------------------------------
 
 
 async def fetch(address, target: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
@@ -367,10 +367,10 @@
     assert list(log.of(Sent)) == []
 
 
-# -- the command line -------------------------------------------------------------------------------------------
+# -- command line -----------------------------------------------------------------------------------------------
 
 
-def test_a_wrong_scenario_gets_one_line_and_status_2(tmp_path, capsys):
+def test_an_invalid_scenario_gives_a_one_line_error_and_status_2(tmp_path, capsys):
     (tmp_path / "bad.toml").write_text('name = "x"\nsed = 3\n')
     assert cli.main(["check", str(tmp_path / "bad.toml")]) == 2
     said = capsys.readouterr().err
@@ -380,14 +380,14 @@
     assert cli.main(["run", str(tmp_path / "none.toml")]) == 2
 
 
-def test_scenarios_are_listed_with_what_they_are(capsys):
+def test_the_list_command_shows_scenarios_and_their_faults(capsys):
     assert cli.main(["list"]) == 0
     said = capsys.readouterr().out
     assert "one-way-partition" in said
     assert "host_freezes" in said
 
 
-def test_the_report_is_a_table_json_and_a_page_that_needs_no_network(tmp_path):
+def test_the_report_has_text_json_and_a_self_contained_page(tmp_path):
     from testbed.checker import report
     from testbed.checker.record import Began, Fault, Finished
     from testbed.checker.rules import judge
--- a/tests/testbed/test_models.py
+++ b/tests/testbed/test_models.py
@@ -197,7 +197,7 @@
     assert host.due() is None
 
 
-# -- the registry ----------------------------------------------------------------------------------------
+# -- registry --------------------------------------------------------------------------------------------
 
 
 def test_a_watch_gets_changes_that_arrived_after_its_last_answer_even_older_versions():
