--- a/testbed/checker/__init__.py
+++ b/testbed/checker/__init__.py
@@ -1,1 +1,1 @@
-"""What was seen, and what the rules say of it."""
+"""Records of a run, the rules that they are checked against, and reports of the verdict."""
--- a/testbed/checker/record.py
+++ b/testbed/checker/record.py
@@ -1,7 +1,7 @@
-"""What was seen from outside a gateway: one typed record for each thing that a client, a host, discovery, the
-network or the process table showed. The checker knows nothing else.
+"""Typed records of what clients, hosts, discovery, the network and the process table saw of the gateways in a run.
 
-All times are microseconds of the run's monotonic clock; ``Began`` says when its day began on it.
+The checker has no other input. Class and field names are stored in evidence files. All times are in microseconds of the
+run's monotonic clock; ``Began`` marks the start of the scenario on it.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Sent:
-    """A client wrote a request whole; ``conn`` numbers its connection, ``reused`` if it had carried one before."""
+    """A client has written a whole request on connection ``conn``; ``reused`` if the connection carried an earlier one."""
 
     at: int
     request: str
     intent: int
-    number: int  # which try of the intent, from 0
+    number: int  # 0 for the first try of the intent, 1 for its first retry
     gateway: int
     conn: int
     reused: bool
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """A whole answer has come: served, refused, failed."""
+    """A client received a whole answer; ``kind`` is served, refused, failed or garbled."""
 
     at: int
     request: str
@@ -50,8 +50,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Closed:
-    """A connection with a request on it ended without a whole answer; by: gateway, left (the client went away
-    early) or gave_up (its time and some grace were over)."""
+    """A connection ended with an unanswered request on it.
+
+    ``by`` is gateway, left (the client disconnected early) or gave_up (its deadline and some grace had passed).
+    """
 
     at: int
     request: str
@@ -59,23 +61,23 @@
     conn: int
     by: str
     reused: bool
-    part: bool  # some bytes of an answer had come
+    part: bool  # some bytes of an answer had arrived
 
 
 @dataclass(frozen=True, slots=True)
 class Extra:
-    """Bytes that answer nothing: what is behind the last answer of a connection."""
+    """Bytes received after the last answer on a connection, which belong to no request."""
 
     at: int
     gateway: int
     conn: int
-    request: str  # the last one answered there
+    request: str  # the last one answered on this connection
     data: str
 
 
 @dataclass(frozen=True, slots=True)
 class Unreached:
-    """A client could not connect: the gateway has taken nothing."""
+    """A client could not connect, so the gateway has received nothing."""
 
     at: int
     request: str
@@ -84,8 +86,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """A host got an attempt. ``began`` is when its first byte left the gateway's side of the network, ``at`` when
-    its last byte came there or, below 0, never came. Work in seconds of one core."""
+    """A gateway sent an attempt to a host.
+
+    ``began`` is when its first byte left the gateway's side of the network, and ``at`` when its last byte arrived at the
+    host (negative if it never did). ``work`` is in seconds of one core.
+    """
 
     began: int
     at: int
@@ -100,13 +105,13 @@
     plan: str
     units: float
     work: float
-    capacity: float  # of the host at that moment, cores at nominal speed
+    capacity: float  # of the host at that moment, in cores at nominal speed
     conn: int
 
 
 @dataclass(frozen=True, slots=True)
 class Turned:
-    """A host answered ``-BUSY``: this attempt never ran."""
+    """A host answered an attempt with ``-BUSY``, so the attempt never ran."""
 
     at: int
     request: str
@@ -116,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Effect:
-    """A host began to carry a request out."""
+    """A host began to execute a request."""
 
     at: int
     request: str
@@ -128,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Made:
-    """A host made this value for this request."""
+    """A host produced this value in answer to this request."""
 
     at: int
     request: str
@@ -138,7 +143,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Told:
-    """Discovery has written this to a gateway; hosts as (name, health, born in ms since the run began or 0)."""
+    """Discovery has written a host list or an update to a gateway.
+
+    ``hosts`` holds (name, health, start time in ms since the run began, or 0).
+    """
 
     at: int
     gateway: int
@@ -149,7 +157,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HostEvent:
-    """up, drain, down, fell, frozen, thawed, moved."""
+    """A host changed its state; ``what`` is up, drain, down, fell, frozen, thawed, moved or syntax (a malformed command)."""
 
     at: int
     host: str
@@ -160,7 +168,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayEvent:
-    """start, ready, kill, term, exit, stop, cont, hup."""
+    """A gateway's process started, was ready, got a signal (kill, term, stop, cont, hup) or ended (exit)."""
 
     at: int
     gateway: int
@@ -170,7 +178,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """A fault of the scenario began; until is 0 where it has no length."""
+    """A fault of the scenario began; ``until`` is 0 if it has no duration."""
 
     at: int
     what: str
@@ -180,7 +188,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Late:
-    """The stand-ins themselves stood still: nothing seen in this span has a time that can be trusted closer."""
+    """The testbed itself was stalled: times recorded in this span are uncertain by up to its length."""
 
     at: int
     until: int
@@ -188,7 +196,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Starved:
-    """A gateway wanted to run and the machine did not let it, for so many us within this span."""
+    """Within this span, a runnable gateway waited for a core for ``delay`` us in total."""
 
     at: int
     until: int
@@ -198,14 +206,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Began:
-    """All gateways are ready and the first arrival may come."""
+    """All gateways are ready and requests may arrive."""
 
     at: int
 
 
 @dataclass(frozen=True, slots=True)
 class Finished:
-    """The run is over: nothing after this was watched."""
+    """The run is over; later records are not judged."""
 
     at: int
 
@@ -240,35 +248,35 @@
 
 
 class Log:
-    """All records of a run, in the order in which they were seen; bounded, so that a run can't fill memory."""
+    """All records of a run in the order of observation, limited in number so that a run can't exhaust memory."""
 
-    MOST: ClassVar[int] = 2_000_000
+    MAX_RECORDS: ClassVar[int] = 2_000_000
 
     def __init__(self, records: Iterable[Record] = ()) -> None:
         self.records: list[Record] = list(records)
 
     def add(self, record: Record) -> None:
-        """Keep one more; ``MemoryError`` past the bound, which ends the run with a clear cause."""
-        if len(self.records) >= self.MOST:
-            raise MemoryError(f"a run may leave {self.MOST} records at most")
+        """Append a record; ``MemoryError`` at the limit, which ends the run with a clear cause."""
+        if len(self.records) >= self.MAX_RECORDS:
+            raise MemoryError(f"the log of a run is limited to {self.MAX_RECORDS} records")
         self.records.append(record)
 
     def of(self, kind: type[R]) -> Iterator[R]:
-        """Those of one kind."""
+        """The records of one class."""
         return (record for record in self.records if type(record) is kind)  # type: ignore[misc]
 
     @property
     def began(self) -> int:
-        """When the day began; 0 where it did not."""
+        """When the scenario began; 0 if it did not."""
         return next((record.at for record in self.of(Began)), 0)
 
     @property
     def finished(self) -> int | None:
-        """When the run was over; None where it was not."""
+        """When the run ended; None if it did not."""
         return next((record.at for record in self.of(Finished)), None)
 
     def save(self, path: Path) -> None:
-        """One JSON line a record."""
+        """Write one JSON object per line and record."""
         with path.open("w") as file:
             for record in self.records:
                 fields = {f.name: getattr(record, f.name) for f in dataclasses.fields(record)}
@@ -276,7 +284,7 @@
 
     @classmethod
     def load(cls, path: Path) -> Log:
-        """Read what ``save`` wrote; ``ValueError`` names the line that is none."""
+        """Read what ``save`` wrote; ``ValueError`` names the first line that isn't a record."""
         log = cls()
         with path.open() as file:
             for number, line in enumerate(file, 1):
--- a/testbed/checker/report.py
+++ b/testbed/checker/report.py
@@ -1,4 +1,4 @@
-"""A run's verdict as a table, as JSON, and as one HTML page that opens without a network."""
+"""A run's verdict as a text table, as JSON, and as a self-contained HTML page."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from .record import Answered, Closed, Fault, GatewayEvent, Late, Log, Sent
 from .rules import RULES, Finding, Tally, Verdict, percentiles
 
-BIN = 500_000  # us of one step of the timeline
-CURVES = 9  # customers whose use is drawn: those that asked most for their quota
+TIMELINE_STEP_US = 500_000
+MAX_USAGE_CURVES = 9  # drawn for the customers with the most requests relative to their quota
 SECOND = 1_000_000
 
 
-def _seconds(at: int, begin: int) -> str:
+def _format_seconds(at: int, begin: int) -> str:
     return f"{(at - begin) / SECOND:.3f}"
 
 
-def _rows(rows: Sequence[Sequence[object]]) -> str:
-    """Columns under each other: the first to the left, the others to the right."""
+def _align_columns(rows: Sequence[Sequence[object]]) -> str:
+    """Rows with aligned columns: the first one left-justified, the others right-justified."""
     texts = [[str(cell) for cell in row] for row in rows]
     widths = [max(len(row[i]) for row in texts) for i in range(len(texts[0]))]
     return "\n".join(
@@ -34,7 +34,7 @@
     )
 
 
-def _service(tallies: dict[str, Tally]) -> list[list[str]]:
+def _service_rows(tallies: dict[str, Tally]) -> list[list[str]]:
     rows = []
     for name, t in tallies.items():
         times = percentiles(t.latencies)
@@ -46,7 +46,7 @@
     return [[str(cell) for cell in row] for row in rows]
 
 
-HEADS = [
+SERVICE_COLUMNS = [
     "",
     "offered",
     "served",
@@ -61,7 +61,7 @@
 
 
 def one_line(scenario: Scenario, verdict: Verdict, tries: int = 1) -> str:
-    """The verdict in a line."""
+    """The verdict on one line."""
     t = verdict.totals
     rules = ", ".join(f"{rule} {count}" for rule, count in sorted(verdict.counts.items()))
     again = f" (try {tries})" if tries > 1 else ""
@@ -73,30 +73,34 @@
 
 
 def table(scenario: Scenario, log: Log, verdict: Verdict) -> str:
-    """All that a person wants to see in a terminal."""
+    """The verdict for a terminal: service, the customers furthest over their quota, and the first findings."""
     begin = log.began
     parts = [one_line(scenario, verdict), ""]
-    parts.append(_rows([HEADS, *_service(verdict.plans), *_service(verdict.classes)]))
+    parts.append(
+        _align_columns(
+            [SERVICE_COLUMNS, *_service_rows(verdict.plans), *_service_rows(verdict.classes)]
+        )
+    )
     uses = sorted(verdict.uses, key=lambda u: -(u.beyond / max(1, u.allowed_beyond)))[:5]
     rows = [["customer", "plan", "asked", "sent on", "beyond quota", "allowed", "least in ceiling"]]
     for u in uses:
         low = "" if u.ceiling_low is None else f"{u.ceiling_low:.1f}"
         rows.append([str(u.customer), u.plan, str(u.asked), f"{u.sent:.0f}", f"{u.beyond:.0f}"])
         rows[-1] += [f"{u.allowed_beyond:.1f}", low]
-    parts += ["", _rows(rows), ""]
+    parts += ["", _align_columns(rows), ""]
     parts.append(
         f"stand-ins late {verdict.late / 1000:.0f} ms, gateways waited {verdict.starved / 1000:.0f} ms for a core"
     )
     if verdict.findings:
         parts += ["", f"{sum(verdict.counts.values())} findings:"]
         for f in verdict.findings[:20]:
-            parts.append(f"  {'' if f.certain else 'UNCERTAIN '}{_line(f, begin)}")
+            parts.append(f"  {'' if f.certain else 'UNCERTAIN '}{_finding_line(f, begin)}")
         if sum(verdict.counts.values()) > 20:
             parts.append("  ...")
     return "\n".join(parts)
 
 
-def _line(f: Finding, begin: int) -> str:
+def _finding_line(f: Finding, begin: int) -> str:
     where = " ".join(
         part
         for part in (
@@ -107,7 +111,7 @@
         if part
     )
     return (
-        f"{f.rule} at {_seconds(f.at, begin)} s: {f.what}"
+        f"{f.rule} at {_format_seconds(f.at, begin)} s: {f.what}"
         + (f" ({where})" if where else "")
         + (f" - {f.evidence}" if f.evidence else "")
     )
@@ -136,12 +140,12 @@
 _W, _H, _LEFT, _TOP, _BOTTOM = 1080, 300, 46, 64, 26
 
 
-def _bins(log: Log, begin: int, end: int) -> dict[str, list[int]]:
-    number = max(1, -(-(end - begin) // BIN))
+def _count_by_step(log: Log, begin: int, end: int) -> dict[str, list[int]]:
+    number = max(1, -(-(end - begin) // TIMELINE_STEP_US))
     found = {name: [0] * number for name in _COLOURS}
 
     def count(name: str, at: int) -> None:
-        place = (at - begin) // BIN
+        place = (at - begin) // TIMELINE_STEP_US
         if 0 <= place < number:
             found[name][place] += 1
 
@@ -155,24 +159,28 @@
     return found
 
 
-def _x(at: int, begin: int, end: int, width: int, left: int) -> float:
+def _x_position(at: int, begin: int, end: int, width: int, left: int) -> float:
     return left + (width - left - 8) * (at - begin) / max(1, end - begin)
 
 
 def _timeline(log: Log, verdict: Verdict, begin: int, end: int) -> str:
-    bins = _bins(log, begin, end)
+    bins = _count_by_step(log, begin, end)
     top = max([1, *(max(values) for values in bins.values())])
     floor, span = _H - _BOTTOM, _H - _BOTTOM - _TOP
     out = [f'<svg viewBox="0 0 {_W} {_H}" role="img" aria-label="tries over time">']
     for late in log.of(Late):
-        x = _x(max(begin, late.at), begin, end, _W, _LEFT)
-        w = max(1.0, _x(late.until, begin, end, _W, _LEFT) - x)
+        x = _x_position(max(begin, late.at), begin, end, _W, _LEFT)
+        w = max(1.0, _x_position(late.until, begin, end, _W, _LEFT) - x)
         out.append(
             f'<rect x="{x:.1f}" y="{_TOP}" width="{w:.1f}" height="{span}" fill="#e9d5ff"><title>the stand-ins stood still</title></rect>'
         )
     for place, fault in enumerate(log.of(Fault)):
-        x = _x(fault.at, begin, end, _W, _LEFT)
-        w = max(2.0, _x(min(end, fault.until), begin, end, _W, _LEFT) - x) if fault.until else 2.0
+        x = _x_position(fault.at, begin, end, _W, _LEFT)
+        w = (
+            max(2.0, _x_position(min(end, fault.until), begin, end, _W, _LEFT) - x)
+            if fault.until
+            else 2.0
+        )
         label = html.escape(fault.what + (f": {fault.detail}" if fault.detail else ""))
         y = 12 + 13 * (place % 4)
         out.append(
@@ -186,42 +194,42 @@
         )
     for event in log.of(GatewayEvent):
         if event.what in ("kill", "exit", "ready", "hup", "term") and begin < event.at < end:
-            x = _x(event.at, begin, end, _W, _LEFT)
+            x = _x_position(event.at, begin, end, _W, _LEFT)
             out.append(
                 f'<circle cx="{x:.1f}" cy="{floor + 6}" r="3" fill="#334"><title>n{event.gateway} {html.escape(event.what)}</title></circle>'
             )
     for second in range(
         0, int((end - begin) / SECOND) + 1, max(1, round((end - begin) / SECOND / 12))
     ):
-        x = _x(begin + second * SECOND, begin, end, _W, _LEFT)
+        x = _x_position(begin + second * SECOND, begin, end, _W, _LEFT)
         out.append(
             f'<text x="{x:.1f}" y="{_H - 6}" font-size="11" text-anchor="middle" fill="#5b6b7c">{second} s</text>'
         )
     for part in range(5):
         y = floor - span * part / 4
         out.append(f'<line x1="{_LEFT}" x2="{_W - 8}" y1="{y:.1f}" y2="{y:.1f}" stroke="#e3e8ee"/>')
-        rate = top * part / 4 * SECOND / BIN
+        rate = top * part / 4 * SECOND / TIMELINE_STEP_US
         out.append(
             f'<text x="{_LEFT - 6}" y="{y + 4:.1f}" font-size="11" text-anchor="end" fill="#5b6b7c">{rate:.0f}/s</text>'
         )
     for name, values in bins.items():
         points = " ".join(
-            f"{_x(begin + i * BIN + BIN // 2, begin, end, _W, _LEFT):.1f},{floor - span * value / top:.1f}"
+            f"{_x_position(begin + i * TIMELINE_STEP_US + TIMELINE_STEP_US // 2, begin, end, _W, _LEFT):.1f},{floor - span * value / top:.1f}"
             for i, value in enumerate(values)
         )
         out.append(
             f'<polyline points="{points}" fill="none" stroke="{_COLOURS[name]}" stroke-width="1.8"/>'
         )
     for finding in verdict.findings[:60]:
-        x = _x(min(max(begin, finding.at), end), begin, end, _W, _LEFT)
+        x = _x_position(min(max(begin, finding.at), end), begin, end, _W, _LEFT)
         colour = "#b3261e" if finding.certain else "#8a5a00"
         out.append(
-            f'<path d="M{x:.1f} {_TOP} l5 -9 h-10 z" fill="{colour}"><title>{html.escape(_line(finding, begin))}</title></path>'
+            f'<path d="M{x:.1f} {_TOP} l5 -9 h-10 z" fill="{colour}"><title>{html.escape(_finding_line(finding, begin))}</title></path>'
         )
     return "".join(out) + "</svg>"
 
 
-def _curve(use, scenario: Scenario, begin: int, end: int) -> str:
+def _usage_curve(use, scenario: Scenario, begin: int, end: int) -> str:
     plan = next(p for p in scenario.plan if p.name == use.plan)
     width, height, left = 340, 150, 8
     length = (end - begin) / SECOND
@@ -233,7 +241,7 @@
         return height - 18 - (height - 40) * units / top
 
     def x(at: int) -> float:
-        return _x(at, begin, end, width, left)
+        return _x_position(at, begin, end, width, left)
 
     out = [
         f'<svg viewBox="0 0 {width} {height}" role="img" aria-label="use of customer {use.customer}">'
@@ -256,7 +264,7 @@
     return "".join(out) + "</svg>"
 
 
-def _table(head: Iterable[str], rows: Iterable[Sequence[str]], text_from: int = 99) -> str:
+def _html_table(head: Iterable[str], rows: Iterable[Sequence[str]], text_from: int = 99) -> str:
     out = ["<table><tr>", *(f"<th>{html.escape(name)}</th>" for name in head), "</tr>"]
     for row in rows:
         out.append("<tr>")
@@ -268,11 +276,11 @@
 
 
 def page(scenario: Scenario, log: Log, verdict: Verdict) -> str:
-    """One HTML page with everything in it."""
+    """The whole report as one HTML page."""
     begin = log.began
     end = begin + int(scenario.length_s * SECOND) if log.finished is None else log.finished
     asked = {p.name: p.burst + p.rate * scenario.length_s for p in scenario.plan}
-    uses = sorted(verdict.uses, key=lambda u: -(u.asked / asked[u.plan]))[:CURVES]
+    uses = sorted(verdict.uses, key=lambda u: -(u.asked / asked[u.plan]))[:MAX_USAGE_CURVES]
     counts = Counter(verdict.counts)
     rules = [(rule, why, str(counts.get(rule, 0))) for rule, why in RULES.items()]
     legend = "".join(
@@ -287,20 +295,22 @@
         f"for {verdict.late / 1000:.0f} ms, gateways waited {verdict.starved / 1000:.0f} ms for a core.</p>",
         f'<h2>Tries over time</h2><div class="legend">{legend}</div>{_timeline(log, verdict, begin, end)}',
         "<h2>Rules</h2>",
-        _table(("rule", "what it says", "findings"), rules, 1),
+        _html_table(("rule", "what it says", "findings"), rules, 1),
         "<h2>Service</h2>",
-        _table(HEADS, [*_service(verdict.plans), *_service(verdict.classes)]),
+        _html_table(
+            SERVICE_COLUMNS, [*_service_rows(verdict.plans), *_service_rows(verdict.classes)]
+        ),
         "<h2>Use against quota</h2>",
         '<p class="muted">Units sent on by all gateways together (blue), the quota (green), the ceiling (red).</p>',
         '<div class="grid">',
-        *(f"<div>{_curve(use, scenario, begin, end)}</div>" for use in uses),
+        *(f"<div>{_usage_curve(use, scenario, begin, end)}</div>" for use in uses),
         "</div>",
     ]
     if verdict.findings:
         rows = [
             (
                 f.rule,
-                _seconds(f.at, begin),
+                _format_seconds(f.at, begin),
                 "" if f.certain else "uncertain",
                 f.request,
                 f"n{f.gateway}" if f.gateway >= 0 else "",
@@ -311,12 +321,12 @@
             for f in verdict.findings
         ]
         head = ("rule", "s", "", "request", "gateway", "host", "what", "evidence")
-        parts += ["<h2>Findings</h2>", _table(head, rows, 2)]
+        parts += ["<h2>Findings</h2>", _html_table(head, rows, 2)]
     return "".join([*parts, "</body></html>"])
 
 
 def write(folder: Path, scenario: Scenario, log: Log, verdict: Verdict) -> Path:
-    """Report files into a folder; the page's path."""
+    """Write the report files to a folder and return the path of the HTML page."""
     (folder / "verdict.json").write_text(as_json(scenario, verdict))
     (folder / "report.txt").write_text(table(scenario, log, verdict) + "\n")
     path = folder / "report.html"
--- a/testbed/checker/rules.py
+++ b/testbed/checker/rules.py
@@ -1,10 +1,10 @@
-"""Judges a run by the five rules, quotas and service, from the records alone: nothing here knows how gateways decide.
+"""Checks a run against the rules, quotas and the expected service, using only the records of what was seen from outside.
 
-A finding says which rule, when, which request, which gateway and host, and on what evidence. Where the stand-ins or
-the machine stood still so long that the finding could be their own lateness, it is uncertain, and a run whose only
-findings are uncertain is inconclusive: it says neither that the gateway kept the rules nor that it broke them.
+A finding names the rule, the time, the request, the gateway, the host and the evidence. It is uncertain if a delay of
+the testbed or of the machine could explain it. A run with only uncertain findings is inconclusive: it shows neither
+that the gateways kept the rules nor that they broke them.
 
-All spans in microseconds.
+All times and durations are in microseconds unless a name says otherwise.
 """
 
 from __future__ import annotations
@@ -35,12 +35,15 @@
 )
 
 SECOND = 1_000_000
-ON_SOCKETS = 50_000  # us by which each limit of the rules is longer on sockets
-DRAIN_GRACE = SECOND
-AFTER_STOP = 300_000  # us after SIGCONT within which a gateway may still be catching up
-CEILING_MORE = 0.15  # seconds of the ceiling's rate by which its slack is wider on sockets
-PRESS_SHARE = 2 / 3  # of the work on a host that fell, from gateways that were told of its start
-FINDINGS_MOST = 200  # kept of one rule; the rest is counted
+SOCKET_ALLOWANCE_US = (
+    50_000  # added to each time limit of the rules, as times are measured at sockets
+)
+DRAIN_GRACE_US = SECOND
+RESUME_GRACE_US = 300_000  # after SIGCONT, a gateway may still be late with what it missed
+CEILING_EXTRA_SLACK_S = 0.15  # added to a ceiling's slack, in seconds at the ceiling's rate
+# A cold host's overload counts only if gateways that knew of its start sent at least this share of the work.
+MIN_INFORMED_WORK_SHARE = 2 / 3
+MAX_FINDINGS_PER_RULE = 200  # further findings are only counted
 RULES = {
     "answer": "exactly one final answer in time",
     "effect": "no effect twice",
@@ -57,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One thing that a gateway should not have done."""
+    """One breach of a rule."""
 
     rule: str
     at: int
@@ -71,21 +74,21 @@
 
 @dataclass(slots=True)
 class Tally:
-    """Service to one plan or class: first tries, their worth, what became of them."""
+    """Service to one plan or class. A request counts once, however often its client retried it."""
 
     offered: int = 0
     served: int = 0
     in_time: int = 0
     refused: int = 0
     failed: int = 0
-    worth_inside: float = 0.0  # of what was asked inside the quota
+    worth_inside: float = 0.0  # worth of the requests that were within the customer's quota
     worth_served: float = 0.0
     latencies: list[int] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class Use:
-    """What was sent on for one customer."""
+class CustomerUsage:
+    """Units that the gateways sent to hosts for one customer, compared with its quota and ceiling."""
 
     customer: int
     plan: str
@@ -94,8 +97,8 @@
     sent: float = 0.0
     beyond: float = 0.0
     allowed_beyond: float = 0.0
-    ceiling_low: float | None = None  # the least that its ceiling's store held
-    curve: list[tuple[int, float]] = field(default_factory=list)  # (when, units sent on by then)
+    ceiling_low: float | None = None  # lowest level of the ceiling's token bucket
+    curve: list[tuple[int, float]] = field(default_factory=list)  # (time, units sent so far)
 
 
 @dataclass(slots=True)
@@ -104,21 +107,21 @@
 
     outcome: str  # passed, broken, inconclusive
     findings: list[Finding]
-    counts: dict[str, int]  # findings by rule, those beyond the kept ones too
+    counts: dict[str, int]  # findings by rule, including those that were not kept
     service: float
     plans: dict[str, Tally]
     classes: dict[str, Tally]
-    uses: list[Use]
-    late: int  # us that the stand-ins stood still
-    starved: int  # us that gateways waited for a core
+    uses: list[CustomerUsage]
+    late: int  # us for which the testbed itself was stalled
+    starved: int  # us for which gateways waited for a core
     totals: dict[str, int]
 
     def rules(self, certain: bool = True) -> set[str]:
-        """The rules that were broken."""
+        """The rules with certain findings, or with any finding if ``certain`` is false."""
         return {f.rule for f in self.findings if f.certain or not certain}
 
     def as_json(self) -> dict[str, Any]:
-        """All but the curves, in plain types."""
+        """The verdict in plain types, without the usage curves and with percentiles in place of latencies."""
         raw = asdict(self)
         for tally in (*raw["plans"].values(), *raw["classes"].values()):
             tally["latency_ms"] = percentiles(tally.pop("latencies"))
@@ -128,7 +131,7 @@
 
 
 def percentiles(latencies: list[int]) -> dict[str, float]:
-    """p50, p90 and p99 in ms of latencies in us; nothing where there are none."""
+    """p50, p90 and p99 in ms of latencies in us; empty if there are no latencies."""
     if not latencies:
         return {}
     ordered = sorted(latencies)
@@ -140,10 +143,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Overdraft:
-    """Units sent beyond a ceiling and its slack: the first time, or the first that lateness can't explain.
+    """Units sent beyond a ceiling and its slack: the first overdraft that delays can't explain, else the first one.
 
-    The first overdraft is small, so that a machine that held up a gateway at that moment could
-    explain it. A later one is compared with the lateness of the whole run until then.
+    The first overdraft of a run is small, so a short delay of the machine can explain it. Later
+    ones are larger and are compared with all delays of the run up to that moment.
     """
 
     attempt: Attempt
@@ -152,15 +155,18 @@
     certain: bool
 
 
-class _Spans:
-    """Spans of time with an amount each, asked for what falls into another span."""
+class _DelaySpans:
+    """Time spans in which the machine delayed something, each with the length of that delay."""
 
     def __init__(self, spans: Iterable[tuple[int, int, int]]) -> None:
         self.spans = sorted(spans)
         self.ends = [until for _, until, _ in self.spans]
 
     def within(self, begin: int, end: int) -> int:
-        """The whole amount of the spans that touch this one: lateness is never shared out to its favour."""
+        """The total delay of all spans that overlap [begin, end], each counted in full.
+
+        A partial overlap counts in full because it isn't known when within the span the delay fell.
+        """
         total = 0
         for at, until, amount in self.spans[bisect.bisect_left(self.ends, begin) :]:
             if at > end:
@@ -170,42 +176,42 @@
 
 
 class Checker:
-    """One judgement of one run."""
+    """Checks the log of one run against all rules."""
 
     def __init__(self, scenario: Scenario, log: Log) -> None:
-        # What comes after the end is the stand-ins going away, not a gateway's doing.
+        # Later records show the testbed closing its connections, for which no gateway is responsible.
         end = log.finished
         if end is not None:
             log = Log(r for r in log.records if r.at <= end or isinstance(r, GatewayEvent))
-        self.s, self.log = scenario, log
+        self.scenario, self.log = scenario, log
         self.findings: list[Finding] = []
         self.counts: dict[str, int] = defaultdict(int)
         self.plans = {plan.name: plan for plan in scenario.plan}
         self.classes = {cls.name: cls for cls in scenario.cls}
         self.begin = log.began
         self.end = max((r.at for r in log.records), default=0) if end is None else end
-        self.late = _Spans((r.at, r.until, r.until - r.at) for r in log.of(Late))
+        self.late_spans = _DelaySpans((r.at, r.until, r.until - r.at) for r in log.of(Late))
         by_gateway: dict[int, list[tuple[int, int, int]]] = defaultdict(list)
         for r in log.of(Starved):
             by_gateway[r.gateway].append((r.at, r.until, r.delay))
-        self.stops = self._stops()
-        self.starved = {gateway: _Spans(spans) for gateway, spans in by_gateway.items()}
-        self.lives = self._lives()
-        self.attempts: dict[str, list[Attempt]] = defaultdict(list)
+        self.stops = self._find_stops()
+        self.starved_spans = {gateway: _DelaySpans(spans) for gateway, spans in by_gateway.items()}
+        self.lives = self._find_lives()
+        self.attempts_by_request: dict[str, list[Attempt]] = defaultdict(list)
         for attempt in log.of(Attempt):
             if attempt.at >= 0:
-                self.attempts[attempt.request].append(attempt)
-        for attempts in self.attempts.values():
+                self.attempts_by_request[attempt.request].append(attempt)
+        for attempts in self.attempts_by_request.values():
             attempts.sort(key=lambda a: a.began)
-        self.turned = {(r.request, r.host, r.conn) for r in log.of(Turned)}
-        self.sents: dict[str, list[Sent]] = defaultdict(list)
+        self.turned_away = {(r.request, r.host, r.conn) for r in log.of(Turned)}
+        self.sent_by_request: dict[str, list[Sent]] = defaultdict(list)
         for sent in log.of(Sent):
-            self.sents[sent.request].append(sent)
+            self.sent_by_request[sent.request].append(sent)
 
-    # -- what excuses -----------------------------------------------------------------------------------------
+    # -- accepted explanations: stopped, killed or delayed -----------------------------------------------------
 
-    def _stops(self) -> dict[int, list[tuple[int, int]]]:
-        """Spans in which gateways were stopped by a signal: what they miss then is not their fault."""
+    def _find_stops(self) -> dict[int, list[tuple[int, int]]]:
+        """Spans in which gateways were stopped by SIGSTOP; deadlines that they missed then are excused."""
         since: dict[int, int] = {}
         found: dict[int, list[tuple[int, int]]] = defaultdict(list)
         for r in self.log.of(GatewayEvent):
@@ -217,14 +223,15 @@
             found[gateway].append((at, self.end))
         return found
 
-    def _stood(self, gateway: int, begin: int, at: int) -> bool:
-        """Whether a gateway was stopped within a span and had no time since to make up for it."""
+    def _was_stopped(self, gateway: int, begin: int, at: int) -> bool:
+        """Whether a gateway was stopped after ``begin`` and ``at`` is within the stop or its grace after SIGCONT."""
         return any(
-            a <= at and c >= begin and at <= c + AFTER_STOP for a, c in self.stops.get(gateway, ())
+            a <= at and c >= begin and at <= c + RESUME_GRACE_US
+            for a, c in self.stops.get(gateway, ())
         )
 
-    def _lives(self) -> dict[int, list[tuple[int, int, str]]]:
-        """From start to end of each life of each gateway, and how it ended: kill, term or crash."""
+    def _find_lives(self) -> dict[int, list[tuple[int, int, str]]]:
+        """By gateway, each process as (start, end, how it ended): kill, term, crash, or runs if it never ended."""
         found: dict[int, list[tuple[int, int, str]]] = defaultdict(list)
         since: dict[int, int] = {}
         how: dict[int, str] = {}
@@ -235,7 +242,7 @@
                 ended.pop(r.gateway, None)
             elif r.what == "term":
                 how[r.gateway] = "term"
-            elif r.what == "kill":  # one that had to follow SIGTERM excuses nothing
+            elif r.what == "kill":  # after a SIGTERM that had no effect, SIGKILL excuses nothing
                 how[r.gateway] = "kill" if how.get(r.gateway) != "term" else "term"
                 ended[r.gateway] = r.at
             elif r.what == "exit" and r.gateway in since:
@@ -245,49 +252,54 @@
             found[gateway].append((at, self.end + 3600 * SECOND, "runs"))
         return found
 
-    def _killed(self, gateway: int, begin: int, end: int) -> bool:
-        """Whether a life that was there at the begin ended by SIGKILL, or crashed (its own finding), by the end."""
+    def _was_killed(self, gateway: int, begin: int, end: int) -> bool:
+        """Whether a process that ran at ``begin`` was killed or had crashed by ``end``.
+
+        A crash is reported by a finding of its own.
+        """
         return any(
             start <= begin and at <= end and how in ("kill", "crash")
             for start, at, how in self.lives.get(gateway, ())
-            if at >= begin - ON_SOCKETS
+            if at >= begin - SOCKET_ALLOWANCE_US
         )
 
-    def _excuse(self, gateway: int, begin: int, end: int) -> int:
-        """So many us within a span may be the machine's fault."""
-        starved = self.starved.get(gateway)
-        return self.late.within(begin, end) + (starved.within(begin, end) if starved else 0)
+    def _machine_delay_us(self, gateway: int, begin: int, end: int) -> int:
+        """How much delay in a span may be due to the machine: stalls of the testbed, and waits for a core."""
+        starved = self.starved_spans.get(gateway)
+        return self.late_spans.within(begin, end) + (starved.within(begin, end) if starved else 0)
 
     @staticmethod
-    def _sure(excuse: int, over: int) -> bool:
-        """Whether what is over a limit can't be the machine's lateness."""
+    def _exceeds_delay(excuse: int, over: int) -> bool:
+        """Whether a limit was exceeded by more than the machine's delay."""
         return not excuse or excuse < over
 
-    def _find(self, rule: str, at: int, what: str, certain: bool = True, **more: Any) -> None:
+    def _add_finding(
+        self, rule: str, at: int, what: str, certain: bool = True, **more: Any
+    ) -> None:
         self.counts[rule] += 1
-        if self.counts[rule] <= FINDINGS_MOST:
+        if self.counts[rule] <= MAX_FINDINGS_PER_RULE:
             self.findings.append(Finding(rule, at, what, certain=certain, **more))
 
     # -- the rules --------------------------------------------------------------------------------------------
 
     def judge(self) -> Verdict:
-        """All rules, then service."""
-        self._answers()
-        self._effects()
-        self._drains()
-        self._cold()
-        self._denials()
-        uses = self._uses()
-        self._running()
-        service, plans, classes, totals = self._service()
-        if service < self.s.expect.service:
-            late = self._excuse(-1, self.begin, self.end) + sum(
-                spans.within(self.begin, self.end) for spans in self.starved.values()
+        """Check every rule, then compute the service."""
+        self._check_answers()
+        self._check_effects()
+        self._check_drains()
+        self._check_cold_hosts()
+        self._check_denials()
+        uses = self._check_usage()
+        self._check_processes()
+        service, plans, classes, totals = self._compute_service()
+        if service < self.scenario.expect.service:
+            late = self._machine_delay_us(-1, self.begin, self.end) + sum(
+                spans.within(self.begin, self.end) for spans in self.starved_spans.values()
             )
-            self._find(
+            self._add_finding(
                 "service",
                 self.end,
-                f"service {service:.3f}, at least {self.s.expect.service:g} is expected",
+                f"service {service:.3f}, at least {self.scenario.expect.service:g} is expected",
                 late < SECOND,
                 evidence=f"the machine stood still for {late / SECOND:.2f} s in all",
             )
@@ -295,7 +307,7 @@
         outcome = "passed"
         if self.findings:
             outcome = "broken" if any(f.certain for f in self.findings) else "inconclusive"
-        late = sum(amount for _, _, amount in self.late.spans)
+        late = sum(amount for _, _, amount in self.late_spans.spans)
         starved = sum(r.delay for r in self.log.of(Starved))
         return Verdict(
             outcome,
@@ -310,23 +322,23 @@
             totals,
         )
 
-    def _answers(self) -> None:
-        """Rule 1."""
+    def _check_answers(self) -> None:
+        """The rule "answer": each request gets one final answer in time."""
         made: dict[str, dict[str, int]] = defaultdict(dict)
         for r in self.log.of(Made):
             made[r.request].setdefault(r.value, r.at)
         answers: dict[str, list[Answered]] = defaultdict(list)
         for r in self.log.of(Answered):
             answers[r.request].append(r)
-            self._answer(r, made.get(r.request, {}))
+            self._check_answer(r, made.get(r.request, {}))
         closed = {(r.request, r.conn): r for r in self.log.of(Closed)}
-        for request, sents in self.sents.items():
+        for request, sents in self.sent_by_request.items():
             for sent in sents:
                 if (end := closed.get((request, sent.conn))) is not None:
-                    self._closed(sent, end)
+                    self._check_closed(sent, end)
             if len(answers.get(request, ())) > 1:
                 second = answers[request][1]
-                self._find(
+                self._add_finding(
                     "answer",
                     second.at,
                     "more than one final answer",
@@ -334,7 +346,7 @@
                     gateway=second.gateway,
                 )
         for r in self.log.of(Extra):
-            self._find(
+            self._add_finding(
                 "answer",
                 r.at,
                 "bytes behind a final answer",
@@ -343,55 +355,64 @@
                 evidence=r.data,
             )
 
-    def _answer(self, r: Answered, made: dict[str, int]) -> None:
-        sent = next((s for s in self.sents.get(r.request, ()) if s.conn == r.conn), None)
+    def _check_answer(self, r: Answered, made: dict[str, int]) -> None:
+        sent = next((s for s in self.sent_by_request.get(r.request, ()) if s.conn == r.conn), None)
         where = {"request": r.request, "gateway": r.gateway}
         if sent is None:
-            self._find("answer", r.at, "an answer to a request that was not sent there", **where)
+            self._add_finding(
+                "answer", r.at, "an answer to a request that was not sent there", **where
+            )
             return
-        over = r.at - sent.at - sent.wait - ON_SOCKETS
-        if over > 0 and not self._stood(r.gateway, sent.at, r.at):
-            excuse = self._excuse(r.gateway, sent.at, r.at)
+        over = r.at - sent.at - sent.wait - SOCKET_ALLOWANCE_US
+        if over > 0 and not self._was_stopped(r.gateway, sent.at, r.at):
+            excuse = self._machine_delay_us(r.gateway, sent.at, r.at)
             evidence = (
                 f"sent at {sent.at}, waits {sent.wait} us; the machine may account for {excuse} us"
             )
-            what = f"answered {over + ON_SOCKETS} us after its time was up"
-            self._find("answer", r.at, what, self._sure(excuse, over), evidence=evidence, **where)
+            what = f"answered {over + SOCKET_ALLOWANCE_US} us after its time was up"
+            self._add_finding(
+                "answer", r.at, what, self._exceeds_delay(excuse, over), evidence=evidence, **where
+            )
         if r.kind == "garbled":
-            self._find("answer", r.at, "an answer that can't be read", **where)
+            self._add_finding("answer", r.at, "an answer that can't be read", **where)
         elif r.kind == "served" and made.get(r.value, r.at + 1) > r.at:
             evidence = f"served {r.value!r}; made for it: {', '.join(made) or 'nothing'}"
-            self._find(
+            self._add_finding(
                 "answer",
                 r.at,
                 "served with a value that no host made for it",
                 evidence=evidence,
                 **where,
             )
-        for attempt in self.attempts.get(r.request, ()):
-            if attempt.gateway == r.gateway and attempt.began > r.at + ON_SOCKETS:
-                over = attempt.began - r.at - ON_SOCKETS
-                self._find(
+        for attempt in self.attempts_by_request.get(r.request, ()):
+            if attempt.gateway == r.gateway and attempt.began > r.at + SOCKET_ALLOWANCE_US:
+                over = attempt.began - r.at - SOCKET_ALLOWANCE_US
+                self._add_finding(
                     "answer",
                     attempt.began,
                     f"sent on {attempt.began - r.at} us after its final answer",
-                    self._sure(self._excuse(r.gateway, r.at, attempt.began), over),
+                    self._exceeds_delay(
+                        self._machine_delay_us(r.gateway, r.at, attempt.began), over
+                    ),
                     host=attempt.host,
                     **where,
                 )
 
-    def _closed(self, sent: Sent, end: Closed) -> None:
-        """A connection that ended with a request on it."""
+    def _check_closed(self, sent: Sent, end: Closed) -> None:
+        """Check a connection that ended with an unanswered request on it."""
         where = {"request": sent.request, "gateway": sent.gateway}
         if end.by == "left":
             return
-        if self._killed(sent.gateway, sent.at, end.at + ON_SOCKETS):
-            return  # what it held when it was killed is the client's to retry
-        # Those of the same request after it was sent once more belong to that.
+        if self._was_killed(sent.gateway, sent.at, end.at + SOCKET_ALLOWANCE_US):
+            return  # clients retry the requests that a killed gateway held
+        # Attempts after the client sent the same request again belong to that later try.
         until = min(
-            [s.at for s in self.sents[sent.request] if s.at > sent.at], default=end.at + ON_SOCKETS
+            [s.at for s in self.sent_by_request[sent.request] if s.at > sent.at],
+            default=end.at + SOCKET_ALLOWANCE_US,
         )
-        began = [a for a in self.attempts.get(sent.request, ()) if sent.at <= a.began < until]
+        began = [
+            a for a in self.attempts_by_request.get(sent.request, ()) if sent.at <= a.began < until
+        ]
         evidence = f"sent at {sent.at} on connection {sent.conn}, " + (
             f"{len(began)} attempts of it came to hosts" if began else "no host saw it"
         )
@@ -400,45 +421,49 @@
                 start <= sent.at and at >= end.at
                 for start, at, _ in self.lives.get(sent.gateway, ())
             ):
-                return  # it was not there, or ended meanwhile: its connection's end is what counts
-            if self._stood(sent.gateway, sent.at, sent.at + sent.wait):
+                return  # the gateway did not run throughout: the end of its connection is checked instead
+            if self._was_stopped(sent.gateway, sent.at, sent.at + sent.wait):
                 return
-            excuse = self._excuse(sent.gateway, sent.at, end.at)
-            over = end.at - sent.at - sent.wait - ON_SOCKETS
-            self._find(
+            excuse = self._machine_delay_us(sent.gateway, sent.at, end.at)
+            over = end.at - sent.at - sent.wait - SOCKET_ALLOWANCE_US
+            self._add_finding(
                 "answer",
                 end.at,
                 "no answer",
-                self._sure(excuse, over),
+                self._exceeds_delay(excuse, over),
                 evidence=f"{evidence}; the machine may account for {excuse} us",
                 **where,
             )
         elif end.part:
-            self._find("answer", end.at, "closed within an answer", evidence=evidence, **where)
+            self._add_finding(
+                "answer", end.at, "closed within an answer", evidence=evidence, **where
+            )
         elif end.reused and not began:
-            return  # a close between requests that crossed this one: the client sends it once more
+            return  # the gateway closed an idle connection as the request was sent; the client retries
         else:
-            self._find("answer", end.at, "closed without an answer", evidence=evidence, **where)
+            self._add_finding(
+                "answer", end.at, "closed without an answer", evidence=evidence, **where
+            )
 
     def _may_have_run(self, attempt: Attempt) -> bool:
-        return (attempt.request, attempt.host, attempt.conn) not in self.turned
+        return (attempt.request, attempt.host, attempt.conn) not in self.turned_away
 
-    def _effects(self) -> None:
-        """Rule 2."""
-        for attempts in self.attempts.values():
+    def _check_effects(self) -> None:
+        """The rule "effect": requests that are not safe to repeat run at most once."""
+        for attempts in self.attempts_by_request.values():
             cls = self.classes[attempts[0].cls]
             if cls.effect == "safe":
                 continue
             for place, attempt in enumerate(attempts[1:], 1):
                 before = [a for a in attempts[:place] if self._may_have_run(a)]
                 if before:
-                    self._again(cls, before[0], attempt)
+                    self._check_repeat(cls, before[0], attempt)
         effects: dict[str, list[Effect]] = defaultdict(list)
         for r in self.log.of(Effect):
             effects[r.request].append(r)
         for request, seen in effects.items():
             if len(seen) > 1 and self.classes[seen[0].cls].effect != "safe":
-                self._find(
+                self._add_finding(
                     "effect",
                     seen[1].at,
                     f"took effect {len(seen)} times",
@@ -449,14 +474,14 @@
         for r in self.log.of(Answered):
             attempts = [
                 a
-                for a in self.attempts.get(r.request, ())
+                for a in self.attempts_by_request.get(r.request, ())
                 if self._may_have_run(a) and a.began <= r.at
             ]
             if r.kind != "refused" or not attempts:
                 continue
             cls = self.classes[attempts[0].cls]
             if cls.effect == "unsafe" or (cls.effect == "keyed" and cls.group != "all"):
-                self._find(
+                self._add_finding(
                     "effect",
                     r.at,
                     "refused, which says that trying again is harmless, though it may have run",
@@ -466,31 +491,33 @@
                     evidence=f"came whole to {attempts[0].host} at {attempts[0].at}",
                 )
 
-    def _again(self, cls: Any, before: Attempt, attempt: Attempt) -> None:
+    def _check_repeat(self, cls: Any, before: Attempt, attempt: Attempt) -> None:
         where = {"request": attempt.request, "gateway": attempt.gateway, "host": attempt.host}
         evidence = f"came whole to {before.host} (rack {before.rack}) at {before.at}, which did not turn it away"
         if cls.effect == "unsafe":
             what = "an unsafe request was sent again though it may have run"
-            self._find("effect", attempt.began, what, evidence=evidence, **where)
+            self._add_finding("effect", attempt.began, what, evidence=evidence, **where)
         elif cls.group == "cell" and attempt.rack != before.rack:
             what = f"a keyed request that may have run was sent to rack {attempt.rack}"
-            self._find("effect", attempt.began, what, evidence=evidence, **where)
+            self._add_finding("effect", attempt.began, what, evidence=evidence, **where)
         else:
-            over = attempt.began - before.began - cls.window_ms * 1000 - ON_SOCKETS
+            over = attempt.began - before.began - cls.window_ms * 1000 - SOCKET_ALLOWANCE_US
             if over >= 0:
-                what = f"a keyed request was sent again {over + ON_SOCKETS} us after the window had closed"
-                certain = self._sure(
-                    self._excuse(attempt.gateway, before.began, attempt.began), over
+                what = f"a keyed request was sent again {over + SOCKET_ALLOWANCE_US} us after the window had closed"
+                certain = self._exceeds_delay(
+                    self._machine_delay_us(attempt.gateway, before.began, attempt.began), over
+                )
+                self._add_finding(
+                    "effect", attempt.began, what, certain, evidence=evidence, **where
                 )
-                self._find("effect", attempt.began, what, certain, evidence=evidence, **where)
 
-    def _drains(self) -> None:
-        """Rule 3: by what discovery wrote to each gateway; older news than those heard undo nothing."""
-        # For each gateway and host: when it was told what, as (at, usable); None where a new life knows nothing yet.
+    def _check_drains(self) -> None:
+        """The rule "drain", by what discovery wrote to each gateway; a lower version than the last one is ignored."""
+        # By gateway and host: (time, whether the host is usable), with None when a restarted gateway knows no host.
         told: dict[tuple[int, str], list[tuple[int, bool | None]]] = defaultdict(list)
         heard: dict[int, dict[str, int]] = defaultdict(
             dict
-        )  # by gateway: host -> the version that was heard last
+        )  # by gateway: host -> latest version of its entry
         for r in self.log.records:
             if isinstance(r, GatewayEvent) and r.what == "start":
                 for host in heard.pop(r.gateway, ()):
@@ -504,7 +531,7 @@
                 if r.seq >= heard[r.gateway].get(host, -1):
                     told[r.gateway, host].append((r.at, usable))
                     heard[r.gateway][host] = r.seq
-        limit = DRAIN_GRACE + ON_SOCKETS
+        limit = DRAIN_GRACE_US + SOCKET_ALLOWANCE_US
         for attempt in self.log.of(Attempt):
             news = told.get((attempt.gateway, attempt.host), [])
             place = bisect.bisect_right(news, attempt.began, key=lambda entry: entry[0]) - 1
@@ -512,35 +539,39 @@
                 if attempt.gateway >= 0 and attempt.request:
                     what = "sent to a host that discovery had not named to it"
                     where = {"gateway": attempt.gateway, "host": attempt.host}
-                    self._find("drain", attempt.began, what, request=attempt.request, **where)
+                    self._add_finding(
+                        "drain", attempt.began, what, request=attempt.request, **where
+                    )
                 continue
             since = None
             while place >= 0 and news[place][1] is False:
                 since = news[place][0]
                 place -= 1
-            stood = since is not None and self._stood(attempt.gateway, since, attempt.began)
+            stood = since is not None and self._was_stopped(attempt.gateway, since, attempt.began)
             if since is not None and attempt.began > since + limit and not stood:
                 over = attempt.began - since - limit
-                self._find(
+                self._add_finding(
                     "drain",
                     attempt.began,
                     f"sent to a host {(attempt.began - since) / SECOND:.2f} s after hearing that it drains or is gone",
-                    self._sure(self._excuse(attempt.gateway, since, attempt.began), over),
+                    self._exceeds_delay(
+                        self._machine_delay_us(attempt.gateway, since, attempt.began), over
+                    ),
                     request=attempt.request,
                     gateway=attempt.gateway,
                     host=attempt.host,
                     evidence=f"told at {since}",
                 )
 
-    def _cold(self) -> None:
-        """Rule 4, from the work that came to each life of a host that started cold."""
-        f = self.s.hosts
+    def _check_cold_hosts(self) -> None:
+        """The rule "cold": the work that hosts got while cold, by host and process."""
+        f = self.scenario.hosts
         span = int(f.fall_s * SECOND)
         cold: dict[tuple[str, int], int] = {}
         for r in self.log.of(HostEvent):
             if r.what == "up" and "cold" in r.detail:
                 cold[r.host, r.life] = r.at
-        told: dict[str, list[tuple[int, int]]] = defaultdict(list)  # host -> (when, gateway)
+        told: dict[str, list[tuple[int, int]]] = defaultdict(list)  # host -> (time, gateway)
         for r in self.log.of(Told):
             for host, _, born in r.hosts:
                 if born:
@@ -565,10 +596,10 @@
                 window = [a for a in attempts[first:] if a.at <= attempt.at]
                 knew = {g for at, g in told[host] if at <= attempt.at}
                 theirs = sum(a.work for a in window if a.gateway in knew)
-                if theirs < PRESS_SHARE * work:
+                if theirs < MIN_INFORMED_WORK_SHARE * work:
                     continue
-                late = self.late.within(attempt.at - span, attempt.at)
-                self._find(
+                late = self.late_spans.within(attempt.at - span, attempt.at)
+                self._add_finding(
                     "cold",
                     attempt.at,
                     f"a cold host got {work:.2f} s of work in {f.fall_s:g} s, {budget:.2f} s push it over",
@@ -580,49 +611,49 @@
                 )
                 break
 
-    def _denials(self) -> None:
-        """Where an authoriser that is not reached lets nothing on, a customer that is denied gets nothing on at all."""
-        if not self.s.authoriser.count or self.s.authoriser.fail != "closed":
+    def _check_denials(self) -> None:
+        """The rule "denial": with fail-closed authorisation, no request of a denied customer reaches a host."""
+        if not self.scenario.authoriser.count or self.scenario.authoriser.fail != "closed":
             return
-        for attempts in self.attempts.values():
+        for attempts in self.attempts_by_request.values():
             first = attempts[0]
-            if drawn.denied(self.s, first.customer):
+            if drawn.denied(self.scenario, first.customer):
                 what = f"sent on for customer {first.customer}, whom the authorisers deny"
                 where = {"request": first.request, "gateway": first.gateway, "host": first.host}
-                self._find("denial", first.began, what, **where)
+                self._add_finding("denial", first.began, what, **where)
 
-    def _uses(self) -> list[Use]:
-        """Rule 5 and quotas: each request's first attempt that came whole takes its units."""
+    def _check_usage(self) -> list[CustomerUsage]:
+        """The rules "ceiling" and "quota": each request is charged once, at its first attempt that arrived whole."""
         uses = {
-            c.number: Use(
+            c.number: CustomerUsage(
                 c.number,
                 c.plan.name,
-                tuple((c.first + i) % self.s.gateways for i in range(c.spread)),
+                tuple((c.first + i) % self.scenario.gateways for i in range(c.spread)),
             )
-            for c in drawn.customers_of(self.s)
+            for c in drawn.customers_of(self.scenario)
         }
-        for sents in self.sents.values():
+        for sents in self.sent_by_request.values():
             if sents[0].customer in uses:
                 uses[sents[0].customer].asked += 1
         by_customer: dict[int, list[Attempt]] = defaultdict(list)
-        for attempts in self.attempts.values():
+        for attempts in self.attempts_by_request.values():
             by_customer[attempts[0].customer].append(min(attempts, key=lambda a: a.at))
         for number, firsts in by_customer.items():
             if number not in uses:
-                self._find(
+                self._add_finding(
                     "form",
                     firsts[0].at,
                     f"a host got a request of customer {number}, who asked nothing",
                 )
                 continue
             firsts.sort(key=lambda a: a.at)
-            self._use(uses[number], self.plans[uses[number].plan], firsts)
+            self._check_customer_usage(uses[number], self.plans[uses[number].plan], firsts)
         return list(uses.values())
 
-    def _use(self, use: Use, plan: Plan, firsts: list[Attempt]) -> None:
+    def _check_customer_usage(self, use: CustomerUsage, plan: Plan, firsts: list[Attempt]) -> None:
         store, at = plan.burst, self.begin
         top = plan.burst * plan.ceiling
-        ceiling, low = top, slack(plan) + CEILING_MORE * plan.rate * plan.ceiling
+        ceiling, low = top, slack(plan) + CEILING_EXTRA_SLACK_S * plan.rate * plan.ceiling
         lives = sum(max(0, len(self.lives.get(g, ())) - 1) for g in use.gateways)
         overdraft: Overdraft | None = None
         for attempt in firsts:
@@ -641,13 +672,13 @@
                 )
                 if ceiling < -low - 1e-9 and not (overdraft and overdraft.certain):
                     since = self.begin if overdraft else attempt.at - 5 * SECOND
-                    late = self.late.within(since, attempt.at) / SECOND
+                    late = self.late_spans.within(since, attempt.at) / SECOND
                     certain = -ceiling - low > plan.rate * plan.ceiling * late
                     if certain or not overdraft:
                         overdraft = Overdraft(attempt, -ceiling, use.sent, certain)
         if overdraft:
             attempt = overdraft.attempt
-            self._find(
+            self._add_finding(
                 "ceiling",
                 attempt.at,
                 f"customer {use.customer}: {overdraft.units:.1f} units over the ceiling, {low:.1f} are its slack",
@@ -657,13 +688,15 @@
                 evidence=f"{overdraft.sent:.0f} units were sent on in {(attempt.at - self.begin) / SECOND:.1f} s",
             )
         length = (self.end - self.begin) / SECOND
-        # Stated: a part of all that the quota holds, a burst for each life that started anew, two requests.
+        # The stated slack: a share of the quota, a burst for each restart of a gateway, and two requests.
         use.allowed_beyond = (
-            self.s.expect.quota_slack * (plan.burst + plan.rate * length) + plan.burst * lives + 2
+            self.scenario.expect.quota_slack * (plan.burst + plan.rate * length)
+            + plan.burst * lives
+            + 2
         )
         if use.beyond > use.allowed_beyond:
-            late = self.late.within(self.begin, self.end) / SECOND
-            self._find(
+            late = self.late_spans.within(self.begin, self.end) / SECOND
+            self._add_finding(
                 "quota",
                 firsts[-1].at,
                 f"customer {use.customer} on {plan.name}: {use.beyond:.0f} units beyond its quota, "
@@ -672,26 +705,28 @@
                 evidence=f"{use.sent:.0f} units sent on of {use.asked} asked, quota {plan.rate:g} a second",
             )
 
-    def _running(self) -> None:
-        told_to_end: set[int] = set()  # SIGTERM was sent, and it has not ended yet
+    def _check_processes(self) -> None:
+        terminating: set[int] = set()  # gateways that got SIGTERM and have not ended yet
         for r in self.log.of(GatewayEvent):
             if r.what == "exit" and r.detail.startswith("crashed"):
-                self._find(
+                self._add_finding(
                     "running",
                     r.at,
                     "a gateway ended by itself",
                     gateway=r.gateway,
                     evidence=r.detail,
                 )
-            elif r.what == "kill" and r.gateway in told_to_end:
-                self._find("running", r.at, "a gateway did not end on SIGTERM", gateway=r.gateway)
+            elif r.what == "kill" and r.gateway in terminating:
+                self._add_finding(
+                    "running", r.at, "a gateway did not end on SIGTERM", gateway=r.gateway
+                )
             if r.what == "term":
-                told_to_end.add(r.gateway)
+                terminating.add(r.gateway)
             elif r.what in ("exit", "start"):
-                told_to_end.discard(r.gateway)
+                terminating.discard(r.gateway)
         for r in self.log.of(HostEvent):
             if r.what == "syntax":
-                self._find(
+                self._add_finding(
                     "form",
                     r.at,
                     "a command that is not of the protocol",
@@ -701,7 +736,7 @@
 
     # -- service ----------------------------------------------------------------------------------------------
 
-    def _service(self) -> tuple[float, dict[str, Tally], dict[str, Tally], dict[str, int]]:
+    def _compute_service(self) -> tuple[float, dict[str, Tally], dict[str, Tally], dict[str, int]]:
         plans = {name: Tally() for name in self.plans}
         classes = {name: Tally() for name in self.classes}
         served: dict[int, int] = {}
@@ -715,12 +750,12 @@
             if r.kind == "served":
                 served.setdefault(intent, r.at)
         stores: dict[int, tuple[float, int]] = {}
-        for arrival in drawn.draw(self.s):
-            cls, plan = self.s.cls[arrival.cls], arrival.customer.plan
+        for arrival in drawn.draw(self.scenario):
+            cls, plan = self.scenario.cls[arrival.cls], arrival.customer.plan
             at = self.begin + arrival.at
             store, before = stores.get(arrival.customer.number, (plan.burst, self.begin))
             store = min(plan.burst, store + plan.rate * (at - before) / SECOND)
-            inside = store >= 1 and not drawn.denied(self.s, arrival.customer.number)
+            inside = store >= 1 and not drawn.denied(self.scenario, arrival.customer.number)
             stores[arrival.customer.number] = (store - inside, at)
             worth = cls.worth * plan.price
             answered = served.get(arrival.intent)
@@ -741,19 +776,19 @@
                 else:
                     tally.failed += 1
         inside = sum(t.worth_inside for t in plans.values())
-        # What is served beyond quotas makes up for nothing: no plan counts above what it asked for inside.
+        # Requests served beyond one plan's quotas must not make up for another plan's failures.
         got = sum(min(t.worth_served, t.worth_inside) for t in plans.values())
         totals = {
             "offered": sum(t.offered for t in plans.values()),
-            "tries": sum(len(s) for s in self.sents.values()),
+            "tries": sum(len(s) for s in self.sent_by_request.values()),
             "served": sum(t.served for t in plans.values()),
             "refused": sum(t.refused for t in plans.values()),
             "failed": sum(t.failed for t in plans.values()),
-            "attempts": sum(len(a) for a in self.attempts.values()),
+            "attempts": sum(len(a) for a in self.attempts_by_request.values()),
         }
         return (got / inside if inside else 1.0), plans, classes, totals
 
 
 def judge(scenario: Scenario, log: Log) -> Verdict:
-    """The verdict on a run."""
+    """Check the log of a run of a scenario."""
     return Checker(scenario, log).judge()
--- a/tests/testbed/test_checker.py
+++ b/tests/testbed/test_checker.py
@@ -22,7 +22,7 @@
     Told,
     Turned,
 )
-from testbed.checker.rules import ON_SOCKETS, judge
+from testbed.checker.rules import SOCKET_ALLOWANCE_US, judge
 from testbed.model.scenario import Hosts, Plan, Scenario, slack
 
 MS, S = 1_000, 1_000_000
@@ -95,15 +95,15 @@
 
 def test_an_answer_counts_as_late_only_past_the_sockets_allowance():
     due = S + 2 * S
-    assert Day(sent(), refused(due + ON_SOCKETS)).found() == []
-    assert Day(sent(), refused(due + ON_SOCKETS + 1)).found() == [("answer", True)]
+    assert Day(sent(), refused(due + SOCKET_ALLOWANCE_US)).found() == []
+    assert Day(sent(), refused(due + SOCKET_ALLOWANCE_US + 1)).found() == [("answer", True)]
 
 
 @pytest.mark.parametrize(
     "slow", [Late(2 * S, 2 * S + 500 * MS), Starved(2 * S, 2 * S + 500 * MS, 0, 400 * MS)]
 )
 def test_lateness_that_may_be_the_machines_is_inconclusive(slow):
-    late = refused(S + 2 * S + ON_SOCKETS + 300 * MS)
+    late = refused(S + 2 * S + SOCKET_ALLOWANCE_US + 300 * MS)
     assert Day(sent(), slow, late).judged().outcome == "inconclusive"
     assert Day(sent(), late).judged().outcome == "broken"
 
@@ -111,21 +111,24 @@
 def test_lateness_beyond_the_machines_is_the_gateways():
     slow = Late(2 * S, 2 * S + 100 * MS)
     assert (
-        Day(sent(), slow, refused(S + 2 * S + ON_SOCKETS + 300 * MS)).judged().outcome == "broken"
+        Day(sent(), slow, refused(S + 2 * S + SOCKET_ALLOWANCE_US + 300 * MS)).judged().outcome
+        == "broken"
     )
 
 
 def test_lateness_elsewhere_in_the_day_excuses_nothing():
     slow = Late(20 * S, 22 * S)
     assert (
-        Day(sent(), refused(S + 2 * S + ON_SOCKETS + 300 * MS), slow).judged().outcome == "broken"
+        Day(sent(), refused(S + 2 * S + SOCKET_ALLOWANCE_US + 300 * MS), slow).judged().outcome
+        == "broken"
     )
 
 
 def test_another_gateways_hunger_excuses_nothing():
     slow = Starved(2 * S, 3 * S, 1, S)
     assert (
-        Day(sent(), slow, refused(S + 2 * S + ON_SOCKETS + 300 * MS)).judged().outcome == "broken"
+        Day(sent(), slow, refused(S + 2 * S + SOCKET_ALLOWANCE_US + 300 * MS)).judged().outcome
+        == "broken"
     )
 
 
@@ -257,7 +260,11 @@
 
 def test_the_window_of_a_keyed_request_closes_with_the_allowance_of_the_sockets():
     window = 5 * S
-    for over, found in ((-1, []), (ON_SOCKETS - 1, []), (ON_SOCKETS, [("effect", True)])):
+    for over, found in (
+        (-1, []),
+        (SOCKET_ALLOWANCE_US - 1, []),
+        (SOCKET_ALLOWANCE_US, [("effect", True)]),
+    ):
         again = attempt(S + MS + window + over, cls=KEYED, conn=8)
         assert Day(sent(cls=KEYED, wait=9 * S), attempt(cls=KEYED), again).found() == found
 
@@ -285,8 +292,8 @@
 def test_the_second_of_grace_has_its_edge(state):
     day = [told(S, state), sent()]
     assert Day(*day, attempt(S)).found() == []  # heard at the same instant as the send
-    assert Day(*day, attempt(2 * S + ON_SOCKETS)).found() == []
-    assert Day(*day, attempt(2 * S + ON_SOCKETS + 1)).found() == [("drain", True)]
+    assert Day(*day, attempt(2 * S + SOCKET_ALLOWANCE_US)).found() == []
+    assert Day(*day, attempt(2 * S + SOCKET_ALLOWANCE_US + 1)).found() == [("drain", True)]
 
 
 def test_a_send_counts_from_its_first_byte():
@@ -325,7 +332,7 @@
 
 def test_lateness_of_the_stand_ins_makes_a_drain_uncertain():
     late = Late(2 * S, 2 * S + 600 * MS)
-    assert Day(told(S), late, sent(), attempt(2 * S + ON_SOCKETS + 500 * MS)).found() == [
+    assert Day(told(S), late, sent(), attempt(2 * S + SOCKET_ALLOWANCE_US + 500 * MS)).found() == [
         ("drain", False)
     ]
 
