--- a/testbed/__init__.py
+++ b/testbed/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for all that is outside a gateway, faults to inject, and a checker of the five rules."""
+"""Simulates everything that a gateway talks to, injects faults, and checks the gateway's behaviour from outside."""
--- a/testbed/__main__.py
+++ b/testbed/__main__.py
@@ -1,6 +1,6 @@
-"""The command line of the stand-ins: ``python -m testbed run|demo|list|check|judge``.
+"""The command line of the testbed: ``python -m testbed run|demo|list|check|judge|leases``.
 
-Exit status: 0 passed, 1 a rule was broken, 2 input that can't be used, 3 inconclusive.
+Exit status: 0 passed, 1 a rule was broken, 2 invalid input or no verdict, 3 inconclusive.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 from .runner import runs
 from .runner.world import World
 
-FOLDER = Path("found") / "runs"
-BAR = 28
+RUNS_FOLDER = Path("found") / "runs"
+BAR_WIDTH = 28
 
 
 class Progress:
-    """A line that is drawn anew on a terminal, or now and then where there is none."""
+    """Shows progress: one line that is redrawn on a terminal, or a new line every few seconds elsewhere."""
 
     def __init__(self, stream=sys.stderr) -> None:
         self.stream, self.drawn, self.live = stream, 0.0, stream.isatty()
@@ -48,7 +48,7 @@
             None,
         )
         line = (
-            f"[{'#' * round(BAR * done):<{BAR}}] {min(gone, length):5.1f}/{length:g} s  "
+            f"[{'#' * round(BAR_WIDTH * done):<{BAR_WIDTH}}] {min(gone, length):5.1f}/{length:g} s  "
             f"gateways {up}/{len(world.gateways)}  "
             f"hosts {hosts}  offered {counts['offered']}  served {counts['served']}  refused {counts['refused']}  "
             f"failed {counts['failed']}" + (f"  << {fault.kind}" if fault else "")
@@ -57,12 +57,12 @@
         self.stream.flush()
 
     def end(self) -> None:
-        """Leave the line."""
+        """Erase the progress line from a terminal."""
         if self.live:
             self.stream.write("\r\x1b[K")
 
 
-def _play(name: str, folder: Path, quiet: bool, line: str | None) -> int:
+def _run_scenario(name: str, folder: Path, quiet: bool, line: str | None) -> int:
     chosen = scenario.load(scenario.named(name))
     progress = None if quiet else Progress()
     if not quiet:
@@ -79,7 +79,7 @@
     return runs.STATUS[done.verdict.outcome]
 
 
-def _many(names: Sequence[str], jobs: int, folder: Path) -> int:
+def _run_scenarios(names: Sequence[str], jobs: int, folder: Path) -> int:
     began, worst, counts = time.monotonic(), 0, {"passed": 0, "failed": 0}
     for number, (name, status, seconds, line) in enumerate(runs.many(names, jobs, folder), 1):
         print(
@@ -94,7 +94,7 @@
     return worst
 
 
-def _list() -> int:
+def _list_scenarios() -> int:
     for name in sorted(runs.names()):
         found = scenario.load(scenario.named(name))
         print(f"{name:<18} {found.length_s:>4g} s  {found.about}")
@@ -104,7 +104,7 @@
     return 0
 
 
-def _check(files: Sequence[str]) -> int:
+def _check_scenarios(files: Sequence[str]) -> int:
     for name in files:
         found = scenario.load(scenario.named(name))
         arrivals = draw(found)
@@ -115,7 +115,7 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """The command line."""
+    """Run the command line and return its exit status."""
     parser = argparse.ArgumentParser("testbed", description="A world for gateways to fail in.")
     commands = parser.add_subparsers(dest="command", required=True)
     run = commands.add_parser("run", help="play scenarios, by name or file, and judge them")
@@ -127,11 +127,11 @@
         "--folder",
         type=Path,
         default=None,
-        help=f"for reports and evidence (default {FOLDER}/NAME)",
+        help=f"for reports and evidence (default {RUNS_FOLDER}/NAME)",
     )
     run.add_argument("--run", default=None, metavar="LINE", help="start gateways by this line")
     demo = commands.add_parser("demo", help="30 s of a fleet with a gateway killed and a host lost")
-    demo.add_argument("--folder", type=Path, default=FOLDER / "demo")
+    demo.add_argument("--folder", type=Path, default=RUNS_FOLDER / "demo")
     commands.add_parser("list", help="the scenarios and faults that there are")
     check = commands.add_parser("check", help="validate scenario files")
     check.add_argument("names", nargs="+", metavar="FILE")
@@ -143,7 +143,7 @@
     )
     leases.add_argument("--seeds", type=int, nargs=2, default=(0, 7), metavar=("FIRST", "LAST"))
     leases.add_argument("--jobs", type=int, default=3)
-    leases.add_argument("--folder", type=Path, default=FOLDER / "leases")
+    leases.add_argument("--folder", type=Path, default=RUNS_FOLDER / "leases")
     leases.add_argument("--run", default=None, metavar="LINE", help="start gateways by this line")
     given = parser.parse_args(argv)
     try:
@@ -159,11 +159,11 @@
                 lambda line: print(line, flush=True),
             )
         if given.command == "list":
-            return _list()
+            return _list_scenarios()
         if given.command == "check":
-            return _check(given.names)
+            return _check_scenarios(given.names)
         if given.command == "demo":
-            return _play("demo", given.folder, False, None)
+            return _run_scenario("demo", given.folder, False, None)
         if given.command == "judge":
             chosen = scenario.load(scenario.named(given.name))
             verdict = runs.rejudge(chosen, given.evidence)
@@ -173,8 +173,10 @@
         if not names or given.jobs < 1:
             parser.error("name scenarios or say --all; --jobs is 1 at least")
         if len(names) > 1:
-            return _many(names, given.jobs, given.folder or FOLDER)
-        return _play(names[0], given.folder or FOLDER / Path(names[0]).stem, given.quiet, given.run)
+            return _run_scenarios(names, given.jobs, given.folder or RUNS_FOLDER)
+        return _run_scenario(
+            names[0], given.folder or RUNS_FOLDER / Path(names[0]).stem, given.quiet, given.run
+        )
     except toml_schema.SchemaError as wrong:
         print(f"testbed: {wrong}", file=sys.stderr)
     except (OSError, ValueError, RuntimeError) as wrong:
--- a/testbed/checker/lease_rules.py
+++ b/testbed/checker/lease_rules.py
@@ -1,9 +1,11 @@
-"""The rule *one holder*, judged from outside: what gateways stated when they were asked, what a receiver was called
-for, and what was done to the processes, all by the machine's one clock. Nothing here knows how leases are granted.
+"""Checks the lease rules, above all *one holder*: at most one gateway holds a lease at a time.
 
-A gateway that says at two moments that it holds a lease under one number holds it in between. One that has given
-nothing back between two statements held what it stated first to the end that it stated, whether it ran or stood
-still. Where two such spans of two gateways overlap there were two holders. All times in us.
+The input is what gateways stated when they were polled, which calls a task receiver got, and which faults were injected
+into the processes, all timed by one clock. The implementation of leases is not used.
+
+If a gateway states at two moments that it holds a lease under the same fencing token, it held the lease in between. If
+it gave back no lease between two statements, it held the leases of the first one until their stated expiry, whether its
+process ran or was stopped. Two gateways whose spans overlap held the lease at once. All times are in us.
 """
 
 from __future__ import annotations
@@ -13,26 +15,30 @@
 from dataclasses import dataclass, field
 from itertools import pairwise
 
-SECOND = 1_000_000
-GRACE = 150_000  # between the last look at a token and the moment at which its call is read here
-STALL = 1_500_000  # after a process stood still, what it began before it may still come
+SECOND_US = 1_000_000
+CALL_GRACE_US = (
+    150_000  # from a gateway's last check of its token until the receiver has read the call
+)
+RESUMED_CALL_GRACE_US = (
+    1_500_000  # calls that began before a process stopped may arrive this long after it resumes
+)
 
 
 @dataclass(frozen=True, slots=True)
 class Stated:
-    """A gateway's answer: asked and answered when, which leases it holds (name, number, us left)."""
+    """A gateway's statement of the leases that it holds, each as (name, fencing token, us until its expiry)."""
 
     asked: int
     answered: int
     gateway: str
     life: str
     held: tuple[tuple[str, int, int], ...]
-    given: int = 0  # how many it has given back by then
+    given: int = 0  # how many leases it has given back so far
 
 
 @dataclass(frozen=True, slots=True)
 class Still:
-    """A gateway's process did not run: stopped by a signal, or kept from a core."""
+    """A gateway's process did not run: it was stopped by a signal, or waited for a core."""
 
     gateway: str
     begin: int
@@ -41,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Calling:
-    """A call as the receiver saw it."""
+    """A task's call as the receiver got it."""
 
     at: int
     task: str
@@ -53,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """Surely held."""
+    """A span in which a gateway certainly held a lease."""
 
     lease: str
     gateway: str
@@ -65,21 +71,21 @@
 
 @dataclass(slots=True)
 class Seen:
-    """All that was seen of one run."""
+    """All observations of one run."""
 
     stated: list[Stated] = field(default_factory=list)
     still: list[Still] = field(default_factory=list)
     calls: list[Calling] = field(default_factory=list)
     lease_of: dict[str, str] = field(default_factory=dict)  # task -> lease
-    faults: list[tuple[int, int, str]] = field(default_factory=list)  # begin, end, words
-    late: list[tuple[int, int]] = field(default_factory=list)  # this side stood still
+    faults: list[tuple[int, int, str]] = field(default_factory=list)  # begin, end, description
+    late: list[tuple[int, int]] = field(default_factory=list)  # spans in which the testbed stalled
     quiet_from: int = 0
     finished: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One breach, with the faults that were on."""
+    """One breach of a rule, with the faults that were active or had just ended."""
 
     rule: str
     at: int
@@ -89,24 +95,22 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """What came of one run, with counts of what was tried."""
+    """The findings of one run, and counts of what was observed."""
 
     findings: list[Finding]
     spans: int
     tenures: int
     calls: int
-    older_arrived: (
-        int  # calls with an older number that came after a newer one: refused, or a breach
-    )
+    older_arrived: int  # calls with an older token that arrived after a newer one was accepted; accepting one is a breach
     repeated: int
 
     def rules(self) -> set[str]:
-        """Those that were broken."""
+        """The rules with findings."""
         return {one.rule for one in self.findings}
 
 
 def surely_held(seen: Seen) -> list[Span]:
-    """Spans in which a gateway held a lease, whatever happened in between."""
+    """Spans in which a gateway certainly held a lease, derived from pairs of successive statements."""
     by_life: dict[tuple[str, str], list[Stated]] = defaultdict(list)
     for one in seen.stated:
         by_life[one.gateway, one.life].append(one)
@@ -130,11 +134,11 @@
 
 
 def overlaps(spans: Iterable[Span]) -> list[tuple[Span, Span]]:
-    """Pairs of one lease and two lives that overlap; the first one of each two lives."""
+    """Overlapping spans of one lease in two processes; only the first overlap of any two processes."""
     by_lease: dict[str, list[Span]] = defaultdict(list)
     for span in spans:
         by_lease[span.lease].append(span)
-    found, told = [], set()
+    found, reported = [], set()
     for some in by_lease.values():
         some.sort(key=lambda span: span.begin)
         running: list[Span] = []
@@ -142,26 +146,26 @@
             running = [one for one in running if one.end > span.begin]
             for one in running:
                 pair = (one.lease, one.gateway, one.life, span.gateway, span.life)
-                if (one.gateway, one.life) != (span.gateway, span.life) and pair not in told:
-                    told.add(pair)
+                if (one.gateway, one.life) != (span.gateway, span.life) and pair not in reported:
+                    reported.add(pair)
                     found.append((one, span))
             running.append(span)
     return found
 
 
 def judge(seen: Seen) -> Verdict:
-    """All rules."""
+    """Check all rules."""
     spans = surely_held(seen)
     findings: list[Finding] = []
 
-    def tell(rule: str, at: int, what: str) -> None:
+    def add_finding(rule: str, at: int, what: str) -> None:
         during = "; ".join(
-            words for begin, end, words in seen.faults if begin <= at <= end + 2 * SECOND
+            words for begin, end, words in seen.faults if begin <= at <= end + 2 * SECOND_US
         )
         findings.append(Finding(rule, at, what, during))
 
     for a, b in overlaps(spans):
-        tell(
+        add_finding(
             "one holder",
             b.begin,
             f"{a.lease}: {a.gateway} under {a.number} until {a.end}, and {b.gateway} under {b.number} from {b.begin}",
@@ -177,18 +181,18 @@
     for lease, some in tenures.items():
         some.sort()
         for before, after in pairwise(some):
-            if after[1] <= before[1] and after[0] - before[0] > SECOND:
-                tell(
+            if after[1] <= before[1] and after[0] - before[0] > SECOND_US:
+                add_finding(
                     "numbers",
                     after[0],
                     f"{lease}: {after[2]} under {after[1]} after {before[2]} under {before[1]}",
                 )
-    older = _calls(seen, tenures, tell)
+    older = _check_calls(seen, tenures, add_finding)
     turns = defaultdict(int)
     for call in seen.calls:
         if call.accepted:
             turns[call.task, call.turn] += 1
-    _service(seen, tell)
+    _check_service(seen, add_finding)
     return Verdict(
         findings,
         len(spans),
@@ -199,14 +203,14 @@
     )
 
 
-def _calls(seen: Seen, tenures: dict[str, list[tuple[int, int, str]]], tell) -> int:
+def _check_calls(seen: Seen, tenures: dict[str, list[tuple[int, int, str]]], add_finding) -> int:
     highest: dict[str, int] = {}
     older = 0
     for call in sorted(seen.calls, key=lambda call: call.at):
         if call.number < highest.get(call.task, 0):
             older += 1
             if call.accepted:
-                tell(
+                add_finding(
                     "older number",
                     call.at,
                     f"{call.task}: {call.number} of {call.holder} was accepted after a newer",
@@ -217,15 +221,18 @@
         newer = [
             one
             for one in tenures.get(lease, ())
-            if one[1] > call.number and one[0] < call.at - GRACE
+            if one[1] > call.number and one[0] < call.at - CALL_GRACE_US
         ]
         name = call.holder.partition("/")[0]
-        excused = any(s.gateway == name and s.begin <= call.at <= s.end + STALL for s in seen.still)
+        excused = any(
+            s.gateway == name and s.begin <= call.at <= s.end + RESUMED_CALL_GRACE_US
+            for s in seen.still
+        )
         excused = excused or any(
-            begin - GRACE <= call.at <= end + GRACE for begin, end in seen.late
+            begin - CALL_GRACE_US <= call.at <= end + CALL_GRACE_US for begin, end in seen.late
         )
         if newer and not excused:
-            tell(
+            add_finding(
                 "call outside",
                 call.at,
                 f"{call.task}: called by {name} under {call.number}; {newer[0][2]} had {lease} under {newer[0][1]}",
@@ -233,15 +240,17 @@
     return older
 
 
-def _service(seen: Seen, tell) -> None:
-    """At the end of a quiet span each task's lease is held again."""
+def _check_service(seen: Seen, add_finding) -> None:
+    """Check that each task's lease is held again at the end of a span without faults."""
     if not seen.finished:
         return
     held = {
         lease
         for one in seen.stated
-        if one.answered > seen.finished - SECOND
+        if one.answered > seen.finished - SECOND_US
         for lease, _, _ in one.held
     }
     for lease in sorted(set(seen.lease_of.values()) - held):
-        tell("service", seen.finished, f"{lease}: nobody holds it, long after the last fault")
+        add_finding(
+            "service", seen.finished, f"{lease}: nobody holds it, long after the last fault"
+        )
--- a/testbed/runner/__init__.py
+++ b/testbed/runner/__init__.py
@@ -1,1 +1,1 @@
-"""A run: real gateways as processes in a world of stand-ins."""
+"""Runs scenarios: real gateways as processes among simulated clients, hosts, discovery and networks."""
--- a/testbed/runner/lease_runs.py
+++ b/testbed/runner/lease_runs.py
@@ -1,4 +1,4 @@
-"""Many lease days, several at once, each in a process of its own; a table of what was tried and found."""
+"""Runs many lease scenarios in parallel processes and prints their findings and totals."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from ..model.lease_day import drawn
 from .lease_world import play
 
-TRIES = 2  # of a run whose gateways could not start, as a port was taken
+MAX_TRIES = 2  # of a run whose gateways could not start because a port was in use
 
 
 def one(
     seed: int, folder: Path, line: str | None
 ) -> tuple[int, tuple[str, ...], Verdict, list[str], dict[str, int]]:
-    """One day: its kinds of faults, the verdict, gateways that crashed, what the relay did."""
+    """Run one scenario: its seed, kinds of faults, verdict, crashes, and counts of datagrams at the relay."""
     day = drawn(seed)
     lines = dict.fromkeys(range(day.gateways), line) if line else None
-    for number in range(1, TRIES + 1):
+    for number in range(1, MAX_TRIES + 1):
         try:
             verdict, world = uvloop.run(play(day, folder / str(seed), lines))
             break
         except RuntimeError as wrong:
-            if "ddress already in use" not in str(wrong) or number == TRIES:
+            if "ddress already in use" not in str(wrong) or number == MAX_TRIES:
                 raise
     return seed, tuple(f.kind for f in day.faults), verdict, world.crashes(), world.relay.counts
 
@@ -36,7 +36,7 @@
 def many(
     seeds: range, jobs: int, folder: Path, line: str | None, say: Callable[[str], None]
 ) -> int:
-    """All of them; 1 where one has a finding or a crash."""
+    """Run the scenarios of all seeds; 1 if any has a finding or a crash, else 0."""
     began, totals, kinds, bad = time.monotonic(), Counter(), Counter(), 0
     with ProcessPoolExecutor(jobs) as pool:
         for future in as_completed([pool.submit(one, seed, folder, line) for seed in seeds]):
--- a/testbed/runner/lease_world.py
+++ b/testbed/runner/lease_world.py
@@ -1,5 +1,8 @@
-"""A run of a lease day: real gateways by the ``run`` line with an operator file, each pair's channel through a relay,
-a receiver for their tasks, and a look at what each gateway states."""
+"""Runs a lease scenario with real gateways and checks the lease rules.
+
+Every pair of gateways communicates through a relay that can inject faults, a receiver gets the calls of their tasks,
+and each gateway is polled for the leases that it states to hold.
+"""
 
 from __future__ import annotations
 
@@ -22,13 +25,13 @@
 from ..task_receiver.server import Manner, Receiver
 from .processes import GatewayProcess, free_port, run_line, watch
 
-LOOK = 0.08  # seconds between two questions to one gateway
-STARVED = 100_000  # us of waiting for a core within one look that excuse a late call
-QUIET = Way((0.0002, 0.002))
+POLL_INTERVAL_S = 0.08
+EXCUSING_CPU_WAIT_US = 100_000  # a wait for a core that excuses a late call
+WITHOUT_FAULTS = Way((0.0002, 0.002))
 
 
 class LeaseWorld:
-    """All parts of one run."""
+    """All parts of one run: gateways, relay, task receiver and observations."""
 
     def __init__(
         self, day: LeaseDay, folder: Path, lines: dict[int, str] | None = None, fences: bool = True
@@ -44,7 +47,7 @@
         self.admins = [(LOCAL, free_port()) for _ in range(day.gateways)]
         self.locks = [asyncio.Lock() for _ in range(day.gateways)]
         self.receiver = Receiver(self.clock, f"{day.seed}:receiver", fences)
-        self.relay = UdpRelay(self.channels, f"{day.seed}:channel", QUIET)
+        self.relay = UdpRelay(self.channels, f"{day.seed}:channel", WITHOUT_FAULTS)
         self.seen = Seen()
         self.tasks: list[asyncio.Task] = []
         self.begin = 0
@@ -52,7 +55,7 @@
     # -- the start ----------------------------------------------------------------------------------------------------
 
     async def open(self) -> None:
-        """Start all, and wait until every gateway answers."""
+        """Start all parts and wait until every gateway answers."""
         self.folder.mkdir(parents=True, exist_ok=True)
         key = self.folder / "key"
         key.write_text(secrets.token_hex(32))
@@ -64,7 +67,7 @@
         await asyncio.gather(*(gateway.start(lambda: None) for gateway in self.gateways))
 
     def operator_text(self, number: int) -> str:
-        """The operator file of one gateway: it knows each voter under the relay's address."""
+        """The operator file of one gateway, with the relay's address for each voter."""
         day = self.day
         lines = [
             f'[channel]\nname = "n{number}"\nlisten = "{text_of(self.channels[number])}"',
@@ -106,14 +109,14 @@
             }
         )
 
-    # -- the day ------------------------------------------------------------------------------------------------------
+    # -- the run ------------------------------------------------------------------------------------------------------
 
     async def run(self) -> Seen:
-        """Play the day."""
+        """Run the scenario and return what was observed."""
         await self.open()
-        heart = Heartbeat(self.clock, lambda at, until: self.log.add(Late(at, until)))
+        heartbeat = Heartbeat(self.clock, lambda at, until: self.log.add(Late(at, until)))
         loop = asyncio.get_running_loop()
-        self.tasks += [loop.create_task(heart.run()), loop.create_task(watch(self.gateways))]
+        self.tasks += [loop.create_task(heartbeat.run()), loop.create_task(watch(self.gateways))]
         self.tasks += [loop.create_task(self._ask(number)) for number in range(self.day.gateways)]
         self.begin = self.clock()
         faults = [loop.create_task(self._fault(fault)) for fault in self.day.faults]
@@ -126,7 +129,7 @@
         return self.seen
 
     def _gather(self) -> None:
-        """What the log and the receiver have, in the judge's words."""
+        """Convert the log and the receiver's calls to the checker's observations."""
         seen = self.seen
         seen.finished = self.clock() if self.day.settles else 0
         seen.calls = [
@@ -140,15 +143,15 @@
             elif one.what in ("cont", "kill") and one.gateway in stopped:
                 seen.still.append(Still(f"n{one.gateway}", stopped.pop(one.gateway), one.at))
         for one in self.log.of(Starved):
-            if one.delay >= STARVED:
+            if one.delay >= EXCUSING_CPU_WAIT_US:
                 seen.still.append(Still(f"n{one.gateway}", one.at, one.until))
         seen.still.sort(key=lambda one: one.begin)
         seen.late = [(one.at, one.until) for one in self.log.of(Late)]
 
     async def _ask(self, number: int) -> None:
-        """Ask a gateway again and again what it holds."""
+        """Poll a gateway for the leases that it holds."""
         while True:
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(POLL_INTERVAL_S)
             if self.gateways[number].ready:
                 asked = self.clock()
                 try:
@@ -169,11 +172,11 @@
                     self.seen.lease_of[task["task"]] = task["lease"]
 
     async def state(self, number: int) -> dict:
-        """What a gateway says of itself right now."""
+        """A gateway's current lease state, from its admin API."""
         return json.loads(await self.call(number, "GET", "/admin/leases"))
 
     async def call(self, number: int, method: str, path: str, body: bytes = b"") -> bytes:
-        """One call at a gateway's operators' address."""
+        """The body of the answer to one request to a gateway's admin API."""
         reader, writer = await asyncio.open_connection(*self.admins[number])
         try:
             writer.write(
@@ -185,11 +188,13 @@
             writer.close()
         head, _, text = answer.partition(b"\r\n\r\n")
         if not head:
-            raise ValueError("no answer")
+            raise ValueError(
+                f"gateway n{number} closed the connection without an answer to {method} {path}"
+            )
         return text
 
     async def holder(self, task: str = "task0", within: float = 20.0) -> int:
-        """Which gateway holds the lease of a task, by its own word a moment ago."""
+        """Wait for a gateway that has just stated to hold the lease of a task, and return its number."""
         async with asyncio.timeout(within):
             while True:
                 lease = self.seen.lease_of.get(task)
@@ -241,37 +246,41 @@
 
         await asyncio.gather(*map(one, fault.whom))
 
-    async def _ways(self, fault: LeaseFault, ways: list[tuple[int, int]], **changes) -> None:
-        # Faults may overlap: each takes back only what it changed itself, to the quiet way.
+    async def _change_links(
+        self, fault: LeaseFault, ways: list[tuple[int, int]], **changes
+    ) -> None:
+        # Faults may overlap, so each resets only the fields that it changed.
         for way in ways:
             self.relay.ways[way] = dataclasses.replace(self.relay.ways[way], **changes)
         await asyncio.sleep(fault.for_s)
         for way in ways:
-            plain = {name: getattr(QUIET, name) for name in changes}
+            plain = {name: getattr(WITHOUT_FAULTS, name) for name in changes}
             self.relay.ways[way] = dataclasses.replace(self.relay.ways[way], **plain)
 
-    def _between(self, fault: LeaseFault, both: bool) -> list[tuple[int, int]]:
+    def _links_between(self, fault: LeaseFault, both: bool) -> list[tuple[int, int]]:
         others = [n for n in range(self.day.gateways) if n not in fault.whom]
         ways = [(a, b) for a in fault.whom for b in others]
         return ways + ([(b, a) for a, b in ways] if both else [])
 
     async def _split(self, fault: LeaseFault) -> None:
-        await self._ways(fault, self._between(fault, True), cut=True)
+        await self._change_links(fault, self._links_between(fault, True), cut=True)
 
     async def _one_way(self, fault: LeaseFault) -> None:
-        await self._ways(fault, self._between(fault, False), cut=True)
+        await self._change_links(fault, self._links_between(fault, False), cut=True)
 
     async def _delay(self, fault: LeaseFault) -> None:
-        await self._ways(fault, list(self.relay.ways), delay=(0.0, fault.size))
+        await self._change_links(fault, list(self.relay.ways), delay=(0.0, fault.size))
 
     async def _noise(self, fault: LeaseFault) -> None:
-        await self._ways(fault, list(self.relay.ways), double=0.4, reorder=0.3, delay=(0.0, 0.3))
+        await self._change_links(
+            fault, list(self.relay.ways), double=0.4, reorder=0.3, delay=(0.0, 0.3)
+        )
 
     async def _double(self, fault: LeaseFault) -> None:
-        await self._ways(fault, list(self.relay.ways), double=fault.size)
+        await self._change_links(fault, list(self.relay.ways), double=fault.size)
 
     async def _loss(self, fault: LeaseFault) -> None:
-        await self._ways(fault, list(self.relay.ways), loss=fault.size)
+        await self._change_links(fault, list(self.relay.ways), loss=fault.size)
 
     async def _receiver(self, fault: LeaseFault) -> None:
         self.receiver.manner = Manner((0.0, 2.0), 0.2, 0.2)
@@ -293,7 +302,7 @@
         await asyncio.sleep(0)
 
     def crashes(self) -> list[str]:
-        """Gateways that ended by themselves, and tracebacks in their logs."""
+        """Descriptions of gateways that crashed or logged a traceback."""
         found = [
             f"n{e.gateway}: {e.detail}" for e in self.log.of(GatewayEvent) if "crashed" in e.detail
         ]
@@ -307,7 +316,7 @@
 async def play(
     day: LeaseDay, folder: Path, lines: dict[int, str] | None = None, fences: bool = True
 ) -> tuple[Verdict, LeaseWorld]:
-    """One run; what it started is ended in any case."""
+    """Run a lease scenario, check it, and end everything that it started, also after a failure."""
     world = LeaseWorld(day, folder, lines, fences)
     try:
         seen = await world.run()
@@ -317,5 +326,5 @@
 
 
 def line_of(module: str, *args: str) -> str:
-    """A ``run`` line for another program in the gateway's place."""
+    """A ``run`` line that starts another Python module in place of the gateway."""
     return " ".join(["exec", shlex.quote(sys.executable), "-m", module, *map(shlex.quote, args)])
--- a/testbed/runner/processes.py
+++ b/testbed/runner/processes.py
@@ -1,4 +1,4 @@
-"""Real gateways as processes, by the ``run`` line of the deploy file, and the signals that break them."""
+"""Starts gateways as processes by the ``run`` line of the deploy file, signals them and watches how they end."""
 
 from __future__ import annotations
 
@@ -21,49 +21,49 @@
 from ..net.relay import LOCAL, text_of
 
 ROOT = Path(__file__).parent.parent.parent
-READY_WITHIN = 20.0
-EXIT_WITHIN = 5.0  # seconds after SIGTERM until SIGKILL
-LOOK = 0.1  # seconds between two looks at how long gateways waited for a core
-STARVED = 20_000  # us of waiting within one look that are noted
-PORTS = range(15_000, 32_000)  # below those that the kernel gives to outgoing connections
-PART = 100  # of them that one process looks in first
-_given: deque[int] = deque(maxlen=PART // 2)
+READY_TIMEOUT_S = 20.0
+EXIT_TIMEOUT_S = 5.0  # after SIGTERM; then the gateway gets SIGKILL
+CPU_WAIT_INTERVAL_S = 0.1  # between two readings of how long gateways waited for a core
+MIN_CPU_WAIT_US = 20_000  # shorter waits within one interval are not recorded
+PORTS = range(15_000, 32_000)  # below the kernel's range for outgoing connections
+PORTS_PER_PROCESS = 100  # a process first tries its own part of PORTS
+_recent_ports: deque[int] = deque(maxlen=PORTS_PER_PROCESS // 2)
 _PR_SET_PDEATHSIG = 1
 _libc = ctypes.CDLL(None, use_errno=True)
 
 
 def run_line() -> str:
-    """The ``run`` line of the deploy file, with the interpreter that runs the stand-ins."""
+    """The ``run`` line of the deploy file, with the interpreter of this process."""
     line = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     return line.replace(".venv/bin/python", shlex.quote(sys.executable), 1)
 
 
 def free_port(kind: socket.SocketKind = socket.SOCK_STREAM) -> int:
-    """A port that nobody holds, outside the range from which outgoing connections take theirs."""
-    # Runs beside each other look in parts of their own: a port is free only until somebody else takes it.
-    parts = len(PORTS) // PART
-    own = PORTS[os.getpid() % parts * PART :][:PART]
+    """A port that is not bound, outside the range for outgoing connections."""
+    # The port may be bound by others as soon as it is closed here: parallel runs therefore try different parts first.
+    parts = len(PORTS) // PORTS_PER_PROCESS
+    own = PORTS[os.getpid() % parts * PORTS_PER_PROCESS :][:PORTS_PER_PROCESS]
     for turn in range(500):
         port = random.SystemRandom().choice(own if turn < 100 else PORTS)
-        if port in _given:  # by us, to a gateway that has not bound it yet
+        if port in _recent_ports:  # returned before, and perhaps not bound yet
             continue
         with socket.socket(socket.AF_INET, kind) as sock:
             try:
                 sock.bind((LOCAL, port))
             except OSError:
                 continue
-            _given.append(port)
+            _recent_ports.append(port)
             return port
-    raise OSError("no free port was found")
+    raise OSError(f"no free port found in {PORTS.start} to {PORTS.stop - 1}")
 
 
 def die_with_parent() -> None:
-    """Guards the machine: a gateway ends when the stand-ins do, however they end."""
+    """Have the kernel kill this process when its parent ends, so that no gateway outlives a crashed testbed."""
     _libc.prctl(_PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 class GatewayProcess:
-    """One gateway: its files, its process, its lives."""
+    """One gateway: its configuration and log files, and its process, which may be restarted."""
 
     def __init__(
         self, number: int, folder: Path, clock: Callable[[], int], log: Log, run: str
@@ -74,21 +74,21 @@
         self.process: asyncio.subprocess.Process | None = None
         self.config: dict[str, Any] = {}
         self.path = folder / f"n{number}.json"
-        self.variables: dict[str, str] = {}  # more of its environment
+        self.variables: dict[str, str] = {}  # additional environment variables
         self.follower: asyncio.Task | None = None
         self.ready = self.ending = False
         self.lives = 0
         self.waited = -1
 
     def write(self, config: dict[str, Any]) -> None:
-        """Its configuration file, whole or not at all."""
+        """Replace its configuration file atomically."""
         self.config = config
         part = self.path.with_suffix(".part")
         part.write_text(json.dumps(config))
         part.replace(self.path)
 
     async def start(self, told: Callable[[], None]) -> None:
-        """Start a life and wait until it answers PING; ``told`` notes the list that it is given."""
+        """Start the process and wait until it answers PING; ``told`` records the host list that it starts with."""
         variables = {
             "LB_NAME": f"n{self.number}",
             "LB_LISTEN": text_of(self.listen),
@@ -115,7 +115,7 @@
             )
         process = self.process
         self.follower = asyncio.get_running_loop().create_task(self._follow(process))
-        async with asyncio.timeout(READY_WITHIN):
+        async with asyncio.timeout(READY_TIMEOUT_S):
             while not await self._pongs():
                 if process.returncode is not None:
                     raise RuntimeError(
@@ -145,34 +145,34 @@
         return text.splitlines()[-1][:300] if text else "no log"
 
     def signal(self, number: signal.Signals, what: str) -> None:
-        """Send a signal; noted before it is sent."""
+        """Record a signal, then send it to the process if it runs."""
         if self.process and self.process.returncode is None:
             self.log.add(GatewayEvent(self.clock(), self.number, what))
             self.process.send_signal(number)
 
     async def kill(self) -> None:
-        """SIGKILL."""
+        """Kill the process with SIGKILL and wait for its end."""
         self.ready, self.ending = False, True
         self.signal(signal.SIGKILL, "kill")
         await self.process.wait()
         self.log.add(GatewayEvent(self.clock(), self.number, "exit", str(self.process.returncode)))
 
     async def terminate(self) -> None:
-        """SIGTERM, and SIGKILL where that does not end it in time."""
+        """End the process with SIGTERM, or with SIGKILL if it has not ended in time."""
         if not self.process or self.process.returncode is not None:
             return
         self.ready, self.ending = False, True
         self.signal(signal.SIGTERM, "term")
         try:
-            async with asyncio.timeout(EXIT_WITHIN):
+            async with asyncio.timeout(EXIT_TIMEOUT_S):
                 await self.process.wait()
         except TimeoutError:
             self.signal(signal.SIGKILL, "kill")
             await self.process.wait()
         self.log.add(GatewayEvent(self.clock(), self.number, "exit", str(self.process.returncode)))
 
-    def look(self) -> None:
-        """Note how long it waited for a core since the last look; nothing where the kernel does not tell."""
+    def record_cpu_wait(self) -> None:
+        """Record how long it waited for a core since the last call, if the kernel provides this (schedstat)."""
         process = self.process
         if process is None or process.returncode is not None:
             return
@@ -181,12 +181,14 @@
         except (OSError, ValueError, IndexError):
             return
         now = self.clock()
-        if self.waited >= 0 and (delay := waited - self.waited) >= STARVED:
-            self.log.add(Starved(now - int(LOOK * 1e6) - 20_000, now, self.number, delay))
+        if self.waited >= 0 and (delay := waited - self.waited) >= MIN_CPU_WAIT_US:
+            self.log.add(
+                Starved(now - int(CPU_WAIT_INTERVAL_S * 1e6) - 20_000, now, self.number, delay)
+            )
         self.waited = waited
 
     async def _follow(self, process: asyncio.subprocess.Process) -> None:
-        """Note the end of a life that nobody ended."""
+        """Record a crash: an end of the process that the testbed did not cause."""
         code = await process.wait()
         if process is self.process and not self.ending:
             self.ready = False
@@ -195,8 +197,8 @@
 
 
 async def watch(gateways: list[GatewayProcess]) -> None:
-    """Look at all gateways for as long as the run lasts."""
+    """Record the CPU waits of all gateways until cancelled."""
     while True:
         for gateway in gateways:
-            gateway.look()
-        await asyncio.sleep(LOOK)
+            gateway.record_cpu_wait()
+        await asyncio.sleep(CPU_WAIT_INTERVAL_S)
--- a/testbed/runner/runs.py
+++ b/testbed/runner/runs.py
@@ -1,4 +1,4 @@
-"""Runs of scenarios: played, judged, repeated where the machine stood still, several at once as processes."""
+"""Runs scenarios and judges them, repeats inconclusive runs, and runs several at once in processes."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from ..model.scenario import FOLDER, Scenario
 from .world import Progress, play
 
-TRIES = 3  # of a run that is inconclusive
+MAX_TRIES = 3  # of a run that is inconclusive or whose port was in use
 STATUS = {"passed": 0, "broken": 1, "inconclusive": 3}
 
 
 @dataclass(slots=True)
 class Run:
-    """What came of one scenario."""
+    """The result of one scenario."""
 
     scenario: Scenario
     log: Log
@@ -37,15 +37,15 @@
     folder: Path,
     line: str | None = None,
     progress: Progress | None = None,
-    tries: int = TRIES,
+    tries: int = MAX_TRIES,
     told: Callable[[str], None] = lambda text: None,
 ) -> Run:
-    """Play a scenario until its verdict is not inconclusive, a few times at most."""
+    """Run a scenario until its verdict is conclusive, at most ``tries`` times; ``told`` gets a line for each retry."""
     for number in range(1, tries + 1):
         try:
             log, world = uvloop.run(play(scenario, folder, line, progress))
         except RuntimeError as wrong:
-            # Guards against another program that took a port between our look and the gateway's bind.
+            # Another program may bind a port between the check that it is free and the gateway's bind.
             if "ddress already in use" not in str(wrong) or number == tries:
                 raise
             told(f"{scenario.name}: a port was taken; try {number + 1} of {tries}")
@@ -59,7 +59,7 @@
 
 
 def names(only_ci: bool = False) -> list[str]:
-    """The scenarios of the repository, the longest first."""
+    """The names of the repository's scenarios, the longest first."""
     from ..model.scenario import load
 
     found = [load(path) for path in FOLDER.glob("*.toml")]
@@ -68,7 +68,7 @@
 
 
 def many(chosen: Sequence[str], jobs: int, folder: Path) -> Iterator[tuple[str, int, float, str]]:
-    """Each in a process of its own, ``jobs`` at once: its name, exit status, seconds and last line, as it ends."""
+    """Run scenarios in processes, ``jobs`` at once; yield (name, exit status, seconds, last line) as each ends."""
 
     def one(name: str) -> tuple[str, int, float, str]:
         began = time.monotonic()
@@ -96,5 +96,5 @@
 
 
 def rejudge(scenario: Scenario, path: Path) -> Verdict:
-    """The verdict on evidence that was kept."""
+    """The verdict on a saved evidence file."""
     return judge(scenario, Log.load(path))
--- a/testbed/runner/world.py
+++ b/testbed/runner/world.py
@@ -1,4 +1,4 @@
-"""One run of a scenario: real gateways among stand-ins, with the faults of its timeline."""
+"""Runs a scenario: real gateways among simulated clients, hosts and services, with the scenario's faults."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from typing import Any
 
 from ..checker.record import Began, Finished, Late, Log, Told
-from ..checker.record import Fault as FaultBegan
+from ..checker.record import Fault as FaultRecord
 from ..model import arrivals as drawn
 from ..model.clock import Clock, Heartbeat
 from ..model.registry import Agent, Change, Line, Registry
@@ -25,23 +25,21 @@
 from .processes import GatewayProcess, run_line, watch
 
 REFUSE = TcpFault("refuse")
-NOTICED_DEAD = (
-    1.0  # seconds until the registry sees that a process has gone, before its news travel
-)
-TERM_NOTICE = 0.3  # seconds after SIGTERM until the front sends no new connections
-LATE_EXTRA = 2.0  # seconds over which late news come in after a silence
-SETTLE = 0.3  # seconds between ready and the first arrival
+DEAD_HOST_DETECTION_S = 1.0  # until the registry marks a host that died; delivery adds to it
+TERM_NOTICE_S = 0.3  # from SIGTERM until clients open no new connections to the gateway
+HELD_CHANGES_SPREAD_S = 2.0  # over which changes held back by a discovery silence are delivered
+SETTLE_S = 0.3  # from all gateways ready to the start of the scenario
 
 Progress = Callable[["World"], None]
 
 
 class World:
-    """All parts of one run. ``run`` leaves the log; ``close`` ends everything that was started, in any case."""
+    """All parts of one run. ``run`` returns the log; ``close`` ends all that was started, also after a failed ``run``."""
 
     def __init__(
         self, scenario: Scenario, folder: Path, run: str | None = None, operator: str = ""
     ) -> None:
-        self.operator = operator  # the operator file of all gateways; none where it is empty
+        self.operator = operator  # text of the operator file of all gateways; empty for none
         self.scenario, self.folder = scenario, folder
         self.loop = asyncio.get_running_loop()
         self.clock, self.log = Clock(), Log()
@@ -51,12 +49,12 @@
         self.registry = Registry()
         self.agents: list[Agent] = []
         self.servers: list[AgentServer] = []
-        self.held: list[list[Change]] = []  # news that wait for the end of a silence, by gateway
+        self.held: list[list[Change]] = []  # by gateway: changes held back by a discovery silence
         self.last_push: list[float] = []
         self.gateways: list[GatewayProcess] = []
         self.locks: list[
             asyncio.Lock
-        ] = []  # one for each gateway: faults that end and start it follow one another
+        ] = []  # one per gateway, so that faults that restart it don't overlap
         self.udp: UdpRelay | None = None
         self.clients: ClientSide | None = None
         self.first: list[StandinHost] = []
@@ -73,7 +71,7 @@
         s = self.scenario
         for place in range(s.hosts.count):
             self.first.append(await self.fleet.add(place // s.hosts.rack_size, cold=False))
-        changes = [self.registry.put(self._line(host)) for host in self.first]
+        changes = [self.registry.put(self._registry_line(host)) for host in self.first]
         for number in range(s.gateways):
             agent = Agent()
             for change in changes:
@@ -83,8 +81,10 @@
             self.last_push.append(0.0)
             server = AgentServer(
                 agent,
-                lambda line, number=number: self._dial(line.host, number),
-                lambda seq, whole, lines, number=number: self._told(number, seq, whole, lines),
+                lambda line, number=number: self._address_for(line.host, number),
+                lambda seq, whole, lines, number=number: self._record_update(
+                    number, seq, whole, lines
+                ),
             )
             await server.listen()
             self.servers.append(server)
@@ -93,7 +93,7 @@
             )
             self.locks.append(asyncio.Lock())
         if s.authoriser.count:
-            await self._open_authorisers()
+            await self._start_authorisers()
         if self.operator:
             path = self.folder / "operator.toml"
             path.write_text(self.operator)
@@ -103,10 +103,10 @@
         self.udp = UdpRelay([g.peer_listen for g in self.gateways], f"{s.seed}:udp", way)
         await self.udp.open()
         self.clients = ClientSide(s, self.clock, self.log, [g.listen for g in self.gateways])
-        self.first_known = [self._known(g.number) for g in self.gateways]
+        self.first_known = [self._known_hosts(g.number) for g in self.gateways]
         await asyncio.gather(*(self._start_gateway(g) for g in self.gateways))
 
-    async def _open_authorisers(self) -> None:
+    async def _start_authorisers(self) -> None:
         from ..ext_authz_server.server import Authoriser, Behaviour, allow, deny
 
         a = self.scenario.authoriser
@@ -122,29 +122,29 @@
             self.authorisers.append(await Authoriser(decide, seed, self.plain).start())
         self.operator += operator_text(self.scenario, [one.address for one in self.authorisers])
 
-    def _line(self, host: StandinHost) -> Line:
+    def _registry_line(self, host: StandinHost) -> Line:
         return Line(host.name, host.zone, host.rack_number, "SERVING", host.born_ms)
 
-    def _dial(self, host: str, gateway: int) -> str:
+    def _address_for(self, host: str, gateway: int) -> str:
         return self.fleet.hosts[host].dial(gateway)
 
-    def _told(self, gateway: int, seq: int, whole: bool, lines: Sequence[Line]) -> None:
+    def _record_update(self, gateway: int, seq: int, whole: bool, lines: Sequence[Line]) -> None:
         hosts = tuple((line.host, line.health, line.born_ms) for line in lines)
         if whole or hosts:
             self.log.add(Told(self.clock(), gateway, seq, whole, hosts))
 
-    def _known(self, number: int) -> dict[str, Any]:
-        """The list as a gateway's agent has it now, in the protocol's form; its dials as they stand."""
+    def _known_hosts(self, number: int) -> dict[str, Any]:
+        """The host list that a gateway's agent has now, as a discovery message with the current addresses."""
         agent = self.agents[number]
         seq = max([0, *(change.seq for change in agent.log)])
-        hosts = [line.shown(self._dial(line.host, number)) for line in agent.lines.values()]
+        hosts = [line.shown(self._address_for(line.host, number)) for line in agent.lines.values()]
         return {"seq": seq, "whole": True, "hosts": hosts}
 
     async def _start_gateway(
         self, gateway: GatewayProcess, known: dict[str, Any] | None = None
     ) -> None:
         number, udp = gateway.number, self.udp
-        known = known or self._known(number)
+        known = known or self._known_hosts(number)
         peers = [udp.address(number, other) for other in range(self.scenario.gateways)]
         gateway.write(
             {
@@ -166,28 +166,31 @@
         )
         self.clients.down.discard(number)
 
-    # -- the day --------------------------------------------------------------------------------------------
+    # -- the run --------------------------------------------------------------------------------------------
 
     async def run(self, progress: Progress | None = None) -> Log:
-        """Play the day: arrivals, faults, the wait for what is still on its way."""
+        """Run the scenario: send its requests, inject its faults, and wait for the requests still in flight."""
         await self.open()
-        heart = Heartbeat(self.clock, lambda at, until: self.log.add(Late(at, until)))
+        heartbeat = Heartbeat(self.clock, lambda at, until: self.log.add(Late(at, until)))
         gc.collect()
         gc.freeze()
-        gc.disable()  # guards the stand-ins' own times
+        gc.disable()  # a collection would pause the testbed and falsify its timestamps
         try:
-            self.begin = self.clock() + int(SETTLE * 1e6)
+            self.begin = self.clock() + int(SETTLE_S * 1e6)
             self.log.add(Began(self.begin))
             arrive = self.loop.create_task(self._arrive())
-            self.tasks += [arrive, *map(self.loop.create_task, (heart.run(), watch(self.gateways)))]
+            self.tasks += [
+                arrive,
+                *map(self.loop.create_task, (heartbeat.run(), watch(self.gateways))),
+            ]
             faults = [
                 self.loop.create_task(self._fault(n, f)) for n, f in enumerate(self.scenario.fault)
             ]
             self.tasks += faults
             if progress:
                 self.tasks.append(self.loop.create_task(self._progress(progress)))
-            await self._until(self.begin + int(self.scenario.length_s * 1e6))
-            await arrive  # the last one may be due in the very last moment
+            await self._sleep_until(self.begin + int(self.scenario.length_s * 1e6))
+            await arrive  # the last arrival may be due right at the end
             await self.clients.finish(max(c.deadline_ms for c in self.scenario.cls) / 1000 + 2)
             for fault in faults:
                 if fault.done() and fault.exception():
@@ -198,7 +201,7 @@
             gc.unfreeze()
         return self.log
 
-    async def _until(self, at: int) -> None:
+    async def _sleep_until(self, at: int) -> None:
         await asyncio.sleep(max(0, at - self.clock()) / 1e6)
 
     async def _progress(self, progress: Progress) -> None:
@@ -210,7 +213,7 @@
         for arrival in self.arrivals:
             moved = dataclasses.replace(arrival, at=arrival.at + self.begin)
             if moved.at > self.clock():
-                await self._until(moved.at)
+                await self._sleep_until(moved.at)
             self.clients.start(moved)
 
     async def close(self) -> None:
@@ -229,22 +232,22 @@
         self.fleet.close()
         await asyncio.sleep(0)
 
-    # -- news -----------------------------------------------------------------------------------------------
+    # -- discovery ------------------------------------------------------------------------------------------
 
     def publish(self, change: Change, delay: float = 0.0) -> None:
-        """A change of the registry travels to every agent, late but in order."""
+        """Deliver a change of the registry to every agent after a random delay, in order."""
         for number in range(self.scenario.gateways):
             lag = delay + self.random.uniform(*self.scenario.network.list_late_s)
             at = max(self.loop.time() + lag, self.last_push[number])
             self.last_push[number] = at + 1e-6
-            self.loop.call_at(at, self._push, number, change)
+            self.loop.call_at(at, self._deliver, number, change)
 
-    def _turn(self, host: StandinHost, health: str, delay: float = 0.0) -> None:
-        """A host drains or is gone; one that another fault has taken off the list already is not on it."""
+    def _publish_health(self, host: StandinHost, health: str, delay: float = 0.0) -> None:
+        """Publish a host's health, unless another fault has already removed the host from the registry."""
         if host.name in self.registry.lines:
             self.publish(self.registry.health(host.name, health), delay)
 
-    def _push(self, number: int, change: Change) -> None:
+    def _deliver(self, number: int, change: Change) -> None:
         if self.servers[number].silent:
             self.held[number].append(change)
         else:
@@ -254,7 +257,7 @@
     # -- faults ---------------------------------------------------------------------------------------------
 
     async def _fault(self, number: int, fault: Fault) -> None:
-        await self._until(self.begin + int(fault.at * 1e6))
+        await self._sleep_until(self.begin + int(fault.at * 1e6))
         until = self.clock() + int(fault.for_s * 1e6) if fault.for_s else 0
         detail = []
         if fault.gateways or fault.kind in ("kill", "restart", "stop", "reload"):
@@ -265,11 +268,11 @@
             detail.append(f"{len(self._hosts(number, fault))} hosts")
         if fault.kind == "links":
             detail.append(fault.mode)
-        self.log.add(FaultBegan(self.clock(), fault.kind, until, ", ".join(detail)))
+        self.log.add(FaultRecord(self.clock(), fault.kind, until, ", ".join(detail)))
         handler: Callable[[int, Fault], Awaitable[None]] | None = getattr(
             self, f"_{fault.kind}", None
         )
-        if handler:  # bursts and shifts are in the arrivals
+        if handler:  # bursts and shifts have none: they are part of the drawn arrivals
             await handler(number, fault)
 
     def _gateways(self, number: int, fault: Fault) -> list[GatewayProcess]:
@@ -290,7 +293,7 @@
         chosen = random.Random(f"{self.scenario.seed}:fault:{number}")
         return chosen.sample(living, max(1, round(fault.share * len(living))))
 
-    async def _front_notices(self, gateway: GatewayProcess, after: float) -> None:
+    async def _stop_new_connections(self, gateway: GatewayProcess, after: float) -> None:
         await asyncio.sleep(after)
         if not gateway.ready:
             self.clients.down.add(gateway.number)
@@ -300,7 +303,7 @@
             async with self.locks[gateway.number]:
                 await gateway.kill()
                 notice = self.loop.create_task(
-                    self._front_notices(
+                    self._stop_new_connections(
                         gateway, self.random.uniform(*self.scenario.clients.notice_s)
                     )
                 )
@@ -314,7 +317,7 @@
     async def _restart(self, number: int, fault: Fault) -> None:
         for gateway in self._gateways(number, fault):
             async with self.locks[gateway.number]:
-                notice = self.loop.call_later(TERM_NOTICE, self.clients.down.add, gateway.number)
+                notice = self.loop.call_later(TERM_NOTICE_S, self.clients.down.add, gateway.number)
                 await gateway.terminate()
                 self.clients.down.add(gateway.number)
                 notice.cancel()
@@ -371,11 +374,11 @@
             held, self.held[gateway] = self.held[gateway], []
             if fault.shuffle:
                 self.random.shuffle(held)
-            for change in held:  # one by one, in this order, over some time
-                wait = self.random.uniform(0, LATE_EXTRA)
-                self.loop.call_later(wait, self._push, gateway, change)
+            for change in held:  # each after its own random delay
+                wait = self.random.uniform(0, HELD_CHANGES_SPREAD_S)
+                self.loop.call_later(wait, self._deliver, gateway, change)
             self.servers[gateway].silence(False)
-        await asyncio.sleep(LATE_EXTRA)
+        await asyncio.sleep(HELD_CHANGES_SPREAD_S)
 
     async def _list_shrinks(self, number: int, fault: Fault) -> None:
         names = sorted(self.registry.lines)
@@ -392,12 +395,12 @@
         hosts = self._hosts(number, fault)
         for host in hosts:
             host.stop()
-            self._turn(host, "DELETED", NOTICED_DEAD)
+            self._publish_health(host, "DELETED", DEAD_HOST_DETECTION_S)
         if fault.for_s:
             await asyncio.sleep(fault.for_s)
             for host in hosts:
                 await host.start(cold=True)
-                self.publish(self.registry.put(self._line(host)))
+                self.publish(self.registry.put(self._registry_line(host)))
 
     async def _host_freezes(self, number: int, fault: Fault) -> None:
         hosts = self._hosts(number, fault)
@@ -408,13 +411,13 @@
             host.thaw()
 
     async def _host_silent(self, number: int, fault: Fault) -> None:
-        await self._on_links(number, fault, TcpFault("silent"))
+        await self._set_link_fault(number, fault, TcpFault("silent"))
 
     async def _links(self, number: int, fault: Fault) -> None:
-        await self._on_links(number, fault, TcpFault(fault.mode, chance=fault.share or 1.0))
+        await self._set_link_fault(number, fault, TcpFault(fault.mode, chance=fault.share or 1.0))
 
-    async def _on_links(self, number: int, fault: Fault, how: TcpFault) -> None:
-        # For links the share is the part of the connections that suffer, not of the hosts.
+    async def _set_link_fault(self, number: int, fault: Fault, how: TcpFault) -> None:
+        # For ``links``, the share is that of affected connections; all chosen hosts are affected.
         hosts = self._hosts(
             number, dataclasses.replace(fault, share=0.0) if fault.kind == "links" else fault
         )
@@ -439,7 +442,7 @@
             host.stop()
             host.new_address()
             await host.start(cold=True)
-            self.publish(self.registry.put(self._line(host)))
+            self.publish(self.registry.put(self._registry_line(host)))
 
     async def _authoriser_faults(self, number: int, fault: Fault) -> None:
         from ..ext_authz_server.server import MODES, Behaviour
@@ -471,7 +474,7 @@
         standing = [self.fleet.hosts[name] for name in self.registry.lines]
         hosts = [
             host for host in standing if host.up and not host.draining
-        ]  # not those of another deploy
+        ]  # hosts that another deploy is replacing are left out
         hosts = hosts[: max(1, round((fault.share or 1.0) * len(hosts)))]
         size = max(1, round(fault.batch * len(hosts)))
         batches = [hosts[i : i + size] for i in range(0, len(hosts), size)]
@@ -479,12 +482,12 @@
 
         async def replace_one(host: StandinHost) -> None:
             host.draining = True
-            self._turn(host, "DRAINING")
+            self._publish_health(host, "DRAINING")
             await asyncio.sleep(fault.drain_s)
             host.stop()
-            self._turn(host, "DELETED")
+            self._publish_health(host, "DELETED")
             new = await self.fleet.add(host.rack_number, cold=True)
-            self.publish(self.registry.put(self._line(new)))
+            self.publish(self.registry.put(self._registry_line(new)))
 
         tasks = []
         for batch in batches:
@@ -496,7 +499,7 @@
 async def play(
     scenario: Scenario, folder: Path, run: str | None = None, progress: Progress | None = None
 ) -> tuple[Log, World]:
-    """One run from start to end; what it started is ended in any case."""
+    """Run a scenario once and end everything that it started, also after a failure."""
     folder.mkdir(parents=True, exist_ok=True)
     world = World(scenario, folder, run)
     try:
--- a/tests/faults/test_scenarios.py
+++ b/tests/faults/test_scenarios.py
@@ -75,7 +75,7 @@
 
     monkeypatch.setattr(runs, "judge", always)
     scenario = toml_schema.loads(Scenario, 'name = "short"\nlength_s = 1\n')
-    assert runs.run(scenario, tmp_path).tries == len(asked) == runs.TRIES
+    assert runs.run(scenario, tmp_path).tries == len(asked) == runs.MAX_TRIES
 
 
 def test_a_gateway_that_does_not_start_is_told_in_one_line(tmp_path):
