--- a/testbed/runner/lease_world.py
+++ b/testbed/runner/lease_world.py
@@ -188,9 +188,7 @@
             writer.close()
         head, _, text = answer.partition(b"\r\n\r\n")
         if not head:
-            raise ValueError(
-                f"gateway n{number} closed the connection without an answer to {method} {path}"
-            )
+            raise ValueError("the gateway closed the connection without an answer")
         return text
 
     async def holder(self, task: str = "task0", within: float = 20.0) -> int:
--- a/testbed/runner/processes.py
+++ b/testbed/runner/processes.py
@@ -54,7 +54,7 @@
                 continue
             _recent_ports.append(port)
             return port
-    raise OSError(f"no free port found in {PORTS.start} to {PORTS.stop - 1}")
+    raise OSError("no free port found in the range of PORTS")
 
 
 def die_with_parent() -> None:
--- a/tests/faults/hot_restart_rig.py
+++ b/tests/faults/hot_restart_rig.py
@@ -22,15 +22,15 @@
 
 
 class GatewayProcess:
-    """One process of the program, and calls to its operators' address."""
+    """One gateway process, and calls to its admin API."""
 
-    # What Python runs: tests of the tests put a gateway with a planted fault here.
+    # Arguments of the Python interpreter; replaced to run a gateway with a planted fault.
     COMMAND: ClassVar[tuple[str, ...]] = ("-m", "saffrongw")
-    # All that were started: a test that fails on purpose ends what it leaves.
+    # All started processes, so that a test that is expected to fail can end those that it leaves.
     started: ClassVar[list[GatewayProcess]] = []
 
     def __init__(self, process: asyncio.subprocess.Process, admin_port: int) -> None:
-        """Take a process that was just started."""
+        """Wrap a process that has just been started."""
         self.process = process
         self.admin_port = admin_port
 
@@ -52,7 +52,7 @@
         return gateway
 
     async def call(self, method: str, path: str, body: str = "") -> tuple[int, bytes]:
-        """The status and the whole answer of one operators' call."""
+        """The status and the whole answer of one admin request."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.admin_port)
         head = f"{method} /admin/{path} HTTP/1.1\r\nhost: x\r\ncontent-length: {len(body)}\r\n\r\n"
         writer.write((head + body).encode())
@@ -72,7 +72,7 @@
                 await asyncio.sleep(0.02)
 
     async def wait_metric(self, line: str) -> None:
-        """Wait until the stats have this line."""
+        """Wait until the stats contain this line."""
         async with asyncio.timeout(10):
             while f"svc.{line}\n".encode() not in (await self.call("GET", "stats"))[1]:
                 await asyncio.sleep(0.01)
@@ -80,7 +80,7 @@
     async def wait_ready_read(self) -> None:
         """Wait until it has read what a successor has sent so far.
 
-        Calls are answered in a later turn of its loop than the packet that came before them.
+        It answers a call in a later iteration of its event loop than it reads a packet that arrived before.
         """
         for _ in range(3):
             await self.call("GET", "health")
@@ -121,10 +121,10 @@
 
 
 class SharedSite:
-    """One address with its endpoint, and a folder that all processes at the address share."""
+    """A gateway address with its endpoint, and the folder shared by all processes that serve the address."""
 
     def __init__(self, folder: Path, host: FakeHost, **changes: object) -> None:
-        """``changes`` of the settings."""
+        """``changes`` override settings."""
         self.folder = folder
         self.host = host
         known = {"seq": 1, "whole": True, "hosts": [host.line(host=name) for name in "abcdef"]}
@@ -143,7 +143,7 @@
 
     @property
     def socket_path(self) -> Path:
-        """Where the running process is found."""
+        """The socket on which the running process accepts successors."""
         return self.folder / f"saffrongw-127.0.0.1-{self.port}.sock"
 
     def connect(self) -> socket.socket:
@@ -156,20 +156,20 @@
 
 
 class FakeSuccessor:
-    """A successor that a test plays itself, up to where it fails."""
+    """A successor simulated by the test up to the point of its failure."""
 
     def __init__(self, site: SharedSite) -> None:
-        """Connect, and claim to be ready."""
+        """Connect and announce readiness."""
         self.sock = site.connect()
         self.sock.send(b'["ready"]')
 
     def receive_until(self, last_kind: str) -> list[str]:
-        """The kinds of the messages up to one; what comes with them is closed."""
+        """The kinds of the received messages up to ``last_kind``; received descriptors are closed."""
         return receive_kinds(self.sock, last_kind)
 
 
 def receive_kinds(sock: socket.socket, last_kind: str) -> list[str]:
-    """The kinds of the messages up to one of a kind; descriptors that come along are closed."""
+    """The kinds of the received messages up to ``last_kind``; received descriptors are closed."""
     kinds: list[str] = []
     while last_kind not in kinds:
         packet, fds, _, _ = socket.recv_fds(sock, 65536, 4)
@@ -180,7 +180,7 @@
 
 
 def hold_slow_requests(host: FakeHost) -> list:
-    """Let an endpoint answer each request with its id, and list the connections with ``slow``."""
+    """Have an endpoint answer requests with their ids, except ``slow``; its connections are returned in a list."""
     held = []
 
     def script(command: list[bytes]) -> bytes | None:
@@ -194,24 +194,24 @@
 
 
 def bill_command(number: bytes, body: bytes) -> bytes:
-    """A request of the class that must not run twice, as a client writes it."""
+    """The wire form of a request of a class that must not run twice."""
     terms = b"c=bill,t=team,d=9000,units=1,spread=2,first=0"
     words: tuple = (b"CALL.POST", b"0000000000000007", number, terms, body)
     return hiredis.pack_command(words)
 
 
 async def answer_of(caller: Caller, number: bytes) -> bytes:
-    """The answer to one more request on a connection where none is open."""
+    """The answer to a new request on a connection without open requests."""
     count = len(caller.replies)
     caller.call(number=number)
     return (await caller.replied(count + 1))[count]
 
 
 class RequestLoop:
-    """Sends a request on a new connection again and again, and keeps what was refused."""
+    """Sends requests one after another, each on a new connection, and keeps the failures."""
 
     def __init__(self, site: SharedSite) -> None:
-        """Begin at once."""
+        """Start sending."""
         self.site = site
         self.refused: list[object] = []
         self.sent = 0
@@ -219,7 +219,7 @@
         self._task = asyncio.ensure_future(self._run())
 
     async def stop(self) -> None:
-        """Finish the request that is open."""
+        """Finish the open request and stop."""
         self._stop.set()
         await self._task
 
--- a/tests/faults/hot_restart_variants.py
+++ b/tests/faults/hot_restart_variants.py
@@ -1,4 +1,4 @@
-"""Gateways with one planted fault of hot restart each.
+"""Gateways with one planted hot restart fault each.
 
 ``python -m tests.faults.hot_restart_variants NAME`` runs in place of ``python -m saffrongw``.
 """
@@ -17,19 +17,19 @@
 
 
 def variant(plant: Callable[[], None]) -> Callable[[], None]:
-    """Keep a planted fault under its function's name, with dashes."""
+    """Register a planted fault under its function's name, with dashes."""
     VARIANTS[plant.__name__.replace("_", "-")] = plant
     return plant
 
 
 @variant
 def no_fault() -> None:
-    """Change nothing: what runs this way passes the tests."""
+    """Change nothing; the tests pass."""
 
 
 @variant
 def forgets_quota_counters() -> None:
-    """Hand over all state but what customers have spent."""
+    """Hand over all state except the customers' quota counters."""
     export = state_transfer.export
 
     def export_without_counters(gateway: object) -> Iterator[list]:
@@ -40,14 +40,14 @@
 
 @variant
 def drops_partial_commands() -> None:
-    """Hand over connections without what was read of their next command."""
+    """Hand over connections without the part of the next command that was already read."""
     give_client = PredecessorHandOver._give_client
     PredecessorHandOver._give_client = lambda self, fd, _partial: give_client(self, fd, b"")
 
 
 @variant
 def serves_although_replaced() -> None:
-    """Take the replacement by another successor for the running process's end."""
+    """Treat the replacement by another successor as the running process's end."""
     SuccessorHandOver.must_serve = property(lambda self: self.take_over.is_set())
 
 
--- a/tests/faults/test_flood.py
+++ b/tests/faults/test_flood.py
@@ -1,4 +1,4 @@
-"""Floods on a real gateway: more than it can begin, a process that stands still, connections that come and go."""
+"""Overload of a real gateway: more requests than it can admit, a stopped process, and many short connections."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 def command(number: bytes, customer: int, bill: bool = False, wait: int = 60_000) -> bytes:
-    """One request; a long wait, so that the verdict does not depend on the machine's speed."""
+    """One request, with a long deadline so that the result doesn't depend on the machine's speed."""
     terms = b"c=%b,t=team,d=%d,units=1,spread=1,first=0" % (b"bill" if bill else b"read", wait)
     body = (b"BODY",) if bill else ()
     return hiredis.pack_command((BILL if bill else READ, b"%016x" % customer, number, terms, *body))
 
 
-async def ended(process: asyncio.subprocess.Process) -> None:
-    """It drains and ends as if nothing had been."""
+async def check_graceful_end(process: asyncio.subprocess.Process) -> None:
+    """Check that the gateway drains and exits normally on SIGTERM."""
     process.send_signal(signal.SIGTERM)
     assert await asyncio.wait_for(process.wait(), 15) == 0
 
 
-async def served_again(connect, name: bytes) -> None:
-    """New requests are served, on a new connection."""
+async def check_still_serving(connect, name: bytes) -> None:
+    """Check that the gateway serves new requests on a new connection."""
     caller, number = await connect(), 0
     async with asyncio.timeout(20):
         while b"ok" not in caller.replies:
@@ -34,8 +34,8 @@
             await caller.replied(number)
 
 
-def judged(callers: list[Caller], host: FakeHost, each: int) -> tuple[int, int]:
-    """Each request has one answer, each effect happened once; how many were served and refused."""
+def check_replies(callers: list[Caller], host: FakeHost, each: int) -> tuple[int, int]:
+    """Check that each request got one answer and ran at most once; the numbers of served and refused requests."""
     replies = [reply for caller in callers for reply in caller.replies]
     assert [len(caller.replies) for caller in callers] == [each] * len(callers)
     served = sum(reply == b"ok" for reply in replies)
@@ -59,14 +59,14 @@
             )
         )
     await until(lambda: all(len(caller.replies) >= 1000 for caller in callers), within=50)
-    served, refused = judged(callers, host, 1000)
+    served, refused = check_replies(callers, host, 1000)
     assert served > 0 and refused > 0
-    await served_again(connect, b"after")
-    await ended(process)
+    await check_still_serving(connect, b"after")
+    await check_graceful_end(process)
 
 
 @asyncio_test
-async def test_a_process_that_stood_still_answers_what_came_meanwhile(tmp_path):
+async def test_a_resumed_process_answers_requests_that_arrived_while_it_was_stopped(tmp_path):
     host = await FakeHost("a").listen()
     process, connect, _ = await started(host, tmp_path)
     caller = await connect()
@@ -77,27 +77,27 @@
     await asyncio.sleep(0.5)
     process.send_signal(signal.SIGCONT)
     await caller.replied(41)
-    judged([caller], host, 41)
-    await ended(process)
+    check_replies([caller], host, 41)
+    await check_graceful_end(process)
 
 
 @asyncio_test
-async def test_connections_that_open_and_close_do_not_hold_up_answers_owed(tmp_path):
+async def test_connections_that_open_and_close_do_not_delay_answers(tmp_path):
     host = await FakeHost("a").listen()
     process, connect, _ = await started(host, tmp_path)
     callers, number = [await connect()], 0
 
-    async def come_and_go() -> None:
+    async def open_and_abort() -> None:
         for _ in range(250):
             (await connect()).transport.abort()
 
-    crowd = [asyncio.ensure_future(come_and_go()) for _ in range(4)]
+    crowd = [asyncio.ensure_future(open_and_abort()) for _ in range(4)]
     answered = 0
-    # On a busy machine the crowd may be over before one request was read: then the first comes after it.
+    # On a busy machine the crowd may end before the first request; at least one request is sent in any case.
     while not (number and all(task.done() for task in crowd)):
         number += 1
         callers[-1].transport.write(command(b"n%d" % number, number))
-        # One that idles between two requests may have to make room; what it had not read is asked again.
+        # The gateway may close an idle connection to make room; a request that it had not read is sent again.
         await until(lambda: callers[-1].replies or callers[-1].closed, within=30)
         answered += len(callers[-1].replies)
         if callers[-1].closed:
@@ -108,5 +108,5 @@
     assert answered == number > 0
     ids = [bytes(words[2]) for words in host.commands]
     assert len(set(ids)) == len(ids)
-    await served_again(connect, b"after")
-    await ended(process)
+    await check_still_serving(connect, b"after")
+    await check_graceful_end(process)
--- a/tests/faults/test_hot_restart.py
+++ b/tests/faults/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""A new version takes over from the running one, as real processes: none is refused, and faults."""
+"""Hot restart with real processes: a successor takes over without refused requests, also under faults."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     new = await site.gateway()
     # The running process still serves.
     assert (await answer_of(idle, b"between")) == b"between"
-    # Either of the two begins it.
+    # Either process may execute it.
     busy.call(number=b"behind")
     requests = RequestLoop(site)
     await asyncio.sleep(0.05)
@@ -76,7 +76,7 @@
     spent = len(host.commands)
     assert 1 <= spent <= 4
     new = await site.gateway()
-    # Sent to one process, it holds for both.
+    # An exclusion sent to one process applies to both.
     assert (await new.call("POST", "cordon", "b"))[0] == 200
     await old.wait_metric("hosts_down=2")
     assert await old.end() == 0
@@ -115,10 +115,10 @@
     old = await site.gateway()
     new = await site.gateway()
     await old.end(signal.SIGKILL)
-    # The listener was never closed.
+    # The successor shares the listening socket, which was never closed.
     caller = await site.caller()
     assert (await answer_of(caller, b"1")) == b"ok"
-    # The socket that the killed process has left does not matter.
+    # The socket file left by the killed process doesn't prevent another hot restart.
     third = await site.gateway()
     assert await new.end() == 0
     assert (await answer_of(caller, b"2")) == b"ok"
@@ -133,7 +133,7 @@
     stranger = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     with short_address(site.socket_path) as address:
         stranger.bind(address)
-    # It accepts and sends nothing.
+    # Connections are accepted by the kernel and never answered.
     stranger.listen(1)
     first = await site.gateway()
     caller = await site.caller()
@@ -185,7 +185,7 @@
 async def test_clients_of_a_successor_lost_after_take_over_are_served_by_the_running_process(
     tmp_path,
 ):
-    """Clients that it was not given yet, and new ones, were refused before."""
+    """Refused before: new clients, and clients whose connections had not been handed over yet."""
     host = await FakeHost("a").listen()
     held = hold_slow_requests(host)
     site = SharedSite(tmp_path, host)
@@ -193,7 +193,7 @@
     busy = await site.caller()
     busy.call(number=b"slow")
     await until(lambda: held)
-    # Begun or not, it is to be answered.
+    # It must be answered, whether or not its execution has begun.
     busy.call(number=b"held")
     successor = FakeSuccessor(site)
     successor.receive_until("greeted")
@@ -201,7 +201,7 @@
     old.process.send_signal(signal.SIGTERM)
     await asyncio.to_thread(successor.receive_until, "go")
     busy.call(number=b"behind")
-    # It waits in the kernel queue from which the successor would accept.
+    # The connection waits in the kernel's accept queue for the successor.
     caller = await site.caller()
     caller.call(number=b"late")
     successor.sock.close()
@@ -213,7 +213,7 @@
 
 @asyncio_test
 async def test_a_successor_that_reads_nothing_does_not_delay_the_end(tmp_path):
-    """Partial commands exceed what the channel holds: the running process waited for ever."""
+    """The partial commands exceed the channel's capacity; the running process used to wait forever."""
     site = SharedSite(tmp_path, await FakeHost("a").listen())
     old = await site.gateway()
     for _ in range(8):
@@ -231,7 +231,7 @@
 async def test_requests_at_an_endpoint_that_hangs_fail_before_the_running_process_is_killed(
     tmp_path,
 ):
-    """A supervisor sends SIGKILL in time: what was in flight until then would be lost."""
+    """A supervisor eventually sends SIGKILL, so requests still in flight must fail before that."""
     host = await FakeHost("a").listen()
     host.script = lambda _: None
     site = SharedSite(tmp_path, host)
@@ -243,14 +243,14 @@
     assert await old.end() == 0
     assert error((await caller.replied())[0]) == "ERR failed"
     host.script = lambda _: value(b"ok")
-    # The successor has the connection.
+    # The connection has been handed over to the successor.
     assert (await answer_of(caller, b"after")) == b"ok"
     assert await new.end() == 0
 
 
 @asyncio_test
 async def test_a_successor_stopped_while_taking_over_serves_what_it_was_given(tmp_path):
-    """A supervisor that ends all sends SIGTERM to both: the successor ended without serving."""
+    """A supervisor may send SIGTERM to both processes; the successor used to end without serving."""
     site = SharedSite(tmp_path, await FakeHost("a").listen())
     old = await site.gateway()
     caller = await site.caller()
@@ -259,7 +259,7 @@
     new.process.send_signal(signal.SIGSTOP)
     old.process.send_signal(signal.SIGTERM)
     await until(lambda: not old.has_connection(caller))
-    # It is unread as the successor goes on.
+    # Not read yet when the successor is resumed.
     caller.call(number=b"2")
     late = await site.caller()
     late.call(number=b"3")
@@ -273,7 +273,7 @@
 
 @asyncio_test
 async def test_a_replaced_successor_ends_without_serving(tmp_path):
-    """It took its replacement for the predecessor's end: two processes granted the same quotas."""
+    """It mistook its replacement for the predecessor's end, so that two processes granted the same quotas."""
     site = SharedSite(tmp_path, await FakeHost("a").listen())
     old = await site.gateway()
     first = await site.gateway()
@@ -288,7 +288,7 @@
 
 @asyncio_test
 async def test_an_ending_process_leaves_the_socket_of_the_next_one(tmp_path):
-    """A stalled process is not waited for: at its end it removed the socket of the next one."""
+    """A successor doesn't wait for a stalled process, which at its end used to remove the successor's socket."""
     site = SharedSite(tmp_path, await FakeHost("a").listen())
     old = await site.gateway()
     old.process.send_signal(signal.SIGSTOP)
@@ -319,7 +319,7 @@
             await sender.wait_sent()
     await until(lambda: len(got) == 3 * MAX_QUEUED_PACKETS)
     assert got == list(range(3 * MAX_QUEUED_PACKETS))
-    # The receiver reads nothing any more.
+    # The receiver stops reading.
     loop.remove_reader(there)
     accepted = 0
     while sender.send("n", "x" * 1000):
--- a/tests/faults/test_leases.py
+++ b/tests/faults/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases over real processes with faults between them: one holder at a time, seen from outside."""
+"""Leases of real gateway processes under faults: the lease rules hold, and the checker catches planted faults."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from testbed.model.lease_day import LeaseDay, LeaseFault, drawn
 from testbed.runner.lease_world import LeaseWorld, line_of, play
 
-CUT = LeaseFault("split", 3.0, 4.0)  # whoever holds it then
+CUT = LeaseFault("split", 3.0, 4.0)  # hits the gateway that holds the first task's lease then
 ALONE = LeaseDay(11, 5, 3, faults=(CUT,), length_s=9.0, voters_stand=False)
 PLANTED = {
     "believes-its-lease-for-ever": (ALONE, "one holder"),
@@ -35,7 +35,7 @@
         LeaseDay(
             13,
             *(8, 3),
-            span_s=6.0,  # the voters are back long before it is over, on a slow machine too
+            span_s=6.0,  # long enough that restarted voters are back before a lease expires, on slow machines too
             faults=(LeaseFault("split", 8.0, 6.0), LeaseFault("voters", 8.1, 0.05, (0, 1, 2))),
             length_s=14.5,
             voters_stand=False,
@@ -69,14 +69,14 @@
     assert rule in verdict.rules()
     named = [one for one in verdict.findings if one.rule == rule]
     assert all(one.what.count("n") >= 2 for one in named)
-    # One that works without a token is found as soon as a lease migrates, before any fault.
+    # A gateway that works without a token is found when a lease first migrates, which needs no fault.
     assert variant == "works-without-asking-its-token" or any(
         "split" in one.during for one in named
     )
 
 
 @pytest.mark.parametrize("variant", PLANTED)
-def test_the_true_gateway_passes_the_same_days(variant, tmp_path):
+def test_the_unmodified_gateway_passes_the_same_scenarios(variant, tmp_path):
     verdict, _ = played(PLANTED[variant][0], tmp_path)
     assert verdict.findings == []
 
@@ -86,7 +86,7 @@
 
 
 class ArmedLeaseWorld(LeaseWorld):
-    """Its gateways may be killed once all of them answer: one killed earlier never started."""
+    """Lets gateways be killed only after all of them answer; one killed earlier would fail the start of the run."""
 
     async def open(self) -> None:
         await super().open()
@@ -94,7 +94,7 @@
 
 
 def test_when_a_gateway_is_killed_at_any_step_of_a_grant_another_takes_over(tmp_path):
-    """Twelve gateways that are each killed at another step, and two that are not."""
+    """Twelve gateways are each killed at a different step, and two run on."""
     steps = range(1, 13)
     day = LeaseDay(
         14, 3 + len(steps) + 2, 3, length_s=14.0, span_s=0.6, voters_stand=False, tasks=2
--- a/tests/faults/test_planted_faults.py
+++ b/tests/faults/test_planted_faults.py
@@ -1,4 +1,4 @@
-"""The checker catches each planted fault and names it rightly; the true gateway passes the same days."""
+"""The checker reports the right rule for each planted fault; the unmodified gateway passes the same scenarios."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 batch = 1.0
 for_s = 1
 drain_s = 6
-"""  # all hosts drain at once: who does not heed it has nowhere else to send
+"""  # all hosts drain at once, so that a gateway that ignores drains sends only to draining hosts
 COLD = """
 name = "planted-cold"
 length_s = 10
@@ -80,7 +80,7 @@
 deny = 0.3
 """
 
-# variant -> the day on which it shows, the rule that it breaks, others that its fault breaks with it
+# variant -> scenario that exposes it, the rule that must be reported, other rules that may be reported too
 PLANTED = {
     "swallows-answers": (PLAIN, "answer", ()),
     "answers-twice": (PLAIN, "answer", ()),
@@ -91,7 +91,7 @@
         PLAIN,
         "answer",
         ("effect",),
-    ),  # the client takes it for a crossing and sends again
+    ),  # the client treats it as the close of an idle connection and sends the request again
     "repeats-unsafe": (SPOILT, "effect", ()),
     "repeats-keyed-anywhere": (SPOILT, "effect", ()),
     "refuses-what-may-have-run": (SPOILT, "effect", ()),
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize("text", [PLAIN, HEAVY, SPOILT, DEPLOY, COLD, DENIED])
-def test_the_true_gateway_passes_the_same_days(text, tmp_path):
+def test_the_unmodified_gateway_passes_the_same_scenarios(text, tmp_path):
     done = play(text, tmp_path)
     assert [f for f in done.verdict.findings if f.certain] == []
     assert done.verdict.outcome == "passed"
--- a/tests/faults/test_planted_hot_restart_faults.py
+++ b/tests/faults/test_planted_hot_restart_faults.py
@@ -1,4 +1,4 @@
-"""The tests of hot restart catch each planted fault, and pass without one."""
+"""The hot restart tests fail for each planted fault and pass without one."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @pytest.fixture
 def run_variant(monkeypatch):
-    """Let the rig start a variant in place of the program; what was started ends with the test."""
+    """Have the rig start a variant in place of the program, and kill the started processes after the test."""
     started: list[GatewayProcess] = []
     monkeypatch.setattr(GatewayProcess, "started", started)
 
@@ -42,7 +42,7 @@
 
     yield select
     for gateway in started:
-        # Its event loop is closed by now: the process is ended and reaped without it.
+        # The test's event loop is closed, so asyncio can't end and reap the process.
         if gateway.process.returncode is None:
             os.kill(gateway.process.pid, signal.SIGKILL)
             with contextlib.suppress(ChildProcessError):
--- a/tests/faults/test_scenarios.py
+++ b/tests/faults/test_scenarios.py
@@ -1,4 +1,4 @@
-"""The true gateway passes every scenario; and a machine that stands still is never taken for its fault."""
+"""The gateway passes every scenario, and stalls of the machine are never attributed to it."""
 
 from __future__ import annotations
 
@@ -28,19 +28,19 @@
 SHORT = 'name = "stolen"\nlength_s = 6\n'
 
 
-async def stolen(scenario: Scenario, folder, line: str | None):
-    """A run in which the stand-ins themselves do not run for a second."""
+async def run_with_stall(scenario: Scenario, folder, line: str | None):
+    """A run in which the testbed's event loop is blocked for a second."""
     folder.mkdir(exist_ok=True)
     world = World(scenario, folder, line)
 
-    async def steal() -> None:
+    async def block_event_loop() -> None:
         await asyncio.sleep(2.5)
         time.sleep(1.0)
 
     try:
-        thief = asyncio.ensure_future(steal())
+        blocker = asyncio.ensure_future(block_event_loop())
         log = await world.run()
-        await thief
+        await blocker
     finally:
         await world.close()
     return log
@@ -49,17 +49,17 @@
 @pytest.mark.parametrize(
     "text", [SHORT, SHORT + '[[fault]]\nat = 1\nkind = "deploy"\nfor_s = 3\ndrain_s = 2\n']
 )
-def test_a_second_stolen_from_the_stand_ins_is_no_fault_of_the_gateway(text, tmp_path):
+def test_a_stall_of_the_testbed_is_no_fault_of_the_gateway(text, tmp_path):
     scenario = toml_schema.loads(Scenario, text)
-    verdict = judge(scenario, uvloop.run(stolen(scenario, tmp_path, None)))
+    verdict = judge(scenario, uvloop.run(run_with_stall(scenario, tmp_path, None)))
     assert verdict.late > 900_000
     assert verdict.outcome in ("passed", "inconclusive")
 
 
-def test_a_real_fault_is_found_though_a_second_was_stolen(tmp_path):
+def test_a_real_fault_is_found_despite_a_stall_of_the_testbed(tmp_path):
     scenario = toml_schema.loads(Scenario, SHORT)
     line = f"exec {shlex.quote(sys.executable)} -m tests.faults.variants serves-foreign-values"
-    verdict = judge(scenario, uvloop.run(stolen(scenario, tmp_path, line)))
+    verdict = judge(scenario, uvloop.run(run_with_stall(scenario, tmp_path, line)))
     assert verdict.outcome == "broken"
     assert verdict.rules() == {"answer"}
 
@@ -78,7 +78,7 @@
     assert runs.run(scenario, tmp_path).tries == len(asked) == runs.MAX_TRIES
 
 
-def test_a_gateway_that_does_not_start_is_told_in_one_line(tmp_path):
+def test_a_gateway_that_does_not_start_is_reported_in_one_line(tmp_path):
     scenario = toml_schema.loads(Scenario, 'name = "short"\nlength_s = 1\n')
     with pytest.raises(RuntimeError, match=r"gateway n. ended with 7: no such thing"):
         runs.run(scenario, tmp_path, "echo no such thing; exit 7")
@@ -87,11 +87,11 @@
 @pytest.mark.parametrize(
     "faults",
     [
-        # Two deploys at once, and a host that dies in the middle of one.
+        # Two overlapping deploys, and hosts that die during them.
         '[[fault]]\nat = 0.5\nkind = "deploy"\nfor_s = 2\ndrain_s = 1\n'
         '[[fault]]\nat = 1\nkind = "deploy"\nfor_s = 2\ndrain_s = 1\n'
         '[[fault]]\nat = 1.2\nkind = "host_dies"\nshare = 0.5\nfor_s = 1\n',
-        # A gateway that is killed while it restarts.
+        # A gateway is killed while another fault restarts it.
         '[[fault]]\nat = 0.5\nkind = "kill"\ngateways = [0]\nfor_s = 1\n'
         '[[fault]]\nat = 0.7\nkind = "restart"\ngateways = [0, 1]\nfor_s = 0.3\n'
         '[[fault]]\nat = 0.9\nkind = "kill"\ngateways = [0, 1]\nfor_s = 0.3\n',
--- a/tests/faults/variants.py
+++ b/tests/faults/variants.py
@@ -1,6 +1,6 @@
 """Gateways with one planted fault each: ``python -m tests.faults.variants NAME`` in place of ``python -m saffrongw``.
 
-Each breaks one rule in a way that a real mistake might; the checker must catch it from outside and name it rightly.
+Each breaks one rule as a real mistake in the code could. The checker must report that rule from outside observation.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
 
 
 def variant(plant: Callable[[], None]) -> Callable[[], None]:
-    """Keep one under its name, with dashes."""
+    """Register a planted fault under its function's name, with dashes."""
     VARIANTS[plant.__name__.replace("_", "-")] = plant
     return plant
 
 
 def every(number: int) -> Callable[[], bool]:
-    """True at each so many calls."""
+    """A function that returns True at every ``number``-th call."""
     count = 0
 
     def due() -> bool:
@@ -48,7 +48,7 @@
 
 
 def change_settings(**changes) -> None:
-    """The decisions are told other settings than the rest of the gateway: classes and plans by field."""
+    """Change settings for the gateway's policy only: each keyword maps a field's items to changed ones."""
     plain = Gateway.__init__
 
     def init(self, settings, seed, now) -> None:
@@ -87,7 +87,7 @@
 
 @variant
 def answers_late() -> None:
-    """Holds an answer until 0.2 s after its time."""
+    """Sends an answer 0.2 s after its deadline."""
     due, plain = every(20), Driver._send_final_reply
 
     def finish(self, call, reply) -> None:
@@ -133,7 +133,7 @@
 
 @variant
 def closes_on_requests() -> None:
-    """Closes a connection with a request on it that went to a host."""
+    """Closes the connection instead of answering a request that was sent to a host."""
     due, plain = every(30), Driver._send_final_reply
 
     def finish(self, call, reply) -> None:
@@ -219,7 +219,7 @@
 
 @variant
 def newest_host_gets_all() -> None:
-    """Takes the host that started last to be the least loaded."""
+    """Always chooses the host that started last."""
 
     def choose(self, request):
         pools = (*self._endpoints.warm.endpoints, *self._endpoints.warming.endpoints)
@@ -252,7 +252,7 @@
 
 @variant
 def doubles_the_quota() -> None:
-    """Takes the rate for one of its own and one of somebody else's; the ceiling still holds."""
+    """Grants twice the quota's rate; the ceiling is unchanged."""
     change_settings(plans=lambda p: replace(p, rate=2 * p.rate))
 
 
@@ -269,7 +269,7 @@
 
 @variant
 def sends_before_the_check() -> None:
-    """Asks only now and then, and sends the others on meanwhile."""
+    """Sends every fourth request on without asking the authoriser."""
     from saffrongw.authz.request_filter import AuthzFilter
     from saffrongw.gateway.extensions import Continue
 
@@ -315,13 +315,13 @@
     upstream_connection.pack_request = pack
 
 
-# -- leases: each breaks what ``testbed.checker.lease_rules`` judges ---------------------------------------------
+# -- leases: each breaks a rule of ``testbed.checker.lease_rules`` -------------------------------------------------
 
 LEASES: dict[str, Callable[[], None]] = {}
 
 
 def lease_variant(plant: Callable[[], None]) -> Callable[[], None]:
-    """Register a planted fault under its name, with dashes."""
+    """Register a planted fault of leases under its function's name, with dashes."""
     LEASES[plant.__name__.replace("_", "-")] = plant
     return plant
 
@@ -343,7 +343,7 @@
 
 @lease_variant
 def works_without_asking_its_token() -> None:
-    """Goes on with its tasks after the lease is lost."""
+    """Continues its tasks after it has lost the lease."""
     from saffrongw.leases.claim import FencingToken
     from saffrongw.leases.node_driver import NodeDriver
     from saffrongw.leases.task_schedule import TaskSchedule
@@ -365,7 +365,7 @@
 
 @lease_variant
 def counts_a_voter_twice() -> None:
-    """Counts an answer as often as it arrives."""
+    """Counts every copy of a voter's answer."""
     from benchmarks.fleet.lease_planted_faults import CountedAnswers
     from saffrongw.channel.signed_datagram import ReplayWindow
     from saffrongw.leases.proposer import Proposer
@@ -396,7 +396,7 @@
 
 @lease_variant
 def lowers_its_fencing_token() -> None:
-    """Proposes each lease under a lower token than before, and accepts tokens that do not grow."""
+    """Proposes each lease with a lower fencing token than before, and accepts tokens that don't increase."""
     from saffrongw.leases import acceptor
     from saffrongw.leases.messages import NackReason
     from saffrongw.leases.proposer import Proposer
@@ -416,7 +416,7 @@
 
 
 def killed_at(step: str, go: str) -> None:
-    """Is killed at a step of a grant (a message sent or received), once the file ``go`` exists."""
+    """Kills itself at the ``step``-th lease message sent or received after the file ``go`` exists."""
     import signal
 
     from saffrongw.leases import node_driver
--- a/tests/testbed/test_checker.py
+++ b/tests/testbed/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker on evidence made by hand: each rule at its edges, what excuses, lateness of the stand-ins themselves."""
+"""The checker on hand-made records: limits of each rule, accepted explanations, and stalls of the testbed."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from testbed.model.scenario import Hosts, Plan, Scenario, slack
 
 MS, S = 1_000, 1_000_000
-# Customer 1 is on free, customer 2 on bound.
+# Customer 1 has the plan "free", customer 2 the plan "bound".
 SCENARIO = Scenario(
     "by-hand",
     length_s=60,
@@ -40,7 +40,7 @@
 
 
 class Day:
-    """A log with a gateway that runs, to which a test adds what it needs."""
+    """The log of a run with one running gateway, to which a test adds its records."""
 
     def __init__(self, *records, scenario=SCENARIO) -> None:
         self.scenario = scenario
@@ -102,13 +102,13 @@
 @pytest.mark.parametrize(
     "slow", [Late(2 * S, 2 * S + 500 * MS), Starved(2 * S, 2 * S + 500 * MS, 0, 400 * MS)]
 )
-def test_lateness_that_may_be_the_machines_is_inconclusive(slow):
+def test_lateness_that_the_machine_may_have_caused_is_inconclusive(slow):
     late = refused(S + 2 * S + SOCKET_ALLOWANCE_US + 300 * MS)
     assert Day(sent(), slow, late).judged().outcome == "inconclusive"
     assert Day(sent(), late).judged().outcome == "broken"
 
 
-def test_lateness_beyond_the_machines_is_the_gateways():
+def test_lateness_beyond_the_machines_delay_is_certain():
     slow = Late(2 * S, 2 * S + 100 * MS)
     assert (
         Day(sent(), slow, refused(S + 2 * S + SOCKET_ALLOWANCE_US + 300 * MS)).judged().outcome
@@ -116,7 +116,7 @@
     )
 
 
-def test_lateness_elsewhere_in_the_day_excuses_nothing():
+def test_a_delay_at_another_time_excuses_nothing():
     slow = Late(20 * S, 22 * S)
     assert (
         Day(sent(), refused(S + 2 * S + SOCKET_ALLOWANCE_US + 300 * MS), slow).judged().outcome
@@ -124,7 +124,7 @@
     )
 
 
-def test_another_gateways_hunger_excuses_nothing():
+def test_another_gateways_wait_for_a_core_excuses_nothing():
     slow = Starved(2 * S, 3 * S, 1, S)
     assert (
         Day(sent(), slow, refused(S + 2 * S + SOCKET_ALLOWANCE_US + 300 * MS)).judged().outcome
@@ -146,19 +146,19 @@
     ]
 
 
-def test_a_client_that_left_is_owed_nothing():
+def test_a_client_that_disconnected_needs_no_answer():
     assert (
         Day(sent(), attempt(), Closed(S + 5 * MS, "r1", 0, 1, "left", False, False)).found() == []
     )
 
 
-def test_an_answer_and_the_clients_close_may_cross():
-    """The gateway answered as the client closed: the client saw a close of its own, then nothing."""
+def test_an_answer_sent_while_the_client_closes_is_no_fault():
+    """The gateway answered while the client closed the connection, so the client recorded only its own close."""
     day = Day(sent(), attempt(), made(), Closed(S + 95 * MS, "r1", 0, 1, "left", False, False))
     assert day.found() == []
 
 
-def test_a_close_between_requests_may_cross_one_and_it_is_sent_once_more():
+def test_a_request_sent_while_an_idle_connection_closes_may_be_sent_again():
     crossed = Closed(S + MS, "r1", 0, 1, "gateway", True, False)
     day = Day(
         sent(reused=True),
@@ -171,7 +171,7 @@
     assert day.found() == []
 
 
-def test_a_close_on_a_request_that_went_to_a_host_is_no_crossing():
+def test_a_close_after_the_request_went_to_a_host_is_found():
     closed = Closed(S + 50 * MS, "r1", 0, 1, "gateway", True, False)
     assert Day(sent(reused=True), attempt(), closed).found() == [("answer", True)]
 
@@ -289,9 +289,9 @@
 
 
 @pytest.mark.parametrize("state", ["DRAINING", "DELETED"])
-def test_the_second_of_grace_has_its_edge(state):
+def test_drains_have_one_second_of_grace(state):
     day = [told(S, state), sent()]
-    assert Day(*day, attempt(S)).found() == []  # heard at the same instant as the send
+    assert Day(*day, attempt(S)).found() == []  # sent at the moment of the update
     assert Day(*day, attempt(2 * S + SOCKET_ALLOWANCE_US)).found() == []
     assert Day(*day, attempt(2 * S + SOCKET_ALLOWANCE_US + 1)).found() == [("drain", True)]
 
@@ -310,13 +310,13 @@
     assert Day(told(S), told(2 * S, "SERVING", 6), sent(), attempt(4 * S)).found() == []
 
 
-def test_older_news_undo_nothing():
+def test_older_updates_are_ignored():
     assert Day(told(S), told(2 * S, "SERVING", 4), sent(), attempt(4 * S)).found() == [
         ("drain", True)
     ]
 
 
-def test_a_new_life_knows_only_the_list_that_it_was_given():
+def test_a_restarted_gateway_knows_only_its_initial_list():
     day = Day(
         told(S),
         GatewayEvent(2 * S, 0, "kill"),
@@ -330,7 +330,7 @@
     assert Day(*day.records[4:], attempt(7 * S, host="h2")).found() == [("drain", True)]
 
 
-def test_lateness_of_the_stand_ins_makes_a_drain_uncertain():
+def test_a_stall_of_the_testbed_makes_a_drain_uncertain():
     late = Late(2 * S, 2 * S + 600 * MS)
     assert Day(told(S), late, sent(), attempt(2 * S + SOCKET_ALLOWANCE_US + 500 * MS)).found() == [
         ("drain", False)
@@ -347,7 +347,7 @@
 def cold_day(work, known=True):
     news = [Told(S, 0, 5, False, (("h4", "SERVING", 1000),))] if known else []
     up = HostEvent(S, "h4", 1, "up", "rack 0 cold")
-    # Capacity 0.5 and a multiple of 3 over 2 s: 3 s of work may come in any 2 s.
+    # Capacity 0.5 times fall_multiple 3 over 2 s: the host may get 3 s of work in any 2 s.
     loads = [
         attempt(S + n * 100 * MS, f"q{n}", "h4", conn=n, work=work, capacity=0.5)
         for n in range(1, 11)
@@ -360,7 +360,7 @@
     assert cold_day(0.31).found() == [("cold", True)]
 
 
-def test_who_was_not_told_of_a_start_is_not_blamed_for_it():
+def test_a_gateway_that_was_not_told_of_a_start_is_not_blamed():
     assert "cold" not in {rule for rule, _ in cold_day(0.5, known=False).found()}
 
 
@@ -397,7 +397,7 @@
 
 
 def test_lateness_excuses_a_small_overdraft_of_a_ceiling_and_not_a_large_one_after_it():
-    """The first overdraft of an unlimited gateway is small: only later ones exceed what lateness explains."""
+    """The first overdraft of a gateway without limits is small; only later ones are larger than delays explain."""
     late = Late(S - 500 * MS, S)
     small = Day(late, *use_of(12)).judged()
     assert [(f.rule, f.certain) for f in small.findings if f.rule == "ceiling"] == [
@@ -410,7 +410,7 @@
 
 
 def test_lateness_long_ago_still_excuses_an_overdraft_that_lasts():
-    """The store of a customer at its full rate stays as low as lateness has left it."""
+    """While a customer keeps using its full rate, its token bucket can't recover from an earlier overdraft."""
     late = Late(S - 500 * MS, S)
     at_its_rate = [
         record
@@ -451,8 +451,8 @@
     assert restarted.allowed_beyond == plain.allowed_beyond + SCENARIO.plan[1].burst
 
 
-def test_what_comes_after_the_end_is_nobodys_fault():
-    """The stand-ins close their connections when a run is over; one day that was taken for the gateway's doing."""
+def test_records_after_the_end_of_a_run_are_not_judged():
+    """The testbed closes its connections after a run; these closes were once attributed to the gateway."""
     day = Day(
         sent(49 * S),
         attempt(49 * S),
@@ -483,7 +483,7 @@
     assert day.found() == [("running", True)]
 
 
-def test_a_command_of_no_form_is_found():
+def test_a_malformed_command_is_found():
     assert Day(HostEvent(S, "h1", 1, "syntax", "[]")).found() == [("form", True)]
 
 
--- a/tests/testbed/test_processes.py
+++ b/tests/testbed/test_processes.py
@@ -1,4 +1,4 @@
-"""Gateways as processes: their ports, their end with the stand-ins."""
+"""Gateway processes: their ports, their command line, and their end together with the testbed."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 ROOT = Path(__file__).parent.parent.parent
 
 
-def test_no_port_is_given_twice_before_it_is_bound():
-    """Two gateways of one run once got the same port: the second one's PING was answered by the first."""
+def test_no_port_is_returned_twice_before_it_is_bound():
+    """Two gateways of one run once got the same port, and the first one answered the PING meant for the second."""
     ports = [free_port() for _ in range(40)]
     assert len(set(ports)) == 40
     assert all(port in PORTS for port in ports)
@@ -22,7 +22,7 @@
     assert run_line() == f"exec {sys.executable} -m saffrongw"
 
 
-def test_a_gateway_ends_with_the_stand_ins_however_they_end():
+def test_a_gateway_ends_with_the_testbed_even_if_that_is_killed():
     code = (
         "import os, signal, subprocess, sys\n"
         "from testbed.runner.processes import die_with_parent\n"
@@ -39,4 +39,4 @@
             break
         subprocess.run(["sleep", "0.05"], check=True)
     else:
-        raise AssertionError("the child still runs")
+        raise AssertionError("the child process outlived its parent")
