--- a/testbed/__main__.py
+++ b/testbed/__main__.py
@@ -67,7 +67,9 @@
     progress = None if quiet else Progress()
     if not quiet:
         print(f"{chosen.name}: {chosen.about}", flush=True)
-    done = runs.run(chosen, folder, line, progress, told=lambda text: print(text, file=sys.stderr))
+    done = runs.run(
+        chosen, folder, line, progress, on_retry=lambda text: print(text, file=sys.stderr)
+    )
     if progress:
         progress.end()
     path = report.write(folder, chosen, done.log, done.verdict)
--- a/testbed/checker/lease_rules.py
+++ b/testbed/checker/lease_rules.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stated:
+class LeaseStatement:
     """A gateway's statement of the leases that it holds, each as (name, fencing token, us until its expiry)."""
 
     asked: int
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Still:
+class ProcessPause:
     """A gateway's process did not run: it was stopped by a signal, or waited for a core."""
 
     gateway: str
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Calling:
+class ReceivedCall:
     """A task's call as the receiver got it."""
 
     at: int
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Span:
+class HeldSpan:
     """A span in which a gateway certainly held a lease."""
 
     lease: str
@@ -70,12 +70,12 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class Observations:
     """All observations of one run."""
 
-    stated: list[Stated] = field(default_factory=list)
-    still: list[Still] = field(default_factory=list)
-    calls: list[Calling] = field(default_factory=list)
+    stated: list[LeaseStatement] = field(default_factory=list)
+    still: list[ProcessPause] = field(default_factory=list)
+    calls: list[ReceivedCall] = field(default_factory=list)
     lease_of: dict[str, str] = field(default_factory=dict)  # task -> lease
     faults: list[tuple[int, int, str]] = field(default_factory=list)  # begin, end, description
     late: list[tuple[int, int]] = field(default_factory=list)  # spans in which the testbed stalled
@@ -109,53 +109,56 @@
         return {one.rule for one in self.findings}
 
 
-def surely_held(seen: Seen) -> list[Span]:
+def find_held_spans(seen: Observations) -> list[HeldSpan]:
     """Spans in which a gateway certainly held a lease, derived from pairs of successive statements."""
-    by_life: dict[tuple[str, str], list[Stated]] = defaultdict(list)
-    for one in seen.stated:
-        by_life[one.gateway, one.life].append(one)
+    by_life: dict[tuple[str, str], list[LeaseStatement]] = defaultdict(list)
+    for statement in seen.stated:
+        by_life[statement.gateway, statement.life].append(statement)
     found = []
-    for (gateway, life), some in by_life.items():
-        some.sort(key=lambda one: one.answered)
-        for place, one in enumerate(some):
-            after = some[place + 1] if place + 1 < len(some) else None
-            if after is None:
+    for (gateway, life), statements in by_life.items():
+        statements.sort(key=lambda statement: statement.answered)
+        for index, statement in enumerate(statements):
+            following = statements[index + 1] if index + 1 < len(statements) else None
+            if following is None:
                 continue
-            again = {(lease, number) for lease, number, _ in after.held}
-            for lease, number, left in one.held:
-                end = one.answered
-                if (lease, number) in again:
-                    end = after.asked
-                elif after.given == one.given:
-                    end = min(one.asked + left, after.asked)
-                if end > one.answered:
-                    found.append(Span(lease, gateway, life, number, one.answered, end))
+            still_held = {(lease, number) for lease, number, _ in following.held}
+            for lease, number, left in statement.held:
+                end = statement.answered
+                if (lease, number) in still_held:
+                    end = following.asked
+                elif following.given == statement.given:
+                    end = min(statement.asked + left, following.asked)
+                if end > statement.answered:
+                    found.append(HeldSpan(lease, gateway, life, number, statement.answered, end))
     return found
 
 
-def overlaps(spans: Iterable[Span]) -> list[tuple[Span, Span]]:
+def find_overlaps(spans: Iterable[HeldSpan]) -> list[tuple[HeldSpan, HeldSpan]]:
     """Overlapping spans of one lease in two processes; only the first overlap of any two processes."""
-    by_lease: dict[str, list[Span]] = defaultdict(list)
+    by_lease: dict[str, list[HeldSpan]] = defaultdict(list)
     for span in spans:
         by_lease[span.lease].append(span)
     found, reported = [], set()
-    for some in by_lease.values():
-        some.sort(key=lambda span: span.begin)
-        running: list[Span] = []
-        for span in some:
-            running = [one for one in running if one.end > span.begin]
-            for one in running:
-                pair = (one.lease, one.gateway, one.life, span.gateway, span.life)
-                if (one.gateway, one.life) != (span.gateway, span.life) and pair not in reported:
+    for lease_spans in by_lease.values():
+        lease_spans.sort(key=lambda span: span.begin)
+        open_spans: list[HeldSpan] = []
+        for span in lease_spans:
+            open_spans = [earlier for earlier in open_spans if earlier.end > span.begin]
+            for earlier in open_spans:
+                pair = (earlier.lease, earlier.gateway, earlier.life, span.gateway, span.life)
+                if (earlier.gateway, earlier.life) != (
+                    span.gateway,
+                    span.life,
+                ) and pair not in reported:
                     reported.add(pair)
-                    found.append((one, span))
-            running.append(span)
+                    found.append((earlier, span))
+            open_spans.append(span)
     return found
 
 
-def judge(seen: Seen) -> Verdict:
+def judge(seen: Observations) -> Verdict:
     """Check all rules."""
-    spans = surely_held(seen)
+    spans = find_held_spans(seen)
     findings: list[Finding] = []
 
     def add_finding(rule: str, at: int, what: str) -> None:
@@ -164,7 +167,7 @@
         )
         findings.append(Finding(rule, at, what, during))
 
-    for a, b in overlaps(spans):
+    for a, b in find_overlaps(spans):
         add_finding(
             "one holder",
             b.begin,
@@ -203,7 +206,9 @@
     )
 
 
-def _check_calls(seen: Seen, tenures: dict[str, list[tuple[int, int, str]]], add_finding) -> int:
+def _check_calls(
+    seen: Observations, tenures: dict[str, list[tuple[int, int, str]]], add_finding
+) -> int:
     highest: dict[str, int] = {}
     older = 0
     for call in sorted(seen.calls, key=lambda call: call.at):
@@ -240,7 +245,7 @@
     return older
 
 
-def _check_service(seen: Seen, add_finding) -> None:
+def _check_service(seen: Observations, add_finding) -> None:
     """Check that each task's lease is held again at the end of a span without faults."""
     if not seen.finished:
         return
--- a/testbed/checker/rules.py
+++ b/testbed/checker/rules.py
@@ -35,12 +35,10 @@
 )
 
 SECOND = 1_000_000
-SOCKET_ALLOWANCE_US = (
-    50_000  # added to each time limit of the rules, as times are measured at sockets
-)
+SOCKET_ALLOWANCE_US = 50_000  # added to each time limit of the rules when run over real sockets
 DRAIN_GRACE_US = SECOND
 RESUME_GRACE_US = 300_000  # after SIGCONT, a gateway may still be late with what it missed
-CEILING_EXTRA_SLACK_S = 0.15  # added to a ceiling's slack, in seconds at the ceiling's rate
+CEILING_EXTRA_SLACK_S = 0.15  # added to a ceiling's slack over real sockets, in seconds of its rate
 # A cold host's overload counts only if gateways that knew of its start sent at least this share of the work.
 MIN_INFORMED_WORK_SHARE = 2 / 3
 MAX_FINDINGS_PER_RULE = 200  # further findings are only counted
@@ -165,7 +163,7 @@
     def within(self, begin: int, end: int) -> int:
         """The total delay of all spans that overlap [begin, end], each counted in full.
 
-        A partial overlap counts in full because it isn't known when within the span the delay fell.
+        A span that overlaps only in part counts in full, never in proportion.
         """
         total = 0
         for at, until, amount in self.spans[bisect.bisect_left(self.ends, begin) :]:
@@ -269,9 +267,9 @@
         return self.late_spans.within(begin, end) + (starved.within(begin, end) if starved else 0)
 
     @staticmethod
-    def _exceeds_delay(excuse: int, over: int) -> bool:
+    def _exceeds_delay(delay_us: int, excess_us: int) -> bool:
         """Whether a limit was exceeded by more than the machine's delay."""
-        return not excuse or excuse < over
+        return not delay_us or delay_us < excess_us
 
     def _add_finding(
         self, rule: str, at: int, what: str, certain: bool = True, **more: Any
@@ -290,7 +288,7 @@
         self._check_cold_hosts()
         self._check_denials()
         uses = self._check_usage()
-        self._check_processes()
+        self._check_exits_and_commands()
         service, plans, classes, totals = self._compute_service()
         if service < self.scenario.expect.service:
             late = self._machine_delay_us(-1, self.begin, self.end) + sum(
@@ -363,15 +361,18 @@
                 "answer", r.at, "an answer to a request that was not sent there", **where
             )
             return
-        over = r.at - sent.at - sent.wait - SOCKET_ALLOWANCE_US
-        if over > 0 and not self._was_stopped(r.gateway, sent.at, r.at):
-            excuse = self._machine_delay_us(r.gateway, sent.at, r.at)
-            evidence = (
-                f"sent at {sent.at}, waits {sent.wait} us; the machine may account for {excuse} us"
-            )
-            what = f"answered {over + SOCKET_ALLOWANCE_US} us after its time was up"
+        excess_us = r.at - sent.at - sent.wait - SOCKET_ALLOWANCE_US
+        if excess_us > 0 and not self._was_stopped(r.gateway, sent.at, r.at):
+            delay_us = self._machine_delay_us(r.gateway, sent.at, r.at)
+            evidence = f"sent at {sent.at}, waits {sent.wait} us; the machine may account for {delay_us} us"
+            what = f"answered {excess_us + SOCKET_ALLOWANCE_US} us after its time was up"
             self._add_finding(
-                "answer", r.at, what, self._exceeds_delay(excuse, over), evidence=evidence, **where
+                "answer",
+                r.at,
+                what,
+                self._exceeds_delay(delay_us, excess_us),
+                evidence=evidence,
+                **where,
             )
         if r.kind == "garbled":
             self._add_finding("answer", r.at, "an answer that can't be read", **where)
@@ -386,13 +387,13 @@
             )
         for attempt in self.attempts_by_request.get(r.request, ()):
             if attempt.gateway == r.gateway and attempt.began > r.at + SOCKET_ALLOWANCE_US:
-                over = attempt.began - r.at - SOCKET_ALLOWANCE_US
+                excess_us = attempt.began - r.at - SOCKET_ALLOWANCE_US
                 self._add_finding(
                     "answer",
                     attempt.began,
                     f"sent on {attempt.began - r.at} us after its final answer",
                     self._exceeds_delay(
-                        self._machine_delay_us(r.gateway, r.at, attempt.began), over
+                        self._machine_delay_us(r.gateway, r.at, attempt.began), excess_us
                     ),
                     host=attempt.host,
                     **where,
@@ -424,14 +425,14 @@
                 return  # the gateway did not run throughout: the end of its connection is checked instead
             if self._was_stopped(sent.gateway, sent.at, sent.at + sent.wait):
                 return
-            excuse = self._machine_delay_us(sent.gateway, sent.at, end.at)
-            over = end.at - sent.at - sent.wait - SOCKET_ALLOWANCE_US
+            delay_us = self._machine_delay_us(sent.gateway, sent.at, end.at)
+            excess_us = end.at - sent.at - sent.wait - SOCKET_ALLOWANCE_US
             self._add_finding(
                 "answer",
                 end.at,
                 "no answer",
-                self._exceeds_delay(excuse, over),
-                evidence=f"{evidence}; the machine may account for {excuse} us",
+                self._exceeds_delay(delay_us, excess_us),
+                evidence=f"{evidence}; the machine may account for {delay_us} us",
                 **where,
             )
         elif end.part:
@@ -501,11 +502,11 @@
             what = f"a keyed request that may have run was sent to rack {attempt.rack}"
             self._add_finding("effect", attempt.began, what, evidence=evidence, **where)
         else:
-            over = attempt.began - before.began - cls.window_ms * 1000 - SOCKET_ALLOWANCE_US
-            if over >= 0:
-                what = f"a keyed request was sent again {over + SOCKET_ALLOWANCE_US} us after the window had closed"
+            excess_us = attempt.began - before.began - cls.window_ms * 1000 - SOCKET_ALLOWANCE_US
+            if excess_us >= 0:
+                what = f"a keyed request was sent again {excess_us + SOCKET_ALLOWANCE_US} us after the window had closed"
                 certain = self._exceeds_delay(
-                    self._machine_delay_us(attempt.gateway, before.began, attempt.began), over
+                    self._machine_delay_us(attempt.gateway, before.began, attempt.began), excess_us
                 )
                 self._add_finding(
                     "effect", attempt.began, what, certain, evidence=evidence, **where
@@ -514,28 +515,28 @@
     def _check_drains(self) -> None:
         """The rule "drain", by what discovery wrote to each gateway; a lower version than the last one is ignored."""
         # By gateway and host: (time, whether the host is usable), with None when a restarted gateway knows no host.
-        told: dict[tuple[int, str], list[tuple[int, bool | None]]] = defaultdict(list)
-        heard: dict[int, dict[str, int]] = defaultdict(
+        updates: dict[tuple[int, str], list[tuple[int, bool | None]]] = defaultdict(list)
+        latest_version: dict[int, dict[str, int]] = defaultdict(
             dict
         )  # by gateway: host -> latest version of its entry
         for r in self.log.records:
             if isinstance(r, GatewayEvent) and r.what == "start":
-                for host in heard.pop(r.gateway, ()):
-                    told[r.gateway, host].append((r.at, None))
+                for host in latest_version.pop(r.gateway, ()):
+                    updates[r.gateway, host].append((r.at, None))
             if not isinstance(r, Told):
                 continue
             lines = {host: health == "SERVING" for host, health, _ in r.hosts}
             if r.whole:
-                lines |= {host: False for host in heard[r.gateway] if host not in lines}
+                lines |= {host: False for host in latest_version[r.gateway] if host not in lines}
             for host, usable in lines.items():
-                if r.seq >= heard[r.gateway].get(host, -1):
-                    told[r.gateway, host].append((r.at, usable))
-                    heard[r.gateway][host] = r.seq
+                if r.seq >= latest_version[r.gateway].get(host, -1):
+                    updates[r.gateway, host].append((r.at, usable))
+                    latest_version[r.gateway][host] = r.seq
         limit = DRAIN_GRACE_US + SOCKET_ALLOWANCE_US
         for attempt in self.log.of(Attempt):
-            news = told.get((attempt.gateway, attempt.host), [])
-            place = bisect.bisect_right(news, attempt.began, key=lambda entry: entry[0]) - 1
-            if place < 0 or news[place][1] is None:
+            host_updates = updates.get((attempt.gateway, attempt.host), [])
+            index = bisect.bisect_right(host_updates, attempt.began, key=lambda entry: entry[0]) - 1
+            if index < 0 or host_updates[index][1] is None:
                 if attempt.gateway >= 0 and attempt.request:
                     what = "sent to a host that discovery had not named to it"
                     where = {"gateway": attempt.gateway, "host": attempt.host}
@@ -544,18 +545,20 @@
                     )
                 continue
             since = None
-            while place >= 0 and news[place][1] is False:
-                since = news[place][0]
-                place -= 1
-            stood = since is not None and self._was_stopped(attempt.gateway, since, attempt.began)
-            if since is not None and attempt.began > since + limit and not stood:
-                over = attempt.began - since - limit
+            while index >= 0 and host_updates[index][1] is False:
+                since = host_updates[index][0]
+                index -= 1
+            was_stopped = since is not None and self._was_stopped(
+                attempt.gateway, since, attempt.began
+            )
+            if since is not None and attempt.began > since + limit and not was_stopped:
+                excess_us = attempt.began - since - limit
                 self._add_finding(
                     "drain",
                     attempt.began,
                     f"sent to a host {(attempt.began - since) / SECOND:.2f} s after hearing that it drains or is gone",
                     self._exceeds_delay(
-                        self._machine_delay_us(attempt.gateway, since, attempt.began), over
+                        self._machine_delay_us(attempt.gateway, since, attempt.began), excess_us
                     ),
                     request=attempt.request,
                     gateway=attempt.gateway,
@@ -571,11 +574,13 @@
         for r in self.log.of(HostEvent):
             if r.what == "up" and "cold" in r.detail:
                 cold[r.host, r.life] = r.at
-        told: dict[str, list[tuple[int, int]]] = defaultdict(list)  # host -> (time, gateway)
+        start_reports: dict[str, list[tuple[int, int]]] = defaultdict(
+            list
+        )  # host -> (time, gateway)
         for r in self.log.of(Told):
             for host, _, born in r.hosts:
                 if born:
-                    told[host].append((r.at, r.gateway))
+                    start_reports[host].append((r.at, r.gateway))
         by_life: dict[tuple[str, int], list[Attempt]] = defaultdict(list)
         for attempt in self.log.of(Attempt):
             if attempt.at >= 0 and (attempt.host, attempt.life) in cold:
@@ -594,9 +599,9 @@
                 if work <= budget:
                     continue
                 window = [a for a in attempts[first:] if a.at <= attempt.at]
-                knew = {g for at, g in told[host] if at <= attempt.at}
-                theirs = sum(a.work for a in window if a.gateway in knew)
-                if theirs < MIN_INFORMED_WORK_SHARE * work:
+                informed_gateways = {g for at, g in start_reports[host] if at <= attempt.at}
+                informed_work = sum(a.work for a in window if a.gateway in informed_gateways)
+                if informed_work < MIN_INFORMED_WORK_SHARE * work:
                     continue
                 late = self.late_spans.within(attempt.at - span, attempt.at)
                 self._add_finding(
@@ -607,7 +612,7 @@
                     gateway=attempt.gateway,
                     host=host,
                     request=attempt.request,
-                    evidence=f"started at {born}, {100 * theirs / work:.0f}% from gateways told of its start",
+                    evidence=f"started at {born}, {100 * informed_work / work:.0f}% from gateways told of its start",
                 )
                 break
 
@@ -705,7 +710,7 @@
                 evidence=f"{use.sent:.0f} units sent on of {use.asked} asked, quota {plan.rate:g} a second",
             )
 
-    def _check_processes(self) -> None:
+    def _check_exits_and_commands(self) -> None:
         terminating: set[int] = set()  # gateways that got SIGTERM and have not ended yet
         for r in self.log.of(GatewayEvent):
             if r.what == "exit" and r.detail.startswith("crashed"):
--- a/testbed/runner/lease_world.py
+++ b/testbed/runner/lease_world.py
@@ -16,7 +16,14 @@
 import sys
 from pathlib import Path
 
-from ..checker.lease_rules import Calling, Seen, Stated, Still, Verdict, judge
+from ..checker.lease_rules import (
+    LeaseStatement,
+    Observations,
+    ProcessPause,
+    ReceivedCall,
+    Verdict,
+    judge,
+)
 from ..checker.record import GatewayEvent, Late, Log, Starved
 from ..model.clock import Clock, Heartbeat
 from ..model.lease_day import LeaseDay, LeaseFault
@@ -48,7 +55,7 @@
         self.locks = [asyncio.Lock() for _ in range(day.gateways)]
         self.receiver = Receiver(self.clock, f"{day.seed}:receiver", fences)
         self.relay = UdpRelay(self.channels, f"{day.seed}:channel", WITHOUT_FAULTS)
-        self.seen = Seen()
+        self.seen = Observations()
         self.tasks: list[asyncio.Task] = []
         self.begin = 0
 
@@ -111,7 +118,7 @@
 
     # -- the run ------------------------------------------------------------------------------------------------------
 
-    async def run(self) -> Seen:
+    async def run(self) -> Observations:
         """Run the scenario and return what was observed."""
         await self.open()
         heartbeat = Heartbeat(self.clock, lambda at, until: self.log.add(Late(at, until)))
@@ -133,18 +140,20 @@
         seen = self.seen
         seen.finished = self.clock() if self.day.settles else 0
         seen.calls = [
-            Calling(c.at, c.task, c.turn, c.number, c.holder, c.accepted)
+            ReceivedCall(c.at, c.task, c.turn, c.number, c.holder, c.accepted)
             for c in self.receiver.calls
         ]
         stopped: dict[int, int] = {}
-        for one in self.log.of(GatewayEvent):
-            if one.what == "stop":
-                stopped[one.gateway] = one.at
-            elif one.what in ("cont", "kill") and one.gateway in stopped:
-                seen.still.append(Still(f"n{one.gateway}", stopped.pop(one.gateway), one.at))
+        for event in self.log.of(GatewayEvent):
+            if event.what == "stop":
+                stopped[event.gateway] = event.at
+            elif event.what in ("cont", "kill") and event.gateway in stopped:
+                seen.still.append(
+                    ProcessPause(f"n{event.gateway}", stopped.pop(event.gateway), event.at)
+                )
         for one in self.log.of(Starved):
             if one.delay >= EXCUSING_CPU_WAIT_US:
-                seen.still.append(Still(f"n{one.gateway}", one.at, one.until))
+                seen.still.append(ProcessPause(f"n{one.gateway}", one.at, one.until))
         seen.still.sort(key=lambda one: one.begin)
         seen.late = [(one.at, one.until) for one in self.log.of(Late)]
 
@@ -166,7 +175,9 @@
                     if row["lease"] in state["held"]
                 )
                 self.seen.stated.append(
-                    Stated(asked, self.clock(), mine, state["life"], held, state["given_back"])
+                    LeaseStatement(
+                        asked, self.clock(), mine, state["life"], held, state["given_back"]
+                    )
                 )
                 for task in state["tasks"]:
                     self.seen.lease_of[task["task"]] = task["lease"]
--- a/testbed/runner/processes.py
+++ b/testbed/runner/processes.py
@@ -75,10 +75,10 @@
         self.config: dict[str, Any] = {}
         self.path = folder / f"n{number}.json"
         self.variables: dict[str, str] = {}  # additional environment variables
-        self.follower: asyncio.Task | None = None
+        self.exit_watcher: asyncio.Task | None = None
         self.ready = self.ending = False
         self.lives = 0
-        self.waited = -1
+        self.last_cpu_wait_us = -1
 
     def write(self, config: dict[str, Any]) -> None:
         """Replace its configuration file atomically."""
@@ -87,8 +87,8 @@
         part.write_text(json.dumps(config))
         part.replace(self.path)
 
-    async def start(self, told: Callable[[], None]) -> None:
-        """Start the process and wait until it answers PING; ``told`` records the host list that it starts with."""
+    async def start(self, on_start: Callable[[], None]) -> None:
+        """Start the process and wait until it answers PING; ``on_start`` records the host list that it starts with."""
         variables = {
             "LB_NAME": f"n{self.number}",
             "LB_LISTEN": text_of(self.listen),
@@ -99,9 +99,9 @@
         }
         self.lives += 1
         self.ready = self.ending = False
-        self.waited = -1
+        self.last_cpu_wait_us = -1
         self.log.add(GatewayEvent(self.clock(), self.number, "start", f"life {self.lives}"))
-        told()
+        on_start()
         with (self.folder / f"n{self.number}.log").open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 *("/bin/sh", "-c", self.run),
@@ -114,7 +114,7 @@
                 preexec_fn=die_with_parent,
             )
         process = self.process
-        self.follower = asyncio.get_running_loop().create_task(self._follow(process))
+        self.exit_watcher = asyncio.get_running_loop().create_task(self._record_crash(process))
         async with asyncio.timeout(READY_TIMEOUT_S):
             while not await self._pongs():
                 if process.returncode is not None:
@@ -177,17 +177,20 @@
         if process is None or process.returncode is not None:
             return
         try:
-            waited = int(Path(f"/proc/{process.pid}/schedstat").read_text().split()[1]) // 1000
+            cpu_wait_us = int(Path(f"/proc/{process.pid}/schedstat").read_text().split()[1]) // 1000
         except (OSError, ValueError, IndexError):
             return
         now = self.clock()
-        if self.waited >= 0 and (delay := waited - self.waited) >= MIN_CPU_WAIT_US:
+        if (
+            self.last_cpu_wait_us >= 0
+            and (delay := cpu_wait_us - self.last_cpu_wait_us) >= MIN_CPU_WAIT_US
+        ):
             self.log.add(
                 Starved(now - int(CPU_WAIT_INTERVAL_S * 1e6) - 20_000, now, self.number, delay)
             )
-        self.waited = waited
+        self.last_cpu_wait_us = cpu_wait_us
 
-    async def _follow(self, process: asyncio.subprocess.Process) -> None:
+    async def _record_crash(self, process: asyncio.subprocess.Process) -> None:
         """Record a crash: an end of the process that the testbed did not cause."""
         code = await process.wait()
         if process is self.process and not self.ending:
--- a/testbed/runner/runs.py
+++ b/testbed/runner/runs.py
@@ -38,9 +38,9 @@
     line: str | None = None,
     progress: Progress | None = None,
     tries: int = MAX_TRIES,
-    told: Callable[[str], None] = lambda text: None,
+    on_retry: Callable[[str], None] = lambda text: None,
 ) -> Run:
-    """Run a scenario until its verdict is conclusive, at most ``tries`` times; ``told`` gets a line for each retry."""
+    """Run a scenario until its verdict is conclusive, at most ``tries`` times; ``on_retry`` gets a line for each retry."""
     for number in range(1, tries + 1):
         try:
             log, world = uvloop.run(play(scenario, folder, line, progress))
@@ -48,12 +48,14 @@
             # Another program may bind a port between the check that it is free and the gateway's bind.
             if "ddress already in use" not in str(wrong) or number == tries:
                 raise
-            told(f"{scenario.name}: a port was taken; try {number + 1} of {tries}")
+            on_retry(f"{scenario.name}: a port was taken; try {number + 1} of {tries}")
             continue
         verdict = judge(scenario, log)
         if verdict.outcome != "inconclusive" or number == tries:
             break
-        told(f"{scenario.name}: inconclusive, the machine stood still; try {number + 1} of {tries}")
+        on_retry(
+            f"{scenario.name}: inconclusive, the machine stood still; try {number + 1} of {tries}"
+        )
     log.save(folder / "evidence.jsonl")
     return Run(scenario, log, verdict, number, world.fleet.spoilt)
 
--- a/testbed/runner/world.py
+++ b/testbed/runner/world.py
@@ -50,18 +50,18 @@
         self.agents: list[Agent] = []
         self.servers: list[AgentServer] = []
         self.held: list[list[Change]] = []  # by gateway: changes held back by a discovery silence
-        self.last_push: list[float] = []
+        self.last_delivery_s: list[float] = []
         self.gateways: list[GatewayProcess] = []
         self.locks: list[
             asyncio.Lock
         ] = []  # one per gateway, so that faults that restart it don't overlap
         self.udp: UdpRelay | None = None
         self.clients: ClientSide | None = None
-        self.first: list[StandinHost] = []
+        self.initial_hosts: list[StandinHost] = []
         self.authorisers: list[Any] = []
         self.tasks: list[asyncio.Task] = []
         self.begin = 0
-        self.first_known: list[dict[str, Any]] = []
+        self.initial_host_lists: list[dict[str, Any]] = []
         self.arrivals = drawn.draw(scenario)
 
     # -- the start ------------------------------------------------------------------------------------------
@@ -70,15 +70,15 @@
         """Start all parts and wait until every gateway is ready."""
         s = self.scenario
         for place in range(s.hosts.count):
-            self.first.append(await self.fleet.add(place // s.hosts.rack_size, cold=False))
-        changes = [self.registry.put(self._registry_line(host)) for host in self.first]
+            self.initial_hosts.append(await self.fleet.add(place // s.hosts.rack_size, cold=False))
+        changes = [self.registry.put(self._registry_line(host)) for host in self.initial_hosts]
         for number in range(s.gateways):
             agent = Agent()
             for change in changes:
                 agent.receive(change)
             self.agents.append(agent)
             self.held.append([])
-            self.last_push.append(0.0)
+            self.last_delivery_s.append(0.0)
             server = AgentServer(
                 agent,
                 lambda line, number=number: self._address_for(line.host, number),
@@ -103,7 +103,7 @@
         self.udp = UdpRelay([g.peer_listen for g in self.gateways], f"{s.seed}:udp", way)
         await self.udp.open()
         self.clients = ClientSide(s, self.clock, self.log, [g.listen for g in self.gateways])
-        self.first_known = [self._known_hosts(g.number) for g in self.gateways]
+        self.initial_host_lists = [self._known_hosts(g.number) for g in self.gateways]
         await asyncio.gather(*(self._start_gateway(g) for g in self.gateways))
 
     async def _start_authorisers(self) -> None:
@@ -120,7 +120,9 @@
         for number in range(a.count):
             seed = f"{self.scenario.seed}:authoriser:{number}"
             self.authorisers.append(await Authoriser(decide, seed, self.plain).start())
-        self.operator += operator_text(self.scenario, [one.address for one in self.authorisers])
+        self.operator += operator_text(
+            self.scenario, [authoriser.address for authoriser in self.authorisers]
+        )
 
     def _registry_line(self, host: StandinHost) -> Line:
         return Line(host.name, host.zone, host.rack_number, "SERVING", host.born_ms)
@@ -237,9 +239,9 @@
     def publish(self, change: Change, delay: float = 0.0) -> None:
         """Deliver a change of the registry to every agent after a random delay, in order."""
         for number in range(self.scenario.gateways):
-            lag = delay + self.random.uniform(*self.scenario.network.list_late_s)
-            at = max(self.loop.time() + lag, self.last_push[number])
-            self.last_push[number] = at + 1e-6
+            delay_s = delay + self.random.uniform(*self.scenario.network.list_late_s)
+            at = max(self.loop.time() + delay_s, self.last_delivery_s[number])
+            self.last_delivery_s[number] = at + 1e-6
             self.loop.call_at(at, self._deliver, number, change)
 
     def _publish_health(self, host: StandinHost, health: str, delay: float = 0.0) -> None:
@@ -278,20 +280,20 @@
     def _gateways(self, number: int, fault: Fault) -> list[GatewayProcess]:
         if fault.gateways:
             return [self.gateways[g] for g in fault.gateways]
-        chosen = random.Random(f"{self.scenario.seed}:fault:{number}")
+        rng = random.Random(f"{self.scenario.seed}:fault:{number}")
         count = max(1, round((fault.share or 1.0) * len(self.gateways)))
-        return sorted(chosen.sample(self.gateways, count), key=lambda g: g.number)
+        return sorted(rng.sample(self.gateways, count), key=lambda g: g.number)
 
     def _hosts(self, number: int, fault: Fault) -> list[StandinHost]:
         living = [host for host in self.fleet.hosts.values() if host.up]
         if fault.hosts:
-            return [self.first[place] for place in fault.hosts]
+            return [self.initial_hosts[place] for place in fault.hosts]
         if fault.rack >= 0:
             return [host for host in living if host.rack_number == fault.rack]
         if not fault.share or fault.kind == "host_spoils":
             return living
-        chosen = random.Random(f"{self.scenario.seed}:fault:{number}")
-        return chosen.sample(living, max(1, round(fault.share * len(living))))
+        rng = random.Random(f"{self.scenario.seed}:fault:{number}")
+        return rng.sample(living, max(1, round(fault.share * len(living))))
 
     async def _stop_new_connections(self, gateway: GatewayProcess, after: float) -> None:
         await asyncio.sleep(after)
@@ -299,7 +301,7 @@
             self.clients.down.add(gateway.number)
 
     async def _kill(self, number: int, fault: Fault) -> None:
-        async def one(gateway: GatewayProcess) -> None:
+        async def kill_and_restart(gateway: GatewayProcess) -> None:
             async with self.locks[gateway.number]:
                 await gateway.kill()
                 notice = self.loop.create_task(
@@ -309,10 +311,12 @@
                 )
                 self.tasks.append(notice)
                 await asyncio.sleep(fault.for_s)
-                known = self.first_known[gateway.number] if fault.stale else None
+                known = self.initial_host_lists[gateway.number] if fault.stale else None
                 await self._start_gateway(gateway, known)
 
-        await asyncio.gather(*(one(gateway) for gateway in self._gateways(number, fault)))
+        await asyncio.gather(
+            *(kill_and_restart(gateway) for gateway in self._gateways(number, fault))
+        )
 
     async def _restart(self, number: int, fault: Fault) -> None:
         for gateway in self._gateways(number, fault):
@@ -382,8 +386,8 @@
 
     async def _list_shrinks(self, number: int, fault: Fault) -> None:
         names = sorted(self.registry.lines)
-        chosen = random.Random(f"{self.scenario.seed}:fault:{number}")
-        hidden = frozenset(chosen.sample(names, max(1, round((fault.share or 0.5) * len(names)))))
+        rng = random.Random(f"{self.scenario.seed}:fault:{number}")
+        hidden = frozenset(rng.sample(names, max(1, round((fault.share or 0.5) * len(names)))))
         for hide in (hidden, frozenset()):
             for agent, server in zip(self.agents, self.servers, strict=True):
                 agent.hidden, agent.shrunk = hide, True
@@ -416,14 +420,14 @@
     async def _links(self, number: int, fault: Fault) -> None:
         await self._set_link_fault(number, fault, TcpFault(fault.mode, chance=fault.share or 1.0))
 
-    async def _set_link_fault(self, number: int, fault: Fault, how: TcpFault) -> None:
+    async def _set_link_fault(self, number: int, fault: Fault, tcp_fault: TcpFault) -> None:
         # For ``links``, the share is that of affected connections; all chosen hosts are affected.
         hosts = self._hosts(
             number, dataclasses.replace(fault, share=0.0) if fault.kind == "links" else fault
         )
         for host in hosts:
             for relay in host.relays:
-                relay.set(how)
+                relay.set(tcp_fault)
         await asyncio.sleep(fault.for_s)
         for host in hosts:
             for relay in host.relays:
@@ -449,31 +453,31 @@
 
         faults = [mode for mode in MODES if mode not in ("answer", "delay")]
         chances = {mode: (fault.share or 0.3) / len(faults) for mode in faults} | {"delay": 1.0}
-        for one in self.authorisers:
-            one.behaviour = Behaviour(chances, self.plain.delay)
+        for authoriser in self.authorisers:
+            authoriser.behaviour = Behaviour(chances, self.plain.delay)
         await asyncio.sleep(fault.for_s)
-        for one in self.authorisers:
-            one.behaviour = self.plain
+        for authoriser in self.authorisers:
+            authoriser.behaviour = self.plain
 
     async def _authoriser_hangs(self, number: int, fault: Fault) -> None:
         from ..ext_authz_server.server import Behaviour
 
-        for one in self.authorisers:
-            one.behaviour = Behaviour({"silent": 1.0})
+        for authoriser in self.authorisers:
+            authoriser.behaviour = Behaviour({"silent": 1.0})
         await asyncio.sleep(fault.for_s)
-        for one in self.authorisers:
-            one.behaviour = self.plain
+        for authoriser in self.authorisers:
+            authoriser.behaviour = self.plain
 
     async def _authoriser_restarts(self, number: int, fault: Fault) -> None:
         for _ in range(fault.count):
-            for one in self.authorisers:
-                await one.restart(fault.for_s)
+            for authoriser in self.authorisers:
+                await authoriser.restart(fault.for_s)
             await asyncio.sleep(fault.gap_s)
 
     async def _deploy(self, number: int, fault: Fault) -> None:
-        standing = [self.fleet.hosts[name] for name in self.registry.lines]
+        listed = [self.fleet.hosts[name] for name in self.registry.lines]
         hosts = [
-            host for host in standing if host.up and not host.draining
+            host for host in listed if host.up and not host.draining
         ]  # hosts that another deploy is replacing are left out
         hosts = hosts[: max(1, round((fault.share or 1.0) * len(hosts)))]
         size = max(1, round(fault.batch * len(hosts)))
--- a/tests/faults/test_leases.py
+++ b/tests/faults/test_leases.py
@@ -8,7 +8,13 @@
 import uvloop
 from variants import LEASES
 
-from testbed.checker.lease_rules import Calling, Seen, Stated, Still, judge
+from testbed.checker.lease_rules import (
+    LeaseStatement,
+    Observations,
+    ProcessPause,
+    ReceivedCall,
+    judge,
+)
 from testbed.model.lease_day import LeaseDay, LeaseFault, drawn
 from testbed.runner.lease_world import LeaseWorld, line_of, play
 
@@ -124,8 +130,8 @@
 # -- the checker itself ------------------------------------------------------------------------
 
 
-def stated(gateway: str, at: int, *held: tuple[str, int, int], given: int = 0) -> Stated:
-    return Stated(at, at + 1_000, gateway, "1", held, given)
+def stated(gateway: str, at: int, *held: tuple[str, int, int], given: int = 0) -> LeaseStatement:
+    return LeaseStatement(at, at + 1_000, gateway, "1", held, given)
 
 
 S = 1_000_000
@@ -138,30 +144,30 @@
 
 
 def test_the_checker_passes_holders_that_follow_each_other():
-    assert judge(Seen(stated=HELD)).findings == []
+    assert judge(Observations(stated=HELD)).findings == []
 
 
 def test_the_checker_finds_a_holding_that_lasts_while_its_holder_is_stopped():
     late = [stated("n0", 9 * S, ("s0/1", 5, 9 * S)), stated("n0", 14 * S), *HELD[2:]]
-    found = judge(Seen(stated=late, faults=[(9 * S, 14 * S, "stop of n0")])).findings
+    found = judge(Observations(stated=late, faults=[(9 * S, 14 * S, "stop of n0")])).findings
     assert [one.rule for one in found] == ["one holder"]
     assert "n0" in found[0].what
     assert "n1" in found[0].what
     assert found[0].during == "stop of n0"
     back = [late[0], dataclasses.replace(late[1], given=1), *late[2:]]
-    assert judge(Seen(stated=back)).findings == []
+    assert judge(Observations(stated=back)).findings == []
 
 
 def test_the_checker_finds_tokens_that_fall_and_late_calls():
     fell = [*HELD[2:], stated("n2", 15 * S, ("s0/1", 4, S))]
-    assert {one.rule for one in judge(Seen(stated=fell)).findings} == {"numbers"}
-    seen = Seen(stated=HELD, lease_of={"t": "s0/1"})
+    assert {one.rule for one in judge(Observations(stated=fell)).findings} == {"numbers"}
+    seen = Observations(stated=HELD, lease_of={"t": "s0/1"})
     seen.calls = [
-        Calling(13 * S, "t", 2, 6, "n1/1", True),
-        Calling(13 * S + 1, "t", 2, 5, "n0/1", True),
+        ReceivedCall(13 * S, "t", 2, 6, "n1/1", True),
+        ReceivedCall(13 * S + 1, "t", 2, 5, "n0/1", True),
     ]
     assert {one.rule for one in judge(seen).findings} == {"older number", "call outside"}
-    seen.still = [Still("n0", 11 * S, 13 * S)]
+    seen.still = [ProcessPause("n0", 11 * S, 13 * S)]
     seen.calls[1] = dataclasses.replace(seen.calls[1], accepted=False)
     verdict = judge(seen)
     assert verdict.findings == []
@@ -169,5 +175,5 @@
 
 
 def test_the_checker_finds_a_lease_without_holder_at_the_end():
-    seen = Seen(stated=HELD, lease_of={"t": "s0/1"}, finished=20 * S)
+    seen = Observations(stated=HELD, lease_of={"t": "s0/1"}, finished=20 * S)
     assert [one.rule for one in judge(seen).findings] == ["service"]
