--- a/benchmarks/fleet/__init__.py
+++ b/benchmarks/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The program's pure machines on the virtual clock of ``testbed.simulation``."""
+"""Simulations of the gateway's I/O-free state machines on ``testbed.simulation``'s clock."""
--- a/benchmarks/fleet/ceilings.py
+++ b/benchmarks/fleet/ceilings.py
@@ -1,11 +1,12 @@
-"""Rate ceilings over a fleet that starts: the policy as it is, its gossip, and the true units.
+"""Requests that rate ceilings reject while a fleet starts, compared with the true unit balances.
 
-    python -m benchmarks.fleet.ceilings     what is rejected after a mass restart, by message loss
+    python -m benchmarks.fleet.ceilings     rejections after a mass restart, by message loss
 
-Gateways are machines of the virtual clock. Endpoints answer at once and never fail here, so that
-only quotas and ceilings reject. The world keeps each customer's true stores, which no gateway can
-know: the ceiling's, drawn from by the first attempt of every request, and the quota's. A request
-that is rejected with half of the quota or more unused is one rejected in vain.
+The gateways run the real policy and its gossip on the virtual clock. Endpoints answer after a
+fixed time and never fail, so that only quotas and ceilings reject. The world keeps each customer's
+true balances, which no gateway can know: that of the ceiling, from which the first attempt of
+every request takes units, and that of the quota. A request is rejected in vain if half of the
+quota or more is unused at that time.
 """
 
 from __future__ import annotations
@@ -54,7 +55,7 @@
 from testbed.simulation.machine import Machine, Sent
 
 SECOND, MS = 1_000_000, 1_000  # microseconds
-# The gateways' clock at true time 0: long after any start.
+# The gateways' clock at true time 0: far from 0, as on a machine that has run for long.
 T0 = 1_000_000 * SECOND
 ATTEMPT_DURATION_US = 40 * MS
 NEVER_US = 1 << 62
@@ -99,7 +100,7 @@
 
 @dataclass(slots=True)
 class CustomerStore:
-    """The units that a customer's ceiling and quota truly hold."""
+    """The true unit balances of a customer's ceiling and quota."""
 
     ceiling: float
     quota: float
@@ -107,7 +108,7 @@
     lowest: float = 0.0
 
     def refill(self, now: int, plan: Plan) -> None:
-        """Add the units of the time since the last call."""
+        """Add the units for the time since the last refill."""
         span, self.refilled_at = (now - self.refilled_at) / SECOND, now
         self.ceiling = min(plan.ceiling_burst, self.ceiling + plan.ceiling_rate * span)
         self.quota = min(plan.burst, self.quota + plan.rate * span)
@@ -125,7 +126,7 @@
     def __init__(self, world: World, node_index: int, now: int) -> None:
         """Start the gateway, with one endpoint."""
         self.world, self.node_index = world, node_index
-        # Due time, order of setting, event.
+        # Due time, sequence number, event.
         self.timers: list[tuple[int, int, Event]] = []
         self.orders = 0
         self.gateway = world.kind(
@@ -186,20 +187,20 @@
 
 @dataclass
 class World:
-    """Gateways, customers and what became of their requests."""
+    """Gateways, customers and the outcomes of their requests."""
 
     gateways: int = 60
     spread: int = 16
     customers: int = 60
     # Requests a second of most customers.
     rate: tuple[float, float] = (1.0, 4.0)
-    # Part of the customers that ask for several times their quota.
+    # Share of the customers that request several times their quota.
     heavy: float = 0.1
     heavy_rate: float = 26.0
     link: Link = field(default_factory=lambda: Link(delay=(2_500, 18_000), loss=0.03))
     kind: Callable[..., Gateway] = Gateway
     plan: Plan = PLAN
-    # How long a process loads until it decides.
+    # How long a process loads before it handles its first event.
     load_time: int = 400 * MS
     seed: int = 1
 
@@ -211,7 +212,7 @@
         self.in_flight: dict[int, tuple[int, float]] = {}
         self.number = 0
         self.counts: Counter[str] = Counter()
-        # The requests that are counted: by their time.
+        # Only requests within this time window are counted.
         self.counted_from, self.counted_until = 0, NEVER_US
         for node_index in range(self.gateways):
             self.fleet.add(
@@ -248,7 +249,7 @@
         self.fleet.call(f"g{node_index}", lambda machine, now: _feed(machine, now, event))
 
     def sent(self, request: int) -> None:
-        """Note a first attempt: the true stores lose its units."""
+        """Record a first attempt: take its units from the true balances."""
         customer, units = self.in_flight.pop(request)
         store = self.stores[customer]
         store.refill(self.fleet.now, self.plan)
@@ -256,7 +257,7 @@
         self.counts["sent"] += 1
 
     def rejected(self, request: int) -> None:
-        """Note a final answer of the gateway's own."""
+        """Record a rejection or failure that the gateway answered itself."""
         customer, _ = self.in_flight.pop(request)
         store = self.stores[customer]
         store.refill(self.fleet.now, self.plan)
@@ -265,18 +266,18 @@
             self.counts["in vain"] += store.quota >= self.plan.burst / 2
 
     def restart(self, at: int, share: float, down_for: int = SECOND) -> None:
-        """Kill a share of the gateways at one moment; after a while they start again, empty."""
+        """Kill a share of the gateways at once; each restarts without state after ``down_for``."""
         for name in self.random.sample(sorted(self.fleet.nodes), int(share * self.gateways)):
             self.fleet.at(at, partial(self.fleet.kill, name))
             self.fleet.at(at + down_for, partial(self.fleet.start, name))
 
     def count_window(self, start: int, span: int) -> None:
-        """Count only the requests of this time."""
+        """Count only the requests in this time window."""
         self.counted_from, self.counted_until = start, start + span
 
     @property
     def lowest(self) -> float:
-        """The fewest units that any ceiling's store held."""
+        """Return the lowest true balance of any ceiling."""
         return min(store.lowest for store in self.stores.values())
 
 
@@ -286,7 +287,10 @@
 
 
 def rejecting_at_once(settings: Settings, seed: int, now_us: int) -> Gateway:
-    """Build a gateway as it was: without units it rejects, and requests them for the next time."""
+    """Build a gateway that does not wait for grants, as the previous version did.
+
+    It rejects a request at once if units are missing, and asks for units for later requests.
+    """
     gateway = Gateway(settings, seed, now_us)
 
     def begin_grant_wait(request: RequestState) -> bool:
@@ -299,7 +303,7 @@
 
 
 class Rejections(NamedTuple):
-    """Parts of the requests that were rejected, in vain and at all; the lowest store."""
+    """Shares of requests rejected in vain and in total, and the lowest ceiling balance."""
 
     in_vain: float
     at_all: float
@@ -335,7 +339,7 @@
 def print_row(
     fleet: tuple[int, int], event: tuple[str, float], link: tuple[str, Link], seeds: range
 ) -> None:
-    """Print what both versions reject in a fleet (its size and its replica sets')."""
+    """Print the rejections of both versions; ``fleet`` is its size and its replica set size."""
     gateways, spread = fleet
     event_name, share = event
     start = 10 * SECOND * bool(share)
--- a/benchmarks/fleet/lease_case_state.py
+++ b/benchmarks/fleet/lease_case_state.py
@@ -15,12 +15,12 @@
 LEASE = "s0/1"
 WALL_US = 1_700_000_000 * SECOND_US
 TICK_US = SECOND_US
-# Without candidates nothing is offered: proposers begin by themselves.
+# Without candidates acceptors offer no lease: proposers start on their own.
 NO_CANDIDATES = Candidates(1)
 
 
 class CaseTiming(Timing):
-    """Durations as in service, but nothing is sent again: each message is one choice."""
+    """Production durations without resends: the explorer decides on each message once."""
 
     @property
     def resend_after_us(self) -> int:
@@ -34,24 +34,24 @@
 
     @property
     def renew_after_us(self) -> int:
-        """Return that a holder renews at once."""
+        """Return 0: a holder renews at once."""
         return 0
 
 
 def half() -> float:
-    """Return a fixed number where the program draws one from 0 to 1."""
+    """Return a constant in place of a random number from 0 to 1."""
     return 0.5
 
 
 class Mail(NamedTuple):
-    """A message on its way."""
+    """A message in flight."""
 
     sender: str
     receiver: str
     message: Message
 
     def words(self) -> str:
-        """Return the arrival of the message in words, for a trace."""
+        """Describe the arrival of the message, for a trace."""
         sender, receiver, message = self
         match message:
             case Prepare():
@@ -74,14 +74,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CaseState:
-    """Everything at one moment; nodes are never changed, only replaced."""
+    """An immutable snapshot of the case; nodes are replaced, never changed in place."""
 
     acceptors: tuple[Acceptor, ...]
     proposers: tuple[Proposer, ...]
     mail: frozenset[Mail]
     tick: int
     restarts: int
-    # By proposer: how often it may still begin to propose.
+    # For each proposer: how often it may still start to propose.
     proposals_left: tuple[int, ...]
     duplicates: int
     # The highest fencing token of any holder so far.
@@ -91,7 +91,7 @@
 
 
 def copied_acceptor(acceptor: Acceptor) -> Acceptor:
-    """Return a copy to change."""
+    """Return an independent copy of an acceptor."""
     new = copy.copy(acceptor)
     new.records = {lease: copy.copy(record) for lease, record in acceptor.records.items()}
     new.counters = acceptor.counters.copy()
@@ -99,7 +99,7 @@
 
 
 def copied_proposer(proposer: Proposer) -> Proposer:
-    """Return a copy to change, without events and progress."""
+    """Return an independent copy of a proposer, without events and progress."""
     new = copy.copy(proposer)
     new.claims = {}
     for lease, claim in proposer.claims.items():
--- a/benchmarks/fleet/lease_days.py
+++ b/benchmarks/fleet/lease_days.py
@@ -1,11 +1,11 @@
-"""Days of leases under drawn faults, how fast a lease is taken over, and what it costs in messages.
+"""Simulated lease runs under random faults, takeover times, and message traffic.
 
     python -m benchmarks.fleet.lease_days days --count 10000 --jobs 8
     python -m benchmarks.fleet.lease_days takeover --count 200
     python -m benchmarks.fleet.lease_days traffic
 
-A day is 120 s of the virtual clock, with 5 voters and 20 other gateways, leases of 5 s, and faults
-from 20 s to 90 s.
+A "day" is a run of 120 s on the virtual clock, with 5 voters and 20 other gateways, leases of 5 s,
+and faults between 20 s and 90 s.
 """
 
 from __future__ import annotations
@@ -37,21 +37,21 @@
 
 
 def drain_node(machine: Machine, now: int) -> Sent:
-    """Begin to drain a simulated node."""
+    """Start to drain a simulated node."""
     if not isinstance(machine, SimulatedNode):
         raise TypeError(f"no simulated node: {machine!r}")
     return machine.drain(now)
 
 
 class Faults:
-    """Kinds of faults; each draws its own times and places."""
+    """Kinds of faults; each draws its own times and nodes."""
 
     def __init__(self, field: SimulatedFleet, draw: random.Random) -> None:
         """Plan faults for a fleet."""
         self.field, self.draw, self.fleet = field, draw, field.fleet
 
     def span(self, min_s: float, max_s: float) -> tuple[int, int]:
-        """From when to when."""
+        """Draw the start and the end of a fault."""
         length = int(self.draw.uniform(min_s, max_s) * SECOND_US)
         begin = self.draw.randrange(FROM, max(FROM + 1, UNTIL - length))
         return begin, begin + length
@@ -70,15 +70,15 @@
         fleet.at(end, lambda: put(before))
 
     def loss(self) -> None:
-        """A third of all messages."""
+        """Lose 10% to 40% of all messages."""
         self._links(*self.span(5, 40), loss=self.draw.uniform(0.1, 0.4))
 
     def noise(self) -> None:
-        """Doubled and out of order."""
+        """Duplicate and reorder messages."""
         self._links(*self.span(5, 40), double=0.3, reorder=0.3, reorder_by=SECOND_US)
 
     def delay(self) -> None:
-        """Each message takes up to ten seconds."""
+        """Delay each message by up to 10 s."""
         max_delay_us = int(self.draw.uniform(0.2, 10) * SECOND_US)
         self._links(*self.span(5, 30), delay=(0, max_delay_us))
 
@@ -89,41 +89,41 @@
         return [names[:at], names[at:]]
 
     def split(self, one_way: bool = False) -> None:
-        """Two sides that do not hear each other."""
+        """Partition the fleet into two sides."""
         begin, end = self.span(5, 40)
         sides = self._sides()
         self.fleet.at(begin, lambda: self.fleet.at(end, self.fleet.split(sides, one_way)))
 
     def one_way(self) -> None:
-        """One side hears the other, and is not heard."""
+        """Partition the fleet in one direction only."""
         self.split(True)
 
     def _some(self) -> list[str]:
         return self.draw.sample(self.field.names, self.draw.randint(1, len(self.field.names)))
 
     def stop(self) -> None:
-        """Some stand still, for shorter or longer than a lease."""
+        """Pause some nodes, for shorter or longer than a lease."""
         begin, end = self.span(0.5, 20)
         for name in self._some():
             self.fleet.at(begin, partial(self.fleet.stop, name))
             self.fleet.at(end + self.draw.randrange(SECOND_US), partial(self.fleet.go_on, name))
 
     def kill(self) -> None:
-        """Some are killed and start anew, each by itself."""
+        """Kill and restart some nodes, each at its own time."""
         for name in self._some():
             begin, end = self.span(0.1, 10)
             self.fleet.at(begin, partial(self.fleet.kill, name))
             self.fleet.at(end, partial(self.fleet.start, name))
 
     def all_voters(self) -> None:
-        """All voters at once."""
+        """Kill and restart all voters at once."""
         begin, end = self.span(0.1, 3)
         for name in self.field.voters:
             self.fleet.at(begin, partial(self.fleet.kill, name))
             self.fleet.at(end, partial(self.fleet.start, name))
 
     def drain(self) -> None:
-        """Some drain, end and start anew."""
+        """Drain, stop and restart some nodes."""
         for name in self._some():
             begin, end = self.span(0.5, 5)
             self.fleet.at(begin, partial(self.fleet.call, name, drain_node))
@@ -131,16 +131,16 @@
             self.fleet.at(end, partial(self.fleet.start, name))
 
     def clock_back(self) -> None:
-        """Wall clocks of a few machines go back an hour, and what runs there restarts."""
+        """Set the wall clocks of 8 machines back by an hour, and restart their nodes."""
         begin, _ = self.span(1, 2)
         for name in self.draw.sample(self.field.names, 8):
             self.fleet.at(begin, partial(self.field.walls.__setitem__, name, -3_600 * SECOND_US))
-            # What runs has its own base: it shows at the next start.
+            # A running node has read its wall clock base already: the change shows after a restart.
             self.fleet.at(begin + SECOND_US, partial(self.fleet.kill, name))
             self.fleet.at(begin + 2 * SECOND_US, partial(self.fleet.start, name))
 
     def receiver(self) -> None:
-        """The receiver is away, and half of its answers are lost."""
+        """Make the receiver unavailable, and lose half of its answers until 10 s later."""
         begin, end = self.span(5, 20)
 
         def make_unavailable() -> None:
@@ -170,7 +170,7 @@
     kinds: tuple[str, ...] | None = None,
     plant: Callable[[SimulatedFleet], None] | None = None,
 ) -> tuple:
-    """Run one day; return its kinds of faults, its fleet, its turns."""
+    """Run one day; return its kinds of faults, its fleet and its turn counts."""
     draw = random.Random(seed)
     timing = Timing(5 * SECOND_US, 0.01)
     field = SimulatedFleet(
@@ -187,7 +187,7 @@
 
 
 def judged(seed: str) -> tuple[tuple[str, ...], list[str], Counter[str], int]:
-    """For another process: kinds, breaches in words, turns by promise, gains."""
+    """Run one day in a worker process; return its fault kinds, breaches, turn counts and gains."""
     kinds, field, turns = day(seed)
     tally: Counter[str] = Counter(turns)
     at_max_once = Counter(
@@ -205,7 +205,7 @@
 
 
 def days(count: int, jobs: int, first: int) -> int:
-    """Many days; a table by kind of fault. 1 where something overlapped."""
+    """Run many days and print a table by kind of fault; return 1 if there was any breach."""
     began = time.monotonic()
     totals: Counter[str] = Counter()
     by_kind: defaultdict[str, Counter[str]] = defaultdict(Counter)
@@ -248,12 +248,12 @@
 
 
 def percentile(some: list[float], part: float) -> float:
-    """Of an unsorted list."""
+    """Return a percentile of an unsorted list."""
     return sorted(some)[min(len(some) - 1, int(len(some) * part))]
 
 
 def taken_over(seed: str, how: str) -> float:
-    """Return the seconds from a holder's end to the next one's beginning."""
+    """Return the seconds from the loss of a holder to the next acquisition of its lease."""
     draw = random.Random(seed)
     field = SimulatedFleet(seed, 3, 5, 1, Timing(5 * SECOND_US, 0.01), (), Link(delay=(200, 5_000)))
     fleet, lease = field.fleet, shard_name(0, 1)
@@ -265,7 +265,7 @@
         fleet.kill(holder)
     elif how == "drain":
         fleet.call(holder, drain_node)
-    else:  # cut off with less than a majority
+    else:  # Partitioned away from the majority.
         others = [name for name in field.names if name != holder]
         fleet.split([[holder], others])
     fleet.run(at + 30 * SECOND_US)
@@ -274,7 +274,7 @@
 
 
 def takeover(count: int) -> int:
-    """A table of three ways to lose a holder."""
+    """Print takeover times for three ways to lose a holder."""
     table = Table(title=f"a lease of 5 s taken over, seconds, {count} seeds each")
     for name in ("holder", "p50", "p90", "p99", "most"):
         table.add_column(name, justify="right")
@@ -286,7 +286,7 @@
 
 
 def traffic() -> int:
-    """Messages and bytes a second, by gateways and tasks, at rest."""
+    """Print messages and bytes a second without faults, by numbers of gateways and tasks."""
     table = Table(title="at rest, leases of 10 s: datagrams and bytes a second sent, 3 voters")
     for name in (
         "gateways",
@@ -324,7 +324,7 @@
 
 
 def main() -> int:
-    """The command line."""
+    """Run the command line."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/benchmarks/fleet/lease_explorer.py
+++ b/benchmarks/fleet/lease_explorer.py
@@ -1,9 +1,9 @@
-"""Acceptors and proposers as a case for ``testbed.simulation.explore``: every interleaving of them.
+"""Lease cases for ``testbed.simulation.explore``: all interleavings of acceptors and proposers.
 
-A message may arrive at any time after it was sent, or never, and some of them twice. Time advances
-in ticks, for each node at its own rate; the least favourable rates are the bounds. Rejections and
-releases only make proposers and acceptors go on earlier; cases leave them out where their number
-would hide the rest, and others have them.
+A message may arrive at any time after it was sent, or never, and some arrive twice. Time advances
+in ticks, and each node's clock runs at its own rate; the least favourable rates are the drift
+bounds. Rejections and releases only let proposers and acceptors continue earlier. Cases whose
+state space would grow too large with them leave them out; other cases include them.
 """
 
 from __future__ import annotations
@@ -49,13 +49,13 @@
 
 @dataclass(kw_only=True)
 class LeaseCase:
-    """A few acceptors and proposers of one lease, and what may happen to them."""
+    """A few acceptors and proposers of one lease, and the events that are explored."""
 
     voters: int = 3
     proposers: int = 2
     ticks: int = 4
     restarts: int = 0
-    # How often each proposer may begin to propose.
+    # How often each proposer may start to propose.
     proposals: int = 1
     duplicates: int = 0
     renews: bool = False
@@ -65,20 +65,20 @@
     answers_stay: bool = False
     duration_us: int = 2 * TICK_US
     drift: float = 0.2
-    # Of acceptors' and of proposers' clocks; None: the least favourable within the bound.
+    # Clock rates of acceptors and of proposers; None: the least favourable within the drift bound.
     rates: tuple[float, float] | None = None
     acceptor: Callable[..., Acceptor] = Acceptor
     proposer: Callable[..., Proposer] = Proposer
     timing: type[Timing] = CaseTiming
-    # A free lease must be acquired again.
+    # Check that a free lease can be acquired again.
     regain: bool = False
-    # The others propose only after the first one has held the lease.
+    # The other proposers propose only after the first one has held the lease.
     first_leads: bool = False
     # How often a holder may release the lease.
     voluntary_releases: int = 0
 
     def __post_init__(self) -> None:
-        """Derive names, clock rates, durations, and the messages that are left out."""
+        """Derive names, clock rates, durations and the message types that are left out."""
         self.case_timing = self.timing(self.duration_us, self.drift)
         self.acceptor_rate, self.proposer_rate = self.rates or (1 + self.drift, 1 - self.drift)
         self.acceptor_names = tuple(f"v{n}" for n in range(self.voters))
@@ -91,22 +91,22 @@
     # -- clocks ------------------------------------------------------------------------------------
 
     def acceptor_now(self, tick: int) -> int:
-        """Return what acceptors' clocks show."""
+        """Return the time by the acceptors' clocks."""
         return 1_000 * SECOND_US + int(tick * TICK_US * self.acceptor_rate)
 
     def proposer_now(self, tick: int) -> int:
-        """Return what proposers' clocks show."""
+        """Return the time by the proposers' clocks."""
         return 5_000 * SECOND_US + int(tick * TICK_US * self.proposer_rate)
 
     @staticmethod
     def wall(tick: int) -> int:
-        """Return Unix us."""
+        """Return the Unix time in us."""
         return WALL_US + tick * TICK_US
 
     # -- the case ----------------------------------------------------------------------------------
 
     def first(self) -> CaseState:
-        """Return the first state: all acceptors past their silence, nobody proposes yet."""
+        """Return the initial state: all acceptors past their silent period, no proposals yet."""
         now = self.acceptor_now(0)
         acceptors = []
         for name in self.acceptor_names:
@@ -133,7 +133,7 @@
         return self.acceptor(name, self.case_timing, NO_CANDIDATES, Suspensions(), now)
 
     def next(self, state: CaseState) -> Iterable[Step]:
-        """Return all that may happen next."""
+        """Return all possible next steps."""
         for index in range(len(state.proposers)):
             yield from self._proposer_steps(state, index)
         answers: dict[str, list[Mail]] = {}
@@ -152,7 +152,7 @@
             yield "a second passes", self._tick(state)
 
     def _proposer_steps(self, state: CaseState, index: int) -> Iterable[Step]:
-        """A proposer begins to propose, or releases the lease that it holds."""
+        """Let a proposer start to propose, or release the lease that it holds."""
         proposer = state.proposers[index]
         now, name = self.proposer_now(state.tick), proposer.gateway.name
         too_early = self.first_leads and index and not state.highest_token
@@ -176,7 +176,7 @@
         return max(promised, default=0)
 
     def _arrivals(self, state: CaseState, mail: Mail, may_repeat: bool) -> Iterable[Step]:
-        """A message arrives, and where it may repeat it stays on its way too."""
+        """Deliver a message; if it may repeat, also keep a copy in flight."""
         after = self._deliver(replace(state, mail=state.mail - {mail}), mail)
         if after is None:
             return
@@ -193,9 +193,9 @@
             yield f"{acceptor.name} starts anew, with empty memory", after
 
     def _deliver_answers(self, state: CaseState, answers: dict[str, list[Mail]]) -> Iterable[Step]:
-        """Deliver as many answers as make a proposer go on.
+        """Deliver as many answers at once as a proposer needs to proceed.
 
-        Fewer change nothing that another node can see, so when they came does not matter.
+        Fewer change nothing that another node can see, so their arrival times do not matter.
         """
         choose = combinations_with_replacement if self.answers_stay else combinations
         for name, received in answers.items():
@@ -209,7 +209,7 @@
                 yield " and ".join(dict.fromkeys(mail.words() for mail in chosen)), after
 
     def _can_matter(self, state: CaseState, mail: Mail) -> bool:
-        """Return whether it can change anything: an answer after its time can't."""
+        """Return whether a message can still change the state; a late answer cannot."""
         message = mail.message
         if mail.receiver in self.acceptor_names:
             return True
@@ -300,7 +300,7 @@
         new = replace(state, mail=state.mail | mail) if mail else state
         if new.restarts or Nack not in self.left_out:
             return new
-        # What will always be rejected need not be stored.
+        # Messages that will always be rejected need not be kept.
         void = {one for one in new.mail if self._always_rejected(new, one)}
         return replace(new, mail=new.mail - void) if void else new
 
@@ -312,19 +312,19 @@
         record = state.acceptors[index].records.get(LEASE)
         if record is None or not isinstance(message, Prepare | Propose):
             return False
-        # A renewal is accepted in spite of a promise.
+        # A renewal is accepted even after a promise to a higher ballot.
         needs_promise = isinstance(message, Prepare) or message.initial
         return needs_promise and message.ballot < record.promised
 
-    # -- what must hold ----------------------------------------------------------------------------
+    # -- invariants --------------------------------------------------------------------------------
 
     def holders(self, state: CaseState) -> list[str]:
-        """Return who holds the lease by its own clock."""
+        """Return the proposers that hold the lease by their own clocks."""
         now = self.proposer_now(state.tick)
         return [one.gateway.name for one in state.proposers if one.held(now)]
 
     def breach(self, state: CaseState) -> str:
-        """Return what is wrong: two holders, a token that has not grown, a lease lost for ever."""
+        """Return the violated invariant, or '': two holders, a token not increased, a lost lease."""
         holders = self.holders(state)
         if len(holders) > 1:
             return f"{' and '.join(holders)} both hold the lease"
@@ -335,9 +335,9 @@
         return ""
 
     def _regained(self, state: CaseState) -> bool:
-        """Return whether the lease is held within two durations and a silence.
+        """Return whether the lease is acquired within two durations and a silent period.
 
-        From here on every message arrives at once, and all proposers propose.
+        From this state on, every message arrives at once and all proposers propose.
         """
         fair = copy.copy(self)
         fair.left_out = ()
@@ -358,7 +358,7 @@
                     yield state
 
     def _propose_anew(self, state: CaseState, index: int, waiting: list[Mail]) -> CaseState:
-        """Let a proposer give up its round, as after its deadline, and propose; add to the mail."""
+        """Abandon a proposer's round, as after its deadline, and propose; queue its messages."""
         now = self.proposer_now(state.tick)
         proposer = copied_proposer(state.proposers[index])
         if (claim := proposer.claims.get(LEASE)) and not claim.held_until_us:
--- a/benchmarks/fleet/lease_holders.py
+++ b/benchmarks/fleet/lease_holders.py
@@ -1,4 +1,4 @@
-"""Who holds which lease on the virtual clock, by true time, and what must not happen."""
+"""Record of lease holders by true time on the virtual clock, and of safety violations."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """Something that must not happen, at a true time in us."""
+    """A safety violation, at a true time in us."""
 
     at_us: int
     text: str
 
 
 class Gain(NamedTuple):
-    """A node gained a lease, at a true time in us."""
+    """The acquisition of a lease by a node, at a true time in us."""
 
     at_us: int
     lease: str
@@ -28,17 +28,17 @@
 
 
 class Holding(NamedTuple):
-    """Under which token a node holds a lease, and until when by true time in us."""
+    """The fencing token of a held lease, and the true time in us at which it expires."""
 
     fencing_token: int
     until_us: int
 
 
 class HolderLog:
-    """All holders of all leases, by true time, which no gateway knows."""
+    """All holders of all leases by true time, which no gateway can read."""
 
     def __init__(self) -> None:
-        """Start without holders."""
+        """Create an empty log."""
         self.breaches: list[Breach] = []
         self.gains: list[Gain] = []
         self._highest_token: dict[str, int] = {}
@@ -82,7 +82,7 @@
     def _check_others(
         self, at_us: int, gateway: GatewayId, claim: Claim, holders: dict[GatewayId, Holding]
     ) -> None:
-        """Remove holders of before, and record those that hold the lease at the same time."""
+        """Remove earlier holders, and record a breach for each that still holds the lease."""
         for other, holding in list(holders.items()):
             if other == gateway:
                 continue
--- a/benchmarks/fleet/lease_planted_faults.py
+++ b/benchmarks/fleet/lease_planted_faults.py
@@ -1,4 +1,4 @@
-"""Planted faults for the lease explorer: acceptors, proposers and timing that must be found."""
+"""Faulty acceptors, proposers and timing that the lease explorer must detect."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class NotSilentAcceptor(Acceptor):
-    """Answers at once after a start."""
+    """Answers immediately after a start instead of staying silent first."""
 
     def __init__(
         self,
@@ -27,13 +27,13 @@
         suspensions: Suspensions,
         now: int,
     ) -> None:
-        """Start without silence."""
+        """Start without the silent period."""
         super().__init__(name, timing, candidates, suspensions, now)
         self.silent_until_us = now
 
 
 class BackwardAcceptor(Acceptor):
-    """Accepts a late renewal under a ballot from before its holder got the lease again."""
+    """Accepts a late renewal under a ballot older than the holder's current grant."""
 
     def _on_propose(
         self, now: int, wall: int, sender: GatewayId, request: Propose
@@ -53,7 +53,7 @@
 
 
 class DoubleGrantAcceptor(Acceptor):
-    """Grants a lease to one gateway while another one's grant still runs."""
+    """Grants a lease to one gateway while another gateway's grant is still valid."""
 
     def _on_prepare(
         self, now: int, wall: int, sender: GatewayId, request: Prepare
@@ -83,11 +83,11 @@
 
 
 class MinorityProposer(Proposer):
-    """One voter less than a majority is enough."""
+    """Needs one voter less than a majority."""
 
     @property
     def majority(self) -> int:
-        """Return one voter too few."""
+        """Return one voter less than a majority."""
         return len(self.voters) // 2
 
 
@@ -124,12 +124,12 @@
 
 
 def with_token(proposal: Propose, token: int) -> Propose:
-    """Return the same proposal under another fencing token."""
+    """Return the same proposal with another fencing token."""
     return msgspec.structs.replace(proposal, fencing_token=token)
 
 
 class CountedAnswers(set[str]):
-    """Counts an answer as often as it arrives."""
+    """A set whose length counts duplicate answers too."""
 
     times = 0
 
@@ -140,17 +140,17 @@
         return new
 
     def add(self, one: str) -> None:
-        """Count an answer, whoever it is from."""
+        """Count an answer, even from a voter that has already answered."""
         super().add(one)
         self.times += 1
 
     def __len__(self) -> int:
-        """Return how many answers came."""
+        """Return the number of answers received."""
         return self.times
 
 
 class DoubleCountProposer(Proposer):
-    """Counts answers, not voters."""
+    """Counts answers instead of distinct voters."""
 
     def _start_round(self, now: int, claim: Claim, stage: ClaimStage) -> list[Outgoing]:
         out = super()._start_round(now, claim, stage)
--- a/benchmarks/fleet/lease_state_key.py
+++ b/benchmarks/fleet/lease_state_key.py
@@ -1,7 +1,7 @@
-"""Keys by which states of an explored lease case are equal.
+"""Keys that identify equivalent states of an explored lease case.
 
-States that differ only in the names of acceptors, in how long ago something was, or in fencing
-tokens of the same order, have one key.
+States share a key if they differ only in the names of acceptors, in the age of past events, or in
+the values of fencing tokens but not in their order.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     proposer_now: int,
     can_matter: Callable[[Mail], bool],
 ) -> Hashable:
-    """Return the key of a state; mail to a proposer counts where ``can_matter`` says so."""
+    """Return the key of a state; mail to a proposer is included only if ``can_matter`` is true."""
     claims = [one.claims.get(LEASE) for one in state.proposers]
     ranks = _ranks(_tokens(state, claims))
     mail_keys = _mail_keys(state, ranks, can_matter)
@@ -77,7 +77,7 @@
 
 
 def _ranks(tokens: set[int]) -> Ranks:
-    """Return tokens by their order; whether one follows the other at once is preserved."""
+    """Map tokens to ranks that keep their order and whether two tokens are consecutive."""
     ranks: Ranks = {}
     rank, last = 0, None
     for token in sorted(tokens):
@@ -89,7 +89,7 @@
 def _mail_keys(
     state: CaseState, ranks: Ranks, can_matter: Callable[[Mail], bool]
 ) -> dict[str, list[tuple]]:
-    """Return the keys of all mail to or from each acceptor."""
+    """Return the keys of all messages to or from each acceptor."""
     keys: dict[str, list[tuple]] = {acceptor.name: [] for acceptor in state.acceptors}
     for mail in state.mail:
         if mail.receiver in keys:
--- a/benchmarks/fleet/leases.py
+++ b/benchmarks/fleet/leases.py
@@ -1,8 +1,8 @@
-"""Leases on the virtual clock: nodes with their tasks, a receiver of calls, and who held what when.
+"""Simulated lease nodes with their tasks, and the receiver of the task calls, on the virtual clock.
 
 ``SimulatedFleet`` is a fleet of voters and other gateways under faults. It counts by true time,
-which no gateway knows: overlaps of holders, turns missed and repeated, calls with an older number
-than one before.
+which no gateway can read: overlapping holders, missed and repeated turns, and calls with a lower
+fencing token than an earlier call.
 """
 
 from __future__ import annotations
@@ -37,15 +37,15 @@
 
 from .lease_holders import Breach, Gain, HolderLog
 
-# Unix us at true time 0.
+# Unix time in us at true time 0.
 WALL_US = 1_700_000_000 * SECOND_US
-# About what the channel adds to a packet.
+# Approximate overhead that the channel adds to each packet.
 ENVELOPE_BYTES = 72
 
 
 @dataclass(slots=True)
 class ReceivedCall:
-    """One call as the receiver saw it."""
+    """One task call as the receiver recorded it."""
 
     at: int
     task: str
@@ -56,16 +56,16 @@
 
 
 class Receiver:
-    """What tasks call: it rejects tokens below one that it has seen, as a receiver has to."""
+    """The service that tasks call; it rejects a token lower than the highest that it has seen."""
 
     def __init__(self) -> None:
-        """Start without calls."""
+        """Create a receiver without recorded calls."""
         self.highest: dict[str, int] = {}
         self.calls: list[ReceivedCall] = []
         self.unavailable_until = 0
 
     def call(self, at: int, task: str, turn: int, fencing_token: int, node: str) -> CallOutcome:
-        """One call has come."""
+        """Handle one call and return its outcome."""
         if at < self.unavailable_until:
             return CallOutcome.FAILED
         accepted = fencing_token >= self.highest.get(task, 0)
@@ -75,7 +75,7 @@
 
 
 class SimulatedNode:
-    """A node and its tasks as a machine of the virtual clock."""
+    """A lease node and its task schedule, run on the virtual clock."""
 
     def __init__(
         self, simulated: SimulatedFleet, name: str, incarnation: int, now: int, draw: random.Random
@@ -85,30 +85,30 @@
         self.wall_by = simulated.walls.get(name, 0)
         self.node = simulated.make_node(name, incarnation, now, draw)
         self.schedule = TaskSchedule()
-        self.calls: list[tuple[int, TaskCall]] = []  # when each ends
+        self.calls: list[tuple[int, TaskCall]] = []  # Each with its end time.
         self.now = now
         self.recalled: set[str] = set()
 
     def wall(self, now: int) -> int:
-        """Its idea of Unix time: the world's, and what it is off by."""
+        """Return the Unix time by this node's clock, including its error."""
         return WALL_US + now - self.simulated.fleet.nodes[self.name].offset + self.wall_by
 
     def next_at(self) -> int:
-        """The next thing of any of its parts."""
+        """Return when the node, its schedule or a running call is next due."""
         times = [self.node.next_at(), *(at for at, _ in self.calls)]
         if (at := self.schedule.next_at()) is not None:
             times.append(at)
         return min(times)
 
     def receive(self, now: int, sender: str, message: tuple[int, Packet]) -> Sent:
-        """A packet, with the incarnation of its sender."""
+        """Handle a packet, which carries the incarnation of its sender."""
         self.now = now
         incarnation, packet = message
         out = self.node.receive(now, self.wall(now), GatewayId(sender, incarnation), packet)
         return self._after(now, out)
 
     def due(self, now: int) -> Sent:
-        """Whatever waits."""
+        """Handle the timers and the calls that are due."""
         self.now = now
         out = self.node.due(now, self.wall(now))
         for end, call in [item for item in self.calls if item[0] <= now]:
@@ -118,7 +118,7 @@
         return self._after(now, out)
 
     def drain(self, now: int) -> Sent:
-        """SIGTERM."""
+        """Drain the node, as on SIGTERM."""
         self.now = now
         return self._after(now, self.node.drain(now, self.wall(now)))
 
@@ -192,7 +192,7 @@
 
 
 class SimulatedFleet:
-    """Voters, other gateways, their tasks, and what happened."""
+    """Voters and other gateways with their tasks, and a record of what happened."""
 
     def __init__(
         self,
@@ -206,7 +206,7 @@
         sizes: bool = False,
         start_within: int = SECOND_US,
     ) -> None:
-        """Set up voters and other gateways, with clock rates within the bound."""
+        """Create voters and other gateways, with clock rates within the drift bound."""
         self.fleet = Fleet(seed, link)
         self.random = random.Random(f"{seed}:field")
         self.timing, self.shards = timing or Timing(), shards
@@ -239,13 +239,13 @@
         return SimulatedNode(self, name, incarnation, now, draw)
 
     def plain_node(self, name: str, incarnation: int, now: int, draw: random.Random) -> LeaseNode:
-        """A node as the program makes it."""
+        """Return a lease node as the gateway process creates it."""
         settings = NodeSettings(self.timing, self.shards)
         gateway = GatewayId(name, incarnation)
         return LeaseNode(gateway, settings, self.set, draw.random, now)
 
     def _check_holders(self, at: int, node: Node) -> None:
-        """Record who holds what, by true time, after each step of a node."""
+        """Record the leases that a node holds by true time, after each of its steps."""
         claims: dict[str, Claim] = {}
         if isinstance(node.machine, SimulatedNode):
             held = node.machine.node.proposer.held(node.clock(at))
@@ -254,12 +254,12 @@
 
     @property
     def breaches(self) -> list[Breach]:
-        """Return what must not have happened."""
+        """Return the safety violations so far."""
         return self.holders.breaches
 
     @property
     def gains(self) -> list[Gain]:
-        """Return the leases that were gained, in order."""
+        """Return all lease acquisitions in order."""
         return self.holders.gains
 
     def holder(self, lease: str) -> str | None:
@@ -267,7 +267,7 @@
         return self.holders.holder(lease, self.fleet.now)
 
     def turn_counts(self, until: int, settle: int = 0) -> Counter[str]:
-        """Turns done once, repeated, missed, between ``settle`` and ``until`` (true us)."""
+        """Count done, repeated and missed turns between ``settle`` and ``until`` (true time, us)."""
         done: Counter[tuple[str, int]] = Counter(
             (call.task, call.turn) for call in self.receiver.calls if call.accepted
         )
--- a/benchmarks/fleet/lists.py
+++ b/benchmarks/fleet/lists.py
@@ -1,13 +1,11 @@
-"""How a fleet gets its endpoint list: the gateways' ``PollSchedule`` in simulation.
+"""Simulation of how a fleet gets its endpoint list with the gateways' ``PollSchedule``.
 
-    python -m benchmarks.fleet.lists              the table: fleets of 3 to 1,000, every kind of
-    start python -m benchmarks.fleet.lists --before     the same with the spans of the version
-    before
+    python -m benchmarks.fleet.lists              the table: fleets of 3 to 1,000 gateways
+    python -m benchmarks.fleet.lists --before     the same with the previous version's schedule
 
 The list service has one worker; time is virtual. A gateway is current once it has received an
-answer since the event: its start, or the end of a silence. The shortest time is that in which the
-service could serve all of them if they came in a row, each with the poll that the service could
-answer most cheaply.
+answer since the event: its start, or the end of an outage. The shortest time is the one in which
+the service could answer all gateways back to back, each with the cheapest poll that updates it.
 """
 
 from __future__ import annotations
@@ -31,13 +29,13 @@
 SERVICE = "lists"
 VERSION = 41
 NEVER_US = 1 << 60
-# When the one gateway that starts alone does so.
+# Start time of the single gateway in scenarios where it starts alone.
 ALONE_START_S = 60.0
-# All gateways of one start begin within this time.
+# Gateways that start together do so within this time.
 START_SPREAD_S = 0.05
-# The end of a simulation over which the load of watches is measured.
+# The load of watches is measured over this time at the end of a simulation.
 IDLE_SPAN_S = 60
-# A gateway that is woken more often is woken for nothing.
+# More wake-ups per gateway mean that it is woken without work to do.
 MAX_WAKES_PER_GATEWAY = 2_000
 
 
@@ -57,7 +55,7 @@
 
 
 class Watch(NamedTuple):
-    """A poll that waits for a change."""
+    """A poll that is held open until the list changes or its time is up."""
 
     ends_at_us: int
     gateway: str
@@ -65,10 +63,10 @@
 
 
 class ListService:
-    """The list service as a machine of the simulation."""
+    """The list service on the virtual clock."""
 
     def __init__(self, costs: Costs) -> None:
-        """Begin with nothing to do."""
+        """Create an idle service."""
         self.queue = Desk(costs)
         self.watches: list[Watch] = []
 
@@ -81,7 +79,7 @@
         return min(times, default=NEVER_US)
 
     def receive(self, now: int, sender: str, message: tuple[int, int | None, float]) -> Sent:
-        """Queue a poll; a watch costs nothing until it is answered, as nothing changes here."""
+        """Queue a poll; a watch costs nothing until it ends, as the list never changes here."""
         poll = Poll(*message)
         if poll.watch_s:
             ends_at_us = now + int(poll.watch_s * US_PER_S)
@@ -91,7 +89,7 @@
         return self.due(now)
 
     def due(self, now: int) -> Sent:
-        """Answer what is done by now, and queue the watches that have ended."""
+        """Send finished answers, and queue the watches that have ended."""
         answers = [
             (gateway, Answer(connection, result))
             for (gateway, connection), result in self.queue.advance((now + 1) / US_PER_S)
@@ -104,7 +102,7 @@
 
 
 class Gateway:
-    """One gateway's polls; what comes on an older connection, which is a number, is ignored."""
+    """The polls of one gateway; answers with an earlier connection number are ignored."""
 
     def __init__(
         self, schedule: PollSchedule, is_up: Callable[[], bool], now: int, has_clients: bool
@@ -126,7 +124,7 @@
         return [(SERVICE, Poll(self.connection, request.version, request.watch_s))]
 
     def due(self, now: int) -> Sent:
-        """Do what the schedule says."""
+        """Carry out the schedule's next action."""
         now_s = now / US_PER_S
         action = self.schedule.due(now_s)
         if action is None:
@@ -138,7 +136,7 @@
         return []
 
     def receive(self, now: int, _sender: str, message: tuple[int, Said]) -> Sent:
-        """Apply an answer."""
+        """Handle an answer."""
         answer = Answer(*message)
         now_s = now / US_PER_S
         if answer.connection != self.connection:
@@ -156,21 +154,21 @@
 
 @dataclass
 class FleetStart:
-    """One scenario: which gateways start when, and what the service does."""
+    """One scenario: start times of the gateways and faults of the service."""
 
     gateways: int
     costs: Costs = field(default_factory=Costs)
     schedule_type: type[PollSchedule] = PollSchedule
-    # A list is known from before: changes are enough.
+    # The gateways know an earlier list, so that changes are enough.
     has_known_list: bool = True
-    # Share of gateways that have clients at once.
+    # Share of gateways that have clients from the start.
     with_clients_share: float = 1.0
-    # All are killed and start again after this time (0: they are not).
+    # Time after which all gateways are killed and restarted; 0: no restart.
     restart_after_s: float = 0.0
-    # From when until when the service is silent, or rejects all polls.
+    # Start and end (s) of the time in which the service is down, or rejects all polls.
     down: tuple[float, float] = (0.0, 0.0)
     rejecting: tuple[float, float] = (0.0, 0.0)
-    # All but one run already, and are current.
+    # Only one gateway starts; the others already run and are current.
     alone: bool = False
     notification_deadline_s: float = 10.0
     length_s: float = 180.0
@@ -178,12 +176,12 @@
 
     @property
     def event_s(self) -> float:
-        """The event from which times are measured."""
+        """Return the time of the event from which times are measured."""
         return ALONE_START_S if self.alone else self.down[1] or self.restart_after_s
 
     @property
     def cheapest_poll_s(self) -> float:
-        """What the cheapest poll that brings a gateway up to date costs the service."""
+        """Return the service's cost of the cheapest poll that brings a gateway up to date."""
         is_delta = self.has_known_list and self.costs.keeps_changes
         return self.costs.changes if is_delta else self.costs.whole
 
@@ -197,14 +195,14 @@
     half_current_s: float
     nine_tenths_current_s: float
     all_current_s: float
-    # All of those that have clients.
+    # When all gateways that have clients were current.
     clients_current_s: float
     shortest_s: float
     polls: int
-    # Polls in the busiest second, as a share of what the service can do in it.
+    # Polls in the busiest second, as a share of the service's capacity.
     peak_load: float
     rejected: int
-    # Share of the worker that watches without changes take at the end.
+    # Share of the worker's time spent on watches without changes at the end.
     idle_load: float
 
 
@@ -212,7 +210,7 @@
     """One scenario on the virtual clock."""
 
     def __init__(self, start: FleetStart) -> None:
-        """Build the fleet and schedule what happens to it."""
+        """Build the fleet and schedule its starts and faults."""
         self.start = start
         self.fleet = Fleet(f"lists:{start.seed}", Link(delay=(200, 1_000)))
         self.service = ListService(start.costs)
@@ -262,7 +260,7 @@
         self.fleet.call(SERVICE, lambda machine, now: machine.due(now))
 
     def _begin_measurement(self) -> None:
-        """Measure from the event on."""
+        """Reset counters and current times at the event."""
         self.counts_before = self.service.queue.counts.copy()
         self.service.queue.came.clear()
         for gateway in self._running():
@@ -310,7 +308,7 @@
 
 
 def quantile(times_s: list[float], share: float, count: int) -> float:
-    """Return when this share of so many gateways was current; infinite where it never was."""
+    """Return when this share of ``count`` gateways was current; infinite if it never was."""
     position = max(1, round(share * count))
     return times_s[position - 1] if position <= len(times_s) else float("inf")
 
--- a/benchmarks/fleet/quotas.py
+++ b/benchmarks/fleet/quotas.py
@@ -1,13 +1,13 @@
-"""What a fleet admits beyond quotas on a quiet day, beside a policy that sees the true units late.
+"""Over-quota admissions of a fleet without faults, against a policy that sees true quotas late.
 
     python -m benchmarks.fleet.quotas     the table: 3, 40 and 200 gateways, three seeds
 
-The policy as it is on the virtual clock (see ``ceilings``): endpoints answer at once, no gateway
-dies, messages take 2.5 to 18 ms and 3% of them are lost. The world keeps the units that each
-customer's quota truly holds. The policy beside it gets the same requests and admits one if the
-quota, as its own admissions left it, held the request's units some time ago. A request beyond the
-quota takes nothing and costs ``over_quota_cost`` of its revenue; the cost is per revenue asked for
-inside the quotas.
+The gateways run the real policy on the virtual clock (see ``ceilings``): no gateway dies, messages
+take 2.5 to 18 ms and 3% of them are lost. The world keeps the true unit balance of each customer's
+quota. The reference policy gets the same requests and keeps its own true balances; it admits a
+request if the balance held the request's units a fixed delay ago. A request beyond the quota takes
+no units and costs ``over_quota_cost`` of its revenue; the cost is given per unit of revenue
+requested within the quotas.
 """
 
 from __future__ import annotations
@@ -22,21 +22,21 @@
 
 from .ceilings import SECOND, World
 
-# Small, refilled slowly.
+# A small quota, refilled slowly.
 QUIET = Plan(1.1, 5.5, 0, 1.2, 0.0, 1.0, 0.0, 0.0, 0.0)
-# Larger, refilled fast, with a ceiling.
+# A larger quota, refilled fast, with a ceiling.
 BRISK = Plan(7.0, 13.0, 0, 1.6, 0.0, 0.8, 15.0, 28.0, 2.8)
 
 
 class PastUnits(NamedTuple):
-    """What a quota held at a time."""
+    """The balance of a quota at a time."""
 
     at: int
     units: float
 
 
 class OursAndDelayed(NamedTuple):
-    """A figure of the fleet, and of the policy that sees the true units late."""
+    """A figure of the fleet, and of the reference policy with delayed balances."""
 
     ours: float
     delayed: float
@@ -44,14 +44,14 @@
 
 @dataclass(slots=True)
 class DelayedQuota:
-    """One customer's quota under the policy that sees it late."""
+    """One customer's quota under the reference policy, which sees the balance late."""
 
     units: float
     refilled_at: int = 0
     past: deque[PastUnits] = field(default_factory=deque)
 
     def admits(self, now: int, plan: Plan, delay: int) -> bool:
-        """Tell whether the quota held a unit so long ago."""
+        """Return whether the quota held a unit ``delay`` us ago."""
         while len(self.past) > 1 and self.past[1].at <= now - delay:
             self.past.popleft()
         at, units = self.past[0] if self.past else PastUnits(0, plan.burst)
@@ -59,7 +59,7 @@
         return min(plan.burst, units + plan.rate * since) >= 1.0
 
     def take(self, now: int, plan: Plan) -> bool:
-        """Forward one more request; tell whether it was inside the quota."""
+        """Count a forwarded request; return whether it was within the quota."""
         self.units = min(plan.burst, self.units + plan.rate * (now - self.refilled_at) / SECOND)
         self.refilled_at, inside = now, self.units >= 1.0
         self.units -= inside
@@ -68,12 +68,12 @@
 
 
 class QuietDay(World):
-    """A quiet day of one plan: most customers use a part of their quota, some far more."""
+    """A run without faults on one plan: most customers use part of their quota, some far more."""
 
     delay: int = SECOND
 
     def __post_init__(self) -> None:
-        """Start the fleet, and the quotas beside it."""
+        """Start the fleet and the reference quotas."""
         self.inside = self.over_quota = self.delayed_inside = self.delayed_over_quota = 0
         self.requested_inside = 0
         self.delayed: dict[int, DelayedQuota] = {}
@@ -81,9 +81,9 @@
         super().__post_init__()
 
     def _next(self, customer: int, rate: float, first: int) -> None:
-        """Draw a customer's next request; a bursty customer asks five times as much for 4 of 18 s.
+        """Schedule a customer's next request; bursty ones send 5 times their rate for 4 of 18 s.
 
-        ``rate`` is ignored: it is drawn anew by the customer's kind.
+        ``rate`` is ignored: the rate follows from the customer's kind.
         """
         draw = random.Random(f"{self.seed}:{customer}")
         kind, plan = draw.random(), self.plan
@@ -108,7 +108,7 @@
         super()._arrives(customer, rate, first)
 
     def sent(self, request: int) -> None:
-        """Note a first attempt: inside if the true quota holds its units, which it then takes."""
+        """Record a first attempt; it is within the quota if the true balance covers its units."""
         customer, units = self.in_flight.pop(request)
         store = self.stores[customer]
         store.refill(self.fleet.now, self.plan)
@@ -121,12 +121,12 @@
             self.over_quota += not inside
 
     def costs(self) -> OursAndDelayed:
-        """Return the cost of what was forwarded beyond quotas, per revenue asked for inside."""
+        """Return the cost of over-quota requests per unit of revenue requested within quotas."""
         cost = self.plan.over_quota_cost / max(1, self.requested_inside)
         return OursAndDelayed(self.over_quota * cost, self.delayed_over_quota * cost)
 
     def served_inside(self) -> OursAndDelayed:
-        """Return the part of what was asked for inside quotas that was forwarded."""
+        """Return the forwarded share of the requests within quotas."""
         requested = max(1, self.requested_inside)
         return OursAndDelayed(self.inside / requested, self.delayed_inside / requested)
 
@@ -139,7 +139,7 @@
     seconds: int = 40,
     customers: int = 60,
 ) -> QuietDay:
-    """Play one day; its first seconds, when all customers are new to the gateways, count too."""
+    """Run one simulation, counting from the start, when all customers are new to the gateways."""
     day = QuietDay(gateways, spread, customers, plan=plan, seed=seed)
     day.fleet.run(seconds * SECOND)
     return day
