--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The two commands of README: `make demo` shows a fleet with faults, `make test` runs all checks.
+# `make demo` runs a fleet with injected faults; `make test` runs all linters and tests.
 PYTHON ?= python3
 VENV := .venv
 BIN := $(VENV)/bin
--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements, run by hand: ratios within one run, never limits of a test."""
+"""Benchmarks, run by hand; they report ratios within one run and set no limits for tests."""
--- a/benchmarks/authz_cost.py
+++ b/benchmarks/authz_cost.py
@@ -1,7 +1,8 @@
-"""What checks cost a gateway: CPU a request with checks off, cached and uncached in one run, and memory with 1,000 out.
+"""Cost of authorisation checks: CPU per request without, with cached and with uncached checks, and memory with 1,000
+checks in flight.
 
-Run by hand: ``python -m benchmarks.authz_cost``. One gateway, stand-in hosts, clients and an authoriser; rounds
-interleaved; the ratio to the run without checks beside it is the figure.
+Run by hand: ``python -m benchmarks.authz_cost``. One gateway with simulated hosts, clients and an authoriser. Rounds
+are interleaved; the result is the ratio to the round without checks.
 """
 
 from __future__ import annotations
@@ -44,13 +45,13 @@
 
 
 def cpu(pid: int) -> float:
-    """Seconds of CPU of a process and its threads."""
+    """Return the CPU seconds used by a process and its threads."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / TICKS
 
 
 def memory(pid: int) -> tuple[float, float]:
-    """Resident memory now and at its peak, in MB."""
+    """Return the current and the peak resident memory in MB."""
     found = {}
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         name, _, rest = line.partition(":")
@@ -60,7 +61,7 @@
 
 
 async def one(mode: str, folder: Path) -> tuple[float, float, int]:
-    """us of CPU a request, resident MB at the end, requests."""
+    """Run one round; return us of CPU per request, resident MB at the end, and requests."""
     folder.mkdir()
     world = World(replace(DAY, authoriser=MODES[mode]), folder)
     seen: list[tuple[int, float, float]] = []
@@ -79,7 +80,7 @@
 
 
 async def out_at_once(number: int, folder: Path) -> tuple[float, float, int]:
-    """Resident memory with so many checks out: before, with them, and how many came to the authoriser."""
+    """Return memory (MB) before and at the peak with ``number`` checks in flight, and the checks received."""
     folder.mkdir()
     plan = replace(DAY.plan[0], rate=10_000.0, burst=100_000.0)
     world = World(replace(DAY, plan=(plan, DAY.plan[1]), authoriser=MANY), folder)
@@ -104,7 +105,7 @@
 
 
 def main() -> None:
-    """The table."""
+    """Print the table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rounds", type=int, default=3)
     given = parser.parse_args()
--- a/benchmarks/client_disconnects.py
+++ b/benchmarks/client_disconnects.py
@@ -1,9 +1,9 @@
-"""Requests whose client left while they waited: how many reach a host 0.3 s or more after that.
+"""Counts requests that reach a host 0.3 s or more after their client has disconnected.
 
-    python -m benchmarks.client_disconnects   a burst of clients on loopback, connections to hosts up late: one line
+    python -m benchmarks.client_disconnects   a burst of clients on loopback, slow connections to hosts: one line
 
-Each client sends one request and leaves within 0.2 s, every other one by a reset; a connection to a host comes up 0 to
-0.4 s after it is asked for. ``--forgets`` plants the fault: what waits for a connection is not withdrawn.
+Each client sends one request and disconnects within 0.2 s, every other one by a reset; a connection to a host takes 0
+to 0.4 s to open. ``--forgets`` plants a fault: requests that wait for a connection are not withdrawn.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
 from conftest import SITE, FakeHost, Rig, until, value
 
-LATE = 0.3  # seconds
+LATE = 0.3  # Seconds.
 
 
 async def play(clients: int, forgets: bool) -> tuple[int, int, int]:
-    """Clients that left before their request was begun, those of them whose request was begun then, and late."""
+    """Count clients that left before their request reached a host, and those requests forwarded later, and late."""
     draw, hosts = random.Random(1), [await FakeHost(name).listen() for name in "abcd"]
     came: dict[bytes, float] = {}
     for host in hosts:
--- a/benchmarks/grpc_libraries.py
+++ b/benchmarks/grpc_libraries.py
@@ -1,7 +1,7 @@
-"""grpcio's asyncio API against grpclib, as clients of the same stand-in authoriser: CPU and memory for each check.
+"""CPU and memory per check of grpcio's asyncio API and of grpclib, as clients of the same simulated authoriser.
 
-Run by hand: ``python -m benchmarks.grpc_libraries``. Each library runs in a process of its own on uvloop, turns taken;
-the ratio of their CPU in one run is the figure.
+Run by hand: ``python -m benchmarks.grpc_libraries``. Each library runs in its own process on uvloop, in alternation;
+the result is the ratio of their CPU in one run.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 def raw_codec():
-    """Bytes as they are, for grpclib; imported only in the parts that measure it."""
+    """Return a grpclib codec that passes bytes through; grpclib is imported only where it is measured."""
     from grpclib.encoding.base import CodecBase
 
     class Raw(CodecBase):
@@ -38,7 +38,7 @@
 
 
 async def serve() -> None:
-    """An authoriser that allows all, by grpclib, on a port that it prints."""
+    """Run a grpclib authoriser that allows every request, and print its port."""
     from grpclib.const import Cardinality, Handler
     from grpclib.server import Server
 
@@ -91,7 +91,7 @@
 
 
 def main() -> None:
-    """The table, or one part of it in a child."""
+    """Print the table, or run one part of the benchmark in a child process."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--part", choices=("serve", "grpcio", "grpclib"))
     parser.add_argument("--port", type=int)
--- a/benchmarks/hot_restart_cost.py
+++ b/benchmarks/hot_restart_cost.py
@@ -1,8 +1,8 @@
-"""What a hot restart costs clients: ``python -m benchmarks.hot_restart_cost``.
+"""Cost of hot restarts for clients: ``python -m benchmarks.hot_restart_cost``.
 
-One gateway, one endpoint that answers at once, an open loop of requests by turns on persistent
-connections and on new ones. The gateway is replaced again and again; latencies, counted from when
-a request was due, stand beside those of a run without a restart.
+One gateway, one endpoint that answers at once, and an open loop of requests that alternate between
+persistent and new connections. The gateway is replaced repeatedly; latencies, measured from the
+scheduled time of each request, are compared with those of a run without restarts.
 """
 
 from __future__ import annotations
@@ -27,17 +27,17 @@
 
 PERSISTENT_CONNECTIONS = 20
 RESTART_INTERVAL_S = 1.2
-# Besides the interval, what one restart takes at most.
+# Upper bound of the duration of one restart, in addition to the interval.
 RESTART_MARGIN_S = 0.5
 REQUEST_TIMEOUT_S = 2
 POLL_INTERVAL_S = 0.0005
 
 
 class RequestLoad:
-    """Sends requests at a rate: half on persistent connections, half on a new one each."""
+    """Sends requests at a fixed rate: half on persistent connections, half on a new one each."""
 
     def __init__(self, port: int, rate_per_s: float) -> None:
-        """``port`` of the gateway."""
+        """Prepare requests to the gateway on ``port``."""
         self.port = port
         self.rate_per_s = rate_per_s
         self.sent = 0
@@ -46,12 +46,12 @@
         self.free: list[Caller] = []
 
     async def connect(self) -> Caller:
-        """A new connection."""
+        """Open a connection."""
         loop = asyncio.get_running_loop()
         return (await loop.create_connection(Caller, "127.0.0.1", self.port))[1]
 
     async def run(self, duration_s: float) -> None:
-        """Send for a time, and wait for the answers."""
+        """Send requests for ``duration_s``, and wait for all answers."""
         self.free = [await self.connect() for _ in range(PERSISTENT_CONNECTIONS)]
         began_s = time.monotonic()
         async with asyncio.TaskGroup() as tasks:
@@ -82,7 +82,7 @@
             caller.transport.close()
 
     async def _request(self, caller: Caller, number: bytes, due_s: float) -> None:
-        """Wait for the answer; ``ConnectionError`` where there is none in time, or an error."""
+        """Send a request and wait; raise ``ConnectionError`` on a timeout or an error reply."""
         count = len(caller.replies)
         caller.call(number=number)
         while len(caller.replies) == count:
@@ -90,11 +90,11 @@
                 raise ConnectionError("no answer")
             await asyncio.sleep(POLL_INTERVAL_S)
         if not isinstance(caller.replies[count], bytes):
-            raise ConnectionError("an error for an answer")
+            raise ConnectionError("the gateway replied with an error")
 
 
 async def start(file: Path, folder: str) -> asyncio.subprocess.Process:
-    """A gateway that can serve, with ``folder`` as its ``$TMPDIR``."""
+    """Start a gateway with ``folder`` as its ``$TMPDIR``; return once it is healthy."""
     admin_port = free_port()
     admin = f"127.0.0.1:{admin_port}"
     environment = os.environ | {"LB_CONFIG": str(file), "LB_ADMIN": admin, "TMPDIR": folder}
@@ -118,7 +118,7 @@
 
 
 async def end(process: asyncio.subprocess.Process) -> float:
-    """How long a process takes to end after SIGTERM (s)."""
+    """Send SIGTERM and return how long the process takes to exit (s)."""
     began_s = time.monotonic()
     process.send_signal(signal.SIGTERM)
     await process.wait()
@@ -128,7 +128,7 @@
 async def measure(
     restarts: int, rate_per_s: float, duration_s: float
 ) -> tuple[RequestLoad, list[float]]:
-    """A run with so many restarts: its load, and how long each old process took to end (s)."""
+    """Run with ``restarts`` restarts; return the load and the exit times of old processes (s)."""
     host = await FakeHost("a").listen()
     known = {"seq": 1, "whole": True, "hosts": [host.line(host=name) for name in "abcdefgh"]}
     plan = SITE["packages"][0] | {"perSecond": 1e6, "peakUnits": 1e6}
@@ -153,7 +153,7 @@
 
 
 def row(restarts: int, load: RequestLoad, ends_s: list[float]) -> list[str]:
-    """One run as a row of the table."""
+    """Return the table row of one run."""
     latencies_s = sorted(load.latencies_s)
     last = len(latencies_s) - 1
     shown = [f"{latencies_s[int(part * last)] * 1000:.1f}" for part in (0.5, 0.99, 1)]
@@ -162,7 +162,7 @@
 
 
 async def main() -> None:
-    """Run without and with restarts, and print both."""
+    """Run without and with restarts, and print both results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--upgrades", type=int, default=5)
     parser.add_argument("--rate", type=float, default=300.0)
--- a/benchmarks/lease_cost.py
+++ b/benchmarks/lease_cost.py
@@ -1,9 +1,9 @@
-"""What leases cost requests: latency and core time of one gateway, off, with every voter silent,
-and as a busy holder.
+"""Cost of leases for requests: latency and CPU time of one gateway, in three configurations.
 
-Run by hand: ``python -m benchmarks.lease_cost``. Real gateways, the same arrivals, rounds
-interleaved; ratios within one run. Silent: the voters' addresses take datagrams and answer nothing.
-Holder: the gateway is the one voter, holds all of 16 leases and does 50 tasks, each every 5 s.
+Run by hand: ``python -m benchmarks.lease_cost``. Real gateways with the same arrivals; rounds are
+interleaved, and ratios are taken within one run. Off: without leases. Silent: the voters' addresses
+accept datagrams but never answer. Holder: the gateway is the only voter, holds all 16 leases and
+runs 50 tasks, each every 5 s.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 def operator(kind: str, folder: Path, receiver: str, silent: list[socket.socket]) -> str:
-    """The operator file of one round."""
+    """Return the text of the operator file of one round."""
     if kind == "off":
         return ""
     key = folder / "key"
@@ -46,7 +46,7 @@
 
 
 async def one(folder: Path, kind: str) -> tuple[list[float], float]:
-    """Milliseconds from sent to served, in order; core seconds of the gateway per 1,000 answers."""
+    """Run one round; return sorted latencies (ms) and the gateway's CPU s per 1,000 answers."""
     folder.mkdir()
     silent = []
     for _ in range(3):
@@ -74,7 +74,7 @@
 
 
 def main() -> None:
-    """The table and its ratios."""
+    """Print the table and the ratios."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rounds", type=int, default=3)
     given = parser.parse_args()
--- a/benchmarks/lease_takeover.py
+++ b/benchmarks/lease_takeover.py
@@ -1,9 +1,10 @@
-"""How fast a lease is taken over by real gateways: ``python -m benchmarks.lease_takeover --kills
-200 --jobs 4``.
+"""Takeover time of a lease among real gateways.
 
-Eight gateways, three of them voters that do no tasks; a lease of 2 s; the holder is killed, drained
-(SIGTERM) or stopped, and comes back a while later. Measured from the signal to the first statement
-of another holder: the look itself takes up to 0.1 s of it.
+    python -m benchmarks.lease_takeover --kills 200 --jobs 4
+
+Eight gateways, three of them voters that run no tasks; a lease of 2 s. The holder is killed,
+drained (SIGTERM) or stopped, and comes back later. Measured from the signal to the first
+status answer of another holder; the polling accounts for up to 0.1 s of it.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 
 async def world_of(seed: int, number: int, how: str) -> list[float]:
-    """Seconds of so many takeovers in one world."""
+    """Return the durations (s) of ``number`` takeovers in one fleet."""
     folder = Path(tempfile.mkdtemp())
     day = LeaseDay(seed, 8, 3, span_s=2.0, shards=1, tasks=1, voters_stand=False)
     world = LeaseWorld(day, folder)
@@ -64,14 +65,16 @@
 
 
 def run(given: tuple[int, int, str]) -> list[float]:
-    """In a process of its own."""
+    """Measure takeovers in a worker process."""
     return uvloop.run(world_of(*given))
 
 
 def main() -> None:
-    """The table."""
+    """Print the table."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--kills", type=int, default=40, help="of each way to lose a holder")
+    parser.add_argument(
+        "--kills", type=int, default=40, help="takeovers for each way to lose a holder"
+    )
     parser.add_argument("--jobs", type=int, default=4)
     given = parser.parse_args()
     each = 10
--- a/benchmarks/ledger_cost.py
+++ b/benchmarks/ledger_cost.py
@@ -1,7 +1,8 @@
-"""What the ledger costs: latency, durable requests a second, and idempotent requests beside.
+"""Cost of the ledger: request latency by class, and durable intents a second.
 
-Run by hand: ``python -m benchmarks.ledger_cost``. Real gateways with the ledger off and on, rounds
-interleaved; same arrivals; ratios within one run.
+Run by hand: ``python -m benchmarks.ledger_cost``. Real gateways with the ledger off and on and the
+same arrivals; rounds are interleaved, and ratios are taken within one run. Idempotent requests
+are measured alongside.
 """
 
 from __future__ import annotations
@@ -48,7 +49,7 @@
 
 
 async def measure_latencies(folder: Path, with_ledger: bool) -> Latencies:
-    """Run the scenario once."""
+    """Run the scenario once; return its latencies."""
     folder.mkdir()
     operator = f'[ledger]\nstate_dir = "{folder / "state"}"\n' if with_ledger else ""
     world = World(DAY, folder, operator=operator)
@@ -75,7 +76,7 @@
 
 
 def commit_rate(folder: Path, batch_size: int, span_s: float) -> float:
-    """Return the intents a second that one thread makes durable, so many a commit."""
+    """Return how many intents a second one thread commits, ``batch_size`` at a time."""
     store = LedgerStore(folder)
     store.open()
     request = RecordedRequest(7, "0" * 16, "basico", "report-issue", 900, "0" * 32, None, 1)
--- a/benchmarks/list_service.py
+++ b/benchmarks/list_service.py
@@ -1,4 +1,4 @@
-"""A list service with one worker on sockets; each gateway polls a port of its own."""
+"""A list service on sockets with one simulated worker; each gateway polls its own port."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from testbed.model.list_service import Costs, Desk, Said
 from testbed.model.registry import Line
 
-# Version of the list.
+# Version of the list that the service returns.
 VERSION = 80
-# Where entries point to; nothing listens there.
+# Address of all entries; nothing listens there.
 ENDPOINT_ADDRESS = "127.0.0.1:9"
 MS_PER_S = 1000
 
@@ -34,7 +34,7 @@
     transport: asyncio.Transport
 
     def __init__(self, service: ListService, gateway: int) -> None:
-        """Begin without a transport."""
+        """Create an unconnected protocol."""
         self.service = service
         self.gateway = gateway
         self.http = h11.Connection(h11.SERVER)
@@ -46,7 +46,7 @@
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Read polls."""
+        """Parse and queue polls."""
         try:
             self.http.receive_data(data)
             while (event := self.http.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
@@ -66,7 +66,7 @@
         if version == VERSION:
             watch_s = int(query.get("wait", ["0"])[0]) / MS_PER_S
         if watch_s:
-            # Nothing changes: a watch costs work only when it is answered.
+            # The list never changes: a watch costs the worker nothing until it ends.
             self.watch = self.service.loop.call_later(
                 watch_s, self.service.receive, self, version, True
             )
@@ -74,7 +74,7 @@
             self.service.receive(self, version, False)
 
     def answer(self, result: Said, body: bytes) -> None:
-        """Send an answer, unless the gateway has given up."""
+        """Send an answer, unless the gateway has closed the connection."""
         if self.transport.is_closing() or self.http.our_state is not h11.SEND_RESPONSE:
             return
         status = 503 if result is Said.REFUSED else 200
@@ -84,16 +84,16 @@
         self.http.start_next_cycle()
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Drop the watch."""
+        """Cancel the watch."""
         if self.watch:
             self.watch.cancel()
 
 
 class ListService:
-    """The list service: all ports, one worker."""
+    """The list service: many ports, one worker."""
 
     def __init__(self, costs: Costs, entries: list[Line], removed: list[Line]) -> None:
-        """Begin with nothing to do."""
+        """Create an idle service."""
         self.loop = asyncio.get_running_loop()
         self.queue = Desk(costs)
         self.began_at = time.monotonic()
@@ -107,11 +107,11 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def now(self) -> float:
-        """Return the seconds since the first process was begun."""
+        """Return the seconds since the first process was started."""
         return time.monotonic() - self.began_at
 
     def set_down(self, is_down: bool) -> None:
-        """Fall silent, or answer again."""
+        """Stop or resume answering."""
         self.queue.switch(self.now(), down=is_down)
         self._advance()
 
@@ -122,7 +122,7 @@
         self._advance()
 
     def _advance(self) -> None:
-        """Answer what is done, and set the timer for the next."""
+        """Send finished answers, and set the timer for the next one."""
         now_s = self.now()
         for (connection, version), result in self.queue.advance(now_s):
             if result is Said.REFUSED:
--- a/benchmarks/list_start.py
+++ b/benchmarks/list_start.py
@@ -1,14 +1,13 @@
-"""Real gateways that all start at one moment, against one list service with one worker.
+"""Simultaneous start of many real gateways against one list service with one worker.
 
-    python -m benchmarks.list_start [--gateways 200] [--whole-ms 25] [--silence 60] [--program
-    FOLDER] [--out FILE] python -m benchmarks.list_start --plot PICTURE BEFORE AFTER     of two
-    files that --out wrote
+    python -m benchmarks.list_start [--gateways 200] [--whole-ms 25] [--silence 60]
+        [--program FOLDER] [--out FILE]
+    python -m benchmarks.list_start --plot PICTURE BEFORE AFTER     two files written by --out
 
-``--program`` names a checkout of another version, for before and after; ``--silence`` has the
-service send nothing for so many seconds from the start on. Each gateway polls a port of its own, so
-that it is known who polled; all ports lead to the same worker. A third of the endpoints that the
-gateways know has been removed by now. The figures are taken at the service, not believed of any
-gateway.
+``--program`` names a checkout of another version, for comparison; ``--silence`` makes the service
+send nothing for that many seconds from the start. Each gateway polls its own port, which identifies
+it; all ports share one worker. A third of the endpoints that the gateways know has been removed
+since. All figures are measured at the service rather than reported by the gateways.
 """
 
 from __future__ import annotations
@@ -33,7 +32,7 @@
 from testbed.net.relay import LOCAL
 from testbed.runner.processes import GatewayProcess, run_line
 
-# Version of the list that gateways know.
+# Version of the list that the gateways know at the start.
 KNOWN_VERSION = 41
 KNOWN_ENDPOINTS = 60
 REMOVED_ENDPOINTS = 20
@@ -44,15 +43,15 @@
 
 
 class NullLog:
-    """A record that keeps nothing."""
+    """An event log that discards all events."""
 
     def add(self, event: object) -> None:
-        """Do nothing."""
+        """Discard an event."""
 
 
 @dataclass
 class StartedFleet:
-    """Gateways that all start at one moment."""
+    """Gateways that all start at once."""
 
     program: Path
     folder: Path
@@ -62,7 +61,7 @@
     discovery: list[str] = field(default_factory=list)
     servers: list[asyncio.Server] = field(default_factory=list)
     processes: list[asyncio.subprocess.Process] = field(default_factory=list)
-    # Until each process answered PING, since its own start.
+    # Seconds from the start of each process until it answered PING.
     ping_s: list[float] = field(default_factory=list)
 
     async def prepare(self, count: int) -> None:
@@ -130,7 +129,7 @@
         self.processes.append(process)
         while not await node._pongs():
             if process.returncode is not None:
-                raise RuntimeError(f"a gateway has ended: {node.tail()}")
+                raise RuntimeError(f"a gateway has exited: {node.tail()}")
             await asyncio.sleep(PING_INTERVAL_S)
         self.ping_s.append(self.service.now() - began_s)
 
--- a/benchmarks/overload/__init__.py
+++ b/benchmarks/overload/__init__.py
@@ -1,1 +1,1 @@
-"""Goodput, latency and CPU of one gateway under loads up to ten times what its core serves; see ``rig.py``."""
+"""Goodput, latency and CPU of one gateway at up to ten times the capacity of its core; see ``rig.py``."""
--- a/benchmarks/overload/ends.py
+++ b/benchmarks/overload/ends.py
@@ -1,7 +1,8 @@
-"""The processes round the gateway: stand-in hosts, open-loop clients, a plain byte forwarder.
+"""Helper processes of the benchmark: simulated hosts, open-loop clients and a plain byte forwarder.
 
-``python -m benchmarks.overload.ends hosts|clients|forwarder JSON``; each prints one JSON line when it is ready or done,
-and ends with its parent or when its time is up.
+``python -m benchmarks.overload.ends hosts|clients|forwarder JSON``; each prints a JSON line when it is ready, and the
+clients another with their results. The rig kills them; hosts and the forwarder also exit on their own after a time
+limit.
 """
 
 from __future__ import annotations
@@ -18,15 +19,15 @@
 
 from .load import Due, Shape, Tally, arrivals
 
-ENDS_AFTER = 600.0  # seconds after which a process that was forgotten ends by itself
-TICK = 0.001  # seconds between two looks at what is due
+MAX_LIFETIME_S = 600.0  # An orphaned process exits after this time.
+TICK_S = 0.001  # Interval at which clients send the requests that are due.
 
 
 # -- hosts ----------------------------------------------------------------------------------------------------
 
 
 class HostSide(asyncio.Protocol):
-    """Answers each command after a fixed time, in order; a command is counted by its id."""
+    """Host connection that answers each command in order after the host's delay."""
 
     def __init__(self, host: Host) -> None:
         self.host, self.reader = host, hiredis.Reader()
@@ -48,7 +49,7 @@
 
 
 class Host:
-    """One stand-in host; ``slow`` is (from, until, ms) since its start: a spell with another delay."""
+    """A simulated host; ``slow`` is (from s, until s, delay ms): a period with another delay, from its start on."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, delay: float, slow: tuple[float, float, float]
@@ -58,13 +59,13 @@
         self.reply = b"*3\r\n$2\r\nok\r\n$-1\r\n$%d\r\n%b\r\n" % (len(report), report)
 
     def delay(self) -> float:
-        """Seconds that an answer takes now."""
+        """Return the current answer delay in seconds."""
         at = self.loop.time() - self.began
         return self.slow[2] / 1000 if self.slow[0] <= at < self.slow[1] else self.usual
 
 
 async def hosts(given: dict) -> None:
-    """So many hosts on ports of their own."""
+    """Run ``count`` hosts, each on its own port."""
     loop = asyncio.get_running_loop()
     ports = []
     for _ in range(given["count"]):
@@ -74,7 +75,7 @@
         )
         ports.append(server.sockets[0].getsockname()[1])
     print(json.dumps({"ports": ports}), flush=True)
-    await asyncio.sleep(ENDS_AFTER)
+    await asyncio.sleep(MAX_LIFETIME_S)
 
 
 # -- forwarder ------------------------------------------------------------------------------------------------
@@ -108,7 +109,7 @@
 
 
 async def forwarder(given: dict) -> None:
-    """Bytes from each client connection to a host connection of its own, and back."""
+    """Forward bytes between each client connection and its own host connection."""
     loop, turn = asyncio.get_running_loop(), 0
 
     def pipe() -> Pipe:
@@ -118,14 +119,14 @@
 
     server = await loop.create_server(pipe, "127.0.0.1", 0, backlog=1024)
     print(json.dumps({"port": server.sockets[0].getsockname()[1]}), flush=True)
-    await asyncio.sleep(ENDS_AFTER)
+    await asyncio.sleep(MAX_LIFETIME_S)
 
 
 # -- clients --------------------------------------------------------------------------------------------------
 
 
 class ClientSide(asyncio.Protocol):
-    """One pipelining connection: answers belong to what was asked, in order."""
+    """A pipelining connection: answers arrive in the order of the requests."""
 
     def __init__(self, side: Clients) -> None:
         self.side, self.reader = side, hiredis.Reader()
@@ -151,25 +152,25 @@
             what = "served"
             if isinstance(reply, hiredis.ReplyError):
                 what = "refused" if str(reply).startswith("BUSY") else "failed"
-                # What is shed says when to come back; the choice of a host, with quotas free, says nothing.
+                # Overload rejections carry a retry time; rejections for lack of a host, with free quotas, carry none.
                 self.side.tally.counts["told when"] += str(reply).startswith("BUSY ")
             self.side.ended(due, what, now)
 
 
 class Clients:
-    """All connections of one process, and what came of their requests."""
+    """All connections of one client process, and the outcomes of their requests."""
 
     def __init__(self, given: dict, dues: list[Due]) -> None:
         self.given, self.dues, self.tally, self.open = given, dues, Tally(), 0
         self.began = given["began"]
 
     def ended(self, due: Due, what: str, now: float) -> None:
-        """An answer."""
+        """Record the answer to a request."""
         self.open -= 1
         self.tally.add(due, what, 1000 * (now - self.began - due.at), self.given["wait"])
 
     async def run(self) -> None:
-        """Write what is due each tick until all is asked, then wait for answers a while."""
+        """Send the requests that are due at each tick, then wait a limited time for the last answers."""
         loop = asyncio.get_running_loop()
         conns: list[ClientSide] = []
         for _ in range(self.given["connections"]):
@@ -188,7 +189,7 @@
                     conn.out.append(self.dues[at].wire)
                     conn.asked.append(self.dues[at])
                     self.open += 1
-                else:  # the kernel takes no more: the gateway has not taken this one
+                else:  # The send buffer is full: the gateway has not read this request.
                     self.tally.add(self.dues[at], "held")
                 slip = max(slip, now - self.dues[at].at)
                 at += 1
@@ -196,7 +197,7 @@
                 if conn.out:
                     conn.transport.write(b"".join(conn.out))
                     conn.out.clear()
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(TICK_S)
         end = time.monotonic() + self.given["after"]
         while self.open and time.monotonic() < end:
             await asyncio.sleep(0.01)
@@ -208,7 +209,7 @@
 
 
 async def clients(given: dict) -> None:
-    """Prepare, say so, wait for the time to begin, run."""
+    """Prepare the requests, report readiness, wait for the start time, then send."""
     shape = Shape(
         tuple(tuple(step) for step in given["steps"]),
         given["customers"],
@@ -222,7 +223,7 @@
 
 
 def main() -> None:
-    """One of the three."""
+    """Run the helper process named on the command line."""
     kind, given = sys.argv[1], json.loads(sys.argv[2])
     uvloop.run({"hosts": hosts, "clients": clients, "forwarder": forwarder}[kind](given))
 
--- a/benchmarks/overload/load.py
+++ b/benchmarks/overload/load.py
@@ -1,7 +1,7 @@
-"""The load: what clients ask, when, and what they made of the answers. Values in, values out; no sockets.
+"""Generation of the load and statistics of its outcomes; pure functions and data without sockets.
 
-A request's clock begins when it was due to be written, not when the client got round to it, so a client that was held
-up itself hides nothing (coordinated omission).
+Latency is measured from the scheduled time of a request, not from the time at which the client sent it, so that a
+delayed client does not hide latency (coordinated omission).
 """
 
 from __future__ import annotations
@@ -10,7 +10,8 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-# Class, command, share of the requests, terms of its own; plan and its share. Worth after the operators' page.
+# Name, share of the requests, and worth of each class; name, share and price of each plan. The worth and
+# the price are those of the operators' settings.
 CLASSES = (("sheet-read", 0.43, 3.0), ("test-upload", 0.34, 3.0), ("report-issue", 0.23, 5.0))
 PLANS = (("basico", 0.56, 1.2), ("amplio", 0.44, 1.6))
 BODY = b"B" * 32
@@ -18,9 +19,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """How much is asked: (seconds, requests a second) in turn; the rest is how it is spread.
+    """The shape of a load: ``steps`` are successive (seconds, requests a second); the rest is its distribution.
 
-    ``heavy`` is the share of one customer in all requests; wait in ms.
+    ``heavy`` is the share of one customer in all requests; ``wait`` is the deadline in ms.
     """
 
     steps: tuple[tuple[float, float], ...]
@@ -30,13 +31,13 @@
 
     @property
     def length(self) -> float:
-        """Seconds that it lasts."""
+        """Return the duration in seconds."""
         return sum(seconds for seconds, _ in self.steps)
 
 
 @dataclass(frozen=True, slots=True)
 class Due:
-    """One request: due at so many seconds from the start, its bytes, its place in the tally (plan, class)."""
+    """A request: its scheduled time in seconds from the start, its bytes, and its group (plan, class)."""
 
     at: float
     wire: bytes
@@ -44,12 +45,12 @@
 
 
 def bulk(*words: bytes) -> bytes:
-    """A RESP2 command."""
+    """Encode a RESP2 command."""
     return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%b\r\n" % (len(w), w) for w in words)
 
 
 def arrivals(shape: Shape, part: int, parts: int, seed: int) -> list[Due]:
-    """One of ``parts`` independent Poisson streams that together make the load; sorted by time."""
+    """Return one of ``parts`` independent Poisson streams that together form the load, sorted by time."""
     lots, found, began = random.Random(seed * 1000 + part), [], 0.0
     class_shares, plan_shares = [c[1] for c in CLASSES], [p[1] for p in PLANS]
     for seconds, rate in shape.steps:
@@ -77,7 +78,7 @@
 
 @dataclass(slots=True)
 class Tally:
-    """What became of requests, and how long served ones took (ms); by second of arrival and by group."""
+    """Outcomes of requests by group and by second of arrival, and latencies (ms) of served and refused ones."""
 
     counts: Counter = field(default_factory=Counter)
     groups: dict[str, Counter] = field(default_factory=dict)
@@ -86,7 +87,7 @@
     seconds: dict[int, Counter] = field(default_factory=dict)
 
     def add(self, due: Due, what: str, took: float = 0.0, wait: float = 2000.0) -> None:
-        """One request: served, refused, failed, unanswered or held (never taken by the kernel); ms."""
+        """Record a request as served, refused, failed, unanswered or held (never sent); times in ms."""
         late = what in ("served", "refused", "failed") and took > wait
         for counter in (
             self.counts,
@@ -103,7 +104,7 @@
             self.refusals.append(took)
 
     def plain(self) -> dict:
-        """As JSON takes it."""
+        """Return the tally as values that JSON can encode."""
         return {
             "counts": self.counts,
             "groups": self.groups,
@@ -114,7 +115,7 @@
 
 
 def merged(parts: list[dict]) -> dict:
-    """The tallies of several client processes as one."""
+    """Merge the tallies of several client processes."""
     whole = {"counts": Counter(), "groups": {}, "times": [], "refusals": [], "seconds": {}}
     for part in parts:
         whole["counts"].update(part["counts"])
@@ -129,5 +130,5 @@
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Nearest rank of sorted values; NaN of none."""
+    """Return a percentile of sorted values by nearest rank; NaN if there are none."""
     return values[min(len(values) - 1, int(share * len(values)))] if values else float("nan")
--- a/benchmarks/overload/rig.py
+++ b/benchmarks/overload/rig.py
@@ -1,11 +1,11 @@
-"""One gateway on one core, stand-in hosts and open-loop clients on others, beside a plain forwarder in the same run.
+"""Benchmark of one gateway on one core against a plain forwarder, with hosts and clients on other cores.
 
     python -m benchmarks.overload.rig cost                 # CPU a request and latency at 300, 1,500 and 3,000 a second
-    python -m benchmarks.overload.rig goodput              # goodput against load, 0.5 to 10 times what one core serves
-    python -m benchmarks.overload.rig cost --against DIR   # beside another checkout, rounds interleaved, by ratio
+    python -m benchmarks.overload.rig goodput              # goodput against load, 0.5 to 10 times one core's capacity
+    python -m benchmarks.overload.rig cost --against DIR   # compared with another checkout, rounds interleaved
 
-The gateway runs by the ``run`` line of the deploy file of its checkout. Quotas are without bound and hosts idle, so
-every refusal is the gateway's own. Each round lasts some seconds and ends by itself.
+The gateway is started with the ``run`` line of its checkout's deploy file. Quotas are effectively unlimited and hosts
+report low load, so that every rejection is due to the gateway's own overload. Each round lasts a few seconds.
 """
 
 from __future__ import annotations
@@ -31,13 +31,13 @@
 
 ROOT = Path(__file__).parents[2]
 HOSTS, HOST_PROCESSES, CLIENT_PROCESSES, CONNECTIONS = 10, 2, 3, 40
-AFTER = 2.5  # seconds that clients wait at the end
+ANSWER_WAIT_S = 2.5  # Time that clients wait for the last answers.
 GATEWAY_CORE = 0
 console = Console(width=max(150, Console().width))
 
 
 def settings() -> dict:
-    """The site: the operators' classes and plans, quotas without bound."""
+    """Return site settings with the operators' classes and plans, and effectively unlimited quotas."""
     effects = {"sheet-read": "repeatable", "test-upload": "by_key", "report-issue": "once"}
     aims = {"sheet-read": 800_000, "test-upload": 1_200_000, "report-issue": 800_000}
     return {
@@ -90,7 +90,7 @@
 
 
 def cpu_of(pid: int) -> float:
-    """Seconds of CPU of a process with its threads, in the scheduler's own nanoseconds."""
+    """Return the CPU seconds of a process with its threads, from the scheduler's nanosecond counters."""
     total = 0
     for task in Path(f"/proc/{pid}/task").iterdir():
         total += int((task / "schedstat").read_text().split()[0])
@@ -98,7 +98,7 @@
 
 
 def memory_of(pid: int) -> float:
-    """Peak resident memory in MB."""
+    """Return the peak resident memory in MB."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmHWM"):
             return int(line.split()[1]) / 1024
@@ -106,20 +106,20 @@
 
 
 def free_port() -> int:
-    """A port for the gateway; it is bound again at once."""
+    """Return a free port, which the gateway then binds."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return sock.getsockname()[1]
 
 
 class Ends:
-    """Child processes pinned to cores; all are ended with the rig."""
+    """Child processes pinned to cores; ``stop`` kills them all."""
 
     def __init__(self) -> None:
         self.children: list[subprocess.Popen] = []
 
     def start(self, cores: set[int], *words: str, cwd: Path = ROOT, **more) -> subprocess.Popen:
-        """One more."""
+        """Start a child process on these cores."""
         child = subprocess.Popen(
             words,
             cwd=cwd,
@@ -133,14 +133,14 @@
         return child
 
     def end(self, kind: str, given: dict, cores: set[int]) -> tuple[subprocess.Popen, dict]:
-        """One of ``ends.py``, and its first line."""
+        """Start a helper process of ``ends.py``; return it and the JSON of its first line."""
         child = self.start(
             cores, sys.executable, "-m", "benchmarks.overload.ends", kind, json.dumps(given)
         )
         return child, json.loads(child.stdout.readline())
 
     def stop(self) -> None:
-        """End them all."""
+        """Kill all child processes."""
         for child in self.children:
             child.kill()
             child.wait()
@@ -148,7 +148,7 @@
 
 @dataclass(slots=True)
 class Result:
-    """One round: the tally, CPU of what was measured (s), its memory (MB), the clients' worst slip (ms)."""
+    """One round: tally, CPU (s) and memory (MB) of the measured process, and the clients' greatest send delay (ms)."""
 
     tally: dict
     cpu: float
@@ -159,16 +159,16 @@
 
     @property
     def good(self) -> float:
-        """Requests a second that were served in their time."""
+        """Return the requests a second that were served within their deadline."""
         return self.tally["counts"]["good"] / self.length
 
     def per(self, what: str) -> float:
-        """us of CPU for each request of a kind."""
+        """Return the us of CPU per request with this outcome."""
         return 1e6 * self.cpu / max(1, self.tally["counts"][what])
 
 
 def thief(ends: Ends, share: float) -> None:
-    """Takes the gateway's core away for a part of the time: another process on it at a like priority."""
+    """Occupy the gateway's core for a share of the time with a process of equal priority."""
     text = (
         "import time,sys\nend=time.time()+600\nwhile time.time()<end:\n"
         f" t=time.perf_counter()\n while time.perf_counter()-t<0.1*{share}: pass\n time.sleep(0.1*(1-{share}))\n"
@@ -185,7 +185,7 @@
     slow=(0, 0, 0),
     sndbuf: int = 0,
 ) -> Result:
-    """One round of ``gateway`` or ``forwarder``."""
+    """Run one round of ``gateway`` or ``forwarder``."""
     ends = Ends()
     try:
         with tempfile.TemporaryDirectory() as folder:
@@ -209,7 +209,7 @@
                     "part": n,
                     "parts": CLIENT_PROCESSES,
                     "seed": seed,
-                    "after": AFTER,
+                    "after": ANSWER_WAIT_S,
                 }
                 given |= {"sndbuf": sndbuf}
                 given |= {"port": port, "connections": CONNECTIONS // CLIENT_PROCESSES + (n == 0)}
@@ -286,7 +286,7 @@
 def row(
     table: Table, name: str, offered: float, r: Result, forwarder: Result | None = None
 ) -> None:
-    """One line of a table."""
+    """Add one result to a table."""
     c, times = r.tally["counts"], r.tally["times"]
     ratio = r.per("asked") / forwarder.per("asked") if forwarder else float("nan")
     cells = [
@@ -312,7 +312,7 @@
 
 
 def new_table(title: str) -> Table:
-    """Its columns."""
+    """Return an empty table with all columns."""
     table = Table(title=title)
     for name in (
         "of",
@@ -332,7 +332,7 @@
 
 
 def cost(given: argparse.Namespace) -> dict:
-    """CPU and latency below the edge, gateway and forwarder by turns."""
+    """Measure CPU and latency below saturation, alternating between gateway and forwarder."""
     trees = {"gateway": ROOT} | ({"other": Path(given.against).resolve()} if given.against else {})
     found: dict[str, list[Result]] = {}
     out = {}
@@ -369,7 +369,7 @@
 
 
 def goodput(given: argparse.Namespace) -> dict:
-    """Goodput against load, from half to ten times what one core serves."""
+    """Measure goodput against load, from half to ten times the capacity of one core."""
     trees = {"gateway": ROOT} | ({"other": Path(given.against).resolve()} if given.against else {})
     table = new_table(
         f"goodput, one core serves {given.core:.0f}/s, {given.seconds:.0f} s of load each"
@@ -414,7 +414,7 @@
 
 
 def plot(out: dict, given: argparse.Namespace) -> None:
-    """Goodput against load as a picture."""
+    """Plot goodput against load."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -440,7 +440,7 @@
 
 
 def main() -> None:
-    """The command line."""
+    """Run the command line."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -456,17 +456,23 @@
         "--heavy", type=float, default=0.0, help="share of one customer in all requests"
     )
     parser.add_argument(
-        "--steal", type=float, default=0.0, help="share of the time that the core is taken away"
+        "--steal",
+        type=float,
+        default=0.0,
+        help="share of time for which another process occupies the core",
     )
     parser.add_argument(
-        "--sndbuf", type=int, default=0, help="bytes of the clients' send buffers; 0: the system's"
+        "--sndbuf",
+        type=int,
+        default=0,
+        help="bytes of the clients' send buffers; 0: system default",
     )
-    parser.add_argument("--against", help="another checkout to run beside")
-    parser.add_argument("--plot", help="a file for the picture of goodput")
-    parser.add_argument("--json", help="a file for the figures")
+    parser.add_argument("--against", help="another checkout to compare with")
+    parser.add_argument("--plot", help="file for the plot of goodput")
+    parser.add_argument("--json", help="file for the results")
     given = parser.parse_args()
     if (os.cpu_count() or 1) < 3 + CLIENT_PROCESSES:
-        raise SystemExit(f"this wants {3 + CLIENT_PROCESSES} cores")
+        raise SystemExit(f"this benchmark needs at least {3 + CLIENT_PROCESSES} cores")
     found = {"cost": cost, "goodput": goodput}[given.what](given)
     if given.json:
         Path(given.json).write_text(json.dumps(found, indent=1))
--- a/benchmarks/tls_cost.py
+++ b/benchmarks/tls_cost.py
@@ -1,8 +1,9 @@
-"""What TLS costs: CPU of a gateway for a handshake (cold, resumed, while certificates are swapped) and for a request
-(over TLS against plain), and what clients lose while certificates are swapped under 300 requests a second.
+"""Cost of TLS: gateway CPU per handshake (full, resumed, during certificate changes) and per request (TLS and plain),
+and requests lost while certificates change under 300 requests a second.
 
-``python -m benchmarks.tls_cost [--rounds N] [--flood]``. One gateway as a process, its CPU read from the process
-table; stand-in host and clients in this process. Ratios are of one run; rounds take turns.
+``python -m benchmarks.tls_cost [--rounds N] [--flood]``. The gateway is a process of its own, and its CPU time is read
+from /proc; the simulated host and the clients run in this process. Ratios are taken within one run, with the kinds of
+measurement interleaved.
 """
 
 from __future__ import annotations
@@ -40,7 +41,7 @@
 
 
 class Host(asyncio.Protocol):
-    """Answers every command at once."""
+    """Simulated host that answers every command at once."""
 
     def connection_made(self, transport) -> None:
         self.transport, self.reader = transport, hiredis.Reader()
@@ -52,7 +53,7 @@
 
 
 class Client(asyncio.Protocol):
-    """Sends the next request once the one before it is answered."""
+    """Client connection that sends one request at a time."""
 
     def __init__(self) -> None:
         self.reader, self.waiting, self.closed = hiredis.Reader(), asyncio.Queue(), False
@@ -83,7 +84,7 @@
 
 
 class Rig:
-    """The gateway, its folder of certificates, its host."""
+    """The gateway, its certificate directory and its host."""
 
     def __init__(self, folder: Path, share: float = 1.0, core: int | None = None) -> None:
         self.share, self.core = share, core
@@ -93,7 +94,7 @@
         self.number = 0
 
     def swap(self) -> bytes:
-        """Another certificate in service; as DER."""
+        """Install a new certificate and return it as DER."""
         key, now = chain.new_key("ecdsa-p256"), time.time()
         csr = request_of(chain.signing_request(key, (NAME,)))
         pem = self.issuer.chain(self.issuer.sign(csr, [NAME], now - 60, now + 86_400 * 90))
@@ -142,12 +143,12 @@
             os.sched_setaffinity(0, {self.core})
 
     def cpu(self) -> float:
-        """Seconds of CPU that the gateway has used."""
+        """Return the CPU seconds that the gateway has used."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / TICK
 
     def visit(self, session=None, context=None):
-        """One connection with one PING: (session, resumed, certificate); None where it failed."""
+        """Connect and send one PING; return (session, resumed, certificate), or None on failure."""
         try:
             sock = socket.create_connection(("127.0.0.1", self.tls), timeout=5)
             with (context or trusting()).wrap_socket(
@@ -165,7 +166,7 @@
             assert sock.recv(100) == b"+PONG\r\n"
 
     def visits(self, what: str) -> float:
-        """CPU of a visit in microseconds."""
+        """Return the gateway CPU in us per connection with one PING."""
         context, stop = trusting(), threading.Event()
         session = self.visit(None, context)[0]
         swapper = None
@@ -193,7 +194,7 @@
         return used
 
     async def requests(self, secure: bool) -> float:
-        """CPU of a request on connections that are kept, in microseconds."""
+        """Return the gateway CPU in us per request on persistent connections."""
         loop = asyncio.get_running_loop()
         port, tls = (
             (self.tls, {"ssl": trusting(), "server_hostname": NAME}) if secure else (self.plain, {})
@@ -222,7 +223,7 @@
         return (self.cpu() - before) / REQUESTS * 1e6
 
     async def under_load(self, seconds: float, rate: float) -> dict[str, int]:
-        """Requests at a rate over kept and new connections while certificates change twice a second."""
+        """Send requests on persistent and new connections while the certificate changes twice a second."""
         loop, counts = (
             asyncio.get_running_loop(),
             {"answered": 0, "refused": 0, "lost": 0, "dropped": 0, "swaps": 0},
@@ -234,7 +235,7 @@
         ]
         free = deque(
             kept
-        )  # in turn: a connection that asks nothing for 3 s is closed, as by the plain listener
+        )  # Used in rotation: the gateway closes a connection without requests for 3 s, as on the plain listener.
         tasks = set()
 
         async def one(number: int) -> None:
@@ -275,8 +276,8 @@
     async def beside_a_flood(
         self, seconds: float, rate: float, floods: int
     ) -> tuple[list[float], int, int]:
-        """Plain requests at a rate while so many clients do handshakes as fast as they may: latencies in ms, how many
-        were refused, handshakes."""
+        """Send plain requests while ``floods`` processes do TLS handshakes as fast as they can; return the latencies in
+        ms, the number of requests refused or not sent, and the number of handshakes."""
         loop = asyncio.get_running_loop()
         run = [
             sys.executable,
@@ -292,7 +293,7 @@
             for _ in range(floods)
         ]
         for flooder in flooders:
-            await asyncio.to_thread(flooder.stdout.readline)  # it has begun
+            await asyncio.to_thread(flooder.stdout.readline)  # Printed once it has started.
         clients = [
             (await loop.create_connection(Client, "127.0.0.1", self.plain))[1] for _ in range(20)
         ]
@@ -326,7 +327,7 @@
 
 
 def flooder(port: int, seconds: float) -> None:
-    """Handshakes one after another, as fast as they are let; their number."""
+    """Do handshakes one after another, as fast as possible, and print their number."""
     context, count, end = trusting(), 0, time.monotonic() + seconds
     print("begun", flush=True)
     while time.monotonic() < end:
@@ -340,7 +341,7 @@
 
 
 async def flooded(seconds: float) -> None:
-    """A gateway on one core, 500 plain requests a second, with and without a flood of handshakes, by their share."""
+    """Print latencies of 500 plain requests a second on one core, with and without a handshake flood, by TLS share."""
     print("share  flood  answered  refused or not begun   p50 ms   p99 ms  handshakes a second")
     for share, floods in ((0.25, 0), (0.25, 5), (1.0, 5)):
         with tempfile.TemporaryDirectory() as folder:
