--- a/benchmarks/authz_cost.py
+++ b/benchmarks/authz_cost.py
@@ -24,7 +24,7 @@
 from testbed.runner.world import World
 
 TICKS = os.sysconf("SC_CLK_TCK")
-DAY = Scenario(
+SCENARIO = Scenario(
     "cost",
     gateways=1,
     length_s=8,
@@ -41,16 +41,16 @@
     "cached": Authoriser(1, cache_ms=60_000, delay_ms=(0.0, 0.0)),
     "uncached": Authoriser(1, delay_ms=(0.0, 0.0)),
 }
-MANY = Authoriser(1, timeout_ms=20_000, in_flight=1000, delay_ms=(0.0, 0.0))
+MEMORY_AUTHORISER = Authoriser(1, timeout_ms=20_000, in_flight=1000, delay_ms=(0.0, 0.0))
 
 
-def cpu(pid: int) -> float:
+def cpu_seconds(pid: int) -> float:
     """Return the CPU seconds used by a process and its threads."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / TICKS
 
 
-def memory(pid: int) -> tuple[float, float]:
+def memory_mb(pid: int) -> tuple[float, float]:
     """Return the current and the peak resident memory in MB."""
     found = {}
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
@@ -60,36 +60,40 @@
     return found["VmRSS"], found["VmHWM"]
 
 
-async def one(mode: str, folder: Path) -> tuple[float, float, int]:
+async def measure_round(mode: str, folder: Path) -> tuple[float, float, int]:
     """Run one round; return us of CPU per request, resident MB at the end, and requests."""
     folder.mkdir()
-    world = World(replace(DAY, authoriser=MODES[mode]), folder)
-    seen: list[tuple[int, float, float]] = []
+    world = World(replace(SCENARIO, authoriser=MODES[mode]), folder)
+    samples: list[tuple[int, float, float]] = []
 
-    def look(world: World) -> None:
+    def sample(world: World) -> None:
         process = world.gateways[0].process
-        seen.append((world.clients.counts["tries"], cpu(process.pid), memory(process.pid)[0]))
+        samples.append(
+            (world.clients.counts["tries"], cpu_seconds(process.pid), memory_mb(process.pid)[0])
+        )
 
     try:
-        await world.run(look)
+        await world.run(sample)
     finally:
         await world.close()
-    first, last = seen[2], seen[-1]
+    first, last = samples[2], samples[-1]
     tries = last[0] - first[0]
     return 1e6 * (last[1] - first[1]) / tries, last[2], tries
 
 
-async def out_at_once(number: int, folder: Path) -> tuple[float, float, int]:
+async def measure_checks_in_flight(number: int, folder: Path) -> tuple[float, float, int]:
     """Return memory (MB) before and at the peak with ``number`` checks in flight, and the checks received."""
     folder.mkdir()
-    plan = replace(DAY.plan[0], rate=10_000.0, burst=100_000.0)
-    world = World(replace(DAY, plan=(plan, DAY.plan[1]), authoriser=MANY), folder)
+    plan = replace(SCENARIO.plan[0], rate=10_000.0, burst=100_000.0)
+    world = World(
+        replace(SCENARIO, plan=(plan, SCENARIO.plan[1]), authoriser=MEMORY_AUTHORISER), folder
+    )
     try:
         await world.open()
         silent: AuthoriserServer = world.authorisers[0]
         silent.behaviour = Behaviour({"silent": 1.0})
         process = world.gateways[0].process
-        before = memory(process.pid)[0]
+        before = memory_mb(process.pid)[0]
         clients: ClientSide = world.clients
         base = world.arrivals[0]
         patient = replace(base.tries[0], wait=20_000_000, leaves=0)
@@ -99,7 +103,7 @@
             if intent % 50 == 0:
                 await asyncio.sleep(0.01)
         await asyncio.sleep(1.0)
-        return before, memory(process.pid)[1], len(silent.asked)
+        return before, memory_mb(process.pid)[1], len(silent.asked)
     finally:
         await world.close()
 
@@ -108,15 +112,15 @@
     """Print the table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rounds", type=int, default=3)
-    given = parser.parse_args()
+    options = parser.parse_args()
     figures: dict[str, list[float]] = {mode: [] for mode in MODES}
     with tempfile.TemporaryDirectory() as folder:
         print(
             f"{'round':<7}{'mode':<10}{'us CPU a try':>14}{'against off':>13}{'MB':>7}{'tries':>8}"
         )
-        for number in range(given.rounds):
+        for number in range(options.rounds):
             for mode in MODES:
-                used, mb, tries = uvloop.run(one(mode, Path(folder) / f"{number}-{mode}"))
+                used, mb, tries = uvloop.run(measure_round(mode, Path(folder) / f"{number}-{mode}"))
                 figures[mode].append(used)
                 ratio = used / figures["off"][-1]
                 print(
@@ -126,7 +130,7 @@
         for mode in ("cached", "uncached"):
             ratios = [a / b for a, b in zip(figures[mode], figures["off"], strict=True)]
             print(f"median of {mode}/off: {statistics.median(ratios):.2f}")
-        before, peak, asked = uvloop.run(out_at_once(1000, Path(folder) / "out"))
+        before, peak, asked = uvloop.run(measure_checks_in_flight(1000, Path(folder) / "out"))
         print(f"memory: {before:.0f} MB before, {peak:.0f} MB at its peak with {asked} checks out")
 
 
--- a/benchmarks/client_disconnects.py
+++ b/benchmarks/client_disconnects.py
@@ -20,15 +20,17 @@
 sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
 from conftest import SITE, FakeHost, Rig, until, value
 
-LATE = 0.3  # Seconds.
+LATE_AFTER_S = 0.3
 
 
-async def play(clients: int, forgets: bool) -> tuple[int, int, int]:
+async def count_late_requests(clients: int, forgets: bool) -> tuple[int, int, int]:
     """Count clients that left before their request reached a host, and those requests forwarded later, and late."""
     draw, hosts = random.Random(1), [await FakeHost(name).listen() for name in "abcd"]
-    came: dict[bytes, float] = {}
+    received_at: dict[bytes, float] = {}
     for host in hosts:
-        host.script = lambda command: came.setdefault(command[2], time.monotonic()) and value(b"ok")
+        host.script = lambda command: (
+            received_at.setdefault(command[2], time.monotonic()) and value(b"ok")
+        )
     rig = Rig(
         *hosts,
         sockets=2 * clients,
@@ -36,29 +38,33 @@
     )
     real, ports = rig.loop.create_connection, {host.port for host in hosts}
 
-    async def late(factory, *address, **more):
+    async def connect_late(factory, *address, **more):
         if address and address[1] in ports:
             await asyncio.sleep(draw.uniform(0, 0.4))
         return await real(factory, *address, **more)
 
-    rig.loop.create_connection = late
+    rig.loop.create_connection = connect_late
     if forgets:
         rig.cluster.withdraw = lambda attempt: False
-    left: dict[bytes, float] = {}
+    left_at: dict[bytes, float] = {}
 
     async def client(number: int) -> None:
         caller, name = await rig.caller(), b"n%d" % number
         caller.call(number=name, wait=5000)
         await asyncio.sleep(draw.uniform(0, 0.2))
-        left[name] = time.monotonic()
+        left_at[name] = time.monotonic()
         (caller.transport.abort if number % 2 else caller.transport.close)()
 
     await asyncio.gather(*(client(number) for number in range(clients)))
     await until(lambda: not any(pool.opening for pool in rig.cluster.pools.values()), 30)
     await asyncio.sleep(0.5)
-    waited = [name for name, at in left.items() if came.get(name, at + 1) > at]
-    begun = [name for name in waited if name in came]
-    return len(waited), len(begun), sum(came[name] - left[name] >= LATE for name in begun)
+    waited = [name for name, at in left_at.items() if received_at.get(name, at + 1) > at]
+    forwarded = [name for name in waited if name in received_at]
+    return (
+        len(waited),
+        len(forwarded),
+        sum(received_at[name] - left_at[name] >= LATE_AFTER_S for name in forwarded),
+    )
 
 
 def main() -> None:
@@ -68,10 +74,10 @@
     )
     parser.add_argument("--clients", type=int, default=400)
     parser.add_argument("--forgets", action="store_true")
-    said = parser.parse_args()
-    waited, begun, late = uvloop.run(play(said.clients, said.forgets))
+    options = parser.parse_args()
+    waited, forwarded, late = uvloop.run(count_late_requests(options.clients, options.forgets))
     print(
-        f"left while they waited {waited}, sent on after that {begun}, {LATE} s or more after that {late}"
+        f"left while they waited {waited}, sent on after that {forwarded}, {LATE_AFTER_S} s or more after that {late}"
     )
 
 
--- a/benchmarks/fleet/lease_case_state.py
+++ b/benchmarks/fleet/lease_case_state.py
@@ -50,7 +50,7 @@
     receiver: str
     message: Message
 
-    def words(self) -> str:
+    def describe(self) -> str:
         """Describe the arrival of the message, for a trace."""
         sender, receiver, message = self
         match message:
@@ -64,12 +64,12 @@
                 number = message.ballot.number
                 what = f"that {sender} accepts ballot {number}, round {message.round}"
             case Nack():
-                what = f"that {sender} refuses ballot {message.ballot.number}"
+                what = f"that {sender} rejects ballot {message.ballot.number}"
             case Release():
                 what = f"{sender} release ballot {message.ballot.number}"
             case _:
                 what = f"{sender}: {message}"
-        return f"{receiver} hears {what}"
+        return f"{receiver} receives {what}"
 
 
 @dataclass(frozen=True, slots=True)
--- a/benchmarks/fleet/lease_days.py
+++ b/benchmarks/fleet/lease_days.py
@@ -28,7 +28,7 @@
 from testbed.simulation.clock import Link
 from testbed.simulation.machine import Machine, Sent
 
-DAY, FROM, UNTIL = 120 * SECOND_US, 20 * SECOND_US, 90 * SECOND_US
+DAY_US, FAULTS_FROM_US, FAULTS_UNTIL_US = 120 * SECOND_US, 20 * SECOND_US, 90 * SECOND_US
 SPECS = tuple(
     TaskSpec(f"{once}-{n}", (2 + n) * SECOND_US, once, SECOND_US // 2)
     for once in ("at-least", "at-most")
@@ -46,14 +46,16 @@
 class Faults:
     """Kinds of faults; each draws its own times and nodes."""
 
-    def __init__(self, field: SimulatedFleet, draw: random.Random) -> None:
+    def __init__(self, simulation: SimulatedFleet, draw: random.Random) -> None:
         """Plan faults for a fleet."""
-        self.field, self.draw, self.fleet = field, draw, field.fleet
+        self.simulation, self.draw, self.fleet = simulation, draw, simulation.fleet
 
     def span(self, min_s: float, max_s: float) -> tuple[int, int]:
         """Draw the start and the end of a fault."""
         length = int(self.draw.uniform(min_s, max_s) * SECOND_US)
-        begin = self.draw.randrange(FROM, max(FROM + 1, UNTIL - length))
+        begin = self.draw.randrange(
+            FAULTS_FROM_US, max(FAULTS_FROM_US + 1, FAULTS_UNTIL_US - length)
+        )
         return begin, begin + length
 
     def _links(self, begin: int, end: int, **changes: float | bool | tuple[int, int]) -> None:
@@ -83,7 +85,7 @@
         self._links(*self.span(5, 30), delay=(0, max_delay_us))
 
     def _sides(self) -> list[list[str]]:
-        names = list(self.field.names)
+        names = list(self.simulation.names)
         self.draw.shuffle(names)
         at = self.draw.randrange(1, len(names))
         return [names[:at], names[at:]]
@@ -98,19 +100,21 @@
         """Partition the fleet in one direction only."""
         self.split(True)
 
-    def _some(self) -> list[str]:
-        return self.draw.sample(self.field.names, self.draw.randint(1, len(self.field.names)))
+    def _some_nodes(self) -> list[str]:
+        return self.draw.sample(
+            self.simulation.names, self.draw.randint(1, len(self.simulation.names))
+        )
 
     def stop(self) -> None:
         """Pause some nodes, for shorter or longer than a lease."""
         begin, end = self.span(0.5, 20)
-        for name in self._some():
+        for name in self._some_nodes():
             self.fleet.at(begin, partial(self.fleet.stop, name))
             self.fleet.at(end + self.draw.randrange(SECOND_US), partial(self.fleet.go_on, name))
 
     def kill(self) -> None:
         """Kill and restart some nodes, each at its own time."""
-        for name in self._some():
+        for name in self._some_nodes():
             begin, end = self.span(0.1, 10)
             self.fleet.at(begin, partial(self.fleet.kill, name))
             self.fleet.at(end, partial(self.fleet.start, name))
@@ -118,13 +122,13 @@
     def all_voters(self) -> None:
         """Kill and restart all voters at once."""
         begin, end = self.span(0.1, 3)
-        for name in self.field.voters:
+        for name in self.simulation.voters:
             self.fleet.at(begin, partial(self.fleet.kill, name))
             self.fleet.at(end, partial(self.fleet.start, name))
 
     def drain(self) -> None:
         """Drain, stop and restart some nodes."""
-        for name in self._some():
+        for name in self._some_nodes():
             begin, end = self.span(0.5, 5)
             self.fleet.at(begin, partial(self.fleet.call, name, drain_node))
             self.fleet.at(begin + SECOND_US // 5, partial(self.fleet.kill, name))
@@ -133,8 +137,10 @@
     def clock_back(self) -> None:
         """Set the wall clocks of 8 machines back by an hour, and restart their nodes."""
         begin, _ = self.span(1, 2)
-        for name in self.draw.sample(self.field.names, 8):
-            self.fleet.at(begin, partial(self.field.walls.__setitem__, name, -3_600 * SECOND_US))
+        for name in self.draw.sample(self.simulation.names, 8):
+            self.fleet.at(
+                begin, partial(self.simulation.walls.__setitem__, name, -3_600 * SECOND_US)
+            )
             # A running node has read its wall clock base already: the change shows after a restart.
             self.fleet.at(begin + SECOND_US, partial(self.fleet.kill, name))
             self.fleet.at(begin + 2 * SECOND_US, partial(self.fleet.start, name))
@@ -144,10 +150,10 @@
         begin, end = self.span(5, 20)
 
         def make_unavailable() -> None:
-            self.field.receiver.unavailable_until, self.field.answers_lost = end, 0.5
+            self.simulation.receiver.unavailable_until, self.simulation.answer_loss = end, 0.5
 
         self.fleet.at(begin, make_unavailable)
-        self.fleet.at(end + 10 * SECOND_US, lambda: setattr(self.field, "answers_lost", 0.0))
+        self.fleet.at(end + 10 * SECOND_US, lambda: setattr(self.simulation, "answer_loss", 0.0))
 
 
 KINDS = (
@@ -168,39 +174,39 @@
 def day(
     seed: str,
     kinds: tuple[str, ...] | None = None,
-    plant: Callable[[SimulatedFleet], None] | None = None,
+    plant_fault: Callable[[SimulatedFleet], None] | None = None,
 ) -> tuple:
     """Run one day; return its kinds of faults, its fleet and its turn counts."""
     draw = random.Random(seed)
     timing = Timing(5 * SECOND_US, 0.01)
-    field = SimulatedFleet(
+    simulation = SimulatedFleet(
         seed, 5, 20, 2, timing, SPECS, Link(delay=(200, draw.choice((2_000, 20_000, 100_000))))
     )
-    if plant:
-        plant(field)
-    faults = Faults(field, draw)
+    if plant_fault:
+        plant_fault(simulation)
+    faults = Faults(simulation, draw)
     kinds = kinds if kinds is not None else tuple(draw.sample(KINDS, draw.choice((1, 1, 2, 3))))
     for kind in kinds:
         getattr(faults, kind)()
-    field.fleet.run(DAY)
-    return kinds, field, field.turn_counts(DAY - 5 * SECOND_US, 12 * SECOND_US)
+    simulation.fleet.run(DAY_US)
+    return kinds, simulation, simulation.turn_counts(DAY_US - 5 * SECOND_US, 12 * SECOND_US)
 
 
-def judged(seed: str) -> tuple[tuple[str, ...], list[str], Counter[str], int]:
+def run_day_in_worker(seed: str) -> tuple[tuple[str, ...], list[str], Counter[str], int]:
     """Run one day in a worker process; return its fault kinds, breaches, turn counts and gains."""
-    kinds, field, turns = day(seed)
+    kinds, simulation, turns = day(seed)
     tally: Counter[str] = Counter(turns)
     at_max_once = Counter(
         (c.task, c.turn)
-        for c in field.receiver.calls
+        for c in simulation.receiver.calls
         if c.accepted and c.task.startswith("at-most")
     )
     tally["at-most repeated"] = sum(n - 1 for n in at_max_once.values())
     return (
         kinds,
-        [f"{seed}: {breach.at_us / 1e6:.3f} s: {breach.text}" for breach in field.breaches],
+        [f"{seed}: {breach.at_us / 1e6:.3f} s: {breach.text}" for breach in simulation.breaches],
         tally,
-        len(field.gains),
+        len(simulation.gains),
     )
 
 
@@ -212,8 +218,8 @@
     breaches: list[str] = []
     with ProcessPoolExecutor(jobs) as pool:
         seeds = [f"day {n}" for n in range(first, first + count)]
-        for kinds, wrong, tally, gains in pool.map(judged, seeds, chunksize=8):
-            breaches += wrong
+        for kinds, day_breaches, tally, gains in pool.map(run_day_in_worker, seeds, chunksize=8):
+            breaches += day_breaches
             for bucket in (
                 totals,
                 by_kind[kinds[0] if len(kinds) == 1 else f"{len(kinds)} kinds at once"],
@@ -221,7 +227,7 @@
                 bucket.update(tally)
                 bucket["days"] += 1
                 bucket["gains"] += gains
-                bucket["overlaps"] += len(wrong)
+                bucket["overlaps"] += len(day_breaches)
     table = Table(
         title=f"{count} days, 5 voters, 20 others, leases of 5 s;"
         f" {time.monotonic() - began:.0f} s on {jobs} cores"
@@ -255,10 +261,12 @@
 def taken_over(seed: str, how: str) -> float:
     """Return the seconds from the loss of a holder to the next acquisition of its lease."""
     draw = random.Random(seed)
-    field = SimulatedFleet(seed, 3, 5, 1, Timing(5 * SECOND_US, 0.01), (), Link(delay=(200, 5_000)))
-    fleet, lease = field.fleet, shard_name(0, 1)
+    simulation = SimulatedFleet(
+        seed, 3, 5, 1, Timing(5 * SECOND_US, 0.01), (), Link(delay=(200, 5_000))
+    )
+    fleet, lease = simulation.fleet, shard_name(0, 1)
     fleet.run(int(draw.uniform(20, 30) * SECOND_US))
-    holder, at, before = field.holder(lease), fleet.now, len(field.gains)
+    holder, at, before = simulation.holder(lease), fleet.now, len(simulation.gains)
     if holder is None:
         raise RuntimeError(f"{seed}: nobody holds the lease")
     if how == "kill":
@@ -266,11 +274,11 @@
     elif how == "drain":
         fleet.call(holder, drain_node)
     else:  # Partitioned away from the majority.
-        others = [name for name in field.names if name != holder]
+        others = [name for name in simulation.names if name != holder]
         fleet.split([[holder], others])
     fleet.run(at + 30 * SECOND_US)
-    assert not field.breaches, field.breaches
-    return (field.gains[before][0] - at) / SECOND_US
+    assert not simulation.breaches, simulation.breaches
+    return (simulation.gains[before][0] - at) / SECOND_US
 
 
 def takeover(count: int) -> int:
@@ -303,16 +311,18 @@
         for tasks, shards in ((1, 1), (50, 16), (500, 32)):
             specs = tuple(TaskSpec(f"t{n}", 60 * SECOND_US) for n in range(tasks))
             link = Link(delay=(200, 2_000))
-            field = SimulatedFleet("traffic", 3, gateways - 3, shards, Timing(), specs, link, True)
-            fleet = field.fleet
+            simulation = SimulatedFleet(
+                "traffic", 3, gateways - 3, shards, Timing(), specs, link, True
+            )
+            fleet = simulation.fleet
             fleet.run(120 * SECOND_US)
             counts, sent, got = fleet.counts.copy(), fleet.sent.copy(), fleet.got.copy()
             began = time.perf_counter()
             fleet.run(240 * SECOND_US)
             spent_s = time.perf_counter() - began
             more = fleet.counts - counts
-            voters = sum(fleet.sent[v] - sent[v] for v in field.voters) / 3 / 120
-            received = sum(fleet.got[v] - got[v] for v in field.voters) / 3 / 120
+            voters = sum(fleet.sent[v] - sent[v] for v in simulation.voters) / 3 / 120
+            received = sum(fleet.got[v] - got[v] for v in simulation.voters) / 3 / 120
             row = (
                 *(gateways, tasks, shards, f"{more['sent'] / 120 / gateways:.2f}"),
                 *(f"{more['bytes'] / 120 / gateways:.0f}", f"{voters:.1f}", f"{received:.1f}"),
@@ -335,10 +345,10 @@
     one.add_argument("--first", type=int, default=0)
     what.add_parser("takeover").add_argument("--count", type=int, default=200)
     what.add_parser("traffic")
-    given = parser.parse_args()
-    if given.what == "days":
-        return days(given.count, given.jobs, given.first)
-    return takeover(given.count) if given.what == "takeover" else traffic()
+    options = parser.parse_args()
+    if options.what == "days":
+        return days(options.count, options.jobs, options.first)
+    return takeover(options.count) if options.what == "takeover" else traffic()
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet/lease_explorer.py
+++ b/benchmarks/fleet/lease_explorer.py
@@ -166,7 +166,7 @@
             new = copied_proposer(proposer)
             outgoing = new.release(LEASE, "moved")
             before = replace(state, releases_left=state.releases_left - 1)
-            yield f"{name} gives it back", self._with_proposer(before, index, new, outgoing)
+            yield f"{name} releases the lease", self._with_proposer(before, index, new, outgoing)
 
     def _free_ballot(self, state: CaseState) -> int:
         """Return the ballot number that an offer of a released lease would name."""
@@ -180,17 +180,17 @@
         after = self._deliver(replace(state, mail=state.mail - {mail}), mail)
         if after is None:
             return
-        yield mail.words(), after
+        yield mail.describe(), after
         if may_repeat:
             twice = replace(after, mail=after.mail | {mail}, duplicates=state.duplicates - 1)
-            yield f"{mail.words()}, and it will come again", twice
+            yield f"{mail.describe()}, and a duplicate stays in flight", twice
 
     def _restarts(self, state: CaseState) -> Iterable[Step]:
         for index, acceptor in enumerate(state.acceptors):
             fresh = self._new_acceptor(acceptor.name, self.acceptor_now(state.tick))
             acceptors = self._put(state.acceptors, index, fresh)
             after = replace(state, acceptors=acceptors, restarts=state.restarts - 1)
-            yield f"{acceptor.name} starts anew, with empty memory", after
+            yield f"{acceptor.name} restarts with empty memory", after
 
     def _deliver_answers(self, state: CaseState, answers: dict[str, list[Mail]]) -> Iterable[Step]:
         """Deliver as many answers at once as a proposer needs to proceed.
@@ -206,7 +206,7 @@
                 for mail in chosen:
                     if self._can_matter(after, mail):
                         after = self._deliver(after, mail) or after
-                yield " and ".join(dict.fromkeys(mail.words() for mail in chosen)), after
+                yield " and ".join(dict.fromkeys(mail.describe() for mail in chosen)), after
 
     def _can_matter(self, state: CaseState, mail: Mail) -> bool:
         """Return whether a message can still change the state; a late answer cannot."""
@@ -284,7 +284,9 @@
         for event in proposer.events:
             if isinstance(event, LeaseGained):
                 if event.fencing_token <= highest:
-                    error = f"{name} holds under number {event.fencing_token}, after {highest}"
+                    error = (
+                        f"{name} holds the lease with token {event.fencing_token} after {highest}"
+                    )
                 highest = max(highest, event.fencing_token)
         proposer.events.clear()
         proposers = self._put(state.proposers, index, proposer)
@@ -301,8 +303,8 @@
         if new.restarts or Nack not in self.left_out:
             return new
         # Messages that will always be rejected need not be kept.
-        void = {one for one in new.mail if self._always_rejected(new, one)}
-        return replace(new, mail=new.mail - void) if void else new
+        rejected = {one for one in new.mail if self._always_rejected(new, one)}
+        return replace(new, mail=new.mail - rejected) if rejected else new
 
     def _always_rejected(self, state: CaseState, mail: Mail) -> bool:
         message = mail.message
@@ -324,14 +326,14 @@
         return [one.gateway.name for one in state.proposers if one.held(now)]
 
     def breach(self, state: CaseState) -> str:
-        """Return the violated invariant, or '': two holders, a token not increased, a lost lease."""
+        """Return the violated invariant, if any: two holders, a stale token, a lost lease."""
         holders = self.holders(state)
         if len(holders) > 1:
             return f"{' and '.join(holders)} both hold the lease"
         if state.error:
             return state.error
         if self.regain and not holders and not self._regained(state):
-            return "all faults are over, both ask, and nobody gets the lease"
+            return "all faults are over and both propose, but nobody acquires the lease"
         return ""
 
     def _regained(self, state: CaseState) -> bool:
@@ -348,7 +350,7 @@
             state = self._tick(replace(state, mail=frozenset()))
             waiting = list(state.mail)
             for index in range(len(state.proposers)):
-                state = self._propose_anew(state, index, waiting)
+                state = self._propose_again(state, index, waiting)
                 while waiting:
                     mail = waiting.pop(0)
                     after = self._deliver(replace(state, mail=frozenset()), mail)
@@ -357,7 +359,7 @@
                         waiting += state.mail
                     yield state
 
-    def _propose_anew(self, state: CaseState, index: int, waiting: list[Mail]) -> CaseState:
+    def _propose_again(self, state: CaseState, index: int, waiting: list[Mail]) -> CaseState:
         """Abandon a proposer's round, as after its deadline, and propose; queue its messages."""
         now = self.proposer_now(state.tick)
         proposer = copied_proposer(state.proposers[index])
--- a/benchmarks/fleet/lease_holders.py
+++ b/benchmarks/fleet/lease_holders.py
@@ -75,7 +75,9 @@
         self.gains.append(gain)
         highest = self._highest_token.get(gain.lease, 0)
         if gain.fencing_token <= highest:
-            text = f"{gain.node} got {gain.lease} under {gain.fencing_token} after {highest}"
+            text = (
+                f"{gain.node} acquired {gain.lease} with token {gain.fencing_token} after {highest}"
+            )
             self.breaches.append(Breach(gain.at_us, text))
         self._highest_token[gain.lease] = max(gain.fencing_token, highest)
 
@@ -89,8 +91,8 @@
             earlier_incarnation = other.name == gateway.name
             if holding.until_us > at_us and not earlier_incarnation:
                 text = (
-                    f"{gateway} holds {claim.lease} under {claim.fencing_token}"
-                    f" while {other} does, under {holding.fencing_token}"
+                    f"{gateway} holds {claim.lease} with token {claim.fencing_token}"
+                    f" while {other} holds it with token {holding.fencing_token}"
                 )
                 self.breaches.append(Breach(at_us, text))
             else:
--- a/benchmarks/fleet/leases.py
+++ b/benchmarks/fleet/leases.py
@@ -82,7 +82,7 @@
     ) -> None:
         """Start one incarnation of a node."""
         self.simulated, self.name, self.incarnation, self.draw = simulated, name, incarnation, draw
-        self.wall_by = simulated.walls.get(name, 0)
+        self.wall_offset_us = simulated.walls.get(name, 0)
         self.node = simulated.make_node(name, incarnation, now, draw)
         self.schedule = TaskSchedule()
         self.calls: list[tuple[int, TaskCall]] = []  # Each with its end time.
@@ -91,7 +91,7 @@
 
     def wall(self, now: int) -> int:
         """Return the Unix time by this node's clock, including its error."""
-        return WALL_US + now - self.simulated.fleet.nodes[self.name].offset + self.wall_by
+        return WALL_US + now - self.simulated.fleet.nodes[self.name].offset + self.wall_offset_us
 
     def next_at(self) -> int:
         """Return when the node, its schedule or a running call is next due."""
@@ -105,7 +105,7 @@
         self.now = now
         incarnation, packet = message
         out = self.node.receive(now, self.wall(now), GatewayId(sender, incarnation), packet)
-        return self._after(now, out)
+        return self._handle_events(now, out)
 
     def due(self, now: int) -> Sent:
         """Handle the timers and the calls that are due."""
@@ -113,25 +113,25 @@
         out = self.node.due(now, self.wall(now))
         for end, call in [item for item in self.calls if item[0] <= now]:
             self.calls.remove((end, call))
-            self._end(now, call)
-        self._do(now, self.schedule.due(now, self.wall(now), self._remaining_us))
-        return self._after(now, out)
+            self._finish_call(now, call)
+        self._apply_actions(now, self.schedule.due(now, self.wall(now), self._remaining_us))
+        return self._handle_events(now, out)
 
     def drain(self, now: int) -> Sent:
         """Drain the node, as on SIGTERM."""
         self.now = now
-        return self._after(now, self.node.drain(now, self.wall(now)))
+        return self._handle_events(now, self.node.drain(now, self.wall(now)))
 
     def _remaining_us(self, lease: str) -> int:
         token = self.node.token(lease, lambda: self.now)
         return token.remaining_us() if token else 0
 
-    def _end(self, now: int, call: TaskCall) -> None:
+    def _finish_call(self, now: int, call: TaskCall) -> None:
         token = self.node.token(call.lease, lambda: now)
         outcome = CallOutcome.LATE
         if (
             token and token.number == call.fencing_token and token.valid()
-        ) or self.simulated.asks_no_token:
+        ) or self.simulated.skips_token_check:
             node = self.simulated.fleet.nodes[self.name]
             outcome = self.simulated.receiver.call(
                 self.simulated.fleet.now,
@@ -140,14 +140,14 @@
                 call.fencing_token,
                 f"{node.name}.{node.life}",
             )
-            if outcome is CallOutcome.DONE and self.draw.random() < self.simulated.answers_lost:
+            if outcome is CallOutcome.DONE and self.draw.random() < self.simulated.answer_loss:
                 outcome = CallOutcome.UNKNOWN
-        self._do(
+        self._apply_actions(
             now, self.schedule.call_finished(now, self.wall(now), call.task, call.turn, outcome)
         )
 
-    def _do(self, now: int, todo: list[ScheduleAction]) -> None:
-        for one in todo:
+    def _apply_actions(self, now: int, actions: list[ScheduleAction]) -> None:
+        for one in actions:
             if isinstance(one, TaskCall):
                 spec = self.simulated.specs[one.task]
                 self.calls.append((now + int(self.draw.random() * spec.max_call_us / 2), one))
@@ -156,7 +156,7 @@
             elif isinstance(one, CancelCall):
                 self.calls = [item for item in self.calls if item[1].task != one.task]
 
-    def _after(self, now: int, out: list[OutgoingPacket]) -> Sent:
+    def _handle_events(self, now: int, out: list[OutgoingPacket]) -> Sent:
         while self.node.events:
             event = self.node.events.pop(0)
             if isinstance(event, LeaseGained):
@@ -171,9 +171,9 @@
                     event.memory_since_us,
                 )
             elif isinstance(event, LeaseLost):
-                self._do(now, self.schedule.lease_lost(event.lease))
+                self._apply_actions(now, self.schedule.lease_lost(event.lease))
             elif isinstance(event, ProgressConfirmed):
-                self._do(
+                self._apply_actions(
                     now,
                     self.schedule.progress_confirmed(
                         now, event.lease, event.progress, self._remaining_us
@@ -187,7 +187,7 @@
                 out += self.node.release(
                     now, self.wall(now), lease, "moved", self.node.timing.duration_us
                 )
-                return self._after(now, out)
+                return self._handle_events(now, out)
         return [(to, (self.incarnation, packet)) for to, packet in out]
 
 
@@ -212,15 +212,15 @@
         self.timing, self.shards = timing or Timing(), shards
         self.voters = tuple(f"v{n}" for n in range(voters))
         self.names = (*self.voters, *(f"a{n}" for n in range(others)))
-        self.set = VoterSet(1, self.voters)
+        self.voter_set = VoterSet(1, self.voters)
         self.specs = {spec.name: spec for spec in specs}
         self.by_lease: dict[str, list[TaskSpec]] = {}
         for spec in specs:
             self.by_lease.setdefault(shard_of(spec.name, shards), []).append(spec)
         self.walls: dict[str, int] = {}
         self.receiver = Receiver()
-        self.answers_lost = 0.0
-        self.asks_no_token = False
+        self.answer_loss = 0.0
+        self.skips_token_check = False
         self.holders = HolderLog()
         self.make_node: Callable[[str, int, int, random.Random], LeaseNode] = self.plain_node
         self.fleet.watchers.append(self._check_holders)
@@ -242,7 +242,7 @@
         """Return a lease node as the gateway process creates it."""
         settings = NodeSettings(self.timing, self.shards)
         gateway = GatewayId(name, incarnation)
-        return LeaseNode(gateway, settings, self.set, draw.random, now)
+        return LeaseNode(gateway, settings, self.voter_set, draw.random, now)
 
     def _check_holders(self, at: int, node: Node) -> None:
         """Record the leases that a node holds by true time, after each of its steps."""
@@ -267,7 +267,7 @@
         return self.holders.holder(lease, self.fleet.now)
 
     def turn_counts(self, until: int, settle: int = 0) -> Counter[str]:
-        """Count done, repeated and missed turns between ``settle`` and ``until`` (true time, us)."""
+        """Count done, repeated and missed turns between ``settle`` and ``until`` (true us)."""
         done: Counter[tuple[str, int]] = Counter(
             (call.task, call.turn) for call in self.receiver.calls if call.accepted
         )
--- a/benchmarks/fleet/quotas.py
+++ b/benchmarks/fleet/quotas.py
@@ -131,7 +131,7 @@
         return OursAndDelayed(self.inside / requested, self.delayed_inside / requested)
 
 
-def played(
+def run_quiet_day(
     gateways: int,
     spread: int,
     plan: Plan,
@@ -168,7 +168,7 @@
     print(f"{'gateways':>8} {'set':>4} {'plan':6} {columns}")
     for gateways, spread in SIZES:
         for name, plan in (("quiet", QUIET), ("brisk", BRISK)):
-            days = [played(gateways, spread, plan, seed) for seed in seeds]
+            days = [run_quiet_day(gateways, spread, plan, seed) for seed in seeds]
             cost = mean([day.costs() for day in days])
             served = mean([day.served_inside() for day in days])
             figures = f"{cost.ours:6.3f} {cost.delayed:8.3f} {cost.ours - cost.delayed:6.3f}"
--- a/benchmarks/grpc_libraries.py
+++ b/benchmarks/grpc_libraries.py
@@ -56,24 +56,24 @@
     await asyncio.sleep(600)
 
 
-async def by_grpcio(port: int, number: int, width: int) -> None:
+async def by_grpcio(port: int, number: int, concurrency: int) -> None:
     import grpc
 
     async with grpc.aio.insecure_channel(f"127.0.0.1:{port}") as channel:
         call = channel.unary_unary(METHOD)
-        await _drive(lambda: call(BODY, timeout=5), number, width)
+        await _drive(lambda: call(BODY, timeout=5), number, concurrency)
 
 
-async def by_grpclib(port: int, number: int, width: int) -> None:
+async def by_grpclib(port: int, number: int, concurrency: int) -> None:
     from grpclib.client import Channel, UnaryUnaryMethod
 
     channel = Channel("127.0.0.1", port, codec=raw_codec())
     method = UnaryUnaryMethod(channel, METHOD, bytes, bytes)
-    await _drive(lambda: method(BODY, timeout=5), number, width)
+    await _drive(lambda: method(BODY, timeout=5), number, concurrency)
     channel.close()
 
 
-async def _drive(once, number: int, width: int) -> None:
+async def _drive(once, number: int, concurrency: int) -> None:
     await once()
     began, cpu = time.perf_counter(), time.process_time()
     left = number
@@ -84,7 +84,7 @@
             left -= 1
             assert bytes(await once()) == REPLY
 
-    await asyncio.gather(*(worker() for _ in range(width)))
+    await asyncio.gather(*(worker() for _ in range(concurrency)))
     used, wall = time.process_time() - cpu, time.perf_counter() - began
     peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
     print(json.dumps({"us": 1e6 * used / number, "rate": number / wall, "mb": peak}))
@@ -97,21 +97,28 @@
     parser.add_argument("--port", type=int)
     parser.add_argument("--number", type=int, default=4000)
     parser.add_argument("--rounds", type=int, default=3)
-    given = parser.parse_args()
-    if given.part == "serve":
+    options = parser.parse_args()
+    if options.part == "serve":
         uvloop.run(serve())
-    elif given.part:
-        work = by_grpcio if given.part == "grpcio" else by_grpclib
-        uvloop.run(work(given.port, given.number, 32))
+    elif options.part:
+        work = by_grpcio if options.part == "grpcio" else by_grpclib
+        uvloop.run(work(options.port, options.number, 32))
     else:
-        me = [sys.executable, "-m", "benchmarks.grpc_libraries", "--part"]
-        server = subprocess.Popen([*me, "serve"], stdout=subprocess.PIPE, text=True)
+        command_prefix = [sys.executable, "-m", "benchmarks.grpc_libraries", "--part"]
+        server = subprocess.Popen([*command_prefix, "serve"], stdout=subprocess.PIPE, text=True)
         try:
             port = server.stdout.readline().strip()
             print(f"{'library':<10}{'us CPU a check':>16}{'checks/s':>12}{'peak MB':>10}")
-            for _ in range(given.rounds):
+            for _ in range(options.rounds):
                 for part in ("grpcio", "grpclib"):
-                    command = [*me, part, "--port", port, "--number", str(given.number)]
+                    command = [
+                        *command_prefix,
+                        part,
+                        "--port",
+                        port,
+                        "--number",
+                        str(options.number),
+                    ]
                     found = json.loads(
                         subprocess.run(command, capture_output=True, text=True, check=True).stdout
                     )
--- a/benchmarks/lease_cost.py
+++ b/benchmarks/lease_cost.py
@@ -18,7 +18,7 @@
 
 import uvloop
 
-from benchmarks.ledger_cost import DAY
+from benchmarks.ledger_cost import SCENARIO
 from testbed.checker.record import Answered, Sent
 from testbed.runner.lease_world import Receiver
 from testbed.runner.processes import free_port
@@ -27,7 +27,7 @@
 KINDS = ("off", "silent", "holder")
 
 
-def operator(kind: str, folder: Path, receiver: str, silent: list[socket.socket]) -> str:
+def operator_file(kind: str, folder: Path, receiver: str, silent: list[socket.socket]) -> str:
     """Return the text of the operator file of one round."""
     if kind == "off":
         return ""
@@ -45,7 +45,7 @@
     return text
 
 
-async def one(folder: Path, kind: str) -> tuple[list[float], float]:
+async def measure_round(folder: Path, kind: str) -> tuple[list[float], float]:
     """Run one round; return sorted latencies (ms) and the gateway's CPU s per 1,000 answers."""
     folder.mkdir()
     silent = []
@@ -54,7 +54,9 @@
         sock.bind(("127.0.0.1", 0))
         silent.append(sock)
     receiver = Receiver(lambda: 0, "cost")
-    world = World(DAY, folder, operator=operator(kind, folder, await receiver.open(), silent))
+    world = World(
+        SCENARIO, folder, operator=operator_file(kind, folder, await receiver.open(), silent)
+    )
     try:
         log = await world.run()
         process = world.gateways[0].process
@@ -77,16 +79,16 @@
     """Print the table and the ratios."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rounds", type=int, default=3)
-    given = parser.parse_args()
+    options = parser.parse_args()
     found: dict[str, list[tuple[float, float, float]]] = {kind: [] for kind in KINDS}
     with tempfile.TemporaryDirectory() as name:
         print(
             f"{'round':<7}{'leases':<9}{'served':>8}{'p50 ms':>9}{'p99 ms':>9}"
             f"{'core s / 1,000':>16}"
         )
-        for number in range(given.rounds):
+        for number in range(options.rounds):
             for kind in KINDS:
-                times, core = uvloop.run(one(Path(name) / f"{number}-{kind}", kind))
+                times, core = uvloop.run(measure_round(Path(name) / f"{number}-{kind}", kind))
                 p50, p99 = times[len(times) // 2], times[int(len(times) * 0.99)]
                 found[kind].append((p50, p99, core))
                 print(
--- a/benchmarks/lease_takeover.py
+++ b/benchmarks/lease_takeover.py
@@ -22,10 +22,10 @@
 from testbed.model.lease_day import LeaseDay, LeaseFault
 from testbed.runner.lease_world import LeaseWorld
 
-HOWS = ("kill", "term", "stop")
+FAULT_KINDS = ("kill", "term", "stop")
 
 
-async def world_of(seed: int, number: int, how: str) -> list[float]:
+async def measure_takeovers(seed: int, number: int, how: str) -> list[float]:
     """Return the durations (s) of ``number`` takeovers in one fleet."""
     folder = Path(tempfile.mkdtemp())
     day = LeaseDay(seed, 8, 3, span_s=2.0, shards=1, tasks=1, voters_stand=False)
@@ -64,9 +64,9 @@
     return waits_s
 
 
-def run(given: tuple[int, int, str]) -> list[float]:
+def run(options: tuple[int, int, str]) -> list[float]:
     """Measure takeovers in a worker process."""
-    return uvloop.run(world_of(*given))
+    return uvloop.run(measure_takeovers(*options))
 
 
 def main() -> None:
@@ -76,14 +76,14 @@
         "--kills", type=int, default=40, help="takeovers for each way to lose a holder"
     )
     parser.add_argument("--jobs", type=int, default=4)
-    given = parser.parse_args()
+    options = parser.parse_args()
     each = 10
     print(
         f"{'how':<8}{'times':>6}{'p50 s':>8}{'p90 s':>8}{'p99 s':>8}{'most':>8}   (a lease of 2 s)"
     )
-    with ProcessPoolExecutor(given.jobs) as pool:
-        for how in HOWS:
-            jobs = [(seed, each, how) for seed in range(max(1, given.kills // each))]
+    with ProcessPoolExecutor(options.jobs) as pool:
+        for how in FAULT_KINDS:
+            jobs = [(seed, each, how) for seed in range(max(1, options.kills // each))]
             waits_s = sorted(t for some in pool.map(run, jobs) for t in some)
             at = [
                 waits_s[min(len(waits_s) - 1, int(len(waits_s) * p))] for p in (0.5, 0.9, 0.99, 1.0)
--- a/benchmarks/ledger_cost.py
+++ b/benchmarks/ledger_cost.py
@@ -23,7 +23,7 @@
 from testbed.model.scenario import Class, Clients, Hosts, Plan, Scenario
 from testbed.runner.world import World
 
-DAY = Scenario(
+SCENARIO = Scenario(
     "ledger-cost",
     gateways=1,
     length_s=8,
@@ -52,7 +52,7 @@
     """Run the scenario once; return its latencies."""
     folder.mkdir()
     operator = f'[ledger]\nstate_dir = "{folder / "state"}"\n' if with_ledger else ""
-    world = World(DAY, folder, operator=operator)
+    world = World(SCENARIO, folder, operator=operator)
     try:
         log = await world.run()
     finally:
@@ -65,7 +65,7 @@
             latencies_ms[request.cls].append((answer.at - request.at) / US_PER_MS)
     return {
         request_class.name: sorted(latencies_ms[request_class.name])
-        for request_class in DAY.cls
+        for request_class in SCENARIO.cls
         if request_class.name in latencies_ms
     }
 
--- a/benchmarks/overload/ends.py
+++ b/benchmarks/overload/ends.py
@@ -17,7 +17,7 @@
 import hiredis
 import uvloop
 
-from .load import Due, Shape, Tally, arrivals
+from .load import LoadShape, ScheduledRequest, Tally, arrivals
 
 MAX_LIFETIME_S = 600.0  # An orphaned process exits after this time.
 TICK_S = 0.001  # Interval at which clients send the requests that are due.
@@ -26,7 +26,7 @@
 # -- hosts ----------------------------------------------------------------------------------------------------
 
 
-class HostSide(asyncio.Protocol):
+class HostConnection(asyncio.Protocol):
     """Host connection that answers each command in order after the host's delay."""
 
     def __init__(self, host: Host) -> None:
@@ -64,14 +64,14 @@
         return self.slow[2] / 1000 if self.slow[0] <= at < self.slow[1] else self.usual
 
 
-async def hosts(given: dict) -> None:
+async def hosts(options: dict) -> None:
     """Run ``count`` hosts, each on its own port."""
     loop = asyncio.get_running_loop()
     ports = []
-    for _ in range(given["count"]):
-        host = Host(loop, given["delay_ms"] / 1000, tuple(given.get("slow", (0, 0, 0))))
+    for _ in range(options["count"]):
+        host = Host(loop, options["delay_ms"] / 1000, tuple(options.get("slow", (0, 0, 0))))
         server = await loop.create_server(
-            lambda host=host: HostSide(host), "127.0.0.1", 0, backlog=1024
+            lambda host=host: HostConnection(host), "127.0.0.1", 0, backlog=1024
         )
         ports.append(server.sockets[0].getsockname()[1])
     print(json.dumps({"ports": ports}), flush=True)
@@ -108,14 +108,14 @@
             self.other.transport.close()
 
 
-async def forwarder(given: dict) -> None:
+async def forwarder(options: dict) -> None:
     """Forward bytes between each client connection and its own host connection."""
     loop, turn = asyncio.get_running_loop(), 0
 
     def pipe() -> Pipe:
         nonlocal turn
         turn += 1
-        return Pipe(target=("127.0.0.1", given["ports"][turn % len(given["ports"])]))
+        return Pipe(target=("127.0.0.1", options["ports"][turn % len(options["ports"])]))
 
     server = await loop.create_server(pipe, "127.0.0.1", 0, backlog=1024)
     print(json.dumps({"port": server.sockets[0].getsockname()[1]}), flush=True)
@@ -125,12 +125,12 @@
 # -- clients --------------------------------------------------------------------------------------------------
 
 
-class ClientSide(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """A pipelining connection: answers arrive in the order of the requests."""
 
     def __init__(self, side: Clients) -> None:
         self.side, self.reader = side, hiredis.Reader()
-        self.asked: deque[Due] = deque()
+        self.asked: deque[ScheduledRequest] = deque()
         self.out: list[bytes] = []
         self.writing = True
 
@@ -160,26 +160,28 @@
 class Clients:
     """All connections of one client process, and the outcomes of their requests."""
 
-    def __init__(self, given: dict, dues: list[Due]) -> None:
-        self.given, self.dues, self.tally, self.open = given, dues, Tally(), 0
-        self.began = given["began"]
+    def __init__(self, options: dict, dues: list[ScheduledRequest]) -> None:
+        self.options, self.dues, self.tally, self.open = options, dues, Tally(), 0
+        self.began = options["began"]
 
-    def ended(self, due: Due, what: str, now: float) -> None:
+    def ended(self, due: ScheduledRequest, what: str, now: float) -> None:
         """Record the answer to a request."""
         self.open -= 1
-        self.tally.add(due, what, 1000 * (now - self.began - due.at), self.given["wait"])
+        self.tally.add(due, what, 1000 * (now - self.began - due.at), self.options["wait"])
 
     async def run(self) -> None:
         """Send the requests that are due at each tick, then wait a limited time for the last answers."""
         loop = asyncio.get_running_loop()
-        conns: list[ClientSide] = []
-        for _ in range(self.given["connections"]):
+        conns: list[ClientConnection] = []
+        for _ in range(self.options["connections"]):
             sock = socket.socket()
-            if self.given.get("sndbuf"):
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, self.given["sndbuf"])
+            if self.options.get("sndbuf"):
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, self.options["sndbuf"])
             sock.setblocking(False)
-            await loop.sock_connect(sock, ("127.0.0.1", self.given["port"]))
-            conns.append((await loop.create_connection(lambda: ClientSide(self), sock=sock))[1])
+            await loop.sock_connect(sock, ("127.0.0.1", self.options["port"]))
+            conns.append(
+                (await loop.create_connection(lambda: ClientConnection(self), sock=sock))[1]
+            )
         at, slip = 0, 0.0
         while at < len(self.dues):
             now = time.monotonic() - self.began
@@ -198,34 +200,34 @@
                     conn.transport.write(b"".join(conn.out))
                     conn.out.clear()
             await asyncio.sleep(TICK_S)
-        end = time.monotonic() + self.given["after"]
+        end = time.monotonic() + self.options["after"]
         while self.open and time.monotonic() < end:
             await asyncio.sleep(0.01)
         for conn in conns:
             for due in conn.asked:
                 self.tally.add(due, "unanswered")
             conn.transport.abort()
-        print(json.dumps(self.tally.plain() | {"slip_ms": 1000 * slip}), flush=True)
+        print(json.dumps(self.tally.to_json() | {"slip_ms": 1000 * slip}), flush=True)
 
 
-async def clients(given: dict) -> None:
+async def clients(options: dict) -> None:
     """Prepare the requests, report readiness, wait for the start time, then send."""
-    shape = Shape(
-        tuple(tuple(step) for step in given["steps"]),
-        given["customers"],
-        given["heavy"],
-        given["wait"],
+    shape = LoadShape(
+        tuple(tuple(step) for step in options["steps"]),
+        options["customers"],
+        options["heavy"],
+        options["wait"],
     )
-    dues = arrivals(shape, given["part"], given["parts"], given["seed"])
+    dues = arrivals(shape, options["part"], options["parts"], options["seed"])
     print(json.dumps({"ready": len(dues)}), flush=True)
     line = await asyncio.get_running_loop().run_in_executor(None, sys.stdin.readline)
-    await Clients(given | json.loads(line), dues).run()
+    await Clients(options | json.loads(line), dues).run()
 
 
 def main() -> None:
     """Run the helper process named on the command line."""
-    kind, given = sys.argv[1], json.loads(sys.argv[2])
-    uvloop.run({"hosts": hosts, "clients": clients, "forwarder": forwarder}[kind](given))
+    kind, options = sys.argv[1], json.loads(sys.argv[2])
+    uvloop.run({"hosts": hosts, "clients": clients, "forwarder": forwarder}[kind](options))
 
 
 if __name__ == "__main__":
--- a/benchmarks/overload/load.py
+++ b/benchmarks/overload/load.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shape:
+class LoadShape:
     """The shape of a load: ``steps`` are successive (seconds, requests a second); the rest is its distribution.
 
     ``heavy`` is the share of one customer in all requests; ``wait`` is the deadline in ms.
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Due:
+class ScheduledRequest:
     """A request: its scheduled time in seconds from the start, its bytes, and its group (plan, class)."""
 
     at: float
@@ -44,25 +44,25 @@
     group: tuple[int, int]
 
 
-def bulk(*words: bytes) -> bytes:
+def encode_command(*words: bytes) -> bytes:
     """Encode a RESP2 command."""
     return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%b\r\n" % (len(w), w) for w in words)
 
 
-def arrivals(shape: Shape, part: int, parts: int, seed: int) -> list[Due]:
+def arrivals(shape: LoadShape, part: int, parts: int, seed: int) -> list[ScheduledRequest]:
     """Return one of ``parts`` independent Poisson streams that together form the load, sorted by time."""
-    lots, found, began = random.Random(seed * 1000 + part), [], 0.0
+    rng, requests, began = random.Random(seed * 1000 + part), [], 0.0
     class_shares, plan_shares = [c[1] for c in CLASSES], [p[1] for p in PLANS]
     for seconds, rate in shape.steps:
         at = began
-        while rate and (at := at + lots.expovariate(rate / parts)) < began + seconds:
-            kind = lots.choices(range(len(CLASSES)), class_shares)[0]
-            if lots.random() < shape.heavy:
+        while rate and (at := at + rng.expovariate(rate / parts)) < began + seconds:
+            kind = rng.choices(range(len(CLASSES)), class_shares)[0]
+            if rng.random() < shape.heavy:
                 customer, plan = 1, 0
             else:
-                customer = lots.randrange(2, shape.customers + 2)
+                customer = rng.randrange(2, shape.customers + 2)
                 plan = 1 if customer % 100 < 100 * plan_shares[1] else 0
-            number = b"%d-%d" % (part, len(found))
+            number = b"%d-%d" % (part, len(requests))
             terms = b"c=%b,t=%b,d=%d" % (
                 CLASSES[kind][0].encode(),
                 PLANS[plan][0].encode(),
@@ -70,10 +70,14 @@
             )
             terms += b",k=%b" % number if kind == 1 else b""
             words = (b"%016x" % customer, number, terms + b",units=1,spread=1,first=0")
-            wire = bulk(b"CALL.GET", *words) if kind == 0 else bulk(b"CALL.POST", *words, BODY)
-            found.append(Due(at, wire, (plan, kind)))
+            wire = (
+                encode_command(b"CALL.GET", *words)
+                if kind == 0
+                else encode_command(b"CALL.POST", *words, BODY)
+            )
+            requests.append(ScheduledRequest(at, wire, (plan, kind)))
         began += seconds
-    return found
+    return requests
 
 
 @dataclass(slots=True)
@@ -86,7 +90,9 @@
     refusals: list[float] = field(default_factory=list)
     seconds: dict[int, Counter] = field(default_factory=dict)
 
-    def add(self, due: Due, what: str, took: float = 0.0, wait: float = 2000.0) -> None:
+    def add(
+        self, due: ScheduledRequest, what: str, took: float = 0.0, wait: float = 2000.0
+    ) -> None:
         """Record a request as served, refused, failed, unanswered or held (never sent); times in ms."""
         late = what in ("served", "refused", "failed") and took > wait
         for counter in (
@@ -103,7 +109,7 @@
         elif what == "refused":
             self.refusals.append(took)
 
-    def plain(self) -> dict:
+    def to_json(self) -> dict:
         """Return the tally as values that JSON can encode."""
         return {
             "counts": self.counts,
@@ -114,7 +120,7 @@
         }
 
 
-def merged(parts: list[dict]) -> dict:
+def merge_tallies(parts: list[dict]) -> dict:
     """Merge the tallies of several client processes."""
     whole = {"counts": Counter(), "groups": {}, "times": [], "refusals": [], "seconds": {}}
     for part in parts:
--- a/benchmarks/overload/rig.py
+++ b/benchmarks/overload/rig.py
@@ -27,7 +27,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from .load import CLASSES, PLANS, Shape, merged, percentile
+from .load import CLASSES, PLANS, LoadShape, merge_tallies, percentile
 
 ROOT = Path(__file__).parents[2]
 HOSTS, HOST_PROCESSES, CLIENT_PROCESSES, CONNECTIONS = 10, 2, 3, 40
@@ -112,7 +112,7 @@
         return sock.getsockname()[1]
 
 
-class Ends:
+class ChildProcesses:
     """Child processes pinned to cores; ``stop`` kills them all."""
 
     def __init__(self) -> None:
@@ -132,10 +132,12 @@
         self.children.append(child)
         return child
 
-    def end(self, kind: str, given: dict, cores: set[int]) -> tuple[subprocess.Popen, dict]:
+    def start_helper(
+        self, kind: str, options: dict, cores: set[int]
+    ) -> tuple[subprocess.Popen, dict]:
         """Start a helper process of ``ends.py``; return it and the JSON of its first line."""
         child = self.start(
-            cores, sys.executable, "-m", "benchmarks.overload.ends", kind, json.dumps(given)
+            cores, sys.executable, "-m", "benchmarks.overload.ends", kind, json.dumps(options)
         )
         return child, json.loads(child.stdout.readline())
 
@@ -162,23 +164,23 @@
         """Return the requests a second that were served within their deadline."""
         return self.tally["counts"]["good"] / self.length
 
-    def per(self, what: str) -> float:
+    def cpu_us_per(self, what: str) -> float:
         """Return the us of CPU per request with this outcome."""
         return 1e6 * self.cpu / max(1, self.tally["counts"][what])
 
 
-def thief(ends: Ends, share: float) -> None:
+def start_cpu_contender(children: ChildProcesses, share: float) -> None:
     """Occupy the gateway's core for a share of the time with a process of equal priority."""
     text = (
         "import time,sys\nend=time.time()+600\nwhile time.time()<end:\n"
         f" t=time.perf_counter()\n while time.perf_counter()-t<0.1*{share}: pass\n time.sleep(0.1*(1-{share}))\n"
     )
-    ends.start({GATEWAY_CORE}, sys.executable, "-c", text)
+    children.start({GATEWAY_CORE}, sys.executable, "-c", text)
 
 
-def round_(
+def run_round(
     what: str,
-    shape: Shape,
+    shape: LoadShape,
     tree: Path = ROOT,
     seed: int = 1,
     steal: float = 0.0,
@@ -186,52 +188,54 @@
     sndbuf: int = 0,
 ) -> Result:
     """Run one round of ``gateway`` or ``forwarder``."""
-    ends = Ends()
+    children = ChildProcesses()
     try:
         with tempfile.TemporaryDirectory() as folder:
             ports = []
             for n in range(HOST_PROCESSES):
-                given = {"count": HOSTS // HOST_PROCESSES, "delay_ms": 5, "slow": slow}
-                ports += ends.end("hosts", given, {1 + n})[1]["ports"]
+                options = {"count": HOSTS // HOST_PROCESSES, "delay_ms": 5, "slow": slow}
+                ports += children.start_helper("hosts", options, {1 + n})[1]["ports"]
             if what == "forwarder":
-                middle, said = ends.end("forwarder", {"ports": ports}, {GATEWAY_CORE})
+                middle, said = children.start_helper("forwarder", {"ports": ports}, {GATEWAY_CORE})
                 port = said["port"]
             else:
                 port = free_port()
-                middle = _gateway(ends, tree, Path(folder), port, ports)
+                middle = _gateway(children, tree, Path(folder), port, ports)
             if steal:
-                thief(ends, steal)
-            crowd = []
+                start_cpu_contender(children, steal)
+            client_processes = []
             for n in range(CLIENT_PROCESSES):
-                given = {"steps": shape.steps, "customers": shape.customers, "heavy": shape.heavy}
-                given |= {
+                options = {"steps": shape.steps, "customers": shape.customers, "heavy": shape.heavy}
+                options |= {
                     "wait": shape.wait,
                     "part": n,
                     "parts": CLIENT_PROCESSES,
                     "seed": seed,
                     "after": ANSWER_WAIT_S,
                 }
-                given |= {"sndbuf": sndbuf}
-                given |= {"port": port, "connections": CONNECTIONS // CLIENT_PROCESSES + (n == 0)}
-                crowd.append(ends.end("clients", given, {3 + n})[0])
+                options |= {"sndbuf": sndbuf}
+                options |= {"port": port, "connections": CONNECTIONS // CLIENT_PROCESSES + (n == 0)}
+                client_processes.append(children.start_helper("clients", options, {3 + n})[0])
             began, before = time.monotonic() + 0.3, cpu_of(middle.pid)
-            for child in crowd:
+            for child in client_processes:
                 child.stdin.write(json.dumps({"began": began}) + "\n")
                 child.stdin.flush()
-            parts = _read_all(crowd)
+            parts = _read_all(client_processes)
             used, memory = cpu_of(middle.pid) - before, memory_of(middle.pid)
             slip = max(part["slip_ms"] for part in parts)
             log = (Path(folder) / "log").read_text() if what != "forwarder" else ""
-            return Result(merged(parts), used, memory, slip, shape.length, {"log": log[-2000:]})
+            return Result(
+                merge_tallies(parts), used, memory, slip, shape.length, {"log": log[-2000:]}
+            )
     finally:
-        ends.stop()
+        children.stop()
 
 
-def _read_all(crowd: list[subprocess.Popen]) -> list[dict]:
+def _read_all(client_processes: list[subprocess.Popen]) -> list[dict]:
     parts: list[dict] = []
     threads = [
         threading.Thread(target=lambda c=child: parts.append(json.loads(c.stdout.readline())))
-        for child in crowd
+        for child in client_processes
     ]
     for thread in threads:
         thread.start()
@@ -240,7 +244,9 @@
     return parts
 
 
-def _gateway(ends: Ends, tree: Path, folder: Path, port: int, ports: list[int]) -> subprocess.Popen:
+def _gateway(
+    children: ChildProcesses, tree: Path, folder: Path, port: int, ports: list[int]
+) -> subprocess.Popen:
     hosts = [
         {
             "host": f"s{n}",
@@ -261,7 +267,7 @@
     log = (folder / "log").open("w")
     variables = {k: v for k, v in os.environ.items() if not k.startswith("SAFFRONGW")}
     variables |= {"LB_CONFIG": str(folder / "config.json"), "LB_LISTEN": text["listen"]}
-    child = ends.start(
+    child = children.start(
         {GATEWAY_CORE},
         "/bin/sh",
         "-c",
@@ -283,12 +289,12 @@
     raise SystemExit(f"the gateway did not come up: {(folder / 'log').read_text()[-500:]}")
 
 
-def row(
+def add_row(
     table: Table, name: str, offered: float, r: Result, forwarder: Result | None = None
 ) -> None:
     """Add one result to a table."""
     c, times = r.tally["counts"], r.tally["times"]
-    ratio = r.per("asked") / forwarder.per("asked") if forwarder else float("nan")
+    ratio = r.cpu_us_per("asked") / forwarder.cpu_us_per("asked") if forwarder else float("nan")
     cells = [
         name,
         f"{offered:.0f}",
@@ -305,7 +311,7 @@
     ]
     cells += [
         f"{percentile(r.tally['refusals'], 0.99):.0f}",
-        f"{r.per('asked'):.0f}",
+        f"{r.cpu_us_per('asked'):.0f}",
         f"{ratio:.2f}",
     ]
     table.add_row(*cells, f"{r.memory:.0f}")
@@ -331,35 +337,37 @@
     return table
 
 
-def cost(given: argparse.Namespace) -> dict:
+def cost(options: argparse.Namespace) -> dict:
     """Measure CPU and latency below saturation, alternating between gateway and forwarder."""
-    trees = {"gateway": ROOT} | ({"other": Path(given.against).resolve()} if given.against else {})
+    trees = {"gateway": ROOT} | (
+        {"other": Path(options.against).resolve()} if options.against else {}
+    )
     found: dict[str, list[Result]] = {}
     out = {}
-    for rate in given.rates:
-        shape = Shape(((given.seconds, rate),))
-        for turn in range(given.rounds):
-            with console.status(f"{rate}/s, round {turn + 1} of {given.rounds}"):
+    for rate in options.rates:
+        shape = LoadShape(((options.seconds, rate),))
+        for turn in range(options.rounds):
+            with console.status(f"{rate}/s, round {turn + 1} of {options.rounds}"):
                 found.setdefault(f"forwarder {rate}", []).append(
-                    round_("forwarder", shape, seed=turn + 1)
+                    run_round("forwarder", shape, seed=turn + 1)
                 )
                 for name, tree in trees.items():
                     found.setdefault(f"{name} {rate}", []).append(
-                        round_("gateway", shape, tree, turn + 1)
+                        run_round("gateway", shape, tree, turn + 1)
                     )
         table = new_table(
-            f"{rate} a second, {given.seconds:.0f} s, the round with the median CPU of {given.rounds}"
+            f"{rate} a second, {options.seconds:.0f} s, the round with the median CPU of {options.rounds}"
         )
         middle = {}
         for name in ("forwarder", *trees):
             rounds = sorted(found[f"{name} {rate}"], key=lambda r: r.cpu)
             middle[name] = rounds[len(rounds) // 2]
-            row(table, name, rate, middle[name], middle["forwarder"])
+            add_row(table, name, rate, middle[name], middle["forwarder"])
         console.print(table)
         for name in trees:
             out[f"{name} {rate}"] = {
-                "us": statistics.median(r.per("asked") for r in found[f"{name} {rate}"]),
-                "ratio": middle[name].per("asked") / middle["forwarder"].per("asked"),
+                "us": statistics.median(r.cpu_us_per("asked") for r in found[f"{name} {rate}"]),
+                "ratio": middle[name].cpu_us_per("asked") / middle["forwarder"].cpu_us_per("asked"),
                 "p99": statistics.median(
                     percentile(r.tally["times"], 0.99) for r in found[f"{name} {rate}"]
                 ),
@@ -368,24 +376,30 @@
     return out
 
 
-def goodput(given: argparse.Namespace) -> dict:
+def goodput(options: argparse.Namespace) -> dict:
     """Measure goodput against load, from half to ten times the capacity of one core."""
-    trees = {"gateway": ROOT} | ({"other": Path(given.against).resolve()} if given.against else {})
+    trees = {"gateway": ROOT} | (
+        {"other": Path(options.against).resolve()} if options.against else {}
+    )
     table = new_table(
-        f"goodput, one core serves {given.core:.0f}/s, {given.seconds:.0f} s of load each"
+        f"goodput, one core serves {options.core:.0f}/s, {options.seconds:.0f} s of load each"
     )
     out: dict[str, list] = {name: [] for name in trees}
-    for times in given.times:
-        shape = Shape(((given.seconds, times * given.core),), heavy=given.heavy)
+    for times in options.times:
+        shape = LoadShape(((options.seconds, times * options.core),), heavy=options.heavy)
         for name, tree in trees.items():
             rounds = []
-            for turn in range(given.rounds):
-                with console.status(f"{name} at {times} times, round {turn + 1} of {given.rounds}"):
+            for turn in range(options.rounds):
+                with console.status(
+                    f"{name} at {times} times, round {turn + 1} of {options.rounds}"
+                ):
                     rounds.append(
-                        round_("gateway", shape, tree, turn + 1, given.steal, sndbuf=given.sndbuf)
+                        run_round(
+                            "gateway", shape, tree, turn + 1, options.steal, sndbuf=options.sndbuf
+                        )
                     )
             r = sorted(rounds, key=lambda r: r.good)[len(rounds) // 2]
-            row(table, f"{name} x{times}", times * given.core, r)
+            add_row(table, f"{name} x{times}", times * options.core, r)
             shares = {}
             for key, counter in sorted(r.tally["groups"].items()):
                 plan, kind = map(int, key.split("/"))
@@ -408,12 +422,12 @@
         for line in out[name]:
             shares.add_row(f"{line['times']}", *(f"{v:.2f}" for v in line["shares"].values()))
         console.print(shares)
-    if given.plot:
-        plot(out, given)
+    if options.plot:
+        plot(out, options)
     return out
 
 
-def plot(out: dict, given: argparse.Namespace) -> None:
+def plot(out: dict, options: argparse.Namespace) -> None:
     """Plot goodput against load."""
     import matplotlib
 
@@ -422,7 +436,7 @@
 
     figure, axes = pyplot.subplots(figsize=(7, 4.5))
     for name, lines in out.items():
-        x = [line["times"] * given.core for line in lines]
+        x = [line["times"] * options.core for line in lines]
         axes.plot(x, [statistics.median(line["good"]) for line in lines], marker="o", label=name)
     axes.set(
         xlabel="offered, requests a second",
@@ -430,13 +444,13 @@
         xscale="log",
     )
     axes.set_ylim(bottom=0)
-    axes.set_xticks([times * given.core for times in given.times])
+    axes.set_xticks([times * options.core for times in options.times])
     axes.xaxis.set_major_formatter("{x:,.0f}")
     axes.xaxis.set_minor_formatter("")
     axes.grid(alpha=0.3)
     axes.legend()
     figure.tight_layout()
-    figure.savefig(given.plot, dpi=110)
+    figure.savefig(options.plot, dpi=110)
 
 
 def main() -> None:
@@ -470,12 +484,12 @@
     parser.add_argument("--against", help="another checkout to compare with")
     parser.add_argument("--plot", help="file for the plot of goodput")
     parser.add_argument("--json", help="file for the results")
-    given = parser.parse_args()
+    options = parser.parse_args()
     if (os.cpu_count() or 1) < 3 + CLIENT_PROCESSES:
         raise SystemExit(f"this benchmark needs at least {3 + CLIENT_PROCESSES} cores")
-    found = {"cost": cost, "goodput": goodput}[given.what](given)
-    if given.json:
-        Path(given.json).write_text(json.dumps(found, indent=1))
+    found = {"cost": cost, "goodput": goodput}[options.what](options)
+    if options.json:
+        Path(options.json).write_text(json.dumps(found, indent=1))
 
 
 if __name__ == "__main__":
--- a/benchmarks/tls_cost.py
+++ b/benchmarks/tls_cost.py
@@ -37,7 +37,7 @@
 NAME = "gw.example"
 TICK = os.sysconf("SC_CLK_TCK")
 ANSWER = b"*3\r\n$2\r\nok\r\n$-1\r\n$21\r\nlatency_ms=9,util=0.5\r\n"
-VISITS, REQUESTS, CONNECTIONS = 400, 6_000, 20
+PINGS, REQUESTS, CONNECTIONS = 400, 6_000, 20
 
 
 class Host(asyncio.Protocol):
@@ -77,7 +77,7 @@
         return await self.waiting.get()
 
 
-def trusting() -> ssl.SSLContext:
+def client_context() -> ssl.SSLContext:
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.check_hostname, context.verify_mode = False, ssl.CERT_NONE
     return context
@@ -93,7 +93,7 @@
         self.site.folder.open()
         self.number = 0
 
-    def swap(self) -> bytes:
+    def install_certificate(self) -> bytes:
         """Install a new certificate and return it as DER."""
         key, now = chain.new_key("ecdsa-p256"), time.time()
         csr = request_of(chain.signing_request(key, (NAME,)))
@@ -132,12 +132,12 @@
                 "LB_CONFIG": str(self.folder / "config.json"),
                 "SAFFRONGW_OPERATOR": str(self.folder / "operator.toml"),
             },
-            preexec_fn=self._alone,
+            preexec_fn=self._prepare_process,
         )
-        while await asyncio.to_thread(self.visit) is None:
+        while await asyncio.to_thread(self.connect_and_ping) is None:
             await asyncio.sleep(0.1)
 
-    def _alone(self) -> None:
+    def _prepare_process(self) -> None:
         die_with_parent()
         if self.core is not None:
             os.sched_setaffinity(0, {self.core})
@@ -147,11 +147,11 @@
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / TICK
 
-    def visit(self, session=None, context=None):
+    def connect_and_ping(self, session=None, context=None):
         """Connect and send one PING; return (session, resumed, certificate), or None on failure."""
         try:
             sock = socket.create_connection(("127.0.0.1", self.tls), timeout=5)
-            with (context or trusting()).wrap_socket(
+            with (context or client_context()).wrap_socket(
                 sock, server_hostname=NAME, session=session
             ) as tls:
                 tls.sendall(b"*1\r\n$4\r\nPING\r\n")
@@ -160,44 +160,46 @@
         except OSError:
             return None
 
-    def plain_visit(self) -> None:
+    def plain_connect_and_ping(self) -> None:
         with socket.create_connection(("127.0.0.1", self.plain), timeout=5) as sock:
             sock.sendall(b"*1\r\n$4\r\nPING\r\n")
             assert sock.recv(100) == b"+PONG\r\n"
 
-    def visits(self, what: str) -> float:
+    def connection_cpu_us(self, what: str) -> float:
         """Return the gateway CPU in us per connection with one PING."""
-        context, stop = trusting(), threading.Event()
-        session = self.visit(None, context)[0]
+        context, stop = client_context(), threading.Event()
+        session = self.connect_and_ping(None, context)[0]
         swapper = None
         if what == "while swapping":
 
             def swapping() -> None:
                 while not stop.wait(0.2):
-                    self.swap()
+                    self.install_certificate()
 
             swapper = threading.Thread(target=swapping)
             swapper.start()
         before = self.cpu()
-        for _ in range(VISITS):
+        for _ in range(PINGS):
             if what == "plain":
-                self.plain_visit()
+                self.plain_connect_and_ping()
             elif what == "resumed":
-                session, resumed, _ = self.visit(session, context)
+                session, resumed, _ = self.connect_and_ping(session, context)
                 assert resumed
             else:
-                assert self.visit(None, context) is not None
-        used = (self.cpu() - before) / VISITS * 1e6
+                assert self.connect_and_ping(None, context) is not None
+        used = (self.cpu() - before) / PINGS * 1e6
         stop.set()
         if swapper:
             swapper.join()
         return used
 
-    async def requests(self, secure: bool) -> float:
+    async def request_cpu_us(self, secure: bool) -> float:
         """Return the gateway CPU in us per request on persistent connections."""
         loop = asyncio.get_running_loop()
         port, tls = (
-            (self.tls, {"ssl": trusting(), "server_hostname": NAME}) if secure else (self.plain, {})
+            (self.tls, {"ssl": client_context(), "server_hostname": NAME})
+            if secure
+            else (self.plain, {})
         )
         clients = [
             (await loop.create_connection(Client, "127.0.0.1", port, **tls))[1]
@@ -228,7 +230,7 @@
             asyncio.get_running_loop(),
             {"answered": 0, "refused": 0, "lost": 0, "dropped": 0, "swaps": 0},
         )
-        tls = {"ssl": trusting(), "server_hostname": NAME}
+        tls = {"ssl": client_context(), "server_hostname": NAME}
         kept = [
             (await loop.create_connection(Client, "127.0.0.1", self.tls, **tls))[1]
             for _ in range(50)
@@ -263,7 +265,7 @@
         while (now := loop.time() - began) < seconds:
             if now * 2 > counts["swaps"]:
                 counts["swaps"] += 1
-                tasks.add(asyncio.ensure_future(asyncio.to_thread(self.swap)))
+                tasks.add(asyncio.ensure_future(asyncio.to_thread(self.install_certificate)))
             while at < now * rate:
                 at += 1
                 self.number += 1
@@ -273,7 +275,7 @@
         counts["dropped"] += sum(client.closed for client in kept)
         return counts
 
-    async def beside_a_flood(
+    async def requests_during_flood(
         self, seconds: float, rate: float, floods: int
     ) -> tuple[list[float], int, int]:
         """Send plain requests while ``floods`` processes do TLS handshakes as fast as they can; return the latencies in
@@ -326,9 +328,9 @@
         return latencies, refused + late, sum(map(int, done))
 
 
-def flooder(port: int, seconds: float) -> None:
+def flood_handshakes(port: int, seconds: float) -> None:
     """Do handshakes one after another, as fast as possible, and print their number."""
-    context, count, end = trusting(), 0, time.monotonic() + seconds
+    context, count, end = client_context(), 0, time.monotonic() + seconds
     print("begun", flush=True)
     while time.monotonic() < end:
         try:
@@ -340,18 +342,18 @@
     print(count)
 
 
-async def flooded(seconds: float) -> None:
+async def print_flood_table(seconds: float) -> None:
     """Print latencies of 500 plain requests a second on one core, with and without a handshake flood, by TLS share."""
     print("share  flood  answered  refused or not begun   p50 ms   p99 ms  handshakes a second")
     for share, floods in ((0.25, 0), (0.25, 5), (1.0, 5)):
         with tempfile.TemporaryDirectory() as folder:
             rig = Rig(Path(folder), share, max(os.sched_getaffinity(0)))
-            rig.swap()
+            rig.install_certificate()
             await rig.start()
-            times, refused, shakes = await rig.beside_a_flood(seconds, 500.0, floods)
+            times, refused, handshakes = await rig.requests_during_flood(seconds, 500.0, floods)
             times.sort()
             middle, high = times[len(times) // 2], times[int(len(times) * 0.99)]
-            row = f"{share:5}{floods:7}{len(times):10}{refused:22}{middle:9.1f}{high:9.1f}{shakes / seconds:21.0f}"
+            row = f"{share:5}{floods:7}{len(times):10}{refused:22}{middle:9.1f}{high:9.1f}{handshakes / seconds:21.0f}"
             print(row, flush=True)
             rig.process.send_signal(signal.SIGTERM)
             rig.process.wait(10)
@@ -360,7 +362,7 @@
 async def main(rounds: int, seconds: float) -> None:
     with tempfile.TemporaryDirectory() as folder:
         rig = Rig(Path(folder))
-        rig.swap()
+        rig.install_certificate()
         await rig.start()
         kinds = ("plain", "cold", "resumed", "while swapping")
         found: dict[str, list[float]] = {
@@ -368,9 +370,9 @@
         }
         for _ in range(rounds):
             for kind in kinds:
-                found[kind].append(await asyncio.to_thread(rig.visits, kind))
-            found["request, plain"].append(await rig.requests(False))
-            found["request, TLS"].append(await rig.requests(True))
+                found[kind].append(await asyncio.to_thread(rig.connection_cpu_us, kind))
+            found["request, plain"].append(await rig.request_cpu_us(False))
+            found["request, TLS"].append(await rig.request_cpu_us(True))
         base = statistics.median(found["plain"])
         print(f"{'':18}{'us of CPU, median':>20}{'least':>9}{'most':>9}{'a CPU-second':>14}")
         for kind, values in found.items():
@@ -399,7 +401,11 @@
         "--flood", action="store_true", help="only requests beside a flood of handshakes"
     )
     parser.add_argument("--flooder", type=int, default=0, help=argparse.SUPPRESS)
-    given = parser.parse_args()
-    if given.flooder:
-        sys.exit(flooder(given.flooder, given.seconds))
-    uvloop.run(flooded(given.seconds) if given.flood else main(given.rounds, given.seconds))
+    options = parser.parse_args()
+    if options.flooder:
+        sys.exit(flood_handshakes(options.flooder, options.seconds))
+    uvloop.run(
+        print_flood_table(options.seconds)
+        if options.flood
+        else main(options.rounds, options.seconds)
+    )
