--- a/benchmarks/fleet/lease_explorer.py
+++ b/benchmarks/fleet/lease_explorer.py
@@ -1,9 +1,9 @@
-"""Acceptors and proposers as a case for ``testbed.simulation.explore``: every interleaving of them.
+"""Lease cases for ``testbed.simulation.explore``: all interleavings of acceptors and proposers.
 
-A message may arrive at any time after it was sent, or never, and some of them twice. Time advances
-in ticks, for each node at its own rate; the least favourable rates are the bounds. Rejections and
-releases only make proposers and acceptors go on earlier; cases leave them out where their number
-would hide the rest, and others have them.
+A message may arrive at any time after it was sent, or never, and some arrive twice. Time advances
+in ticks, and each node's clock runs at its own rate; the least favourable rates are the drift
+bounds. Rejections and releases only let proposers and acceptors continue earlier. Cases whose
+state space would grow too large with them leave them out; other cases include them.
 """
 
 from __future__ import annotations
@@ -49,13 +49,13 @@
 
 @dataclass(kw_only=True)
 class LeaseCase:
-    """A few acceptors and proposers of one lease, and what may happen to them."""
+    """A few acceptors and proposers of one lease, and the events that are explored."""
 
     voters: int = 3
     proposers: int = 2
     ticks: int = 4
     restarts: int = 0
-    # How often each proposer may begin to propose.
+    # How often each proposer may start to propose.
     proposals: int = 1
     duplicates: int = 0
     renews: bool = False
@@ -65,20 +65,20 @@
     answers_stay: bool = False
     duration_us: int = 2 * TICK_US
     drift: float = 0.2
-    # Of acceptors' and of proposers' clocks; None: the least favourable within the bound.
+    # Clock rates of acceptors and of proposers; None: the least favourable within the drift bound.
     rates: tuple[float, float] | None = None
     acceptor: Callable[..., Acceptor] = Acceptor
     proposer: Callable[..., Proposer] = Proposer
     timing: type[Timing] = CaseTiming
-    # A free lease must be acquired again.
+    # Check that a free lease can be acquired again.
     regain: bool = False
-    # The others propose only after the first one has held the lease.
+    # The other proposers propose only after the first one has held the lease.
     first_leads: bool = False
     # How often a holder may release the lease.
     voluntary_releases: int = 0
 
     def __post_init__(self) -> None:
-        """Derive names, clock rates, durations, and the messages that are left out."""
+        """Derive names, clock rates, durations and the message types that are left out."""
         self.case_timing = self.timing(self.duration_us, self.drift)
         self.acceptor_rate, self.proposer_rate = self.rates or (1 + self.drift, 1 - self.drift)
         self.acceptor_names = tuple(f"v{n}" for n in range(self.voters))
@@ -91,22 +91,22 @@
     # -- clocks ------------------------------------------------------------------------------------
 
     def acceptor_now(self, tick: int) -> int:
-        """Return what acceptors' clocks show."""
+        """Return the time by the acceptors' clocks."""
         return 1_000 * SECOND_US + int(tick * TICK_US * self.acceptor_rate)
 
     def proposer_now(self, tick: int) -> int:
-        """Return what proposers' clocks show."""
+        """Return the time by the proposers' clocks."""
         return 5_000 * SECOND_US + int(tick * TICK_US * self.proposer_rate)
 
     @staticmethod
     def wall(tick: int) -> int:
-        """Return Unix us."""
+        """Return the Unix time in us."""
         return WALL_US + tick * TICK_US
 
     # -- the case ----------------------------------------------------------------------------------
 
     def first(self) -> CaseState:
-        """Return the first state: all acceptors past their silence, nobody proposes yet."""
+        """Return the initial state: all acceptors past their silent period, no proposals yet."""
         now = self.acceptor_now(0)
         acceptors = []
         for name in self.acceptor_names:
@@ -133,7 +133,7 @@
         return self.acceptor(name, self.case_timing, NO_CANDIDATES, Suspensions(), now)
 
     def next(self, state: CaseState) -> Iterable[Step]:
-        """Return all that may happen next."""
+        """Return all possible next steps."""
         for index in range(len(state.proposers)):
             yield from self._proposer_steps(state, index)
         answers: dict[str, list[Mail]] = {}
@@ -152,7 +152,7 @@
             yield "a second passes", self._tick(state)
 
     def _proposer_steps(self, state: CaseState, index: int) -> Iterable[Step]:
-        """A proposer begins to propose, or releases the lease that it holds."""
+        """Let a proposer start to propose, or release the lease that it holds."""
         proposer = state.proposers[index]
         now, name = self.proposer_now(state.tick), proposer.gateway.name
         too_early = self.first_leads and index and not state.highest_token
@@ -166,7 +166,7 @@
             new = copied_proposer(proposer)
             outgoing = new.release(LEASE, "moved")
             before = replace(state, releases_left=state.releases_left - 1)
-            yield f"{name} gives it back", self._with_proposer(before, index, new, outgoing)
+            yield f"{name} releases the lease", self._with_proposer(before, index, new, outgoing)
 
     def _free_ballot(self, state: CaseState) -> int:
         """Return the ballot number that an offer of a released lease would name."""
@@ -176,26 +176,26 @@
         return max(promised, default=0)
 
     def _arrivals(self, state: CaseState, mail: Mail, may_repeat: bool) -> Iterable[Step]:
-        """A message arrives, and where it may repeat it stays on its way too."""
+        """Deliver a message; if it may repeat, also keep a copy in flight."""
         after = self._deliver(replace(state, mail=state.mail - {mail}), mail)
         if after is None:
             return
-        yield mail.words(), after
+        yield mail.describe(), after
         if may_repeat:
             twice = replace(after, mail=after.mail | {mail}, duplicates=state.duplicates - 1)
-            yield f"{mail.words()}, and it will come again", twice
+            yield f"{mail.describe()}, and a duplicate stays in flight", twice
 
     def _restarts(self, state: CaseState) -> Iterable[Step]:
         for index, acceptor in enumerate(state.acceptors):
             fresh = self._new_acceptor(acceptor.name, self.acceptor_now(state.tick))
             acceptors = self._put(state.acceptors, index, fresh)
             after = replace(state, acceptors=acceptors, restarts=state.restarts - 1)
-            yield f"{acceptor.name} starts anew, with empty memory", after
+            yield f"{acceptor.name} restarts with empty memory", after
 
     def _deliver_answers(self, state: CaseState, answers: dict[str, list[Mail]]) -> Iterable[Step]:
-        """Deliver as many answers as make a proposer go on.
+        """Deliver as many answers at once as a proposer needs to proceed.
 
-        Fewer change nothing that another node can see, so when they came does not matter.
+        Fewer change nothing that another node can see, so their arrival times do not matter.
         """
         choose = combinations_with_replacement if self.answers_stay else combinations
         for name, received in answers.items():
@@ -206,10 +206,10 @@
                 for mail in chosen:
                     if self._can_matter(after, mail):
                         after = self._deliver(after, mail) or after
-                yield " and ".join(dict.fromkeys(mail.words() for mail in chosen)), after
+                yield " and ".join(dict.fromkeys(mail.describe() for mail in chosen)), after
 
     def _can_matter(self, state: CaseState, mail: Mail) -> bool:
-        """Return whether it can change anything: an answer after its time can't."""
+        """Return whether a message can still change the state; a late answer cannot."""
         message = mail.message
         if mail.receiver in self.acceptor_names:
             return True
@@ -284,7 +284,9 @@
         for event in proposer.events:
             if isinstance(event, LeaseGained):
                 if event.fencing_token <= highest:
-                    error = f"{name} holds under number {event.fencing_token}, after {highest}"
+                    error = (
+                        f"{name} holds the lease with token {event.fencing_token} after {highest}"
+                    )
                 highest = max(highest, event.fencing_token)
         proposer.events.clear()
         proposers = self._put(state.proposers, index, proposer)
@@ -300,9 +302,9 @@
         new = replace(state, mail=state.mail | mail) if mail else state
         if new.restarts or Nack not in self.left_out:
             return new
-        # What will always be rejected need not be stored.
-        void = {one for one in new.mail if self._always_rejected(new, one)}
-        return replace(new, mail=new.mail - void) if void else new
+        # Messages that will always be rejected need not be kept.
+        rejected = {one for one in new.mail if self._always_rejected(new, one)}
+        return replace(new, mail=new.mail - rejected) if rejected else new
 
     def _always_rejected(self, state: CaseState, mail: Mail) -> bool:
         message = mail.message
@@ -312,32 +314,32 @@
         record = state.acceptors[index].records.get(LEASE)
         if record is None or not isinstance(message, Prepare | Propose):
             return False
-        # A renewal is accepted in spite of a promise.
+        # A renewal is accepted even after a promise to a higher ballot.
         needs_promise = isinstance(message, Prepare) or message.initial
         return needs_promise and message.ballot < record.promised
 
-    # -- what must hold ----------------------------------------------------------------------------
+    # -- invariants --------------------------------------------------------------------------------
 
     def holders(self, state: CaseState) -> list[str]:
-        """Return who holds the lease by its own clock."""
+        """Return the proposers that hold the lease by their own clocks."""
         now = self.proposer_now(state.tick)
         return [one.gateway.name for one in state.proposers if one.held(now)]
 
     def breach(self, state: CaseState) -> str:
-        """Return what is wrong: two holders, a token that has not grown, a lease lost for ever."""
+        """Return the violated invariant, if any: two holders, a stale token, a lost lease."""
         holders = self.holders(state)
         if len(holders) > 1:
             return f"{' and '.join(holders)} both hold the lease"
         if state.error:
             return state.error
         if self.regain and not holders and not self._regained(state):
-            return "all faults are over, both ask, and nobody gets the lease"
+            return "all faults are over and both propose, but nobody acquires the lease"
         return ""
 
     def _regained(self, state: CaseState) -> bool:
-        """Return whether the lease is held within two durations and a silence.
+        """Return whether the lease is acquired within two durations and a silent period.
 
-        From here on every message arrives at once, and all proposers propose.
+        From this state on, every message arrives at once and all proposers propose.
         """
         fair = copy.copy(self)
         fair.left_out = ()
@@ -348,7 +350,7 @@
             state = self._tick(replace(state, mail=frozenset()))
             waiting = list(state.mail)
             for index in range(len(state.proposers)):
-                state = self._propose_anew(state, index, waiting)
+                state = self._propose_again(state, index, waiting)
                 while waiting:
                     mail = waiting.pop(0)
                     after = self._deliver(replace(state, mail=frozenset()), mail)
@@ -357,8 +359,8 @@
                         waiting += state.mail
                     yield state
 
-    def _propose_anew(self, state: CaseState, index: int, waiting: list[Mail]) -> CaseState:
-        """Let a proposer give up its round, as after its deadline, and propose; add to the mail."""
+    def _propose_again(self, state: CaseState, index: int, waiting: list[Mail]) -> CaseState:
+        """Abandon a proposer's round, as after its deadline, and propose; queue its messages."""
         now = self.proposer_now(state.tick)
         proposer = copied_proposer(state.proposers[index])
         if (claim := proposer.claims.get(LEASE)) and not claim.held_until_us:
--- a/benchmarks/fleet/leases.py
+++ b/benchmarks/fleet/leases.py
@@ -1,8 +1,8 @@
-"""Leases on the virtual clock: nodes with their tasks, a receiver of calls, and who held what when.
+"""Simulated lease nodes with their tasks, and the receiver of the task calls, on the virtual clock.
 
 ``SimulatedFleet`` is a fleet of voters and other gateways under faults. It counts by true time,
-which no gateway knows: overlaps of holders, turns missed and repeated, calls with an older number
-than one before.
+which no gateway can read: overlapping holders, missed and repeated turns, and calls with a lower
+fencing token than an earlier call.
 """
 
 from __future__ import annotations
@@ -37,15 +37,15 @@
 
 from .lease_holders import Breach, Gain, HolderLog
 
-# Unix us at true time 0.
+# Unix time in us at true time 0.
 WALL_US = 1_700_000_000 * SECOND_US
-# About what the channel adds to a packet.
+# Approximate overhead that the channel adds to each packet.
 ENVELOPE_BYTES = 72
 
 
 @dataclass(slots=True)
 class ReceivedCall:
-    """One call as the receiver saw it."""
+    """One task call as the receiver recorded it."""
 
     at: int
     task: str
@@ -56,16 +56,16 @@
 
 
 class Receiver:
-    """What tasks call: it rejects tokens below one that it has seen, as a receiver has to."""
+    """The service that tasks call; it rejects a token lower than the highest that it has seen."""
 
     def __init__(self) -> None:
-        """Start without calls."""
+        """Create a receiver without recorded calls."""
         self.highest: dict[str, int] = {}
         self.calls: list[ReceivedCall] = []
         self.unavailable_until = 0
 
     def call(self, at: int, task: str, turn: int, fencing_token: int, node: str) -> CallOutcome:
-        """One call has come."""
+        """Handle one call and return its outcome."""
         if at < self.unavailable_until:
             return CallOutcome.FAILED
         accepted = fencing_token >= self.highest.get(task, 0)
@@ -75,63 +75,63 @@
 
 
 class SimulatedNode:
-    """A node and its tasks as a machine of the virtual clock."""
+    """A lease node and its task schedule, run on the virtual clock."""
 
     def __init__(
         self, simulated: SimulatedFleet, name: str, incarnation: int, now: int, draw: random.Random
     ) -> None:
         """Start one incarnation of a node."""
         self.simulated, self.name, self.incarnation, self.draw = simulated, name, incarnation, draw
-        self.wall_by = simulated.walls.get(name, 0)
+        self.wall_offset_us = simulated.walls.get(name, 0)
         self.node = simulated.make_node(name, incarnation, now, draw)
         self.schedule = TaskSchedule()
-        self.calls: list[tuple[int, TaskCall]] = []  # when each ends
+        self.calls: list[tuple[int, TaskCall]] = []  # Each with its end time.
         self.now = now
         self.recalled: set[str] = set()
 
     def wall(self, now: int) -> int:
-        """Its idea of Unix time: the world's, and what it is off by."""
-        return WALL_US + now - self.simulated.fleet.nodes[self.name].offset + self.wall_by
+        """Return the Unix time by this node's clock, including its error."""
+        return WALL_US + now - self.simulated.fleet.nodes[self.name].offset + self.wall_offset_us
 
     def next_at(self) -> int:
-        """The next thing of any of its parts."""
+        """Return when the node, its schedule or a running call is next due."""
         times = [self.node.next_at(), *(at for at, _ in self.calls)]
         if (at := self.schedule.next_at()) is not None:
             times.append(at)
         return min(times)
 
     def receive(self, now: int, sender: str, message: tuple[int, Packet]) -> Sent:
-        """A packet, with the incarnation of its sender."""
+        """Handle a packet, which carries the incarnation of its sender."""
         self.now = now
         incarnation, packet = message
         out = self.node.receive(now, self.wall(now), GatewayId(sender, incarnation), packet)
-        return self._after(now, out)
+        return self._handle_events(now, out)
 
     def due(self, now: int) -> Sent:
-        """Whatever waits."""
+        """Handle the timers and the calls that are due."""
         self.now = now
         out = self.node.due(now, self.wall(now))
         for end, call in [item for item in self.calls if item[0] <= now]:
             self.calls.remove((end, call))
-            self._end(now, call)
-        self._do(now, self.schedule.due(now, self.wall(now), self._remaining_us))
-        return self._after(now, out)
+            self._finish_call(now, call)
+        self._apply_actions(now, self.schedule.due(now, self.wall(now), self._remaining_us))
+        return self._handle_events(now, out)
 
     def drain(self, now: int) -> Sent:
-        """SIGTERM."""
+        """Drain the node, as on SIGTERM."""
         self.now = now
-        return self._after(now, self.node.drain(now, self.wall(now)))
+        return self._handle_events(now, self.node.drain(now, self.wall(now)))
 
     def _remaining_us(self, lease: str) -> int:
         token = self.node.token(lease, lambda: self.now)
         return token.remaining_us() if token else 0
 
-    def _end(self, now: int, call: TaskCall) -> None:
+    def _finish_call(self, now: int, call: TaskCall) -> None:
         token = self.node.token(call.lease, lambda: now)
         outcome = CallOutcome.LATE
         if (
             token and token.number == call.fencing_token and token.valid()
-        ) or self.simulated.asks_no_token:
+        ) or self.simulated.skips_token_check:
             node = self.simulated.fleet.nodes[self.name]
             outcome = self.simulated.receiver.call(
                 self.simulated.fleet.now,
@@ -140,14 +140,14 @@
                 call.fencing_token,
                 f"{node.name}.{node.life}",
             )
-            if outcome is CallOutcome.DONE and self.draw.random() < self.simulated.answers_lost:
+            if outcome is CallOutcome.DONE and self.draw.random() < self.simulated.answer_loss:
                 outcome = CallOutcome.UNKNOWN
-        self._do(
+        self._apply_actions(
             now, self.schedule.call_finished(now, self.wall(now), call.task, call.turn, outcome)
         )
 
-    def _do(self, now: int, todo: list[ScheduleAction]) -> None:
-        for one in todo:
+    def _apply_actions(self, now: int, actions: list[ScheduleAction]) -> None:
+        for one in actions:
             if isinstance(one, TaskCall):
                 spec = self.simulated.specs[one.task]
                 self.calls.append((now + int(self.draw.random() * spec.max_call_us / 2), one))
@@ -156,7 +156,7 @@
             elif isinstance(one, CancelCall):
                 self.calls = [item for item in self.calls if item[1].task != one.task]
 
-    def _after(self, now: int, out: list[OutgoingPacket]) -> Sent:
+    def _handle_events(self, now: int, out: list[OutgoingPacket]) -> Sent:
         while self.node.events:
             event = self.node.events.pop(0)
             if isinstance(event, LeaseGained):
@@ -171,9 +171,9 @@
                     event.memory_since_us,
                 )
             elif isinstance(event, LeaseLost):
-                self._do(now, self.schedule.lease_lost(event.lease))
+                self._apply_actions(now, self.schedule.lease_lost(event.lease))
             elif isinstance(event, ProgressConfirmed):
-                self._do(
+                self._apply_actions(
                     now,
                     self.schedule.progress_confirmed(
                         now, event.lease, event.progress, self._remaining_us
@@ -187,12 +187,12 @@
                 out += self.node.release(
                     now, self.wall(now), lease, "moved", self.node.timing.duration_us
                 )
-                return self._after(now, out)
+                return self._handle_events(now, out)
         return [(to, (self.incarnation, packet)) for to, packet in out]
 
 
 class SimulatedFleet:
-    """Voters, other gateways, their tasks, and what happened."""
+    """Voters and other gateways with their tasks, and a record of what happened."""
 
     def __init__(
         self,
@@ -206,21 +206,21 @@
         sizes: bool = False,
         start_within: int = SECOND_US,
     ) -> None:
-        """Set up voters and other gateways, with clock rates within the bound."""
+        """Create voters and other gateways, with clock rates within the drift bound."""
         self.fleet = Fleet(seed, link)
         self.random = random.Random(f"{seed}:field")
         self.timing, self.shards = timing or Timing(), shards
         self.voters = tuple(f"v{n}" for n in range(voters))
         self.names = (*self.voters, *(f"a{n}" for n in range(others)))
-        self.set = VoterSet(1, self.voters)
+        self.voter_set = VoterSet(1, self.voters)
         self.specs = {spec.name: spec for spec in specs}
         self.by_lease: dict[str, list[TaskSpec]] = {}
         for spec in specs:
             self.by_lease.setdefault(shard_of(spec.name, shards), []).append(spec)
         self.walls: dict[str, int] = {}
         self.receiver = Receiver()
-        self.answers_lost = 0.0
-        self.asks_no_token = False
+        self.answer_loss = 0.0
+        self.skips_token_check = False
         self.holders = HolderLog()
         self.make_node: Callable[[str, int, int, random.Random], LeaseNode] = self.plain_node
         self.fleet.watchers.append(self._check_holders)
@@ -239,13 +239,13 @@
         return SimulatedNode(self, name, incarnation, now, draw)
 
     def plain_node(self, name: str, incarnation: int, now: int, draw: random.Random) -> LeaseNode:
-        """A node as the program makes it."""
+        """Return a lease node as the gateway process creates it."""
         settings = NodeSettings(self.timing, self.shards)
         gateway = GatewayId(name, incarnation)
-        return LeaseNode(gateway, settings, self.set, draw.random, now)
+        return LeaseNode(gateway, settings, self.voter_set, draw.random, now)
 
     def _check_holders(self, at: int, node: Node) -> None:
-        """Record who holds what, by true time, after each step of a node."""
+        """Record the leases that a node holds by true time, after each of its steps."""
         claims: dict[str, Claim] = {}
         if isinstance(node.machine, SimulatedNode):
             held = node.machine.node.proposer.held(node.clock(at))
@@ -254,12 +254,12 @@
 
     @property
     def breaches(self) -> list[Breach]:
-        """Return what must not have happened."""
+        """Return the safety violations so far."""
         return self.holders.breaches
 
     @property
     def gains(self) -> list[Gain]:
-        """Return the leases that were gained, in order."""
+        """Return all lease acquisitions in order."""
         return self.holders.gains
 
     def holder(self, lease: str) -> str | None:
@@ -267,7 +267,7 @@
         return self.holders.holder(lease, self.fleet.now)
 
     def turn_counts(self, until: int, settle: int = 0) -> Counter[str]:
-        """Turns done once, repeated, missed, between ``settle`` and ``until`` (true us)."""
+        """Count done, repeated and missed turns between ``settle`` and ``until`` (true us)."""
         done: Counter[tuple[str, int]] = Counter(
             (call.task, call.turn) for call in self.receiver.calls if call.accepted
         )
--- a/benchmarks/lease_cost.py
+++ b/benchmarks/lease_cost.py
@@ -1,9 +1,9 @@
-"""What leases cost requests: latency and core time of one gateway, off, with every voter silent,
-and as a busy holder.
+"""Cost of leases for requests: latency and CPU time of one gateway, in three configurations.
 
-Run by hand: ``python -m benchmarks.lease_cost``. Real gateways, the same arrivals, rounds
-interleaved; ratios within one run. Silent: the voters' addresses take datagrams and answer nothing.
-Holder: the gateway is the one voter, holds all of 16 leases and does 50 tasks, each every 5 s.
+Run by hand: ``python -m benchmarks.lease_cost``. Real gateways with the same arrivals; rounds are
+interleaved, and ratios are taken within one run. Off: without leases. Silent: the voters' addresses
+accept datagrams but never answer. Holder: the gateway is the only voter, holds all 16 leases and
+runs 50 tasks, each every 5 s.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 import uvloop
 
-from benchmarks.ledger_cost import DAY
+from benchmarks.ledger_cost import SCENARIO
 from testbed.checker.record import Answered, Sent
 from testbed.runner.lease_world import Receiver
 from testbed.runner.processes import free_port
@@ -27,8 +27,8 @@
 KINDS = ("off", "silent", "holder")
 
 
-def operator(kind: str, folder: Path, receiver: str, silent: list[socket.socket]) -> str:
-    """The operator file of one round."""
+def operator_file(kind: str, folder: Path, receiver: str, silent: list[socket.socket]) -> str:
+    """Return the text of the operator file of one round."""
     if kind == "off":
         return ""
     key = folder / "key"
@@ -45,8 +45,8 @@
     return text
 
 
-async def one(folder: Path, kind: str) -> tuple[list[float], float]:
-    """Milliseconds from sent to served, in order; core seconds of the gateway per 1,000 answers."""
+async def measure_round(folder: Path, kind: str) -> tuple[list[float], float]:
+    """Run one round; return sorted latencies (ms) and the gateway's CPU s per 1,000 answers."""
     folder.mkdir()
     silent = []
     for _ in range(3):
@@ -54,7 +54,9 @@
         sock.bind(("127.0.0.1", 0))
         silent.append(sock)
     receiver = Receiver(lambda: 0, "cost")
-    world = World(DAY, folder, operator=operator(kind, folder, await receiver.open(), silent))
+    world = World(
+        SCENARIO, folder, operator=operator_file(kind, folder, await receiver.open(), silent)
+    )
     try:
         log = await world.run()
         process = world.gateways[0].process
@@ -74,19 +76,19 @@
 
 
 def main() -> None:
-    """The table and its ratios."""
+    """Print the table and the ratios."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rounds", type=int, default=3)
-    given = parser.parse_args()
+    options = parser.parse_args()
     found: dict[str, list[tuple[float, float, float]]] = {kind: [] for kind in KINDS}
     with tempfile.TemporaryDirectory() as name:
         print(
             f"{'round':<7}{'leases':<9}{'served':>8}{'p50 ms':>9}{'p99 ms':>9}"
             f"{'core s / 1,000':>16}"
         )
-        for number in range(given.rounds):
+        for number in range(options.rounds):
             for kind in KINDS:
-                times, core = uvloop.run(one(Path(name) / f"{number}-{kind}", kind))
+                times, core = uvloop.run(measure_round(Path(name) / f"{number}-{kind}", kind))
                 p50, p99 = times[len(times) // 2], times[int(len(times) * 0.99)]
                 found[kind].append((p50, p99, core))
                 print(
--- a/benchmarks/overload/ends.py
+++ b/benchmarks/overload/ends.py
@@ -1,7 +1,8 @@
-"""The processes round the gateway: stand-in hosts, open-loop clients, a plain byte forwarder.
+"""Helper processes of the benchmark: simulated hosts, open-loop clients and a plain byte forwarder.
 
-``python -m benchmarks.overload.ends hosts|clients|forwarder JSON``; each prints one JSON line when it is ready or done,
-and ends with its parent or when its time is up.
+``python -m benchmarks.overload.ends hosts|clients|forwarder JSON``; each prints a JSON line when it is ready, and the
+clients another with their results. The rig kills them; hosts and the forwarder also exit on their own after a time
+limit.
 """
 
 from __future__ import annotations
@@ -16,17 +17,17 @@
 import hiredis
 import uvloop
 
-from .load import Due, Shape, Tally, arrivals
+from .load import LoadShape, ScheduledRequest, Tally, arrivals
 
-ENDS_AFTER = 600.0  # seconds after which a process that was forgotten ends by itself
-TICK = 0.001  # seconds between two looks at what is due
+MAX_LIFETIME_S = 600.0  # An orphaned process exits after this time.
+TICK_S = 0.001  # Interval at which clients send the requests that are due.
 
 
 # -- hosts ----------------------------------------------------------------------------------------------------
 
 
-class HostSide(asyncio.Protocol):
-    """Answers each command after a fixed time, in order; a command is counted by its id."""
+class HostConnection(asyncio.Protocol):
+    """Host connection that answers each command in order after the host's delay."""
 
     def __init__(self, host: Host) -> None:
         self.host, self.reader = host, hiredis.Reader()
@@ -48,7 +49,7 @@
 
 
 class Host:
-    """One stand-in host; ``slow`` is (from, until, ms) since its start: a spell with another delay."""
+    """A simulated host; ``slow`` is (from s, until s, delay ms): a period with another delay, from its start on."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, delay: float, slow: tuple[float, float, float]
@@ -58,23 +59,23 @@
         self.reply = b"*3\r\n$2\r\nok\r\n$-1\r\n$%d\r\n%b\r\n" % (len(report), report)
 
     def delay(self) -> float:
-        """Seconds that an answer takes now."""
+        """Return the current answer delay in seconds."""
         at = self.loop.time() - self.began
         return self.slow[2] / 1000 if self.slow[0] <= at < self.slow[1] else self.usual
 
 
-async def hosts(given: dict) -> None:
-    """So many hosts on ports of their own."""
+async def hosts(options: dict) -> None:
+    """Run ``count`` hosts, each on its own port."""
     loop = asyncio.get_running_loop()
     ports = []
-    for _ in range(given["count"]):
-        host = Host(loop, given["delay_ms"] / 1000, tuple(given.get("slow", (0, 0, 0))))
+    for _ in range(options["count"]):
+        host = Host(loop, options["delay_ms"] / 1000, tuple(options.get("slow", (0, 0, 0))))
         server = await loop.create_server(
-            lambda host=host: HostSide(host), "127.0.0.1", 0, backlog=1024
+            lambda host=host: HostConnection(host), "127.0.0.1", 0, backlog=1024
         )
         ports.append(server.sockets[0].getsockname()[1])
     print(json.dumps({"ports": ports}), flush=True)
-    await asyncio.sleep(ENDS_AFTER)
+    await asyncio.sleep(MAX_LIFETIME_S)
 
 
 # -- forwarder ------------------------------------------------------------------------------------------------
@@ -107,29 +108,29 @@
             self.other.transport.close()
 
 
-async def forwarder(given: dict) -> None:
-    """Bytes from each client connection to a host connection of its own, and back."""
+async def forwarder(options: dict) -> None:
+    """Forward bytes between each client connection and its own host connection."""
     loop, turn = asyncio.get_running_loop(), 0
 
     def pipe() -> Pipe:
         nonlocal turn
         turn += 1
-        return Pipe(target=("127.0.0.1", given["ports"][turn % len(given["ports"])]))
+        return Pipe(target=("127.0.0.1", options["ports"][turn % len(options["ports"])]))
 
     server = await loop.create_server(pipe, "127.0.0.1", 0, backlog=1024)
     print(json.dumps({"port": server.sockets[0].getsockname()[1]}), flush=True)
-    await asyncio.sleep(ENDS_AFTER)
+    await asyncio.sleep(MAX_LIFETIME_S)
 
 
 # -- clients --------------------------------------------------------------------------------------------------
 
 
-class ClientSide(asyncio.Protocol):
-    """One pipelining connection: answers belong to what was asked, in order."""
+class ClientConnection(asyncio.Protocol):
+    """A pipelining connection: answers arrive in the order of the requests."""
 
     def __init__(self, side: Clients) -> None:
         self.side, self.reader = side, hiredis.Reader()
-        self.asked: deque[Due] = deque()
+        self.asked: deque[ScheduledRequest] = deque()
         self.out: list[bytes] = []
         self.writing = True
 
@@ -151,34 +152,36 @@
             what = "served"
             if isinstance(reply, hiredis.ReplyError):
                 what = "refused" if str(reply).startswith("BUSY") else "failed"
-                # What is shed says when to come back; the choice of a host, with quotas free, says nothing.
+                # Overload rejections carry a retry time; rejections for lack of a host, with free quotas, carry none.
                 self.side.tally.counts["told when"] += str(reply).startswith("BUSY ")
             self.side.ended(due, what, now)
 
 
 class Clients:
-    """All connections of one process, and what came of their requests."""
+    """All connections of one client process, and the outcomes of their requests."""
 
-    def __init__(self, given: dict, dues: list[Due]) -> None:
-        self.given, self.dues, self.tally, self.open = given, dues, Tally(), 0
-        self.began = given["began"]
+    def __init__(self, options: dict, dues: list[ScheduledRequest]) -> None:
+        self.options, self.dues, self.tally, self.open = options, dues, Tally(), 0
+        self.began = options["began"]
 
-    def ended(self, due: Due, what: str, now: float) -> None:
-        """An answer."""
+    def ended(self, due: ScheduledRequest, what: str, now: float) -> None:
+        """Record the answer to a request."""
         self.open -= 1
-        self.tally.add(due, what, 1000 * (now - self.began - due.at), self.given["wait"])
+        self.tally.add(due, what, 1000 * (now - self.began - due.at), self.options["wait"])
 
     async def run(self) -> None:
-        """Write what is due each tick until all is asked, then wait for answers a while."""
+        """Send the requests that are due at each tick, then wait a limited time for the last answers."""
         loop = asyncio.get_running_loop()
-        conns: list[ClientSide] = []
-        for _ in range(self.given["connections"]):
+        conns: list[ClientConnection] = []
+        for _ in range(self.options["connections"]):
             sock = socket.socket()
-            if self.given.get("sndbuf"):
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, self.given["sndbuf"])
+            if self.options.get("sndbuf"):
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, self.options["sndbuf"])
             sock.setblocking(False)
-            await loop.sock_connect(sock, ("127.0.0.1", self.given["port"]))
-            conns.append((await loop.create_connection(lambda: ClientSide(self), sock=sock))[1])
+            await loop.sock_connect(sock, ("127.0.0.1", self.options["port"]))
+            conns.append(
+                (await loop.create_connection(lambda: ClientConnection(self), sock=sock))[1]
+            )
         at, slip = 0, 0.0
         while at < len(self.dues):
             now = time.monotonic() - self.began
@@ -188,7 +191,7 @@
                     conn.out.append(self.dues[at].wire)
                     conn.asked.append(self.dues[at])
                     self.open += 1
-                else:  # the kernel takes no more: the gateway has not taken this one
+                else:  # The send buffer is full: the gateway has not read this request.
                     self.tally.add(self.dues[at], "held")
                 slip = max(slip, now - self.dues[at].at)
                 at += 1
@@ -196,35 +199,35 @@
                 if conn.out:
                     conn.transport.write(b"".join(conn.out))
                     conn.out.clear()
-            await asyncio.sleep(TICK)
-        end = time.monotonic() + self.given["after"]
+            await asyncio.sleep(TICK_S)
+        end = time.monotonic() + self.options["after"]
         while self.open and time.monotonic() < end:
             await asyncio.sleep(0.01)
         for conn in conns:
             for due in conn.asked:
                 self.tally.add(due, "unanswered")
             conn.transport.abort()
-        print(json.dumps(self.tally.plain() | {"slip_ms": 1000 * slip}), flush=True)
+        print(json.dumps(self.tally.to_json() | {"slip_ms": 1000 * slip}), flush=True)
 
 
-async def clients(given: dict) -> None:
-    """Prepare, say so, wait for the time to begin, run."""
-    shape = Shape(
-        tuple(tuple(step) for step in given["steps"]),
-        given["customers"],
-        given["heavy"],
-        given["wait"],
+async def clients(options: dict) -> None:
+    """Prepare the requests, report readiness, wait for the start time, then send."""
+    shape = LoadShape(
+        tuple(tuple(step) for step in options["steps"]),
+        options["customers"],
+        options["heavy"],
+        options["wait"],
     )
-    dues = arrivals(shape, given["part"], given["parts"], given["seed"])
+    dues = arrivals(shape, options["part"], options["parts"], options["seed"])
     print(json.dumps({"ready": len(dues)}), flush=True)
     line = await asyncio.get_running_loop().run_in_executor(None, sys.stdin.readline)
-    await Clients(given | json.loads(line), dues).run()
+    await Clients(options | json.loads(line), dues).run()
 
 
 def main() -> None:
-    """One of the three."""
-    kind, given = sys.argv[1], json.loads(sys.argv[2])
-    uvloop.run({"hosts": hosts, "clients": clients, "forwarder": forwarder}[kind](given))
+    """Run the helper process named on the command line."""
+    kind, options = sys.argv[1], json.loads(sys.argv[2])
+    uvloop.run({"hosts": hosts, "clients": clients, "forwarder": forwarder}[kind](options))
 
 
 if __name__ == "__main__":
