--- a/saffrongw/certs/account_store.py
+++ b/saffrongw/certs/account_store.py
@@ -1,8 +1,8 @@
-"""The site's accounts with certificate authorities: their keys and what the authority said of them.
+"""Stores the site's accounts with certificate authorities: keys, URLs and contacts.
 
 Each authority has a directory named by a digest of its URL: ``account.key`` (PEM),
-``account.json``, and ``account.next`` while the account's key is being changed. Keys are set aside,
-never deleted.
+``account.json``, and ``account.next`` while the account's key is being changed. Retired keys are
+renamed, never deleted.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
         with self.lease.guarded(term):
             self.folder.make_directory(account_directory)
             pem = self.folder.read(account_directory / "account.key")
-            if pem is None:  # else another process has created it meanwhile
+            if pem is None:  # another process may have created it meanwhile
                 pem = AccountKey.new().pem
                 self.folder.write(account_directory / "account.key", pem)
             return pem
@@ -62,15 +62,15 @@
             return None  # registering again with the same key returns the same account
 
     def save(self, account: Account, term: OrderingTerm | None) -> None:
-        """Keep what the authority said of the account."""
+        """Store an account as it is registered with the authority."""
         with self.lease.guarded(term):
             path = self._account_directory(account.directory) / "account.json"
             self.folder.write(path, documents.dump(account))
 
     def retire_key(self, directory: str, term: OrderingTerm | None) -> None:
-        """Set the key aside because the authority no longer knows the account.
+        """Rename the key because the authority no longer knows the account.
 
-        A new one is created next.
+        The next ``load`` creates a new key.
         """
         account_directory = self._account_directory(directory)
         with self.lease.guarded(term):
@@ -80,12 +80,12 @@
                 self.folder.rename(account_directory / "account.key", retired)
 
     def next_key(self, directory: str) -> AccountKey | None:
-        """Return the key of a key change that was interrupted, if there was one."""
+        """Return the new key of an interrupted key change, if there is one."""
         pem = self.folder.read(self._account_directory(directory) / "account.next")
         return AccountKey.of(pem) if pem else None
 
     def begin_key_change(self, directory: str, key: AccountKey) -> None:
-        """Keep the new key durably before the authority is asked to accept it."""
+        """Store the new key durably before the authority is asked to accept it."""
         with self.lease.guarded(None):
             self.folder.write(self._account_directory(directory) / "account.next", key.pem)
 
--- a/saffrongw/certs/acme_session.py
+++ b/saffrongw/certs/acme_session.py
@@ -16,9 +16,9 @@
 
 # Each nonce is valid for one request.
 MAX_CACHED_NONCES = 8
-# Attempts of one request: an authority that rejects each nonce must not hold us for ever.
+# Attempts of one request, so that it ends even if the authority rejects every nonce.
 MAX_NONCE_ATTEMPTS = 4
-# How much of the list of our orders is searched.
+# Limits on how much of the list of our orders is read.
 MAX_ORDER_PAGES, MAX_ORDERS = 4, 60
 
 
@@ -46,7 +46,7 @@
         return answer
 
     def open(self) -> Flow[Directory]:
-        """Fetch the directory, once a session."""
+        """Return the directory, fetched once in a session."""
         if self.urls is None:
             answer = yield from self._send(HttpRequest("GET", self.directory, "directory"))
             if answer.status != 200:
@@ -67,7 +67,8 @@
     def post(self, url: str, payload: object, read: str, by_key: bool = False) -> Flow[HttpAnswer]:
         """Send a signed request; a payload of None is a POST-as-GET.
 
-        A rejected nonce is replaced here; all other failures are raised.
+        A request with a rejected nonce is sent again with another one; all other failures are
+        raised.
         """
         kid = None if by_key else self.account
         for tried in range(MAX_NONCE_ATTEMPTS):
@@ -79,7 +80,7 @@
             error = messages.problem(answer, self.now())
             if not isinstance(error, BadNonceError):
                 raise error
-            if tried:  # the nonce of its answer was rejected too: ask for a fresh one
+            if tried:  # the nonce from the error reply was rejected too: request a new one
                 self.nonces.clear()
         raise AcmeError(
             FailureKind.UNREACHABLE, f"{read}: each of {MAX_NONCE_ATTEMPTS} nonces was refused"
@@ -93,7 +94,7 @@
         external: tuple[str, bytes] | None = None,
         existing: bool = False,
     ) -> Flow[str]:
-        """Register the account and return its URL; with a known key the same URL comes back."""
+        """Register the account and return its URL, which stays the same for a known key."""
         urls = yield from self.open()
         payload: dict[str, Any] = {"termsOfServiceAgreed": True}
         if existing:
@@ -134,7 +135,7 @@
         yield from self.post(urls.revoke, {"certificate": b64(der), "reason": reason}, "revocation")
 
     def window(self, name: str) -> Flow[messages.RenewalWindow | None]:
-        """Ask when the authority wants a certificate renewed; None if it offers no windows."""
+        """Fetch the renewal window of a certificate; None if the authority offers none."""
         urls = yield from self.open()
         if not urls.renewal or not name:
             return None
@@ -146,7 +147,7 @@
         return messages.window(answer, self.now())
 
     def orders(self) -> Flow[list[str]]:
-        """Return the URLs of our newest orders, as far as the authority lists them."""
+        """Return the URLs of our newest orders; empty if the authority lists none."""
         answer = yield from self.post(self.account, {}, "account")
         raw = messages.document(answer, "account")
         resource_url = messages.url_in(raw, "orders", "account", needed=False)
--- a/saffrongw/certs/acme_steps.py
+++ b/saffrongw/certs/acme_steps.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """One HTTPS request; ``read`` names what it fetches, in error messages."""
+    """One HTTPS request; ``read`` names the requested resource in error messages."""
 
     method: str
     url: str
@@ -24,14 +24,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SaveNote:
-    """Keep this note durably before the next step."""
+    """Store this note durably before the next step."""
 
     note: CertNote
 
 
 @dataclass(frozen=True, slots=True)
 class PublishChallenge:
-    """Let every gateway answer this challenge before the next step."""
+    """Enable every gateway to answer this challenge before the next step."""
 
     name: str
     type: str
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sleep:
-    """Continue after so many seconds."""
+    """Wait for this many seconds."""
 
     seconds: float
 
--- a/saffrongw/certs/build.py
+++ b/saffrongw/certs/build.py
@@ -11,7 +11,7 @@
 
 
 def lease_name(table: CertsTable) -> str:
-    """The lease under which certificates of one folder are ordered.
+    """Return the name of the lease under which certificates of one folder are ordered.
 
     It is the same on all gateways that share the folder.
     """
@@ -20,7 +20,7 @@
 
 
 def build(table: CertsTable, context: BuildContext) -> Component:
-    """The TLS listener and its certificates, ordered under a lease where ``[leases]`` is on."""
+    """Build the component; it orders under a fleet-wide lease if ``[leases]`` is on."""
     guard = context.leader_guard(lease_name(table))
     certs = CertsComponent(table, context.config.seed, leader_guard=guard)
     return Component(
--- a/saffrongw/certs/certificate_status.py
+++ b/saffrongw/certs/certificate_status.py
@@ -1,7 +1,4 @@
-"""What is known of each certificate.
-
-Its notes, failures not yet kept, and the rows that operators see.
-"""
+"""The state of each certificate: its note, failures not yet stored, and the row for operators."""
 
 from __future__ import annotations
 
@@ -22,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CertificateRow:
-    """One certificate as operators see it; ``next_at`` is None if nobody renews it."""
+    """One certificate as operators see it; ``next_at`` is None if it is not renewed."""
 
     id: str
     names: tuple[str, ...]
@@ -35,9 +32,9 @@
 
 
 def spread_position(certificate_id: str) -> float:
-    """Return a certificate's place in spreads, 0 to 1.
+    """Return a certificate's position in the renewal spread, 0 to 1.
 
-    The same on each gateway and after each restart.
+    It is the same on each gateway and after each restart.
     """
     return random.Random(certificate_id).random()
 
@@ -45,9 +42,9 @@
 def certificate_state(
     pair: CertificatePair | None, note: CertNote, position: float, names: tuple[str, ...]
 ) -> CertificateState:
-    """Return what decides about one certificate.
+    """Return the input of the renewal decisions about one certificate.
 
-    It is due at once if it does not prove ``names``.
+    Its renewal is due at once if it does not cover ``names``.
     """
     covers_all = pair is None or all(pair.facts.covers(name) for name in names)
     return CertificateState(
@@ -61,7 +58,7 @@
 
 
 class CertificateStatus:
-    """The notes of all certificates as read last, and failures that no disk took."""
+    """The most recently read notes of all certificates, and failures that could not be stored."""
 
     def __init__(
         self,
@@ -77,12 +74,12 @@
 
     @property
     def rules(self) -> RenewalRules:
-        """The rules of renewal, as the operator's table has them."""
+        """The renewal rules of the operator's table."""
         table = self.table.renewal
         return RenewalRules(table.lead, table.notice, table.warning, table.critical)
 
     def read_notes(self) -> dict[str, CertNote]:
-        """Read the notes of all certificates; a malformed one counts as empty. Blocks."""
+        """Read the notes of all certificates; a malformed one is treated as empty. Blocks."""
         found = {}
         for certificate_id in {*self.store.ids(), *(entry.id for entry in self.table.certificate)}:
             try:
@@ -93,11 +90,11 @@
         return found
 
     def note(self, certificate_id: str) -> CertNote:
-        """Return a certificate's note as read last; the table may have got a certificate since."""
+        """Return a certificate's last read note; empty if the table has named it only since."""
         return self.notes.get(certificate_id, CertNote())
 
     def state(self, entry: CertTable) -> CertificateState:
-        """Return what decides about a certificate of the table, failures not yet kept included."""
+        """Return the state of a certificate of the table, including failures not yet stored."""
         note = self.note(entry.id)
         unsaved = self.unsaved_failures.get(entry.id)
         if unsaved and unsaved.at >= note.failures.at:
@@ -108,7 +105,7 @@
     def rows(self, ordering: frozenset[str] = frozenset()) -> list[CertificateRow]:
         """Return every certificate, the most urgent first.
 
-        ``ordering`` names those being ordered.
+        ``ordering`` has the identifiers of those being ordered.
         """
         now = self.now()
         managed = {entry.id: entry for entry in self.table.certificate}
--- a/saffrongw/certs/certificate_store.py
+++ b/saffrongw/certs/certificate_store.py
@@ -1,14 +1,12 @@
-"""Certificates of a site in its shared folder.
-
-Versions in service, pending keys, and what is known of each.
+"""Stores the certificates of a site in its shared folder: versions, pending keys and notes.
 
     certs/ID/note.json          order, failures, renewal window (``documents.py``)
-    certs/ID/pending.key        the key that is being certified
+    certs/ID/pending.key        the key of the order in progress
     certs/ID/current            the name of the version in service
     certs/ID/FINGERPRINT/       cert.pem and key.pem of one version
-    news                        changes whenever another certificate serves
+    news                        changes whenever a certificate is installed
 
-``CertificateSite`` brings together the stores of one folder.
+``CertificateSite`` holds all stores of one folder.
 """
 
 from __future__ import annotations
@@ -30,7 +28,7 @@
 from .ordering_lease import OrderingLease, OrderingTerm
 from .shared_folder import SharedFolder, StoreError, store_error
 
-# Versions kept of each certificate: the current one and those before it.
+# Versions kept of each certificate, including the current one.
 MAX_VERSIONS = 3
 _ID = re.compile(r"[a-z0-9*_][a-z0-9.\-*_]{0,120}")
 _VERSION = re.compile(r"[0-9a-f]{32}")
@@ -60,7 +58,7 @@
         self.path = folder.path / "certs"
 
     def ids(self) -> list[str]:
-        """Return the identifiers of all certificates that the folder knows."""
+        """Return the identifiers of all certificates in the folder."""
         try:
             return sorted(
                 path.name
@@ -71,7 +69,7 @@
             raise store_error(error, self.path) from None
 
     def note(self, certificate_id: str) -> CertNote:
-        """Return what is known of a certificate; ``DocumentError`` if it is malformed."""
+        """Return the note of a certificate; ``DocumentError`` if it is malformed."""
         path = self._directory(certificate_id) / "note.json"
         raw = self.folder.read(path)
         return CertNote() if raw is None else documents.cert(raw, str(path))
@@ -82,10 +80,10 @@
         change: Callable[[CertNote], CertNote],
         term: OrderingTerm | None,
     ) -> None:
-        """Change what is known of a certificate, durably before the next step.
+        """Change the note of a certificate durably.
 
-        The note is read and written under one lock, so that what an operator and an order write at
-        the same time both hold. A malformed note begins anew.
+        The note is read and written under one lock, so that concurrent changes by an operator and
+        an order do not overwrite each other. A malformed note is replaced.
         """
         with self.lease.guarded(term):
             try:
@@ -95,7 +93,7 @@
             self._write_note(certificate_id, change(note))
 
     def request_renewal(self, certificate_id: str) -> None:
-        """Have a certificate renewed now, as an operator asked for it."""
+        """Make a renewal due now, at an operator's request."""
 
         def request(note: CertNote) -> CertNote:
             failures = replace(note.failures, next_at=0.0, forced=False)
@@ -104,7 +102,7 @@
         self.amend(certificate_id, request, None)
 
     def pending_key(self, certificate_id: str, kind: str, term: OrderingTerm | None) -> bytes:
-        """Return the key that is being certified; a new one is kept before it is used."""
+        """Return the key for the order in progress; a new one is stored before it is used."""
         path = self._directory(certificate_id) / "pending.key"
         found = self.folder.read(path)
         if found is not None and _is_key(found):
@@ -116,7 +114,7 @@
         return created
 
     def drop_pending_key(self, certificate_id: str, term: OrderingTerm | None) -> None:
-        """Delete the pending key: the authority rejected it, or it is the key in service."""
+        """Delete the pending key because it was rejected, or is the key in service."""
         with self.lease.guarded(term):
             self._remove_pending_key(certificate_id)
 
@@ -130,8 +128,8 @@
     ) -> None:
         """Put a certificate into service with its key.
 
-        Interrupted anywhere, either the old pair serves or the new one; done again with the same
-        certificate, nothing changes.
+        After an interruption at any point, either the old pair or the new one serves. Installing
+        the same certificate again changes nothing.
         """
         facts = chain.facts_of(chain.parse(cert))
         with self.lease.guarded(term):
@@ -149,10 +147,10 @@
             self._mark_changed()
 
     def finish_interrupted_install(self, certificate_id: str, term: OrderingTerm | None) -> None:
-        """Clear the order of a certificate that is in service already.
+        """Clear the order of a certificate that is already in service.
 
-        A crash right after the installation leaves the note of the order and a second copy of the
-        key; the next renewal would otherwise resume an order that is done.
+        A crash during the installation can leave the order in the note and the pending key behind;
+        the next renewal would then resume a finished order.
         """
         pending = self.folder.read(self._directory(certificate_id) / "pending.key")
         pair = self.pair(certificate_id)
@@ -215,7 +213,7 @@
         return self.folder.read(pair.cert) or b"", self.folder.read(pair.key) or b""
 
     def change_marker(self) -> bytes:
-        """Return bytes that differ from before if other certificates may serve."""
+        """Return bytes that change whenever a certificate is installed."""
         return self.folder.read(self.folder.path / "news") or b""
 
     def _mark_changed(self) -> None:
@@ -235,7 +233,7 @@
         self.folder.remove(self._directory(certificate_id) / "pending.key")
 
     def _prune(self, certificate_id: str) -> None:
-        """Delete versions beyond those that are kept; the current one always stays."""
+        """Delete the oldest versions beyond ``MAX_VERSIONS``, but never the current one."""
         directory, current = self._directory(certificate_id), self.current_version(certificate_id)
         old = [path for path in directory.iterdir() if path.is_dir() and path.name != current]
         old.sort(key=lambda path: path.stat().st_mtime, reverse=True)
@@ -246,7 +244,7 @@
 
 
 def _is_key(pem: bytes) -> bool:
-    """Tell whether a kept key can be read; a disk may have lost it."""
+    """Tell whether a stored key can be loaded; the file may be damaged."""
     try:
         chain.load_key(pem)
     except chain.ChainError:
@@ -255,10 +253,7 @@
 
 
 class CertificateSite:
-    """The stores of one site's folder.
-
-    Certificates, accounts, challenges and the ordering lease.
-    """
+    """The stores of one site's folder: certificates, accounts, challenges and ordering lease."""
 
     def __init__(
         self,
--- a/saffrongw/certs/chain.py
+++ b/saffrongw/certs/chain.py
@@ -1,7 +1,7 @@
 """Checks of certificate chains and keys. Bytes in, values out; no I/O, no clock.
 
-A certificate may serve if it parses, its key is ours, it is valid now, it covers the names it was
-ordered for, and each certificate of its chain signs the one before it.
+A certificate may serve if it parses, matches our key, is valid now, covers the names it was ordered
+for, and each certificate of its chain signs the one before it.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 MAX_CHAIN_CERTIFICATES = 8
 MAX_PEM_BYTES = 128 * 1024
-# Seconds by which our clock may be behind an authority's.
+# Seconds by which our clock may be behind the authority's.
 CLOCK_SKEW_S = 300.0
 
 PrivateKey = ec.EllipticCurvePrivateKey | rsa.RSAPrivateKey
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CertificateFacts:
-    """What a certificate says: names in lower case, validity in Unix seconds, identifiers.
+    """The contents of a certificate: names in lower case, validity in Unix seconds, identifiers.
 
     ``fingerprint`` is the SHA-256 in hexadecimal; ``ari`` is its identifier by RFC 9773, empty if
     it has no key identifier of its authority; ``chain`` is the number of certificates including its
@@ -51,11 +51,11 @@
 
     @property
     def lifetime_s(self) -> float:
-        """Return the length of its validity in seconds."""
+        """Return the length of the validity period in seconds."""
         return self.end - self.start
 
     def covers(self, name: str) -> bool:
-        """Tell whether the certificate proves a name, by a wildcard too."""
+        """Tell whether the certificate covers a name, also by a wildcard."""
         return name in self.names or ("." in name and "*." + name.partition(".")[2] in self.names)
 
 
@@ -79,7 +79,7 @@
         key = serialization.load_pem_private_key(pem, None)
     except (ValueError, TypeError) as error:
         raise ChainError(f"the key can't be read: {error}") from None
-    except Exception as error:  # noqa: BLE001 - the library names algorithms by errors of its own
+    except Exception as error:  # noqa: BLE001 - unknown algorithms raise other types
         raise ChainError(f"the key can't be used: {error!r:.100}") from None
     if not isinstance(key, ec.EllipticCurvePrivateKey | rsa.RSAPrivateKey):
         raise ChainError("the key is neither ECDSA nor RSA")
@@ -87,7 +87,7 @@
 
 
 def signing_request(pem: bytes, names: tuple[str, ...]) -> str:
-    """Return the signing request for these names as ACME wants it (base64url of DER)."""
+    """Return the signing request for these names in the format of ACME (base64url of DER)."""
     subject = [x509.NameAttribute(NameOID.COMMON_NAME, names[0])] if len(names[0]) <= 64 else []
     request = (
         x509.CertificateSigningRequestBuilder()
@@ -119,7 +119,7 @@
 
 
 def names_of(leaf: x509.Certificate) -> tuple[str, ...]:
-    """Return the DNS names that a certificate proves."""
+    """Return the DNS names that a certificate covers."""
     try:
         found = leaf.extensions.get_extension_for_class(x509.SubjectAlternativeName).value
     except (x509.ExtensionNotFound, x509.DuplicateExtension, ValueError):
@@ -133,29 +133,29 @@
 
 def _ari(leaf: x509.Certificate) -> str:
     try:
-        of = leaf.extensions.get_extension_for_class(
+        key_identifier = leaf.extensions.get_extension_for_class(
             x509.AuthorityKeyIdentifier
         ).value.key_identifier
     except (x509.ExtensionNotFound, ValueError):
         return ""
-    if not of:
+    if not key_identifier:
         return ""
     serial = leaf.serial_number
     raw = serial.to_bytes(serial.bit_length() // 8 + 1, signed=True)
-    return f"{b64(of)}.{b64(raw)}"
+    return f"{b64(key_identifier)}.{b64(raw)}"
 
 
 def issuer_names(chain: list[x509.Certificate]) -> set[str]:
-    """Return the common names of all issuers in a chain; operators choose among chains by them."""
+    """Return the common names of all issuers in a chain, by which operators prefer chains."""
     found = set()
-    for one in chain:
-        for part in one.issuer.get_attributes_for_oid(NameOID.COMMON_NAME):
-            found.add(str(part.value))
+    for certificate in chain:
+        for attribute in certificate.issuer.get_attributes_for_oid(NameOID.COMMON_NAME):
+            found.add(str(attribute.value))
     return found
 
 
 def facts_of(chain: list[x509.Certificate]) -> CertificateFacts:
-    """What a parsed chain says of its first certificate; checks nothing."""
+    """Return the facts of the first certificate of a chain without checking anything."""
     leaf = chain[0]
     issuer = leaf.issuer.get_attributes_for_oid(NameOID.COMMON_NAME)
     return CertificateFacts(
@@ -181,9 +181,9 @@
 ) -> CertificateFacts:
     """Return the facts of a pair that may serve; ``ChainError`` says why it may not.
 
-    ``now`` is in Unix seconds. With ``any_time`` the validity is not checked: a certificate in
-    service stays there when it expires, or when our clock goes back before its start, since
-    rejecting it helps nobody.
+    ``now`` is in Unix seconds. With ``any_time`` the validity period is not checked: a
+    certificate stays in service when it expires, or when our clock goes back before its start,
+    because having none would be worse.
     """
     try:
         return _check(parse(pem), key, names, now, any_time)
@@ -246,7 +246,7 @@
 def validation_certificate(
     name: str, digest: bytes, now: datetime, until: datetime
 ) -> tuple[bytes, bytes]:
-    """The self-signed certificate of RFC 8737 for a challenge, and its key, both PEM."""
+    """Create the self-signed certificate of RFC 8737 for a challenge, and its key, both PEM."""
     key = ec.generate_private_key(ec.SECP256R1())
     who = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, "ACME challenge")])
     identifier = x509.UnrecognizedExtension(
--- a/saffrongw/certs/challenge_answers.py
+++ b/saffrongw/certs/challenge_answers.py
@@ -1,7 +1,4 @@
-"""Answers to an authority that validates a name.
-
-The TLS context (RFC 8737) or the HTTP key authorisation.
-"""
+"""Answers to challenges of an authority: a TLS context (RFC 8737) or an HTTP key authorisation."""
 
 from __future__ import annotations
 
@@ -30,10 +27,10 @@
 
 
 class ChallengeAnswers:
-    """Finds published challenges and makes what proves them."""
+    """Finds published challenges and creates the answers to them."""
 
     def __init__(self, store: ChallengeStore, worker: BlockingWorker) -> None:
-        """Read challenges by this worker."""
+        """Read the challenges of this store on the worker's thread."""
         self.store, self.worker = store, worker
         self._contexts: dict[str, _CachedContext] = {}
 
@@ -73,7 +70,7 @@
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     context.set_alpn_protocols(["acme-tls/1"])
-    # The library takes files only; this key is used for one validation.
+    # The TLS library loads keys from files only. This key is used for this validation only.
     with tempfile.NamedTemporaryFile(mode="wb") as file:
         file.write(key + cert)
         file.flush()
--- a/saffrongw/certs/challenge_store.py
+++ b/saffrongw/certs/challenge_store.py
@@ -1,7 +1,8 @@
-"""Challenges that an authority may come to validate; any gateway of the site can answer them.
+"""Stores the pending challenges of a site, so that any of its gateways can answer them.
 
-A challenge lies under its token and, for validation by TLS (RFC 8737), also under a digest of the
-name: such a connection names no token. Files are deleted when the challenge is over or too old.
+A challenge is stored under its token and, for validation by TLS (RFC 8737), also under a digest of
+the name, because such a connection does not name the token. Files are deleted when the challenge
+ends or is too old.
 """
 
 from __future__ import annotations
@@ -45,7 +46,7 @@
         self.path = folder.path / "challenges"
 
     def publish(self, proof: ChallengeProof, term: OrderingTerm | None) -> None:
-        """Let every gateway answer the challenge from now on."""
+        """Store the proof, so that every gateway can answer the challenge."""
         if not _TOKEN.fullmatch(proof.token):
             raise StoreError(f"{proof.token!r:.60} can't be a token")
         with self.lease.guarded(term):
@@ -55,7 +56,7 @@
                 self.folder.write(self._file(_name_token(proof.name)), raw)
 
     def withdraw(self, tokens: tuple[str, ...]) -> None:
-        """Delete these challenges, and those that are too old."""
+        """Delete these challenges and all expired ones."""
         for token in tokens:
             self._withdraw_one(token)
         with contextlib.suppress(OSError):
@@ -74,7 +75,7 @@
         now = self.now()
         for path in self.path.iterdir():
             proof = self.by_token(path.stem)
-            # Files of interrupted writes hold no proof and are judged by their age.
+            # Files of interrupted writes hold no proof, so their age decides.
             age = time.time() - path.stat().st_mtime
             is_expired = proof.until < now if proof else age > CHALLENGE_LIFETIME_S
             if is_expired:
--- a/saffrongw/certs/client_hello.py
+++ b/saffrongw/certs/client_hello.py
@@ -1,8 +1,8 @@
 """Parser of the TLS ClientHello (TLS 1.0 to 1.3). No I/O.
 
-It is read ahead of the handshake because it decides which certificate answers: a validation by an
-authority (the ALPN protocol ``acme-tls/1``, RFC 8737) gets another one than a client of the same
-name. Formats: RFC 8446, 4.1.2 and 5.1; RFC 6066, 3; RFC 7301.
+It is parsed before the handshake to choose the certificate: a validation by an authority (the ALPN
+protocol ``acme-tls/1``, RFC 8737) gets a different one than a client that asks for the same name.
+Formats: RFC 8446, 4.1.2 and 5.1; RFC 6066, 3; RFC 7301.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 RECORD_HEAD_BYTES, HANDSHAKE_HEAD_BYTES = 5, 4
 MAX_RECORD_BYTES = 16_384
-# Of a complete ClientHello; what clients send has a few hundred to two thousand.
+# Of a complete ClientHello; clients usually send a few hundred to 2,000 bytes.
 MAX_HELLO_BYTES = 16_384
 # Record type, message type and extension types (RFC 8446, RFC 6066, RFC 7301).
 HANDSHAKE, CLIENT_HELLO = 22, 1
@@ -37,7 +37,7 @@
 
 
 class _Reader:
-    """A cursor over bytes that checks every length against what is there."""
+    """A cursor over bytes that checks every length against the remaining bytes."""
 
     __slots__ = ("at", "data", "end")
 
@@ -54,7 +54,7 @@
         return self.data[self.at - size : self.at]
 
     def block(self, size: int) -> _Reader:
-        """Return a reader of the block whose length is given in so many bytes."""
+        """Return a reader of a block preceded by its length, which takes this many bytes."""
         length = self.number(size)
         if self.at + length > self.end:
             raise ClientHelloError("a length points beyond the end")
@@ -67,9 +67,9 @@
 
 
 def parse_client_hello(data: bytes) -> ClientHello | int:
-    """Return the ClientHello at the start of ``data``, or the least number of bytes needed.
+    """Return the ClientHello at the start of ``data``, or how many bytes it needs at least.
 
-    Raises ``ClientHelloError`` as soon as the bytes cannot become one.
+    Raises ``ClientHelloError`` as soon as the bytes cannot be the start of one.
     """
     body, at, need = b"", 0, HANDSHAKE_HEAD_BYTES
     while True:
--- a/saffrongw/certs/component.py
+++ b/saffrongw/certs/component.py
@@ -35,7 +35,7 @@
 
 
 class CertsComponent:
-    """TLS listener, renewal loop, HTTP challenges, metrics and rows of one gateway."""
+    """The TLS listener, renewal loop, HTTP-01 responder, metrics and status rows of one gateway."""
 
     def __init__(
         self,
@@ -44,11 +44,11 @@
         clock: SystemClock | None = None,
         leader_guard: LeaderGuard | None = None,
     ) -> None:
-        """Build all parts; ``OSError`` if the client authorities cannot be read."""
+        """Build all components; ``OSError`` if the client authorities cannot be read."""
         self.table = table
         settings = tls_settings_of(table.tls)
-        make_context(settings)  # an unreadable file of client authorities ends the start
-        # New with each start: a gateway that comes back is not the one that held the lease.
+        make_context(settings)  # fails the start if the file of client authorities is unreadable
+        # Differs with each start, so that a restarted gateway does not continue the old lease.
         holder = f"{socket.gethostname()}-{os.getpid()}-{seed:x}"[:120]
         self.renewal = RenewalLoop(table, holder, settings, clock, leader_guard=leader_guard)
         self.listener = TlsListener(
@@ -61,14 +61,14 @@
         )
 
     async def start(self, driver: Driver) -> None:
-        """Serve the certificates of the folder and keep them renewed."""
+        """Load the certificates of the folder, and start to renew them and to answer challenges."""
         self.listener.prepare()
         if self.responder:
             self.responder.start(driver.loop)
         await self.renewal.start()
 
     async def stop(self) -> None:
-        """Stop; another gateway may order at once."""
+        """Stop and release the lease, so that another gateway can order at once."""
         self.listener.close()
         if self.responder:
             self.responder.close()
@@ -77,8 +77,8 @@
     def change(self, new: CertsTable) -> Callable[[], None]:
         """Prepare another table; the result applies it and cannot fail.
 
-        Raises ``OSError`` or ``ValueError`` if it cannot be applied. Addresses, the folder and the
-        lease wait for the next start.
+        Raises ``OSError`` or ``ValueError`` if it cannot be applied. Changes of addresses, the
+        folder and the lease take effect at the next start.
         """
         same = ("listen", "http_listen", "state_dir", "lease_seconds", "clock_skew")
         if moved := [name for name in same if getattr(new, name) != getattr(self.table, name)]:
@@ -98,7 +98,7 @@
         return self.renewal.rows()
 
     def figures(self) -> list[tuple[str, int]]:
-        """Return counts since the start, and as of now certificates, hours left and alarms."""
+        """Return counters since the start, and gauges of certificates, hours left and alarms."""
         rows, handshakes = self.rows(), self.listener.handshakes
         counts = self.renewal.orders.counts
         hours = [int(row.days_left * 24) for row in rows if row.days_left is not None]
--- a/saffrongw/certs/documents.py
+++ b/saffrongw/certs/documents.py
@@ -1,7 +1,7 @@
-"""Documents kept in the shared folder: dataclasses to JSON and back, validated when read. No I/O.
+"""Documents stored in the shared folder: dataclasses to JSON and back, validated when read. No I/O.
 
-A document carries its schema version; one of a later program is rejected and left untouched. A
-malformed one raises ``DocumentError``, and its certificate goes on serving: only the order it
+A document carries its schema version; one with a later version is rejected and left unchanged. A
+malformed one raises ``DocumentError``; its certificate stays in service, and only the order that it
 described is lost.
 """
 
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderNote:
-    """An order that was begun; without a URL its request may or may not have arrived."""
+    """An order in progress; without a URL, the authority may or may not have received it."""
 
     directory: str
     names: tuple[str, ...]
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CertNote:
-    """What is kept of one certificate besides its files; an imported one is never renewed."""
+    """The stored state of one certificate; an imported one is not renewed automatically."""
 
     names: tuple[str, ...] = ()
     order: OrderNote | None = None
--- a/saffrongw/certs/handshakes.py
+++ b/saffrongw/certs/handshakes.py
@@ -1,15 +1,16 @@
 """Admission of TLS handshakes, so that they cannot starve requests. No I/O.
 
-A handshake costs as much CPU as several requests, and anybody may ask for one. Two limits hold:
+A handshake costs as much CPU as several requests, and any client can start one. There are two
+limits:
 
-- half-open connections: so many connections may be accepted without a finished handshake. Beyond
-  that the one that has waited longest for a complete ClientHello is evicted; if all have sent
-  theirs, the new connection is rejected.
-- CPU: handshakes together get a share of the core, as a token bucket in microseconds. A handshake
-  that finds too few tokens waits in line. Its real cost is known when it ends: a resumed one
-  returns most of what it took.
+- Half-open connections: the number of accepted connections whose handshake has not finished. At
+  the limit, a new connection evicts the one that has waited longest for a complete ClientHello;
+  if all of them have sent theirs, the new connection is rejected.
+- CPU: a token bucket in microseconds limits all handshakes together to a share of the core. A
+  handshake without enough tokens is queued. It is charged as a full handshake when it begins; a
+  resumed one gets the difference back when it ends.
 
-All times are microseconds of one clock and are passed in.
+The caller passes in all times, in microseconds of one clock.
 """
 
 from __future__ import annotations
@@ -92,7 +93,7 @@
         self.refilled_at = max(self.refilled_at, now)
 
     def accept(self, now: int, connection: Connection) -> AcceptResult:
-        """Take a new connection, evict another one for it, or reject it."""
+        """Accept a new connection, evicting another one at the limit, or reject it."""
         evicted = None
         if len(self) >= self.limits.max_half_open:
             if not self.awaiting_hello:
@@ -104,21 +105,21 @@
         return AcceptResult(True, evicted)
 
     def hello_received(self, connection: Connection) -> None:
-        """Queue a connection whose ClientHello is complete; ``begin`` says when it may go on."""
+        """Queue a connection whose ClientHello is complete until ``begin`` returns it."""
         deadline = self.awaiting_hello.pop(connection, None)
         if deadline is not None:
             self.queued[connection] = deadline
 
     def begin_unlimited(self, now: int, connection: Connection) -> None:
-        """Begin a handshake at once and free of charge.
+        """Begin a handshake at once without taking tokens.
 
-        An authority's validations, which are few.
+        This is for validations by an authority, which are few.
         """
         if self.awaiting_hello.pop(connection, None) is not None:
             self.running[connection] = now + self.limits.timeout_us
 
     def begin(self, now: int) -> list[Connection]:
-        """Return the connections whose handshakes begin now, in the order of their hellos."""
+        """Dequeue and return the connections whose handshakes begin now, oldest hello first."""
         self._refill(now)
         begun = []
         while self.queued and self.tokens >= self._needed_tokens():
@@ -132,7 +133,7 @@
         return min(self.limits.full_cost_us, self.limits.burst_us)
 
     def succeeded(self, connection: Connection, resumed: bool) -> None:
-        """Count a finished handshake; a resumed one returns the tokens that it did not need."""
+        """Count a finished handshake; return the unused tokens of a resumed one."""
         if self.running.pop(connection, None) is None:
             return
         self.counts["resumed" if resumed else "full"] += 1
@@ -141,7 +142,7 @@
             self.tokens = min(float(self.limits.burst_us), self.tokens + unused)
 
     def ended(self, connection: Connection, reason: str = "failed") -> None:
-        """Count a handshake that failed or whose client left; its tokens are spent."""
+        """Count a failed handshake or one whose client left; its tokens are not returned."""
         for group in (self.awaiting_hello, self.queued, self.running):
             if group.pop(connection, None) is not None:
                 self.counts[reason] += 1
@@ -165,7 +166,7 @@
         return 0
 
     def next_at(self, now: int) -> int | None:
-        """Return when to call again: for an expiry, or for tokens; None if nothing waits."""
+        """Return when the next deadline or refill is due; None if no connection waits."""
         times = [
             next(iter(group.values())) for group in (self.awaiting_hello, self.queued) if group
         ]
--- a/saffrongw/certs/http.py
+++ b/saffrongw/certs/http.py
@@ -17,7 +17,7 @@
 from .acme_steps import HttpRequest
 from .messages import AcmeError, FailureKind, HttpAnswer, clean, malformed_answer
 
-# For one request, from connecting to the last byte.
+# For one request, from the connect to the last byte of the reply.
 TIMEOUT_S = 30.0
 MAX_HEAD_BYTES, MAX_BODY_BYTES = 32 * 1024, 512 * 1024
 READ_BYTES = 64 * 1024
@@ -25,17 +25,17 @@
 
 
 class AuthorityClient:
-    """A client of one authority; ``ca`` is a file of root certificates for the authority's own."""
+    """A client of one authority; ``ca`` is a file of the root certificates that it trusts."""
 
     def __init__(self, ca: str = "", within: float = TIMEOUT_S) -> None:
-        """Trust this root file, or the system's; ``within`` is in seconds."""
+        """Trust this root file, or the system's roots; ``within`` is the time-out in seconds."""
         self.context = ssl.create_default_context(cafile=ca or None)
         self.within = within
 
     async def send(self, request: HttpRequest) -> HttpAnswer:
-        """Return the answer.
+        """Send a request and return the answer.
 
-        ``AcmeError`` UNREACHABLE if none came, UNUSABLE if it is malformed.
+        Raises ``AcmeError`` UNREACHABLE if there is none, UNUSABLE if it is malformed.
         """
         try:
             async with asyncio.timeout(self.within):
@@ -104,8 +104,8 @@
 async def _next_event(http: h11.Connection, reader: asyncio.StreamReader) -> object:
     """Return the next HTTP event, reading as needed.
 
-    Raises ``EOFError`` if the connection ends within a message: the authority is then unreachable,
-    and its order is kept.
+    Raises ``EOFError`` if the connection ends within a message: the authority then counts as
+    unreachable, and the order can be resumed.
     """
     has_ended = False
     while True:
--- a/saffrongw/certs/jose.py
+++ b/saffrongw/certs/jose.py
@@ -11,7 +11,7 @@
 from joserfc.jwk import ECKey, OctKey
 
 REGISTRY = jws.JWSRegistry(algorithms=["ES256", "HS256"], strict_check_header=False)
-# Of the key that an authority gave for an external account.
+# Of the key that an authority issued for an external account.
 MIN_EXTERNAL_KEY_BYTES = 16
 
 
@@ -51,7 +51,7 @@
         """Load a key from PEM; ``ValueError`` if it is not a P-256 key."""
         try:
             return cls(ECKey.import_key(pem))
-        except Exception as error:  # noqa: BLE001 - the library's errors have many types
+        except Exception as error:  # noqa: BLE001 - the library raises many types
             raise ValueError(f"no key of P-256: {error!r:.100}") from None
 
     @property
--- a/saffrongw/certs/lease.py
+++ b/saffrongw/certs/lease.py
@@ -1,10 +1,10 @@
-"""Decisions of a lease that lies in a shared file: who of many does something that only one may do.
+"""Decisions about a lease in a shared file, which lets one process at a time do some work.
 
-No I/O, no clock. The lease lies where all can read it and where one write at a time succeeds
-(``shared_folder.py`` holds a lock meanwhile). It names its holder, a term that grows with each
-taking, and its end in Unix seconds. Clocks may differ by ``skew``: the holder acts until its end
-less the skew, others take it after its end plus the skew. A holder that was stopped and goes on
-later is recognised by its term: a write under an older term than the lease's is rejected.
+No I/O, no clock. All processes can read the file, and a lock serialises the writes
+(``shared_folder.py``). The lease names its holder, its end in Unix seconds, and a term that grows
+each time that it is taken. Clocks may differ by ``skew``: the holder stops acting at the end minus
+the skew, and others take the lease at the end plus the skew. A holder that was suspended and
+resumes after losing the lease is fenced off by the term: a write under an older term is rejected.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseTerms:
-    """How long a lease is granted for, and by how much clocks may differ; both in seconds."""
+    """The duration of a lease and the largest difference between clocks; both in seconds."""
 
     span: float = 30.0
     skew: float = 2.0
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TakeLease:
-    """Write this lease: it is ours from then on, newly taken or renewed."""
+    """Write this lease to take or renew it; it is ours once it is written."""
 
     lease: LeaseRecord
 
@@ -59,10 +59,10 @@
 
 
 def decide(now: float, holder: str, found: LeaseRecord | None, terms: LeaseTerms) -> LeaseDecision:
-    """Decide what ``holder`` does about the lease that was found.
+    """Decide whether ``holder`` takes, keeps or waits for the lease that was found.
 
-    A lease whose end lies further ahead than a whole span and twice the skew was written by a wrong
-    clock; it counts as just granted, so that it cannot block the others for ever.
+    A lease that ends later than a whole span and twice the skew from now was written by a wrong
+    clock; it is treated as just granted, so that it cannot block the others for ever.
     """
     if found is None:
         return TakeLease(LeaseRecord(holder, 1, now + terms.span))
@@ -76,7 +76,7 @@
 
 
 def clamp_to_clock(now: float, found: LeaseRecord, terms: LeaseTerms) -> LeaseRecord:
-    """Shorten a lease that ends later than a right clock could have granted."""
+    """Shorten a lease that ends later than a correct clock could have set."""
     latest = now + terms.span + 2 * terms.skew
     return found if found.until <= latest else LeaseRecord(found.holder, found.term, latest)
 
--- a/saffrongw/certs/loaded_certificates.py
+++ b/saffrongw/certs/loaded_certificates.py
@@ -25,8 +25,8 @@
 class LoadedCertificates:
     """TLS contexts of all certificates that may serve.
 
-    ``load`` runs on a worker thread and replaces each attribute in one assignment: a handshake sees
-    the old contexts or the new ones.
+    ``load`` runs on a worker thread and replaces each attribute in one assignment, so a handshake
+    sees either the old contexts or the new ones.
     """
 
     def __init__(self, store: CertificateStore, settings: TlsSettings, default: str) -> None:
@@ -36,11 +36,11 @@
         self.pairs: dict[str, CertificatePair] = {}
         self.contexts: dict[str, LoadedContext] = {}
         self.swap_count = 0
-        # Why a certificate does not serve, by its identifier.
+        # Load errors by certificate identifier.
         self.errors: dict[str, str] = {}
 
     def load(self) -> None:
-        """Load what is new in the folder; contexts of unchanged certificates stay. Blocks."""
+        """Load changed certificates; the contexts of unchanged ones are reused. Blocks."""
         pairs: dict[str, CertificatePair] = {}
         contexts: dict[str, LoadedContext] = {}
         errors: dict[str, str] = {}
@@ -52,7 +52,7 @@
                     pairs[certificate_id] = pair
             except (AcmeError, OSError) as error:  # ssl.SSLError is an OSError
                 errors[certificate_id] = str(error)
-                if certificate_id in self.contexts:  # the context loaded before goes on serving
+                if certificate_id in self.contexts:  # keep serving the previous context
                     contexts[certificate_id] = self.contexts[certificate_id]
                     pairs[certificate_id] = self.pairs[certificate_id]
         self._log_new_errors(errors)
@@ -63,7 +63,7 @@
         self.swap_count += swaps
 
     def _unchanged_pair(self, certificate_id: str) -> CertificatePair | None:
-        """Return the pair loaded before, if it is still current: checking hundreds takes long."""
+        """Return the loaded pair if it is still current; checking hundreds again takes long."""
         pair = self.pairs.get(certificate_id)
         if pair is None or pair.facts.end <= self.store.now():
             return None
@@ -88,7 +88,7 @@
         self, pairs: dict[str, CertificatePair], contexts: dict[str, LoadedContext]
     ) -> ContextsByName:
         found: dict[str, ssl.SSLContext] = {}
-        # Where two certificates prove one name, the one that ends later serves.
+        # If two certificates cover one name, the one that expires later serves.
         for certificate_id, pair in sorted(pairs.items(), key=lambda item: item[1].facts.end):
             for name in pair.facts.names:
                 found[name] = contexts[certificate_id].context
--- a/saffrongw/certs/messages.py
+++ b/saffrongw/certs/messages.py
@@ -2,8 +2,8 @@
 
 No I/O.
 
-Everything is checked and bounded; a malformed message raises ``AcmeError`` that names the field,
-and never another error. Errors carry a kind, by which ``renewal.py`` chooses the backoff.
+All fields are checked and bounded; a malformed message raises an ``AcmeError`` that names the
+field, and never another exception. Errors have a kind, by which ``renewal.py`` chooses the backoff.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from urllib.parse import urlsplit
 
 MAX_URL_CHARS = 2_048
-# Names, authorisations or challenges of one object.
+# Largest number of names, authorisations or challenges of one object.
 MAX_LIST_ITEMS = 1_000
-# Characters of an authority's text that are kept.
+# Largest number of characters kept of an authority's text.
 MAX_TEXT_CHARS = 300
-# No authority can make us wait longer.
+# Upper bound of a Retry-After.
 MAX_RETRY_AFTER_S = 30 * 86_400.0
 
 
@@ -31,7 +31,7 @@
 
     UNREACHABLE: no connection, no answer in time, or 5xx. ORDER: expired, invalid or not found.
     REJECTED: names or a key that the authority does not accept. UNUSABLE: a malformed answer, or a
-    certificate that must not serve. LOCAL: our disk or our lease.
+    certificate that must not serve. LOCAL: a failure of our disk, or a lost lease.
     """
 
     UNREACHABLE = "authority away"
@@ -45,19 +45,19 @@
 
 
 class AcmeError(Exception):
-    """A step that failed.
+    """A step failed.
 
-    Its kind, what happened, and the authority's Retry-After in seconds, or 0.
+    It has the kind of failure, a description, and the authority's Retry-After in seconds, or 0.
     """
 
     def __init__(self, kind: FailureKind, detail: str, retry_after: float = 0.0) -> None:
-        """Keep the kind, the bounded detail and the Retry-After."""
+        """Set the kind, the detail (cut to a bounded length) and the Retry-After."""
         super().__init__(f"{kind.value}: {detail}")
         self.kind, self.detail, self.retry_after = kind, detail[:MAX_TEXT_CHARS], retry_after
 
 
 class BadNonceError(AcmeError):
-    """The nonce was used or too old; the same request is sent again with the next one."""
+    """The nonce was used or too old; the request is sent again with another one."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -81,7 +81,7 @@
 class Directory:
     """The URLs of an authority.
 
-    ``renewal`` is empty if it offers no renewal windows; ``external`` says that it needs an
+    ``renewal`` is empty if it offers no renewal windows; ``external`` says that it requires an
     external account.
     """
 
@@ -120,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Authorisation:
-    """What has to be proved for one name, and the challenges that can prove it."""
+    """The authorisation of one name, and the challenges that can complete it."""
 
     status: str
     name: str
@@ -188,7 +188,7 @@
 
 
 def url_in(raw: Mapping[str, Any], key: str, where: str, needed: bool = True) -> str:
-    """Return an https URL from an object; empty if it is missing and not needed."""
+    """Return an https URL from an object; empty if it is missing and optional."""
     if key not in raw and not needed:
         return ""
     return url(raw.get(key), f"{where}.{key}")
@@ -225,7 +225,7 @@
 
 
 def time_in(raw: Mapping[str, Any], key: str, where: str, needed: bool = False) -> float:
-    """Return an RFC 3339 time as Unix seconds; 0 if it is missing and not needed."""
+    """Return an RFC 3339 time as Unix seconds; 0 if it is missing and optional."""
     if key not in raw and not needed:
         return 0.0
     found = raw.get(key)
@@ -294,7 +294,7 @@
         field = f"authorization.challenges[{at}]"
         if not isinstance(one, dict):
             raise malformed_answer(field, "no object")
-        # Nothing is known of other types, not even their fields.
+        # The fields of other challenge types are unknown.
         if one.get("type") in ("http-01", "tls-alpn-01"):
             found.append(_challenge(one, field))
     return Authorisation(
@@ -310,7 +310,7 @@
     if not isinstance(token, str) or not 8 <= len(token) <= 256:
         raise malformed_answer(f"{where}.token", "no token")
     if not all(c.isascii() and (c.isalnum() or c in "-_") for c in token):
-        # The token becomes the name of a file.
+        # The token becomes a file name.
         raise malformed_answer(f"{where}.token", "not in the alphabet of base64url")
     status = _state(raw, CHALLENGE_STATES, where)
     return Challenge(raw["type"], url_in(raw, "url", where), token, status, _error(raw, where))
@@ -353,7 +353,7 @@
 
 
 def problem(answer: HttpAnswer, now: float) -> AcmeError:
-    """Return the error for an answer that is not a success."""
+    """Return the error for an unsuccessful answer."""
     after = retry_after(answer, now)
     try:
         raw = document(answer, "problem")
@@ -392,6 +392,6 @@
     end = time_in(found, "end", "renewalInfo.suggestedWindow", True)
     if end <= start:
         raise malformed_answer("renewalInfo.suggestedWindow", "ends before it begins")
-    # RFC 9773, 4.3: within sensible bounds, a minute to a day.
+    # RFC 9773, 4.3 asks for sensible bounds; here a minute to a day.
     after = min(max(retry_after(answer, now) or 6 * 3_600, 60), 86_400)
     return RenewalWindow(start, end, now + after)
--- a/saffrongw/certs/order_flow.py
+++ b/saffrongw/certs/order_flow.py
@@ -1,9 +1,9 @@
 """The ACME protocol (RFC 8555) as generators of steps. No I/O.
 
-A generator yields what has to be done and is sent the result: an ``HttpAnswer`` for an
-``HttpRequest``, nothing for the other steps. A run may end between any two steps: all that a later
-run needs was yielded as ``SaveNote`` before the step that depends on it, so an order is resumed and
-not made a second time.
+A generator yields a step and is sent its result: an ``HttpAnswer`` for an ``HttpRequest``, None for
+the other steps. A run may be interrupted between any two steps: the state that a later run needs is
+yielded as ``SaveNote`` before the step that depends on it, so the later run resumes the order
+instead of creating a second one.
 """
 
 from __future__ import annotations
@@ -32,9 +32,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderRequest:
-    """What is ordered.
+    """The parameters of an order.
 
-    Names, challenge type, signing request, preferred issuer and total time-out.
+    ``csr`` is the signing request, ``issuer`` the preferred issuer, ``replaces`` the RFC 9773
+    identifier of the certificate that is renewed.
     """
 
     names: tuple[str, ...]
@@ -48,9 +49,9 @@
 def obtain_certificate(
     session: Session, note: CertNote, wanted: OrderRequest, issuers: Callable[[bytes], set[str]]
 ) -> Flow[bytes]:
-    """Obtain the certificate's chain in PEM, resuming from what the note says was reached.
+    """Obtain the certificate's chain in PEM, resuming the order in the note.
 
-    The note's order is resumed if its names and authority fit. One that failed, or that the
+    The order is resumed if its names and authority match. One that failed, or that the
     authority no longer has, is removed from the note before the error is raised, so that the next
     run makes a new one.
     """
@@ -83,9 +84,9 @@
 def _resume_or_create_order(
     session: Session, note: CertNote, wanted: OrderRequest
 ) -> Flow[tuple[str, Order]]:
-    """Return the URL and state of the order.
+    """Return the URL and state of an order.
 
-    The noted one, one whose URL was lost, or a new one.
+    This is the order in the note, an order whose URL was never received, or a new one.
     """
     old = note.order
     if old and old.directory == session.directory and set(old.names) == set(wanted.names):
@@ -105,7 +106,7 @@
 def _create_order(
     session: Session, note: CertNote, wanted: OrderRequest
 ) -> Flow[tuple[str, Order]]:
-    """Make a new order, noted before its request is sent and again with its URL."""
+    """Create an order; save it in the note before its request and again with its URL."""
     urls = yield from session.open()
     begun = OrderNote(session.directory, wanted.names, session.now(), "", wanted.replaces)
     yield SaveNote(replace(note, order=begun))
@@ -117,13 +118,14 @@
     try:
         answer = yield from session.post(urls.order, payload, "new order")
     except AcmeError as error:
-        # "unauthorized" before anything was to be proved: is it the account?
+        # "unauthorized" before any validation may mean that the account is unknown or closed.
         if error.kind is FailureKind.CHALLENGE:
             yield from _check_account(session)
             raise AcmeError(FailureKind.REJECTED, error.detail, error.retry_after) from None
         if "replaces" not in payload or error.kind not in (FailureKind.ORDER, FailureKind.REJECTED):
             raise
-        # RFC 9773, 5: an unknown or already replaced certificate must not prevent a new one.
+        # RFC 9773, 5: an authority may reject an order that replaces an unknown or already replaced
+        # certificate; order again without naming it.
         del payload["replaces"]
         answer = yield from session.post(urls.order, payload, "new order")
     resource_url = messages.url(answer.headers.get("location"), "new order: location")
@@ -142,7 +144,7 @@
 
 
 def _find_lost_order(session: Session, wanted: OrderRequest) -> Flow[tuple[str, Order] | None]:
-    """Find an order whose answer never reached us, if the authority lists orders."""
+    """Find an order whose creation was not answered, if the authority lists orders."""
     try:
         for resource_url in (yield from session.orders()):
             answer = yield from session.post(resource_url, None, "order")
@@ -158,7 +160,7 @@
 def _poll_order(
     session: Session, resource_url: str, deadline: float, states: tuple[str, ...]
 ) -> Flow[Order]:
-    """Poll the order until it has left these states."""
+    """Poll the order until its status is none of these states."""
     interval = INITIAL_POLL_S
     while True:
         answer = yield from session.post(resource_url, None, "order")
@@ -186,8 +188,8 @@
 ) -> Flow[None]:
     """Complete the authorisations of all names.
 
-    All challenges are published and started first and then awaited, so that many names take as long
-    as the slowest. Published challenges are withdrawn in any case.
+    All challenges are started before the first is awaited, so that the authority validates the
+    names concurrently. Published challenges are withdrawn on success and on failure.
     """
     published: list[str] = []
     pending_urls: list[str] = []
@@ -209,9 +211,8 @@
                 yield from session.post(challenge.url, {}, "challenge")
         for resource_url in pending_urls:
             yield from _await_authorisation(session, resource_url, wanted, deadline)
-    except (
-        AcmeError
-    ):  # and nothing else: a run that is closed yields nothing, its challenges expire by age
+    # Only AcmeError: a closed generator must not yield. Its challenges expire by age.
+    except AcmeError:
         if published:
             yield WithdrawChallenges(tuple(published))
         raise
@@ -230,9 +231,9 @@
 
 
 def _choose_challenge(found: Authorisation, wanted: OrderRequest) -> Challenge:
-    for one in found.challenges:
-        if one.type == wanted.challenge:
-            return one
+    for challenge in found.challenges:
+        if challenge.type == wanted.challenge:
+            return challenge
     available = ", ".join(c.type for c in found.challenges) or "none that we know"
     raise AcmeError(
         FailureKind.REJECTED, f"{found.name}: no {wanted.challenge} is offered ({available})"
@@ -257,7 +258,7 @@
 def _download_chain(
     session: Session, resource_url: str, wanted: OrderRequest, issuers: Callable[[bytes], set[str]]
 ) -> Flow[bytes]:
-    """Download the chain; if another issuer is preferred, the first alternate chain that has it."""
+    """Download the chain, or the first alternate chain that has the preferred issuer."""
     answer = yield from session.post(resource_url, None, "certificate")
     if not wanted.issuer or wanted.issuer in issuers(answer.body):
         return answer.body
@@ -267,4 +268,4 @@
         )
         if wanted.issuer in issuers(found.body):
             return found.body
-    return answer.body  # any chain is better than none; operators see the issuer
+    return answer.body  # no chain has the preferred issuer; operators see the actual one
--- a/saffrongw/certs/order_runner.py
+++ b/saffrongw/certs/order_runner.py
@@ -1,8 +1,8 @@
-"""Carries out the steps of orders against an authority: accounts, certificates, renewal windows.
+"""Executes orders with an authority: accounts, certificates and renewal windows.
 
-The steps are decided by ``order_flow.py``; what each step needs kept is written to the shared
-folder before the next one, under the term that the caller holds. A failure is kept with the time of
-the next attempt (``renewal.py``).
+``order_flow.py`` decides the steps. State that a step stores is written to the shared folder before
+the next step, under the caller's lease term. A failure is stored with the time of the next attempt
+(``renewal.py``).
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 log = logging.getLogger(__name__)
 
-# Failures after which the order that was begun can be resumed.
+# Failures after which an unfinished order can be resumed.
 _RESUMABLE = (FailureKind.UNREACHABLE, FailureKind.RATE, FailureKind.LOCAL)
 
 
@@ -53,19 +53,19 @@
         ...
 
     async def sleep(self, span: float) -> None:
-        """Wait so many seconds."""
+        """Wait for this many seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Connection:
-    """An account's session with one authority, and the way to it."""
+    """An account's session with one authority, and the HTTPS client for it."""
 
     session: Session
     https: AuthorityClient
 
 
 class OrderRunner:
-    """Orders certificates and asks for renewal windows, one authority session at a time."""
+    """Orders certificates and fetches renewal windows, with one session for each authority."""
 
     def __init__(
         self,
@@ -83,7 +83,8 @@
         # By the URL of the authority's directory.
         self.sessions: dict[str, Session] = {}
         self._opening: dict[str, asyncio.Lock] = {}
-        # When an authority that offers no renewal windows is asked again, by certificate.
+        # When to ask again for the renewal window of a certificate, after a request that brought no
+        # new one.
         self.window_retry_at: dict[str, float] = {}
 
     # -- accounts -----------------------------------------------------------------------------
@@ -140,7 +141,7 @@
     # -- orders -------------------------------------------------------------------------------
 
     async def order(self, entry: CertTable, term: OrderingTerm) -> None:
-        """Order a certificate, or resume its order, and put it into service; keep what failed."""
+        """Order a certificate, or resume its order, and install it; store a failure."""
         state = self.status.state(entry)
         authorities = self.status.table.authority
         authority = authorities[min(state.failures.authority, len(authorities) - 1)]
@@ -188,8 +189,8 @@
             steps = order_flow.obtain_certificate(session, note, wanted, _issuer_names)
             return await self.perform(steps, https, entry.id, term)
         except AcmeError as error:
-            # An order of a process that died while the authority validated says nothing of the
-            # names.
+            # The order may have failed because its process died during the validation, so a new
+            # order may succeed for the same names.
             was_resumed = bool(note.order and note.order.url)
             if not was_resumed or error.kind not in (FailureKind.CHALLENGE, FailureKind.ORDER):
                 raise
@@ -200,7 +201,7 @@
         return await self.perform(steps, https, entry.id, term)
 
     def _install(self, entry: CertTable, pem: bytes, key: bytes, term: OrderingTerm) -> None:
-        """Check a certificate as every gateway will check it, then install it. Blocks."""
+        """Check a certificate as every gateway does when it loads it, then install it. Blocks."""
         try:
             chain.check_pair(pem, key, entry.names, self.clock.now())
         except chain.ChainError as error:
@@ -214,10 +215,10 @@
     async def _save_failure(
         self, entry: CertTable, authority: AuthorityTable, error: Exception, term: OrderingTerm
     ) -> None:
-        """Keep what failed and when to try again.
+        """Store a failure and the time of the next attempt.
 
-        The key is dropped if the authority may not accept it, the account if the authority forgot
-        it.
+        The pending key is deleted if the authority may have rejected it, and the account's key is
+        retired if the authority no longer knows the account.
         """
         if not isinstance(error, AcmeError):
             error = AcmeError(FailureKind.LOCAL, str(error))
@@ -243,7 +244,7 @@
         try:
             await self._drop_rejected(entry, authority, error.kind, term)
             await self.worker.run(self.site.certificates.amend, entry.id, amend, term)
-        except (AcmeError, OSError) as disk_error:  # the disk is full, or the lease is lost
+        except (AcmeError, OSError) as disk_error:  # for example a full disk or a lost lease
             log.warning("certs: failure not saved: certificate=%s error=%s", entry.id, disk_error)
             self.status.unsaved_failures[entry.id] = failures
         self.status.notes[entry.id] = amend(note)
@@ -272,11 +273,13 @@
     # -- renewal windows ----------------------------------------------------------------------
 
     async def update_window(self, entry: CertTable, term: OrderingTerm) -> None:
-        """Ask the authority when it wants a certificate renewed (RFC 9773), and keep the answer."""
+        """Ask the authority when to renew a certificate (RFC 9773), and store the answer."""
         note, state = self.status.note(entry.id), self.status.state(entry)
         try:
             window = await self._fetch_window(entry, term)
-            if window is None:  # the authority offers none: the rule decides, ask again later
+            if (
+                window is None
+            ):  # the authority offers no windows: renew by the rules, ask again later
                 window = note.window
         except (AcmeError, OSError) as error:
             window = renewal.window_failed(self.clock.now(), state).window
@@ -310,8 +313,8 @@
         https: AuthorityClient,
         certificate_id: str,
         term: OrderingTerm | None,
-    ) -> Any:  # noqa: ANN401 - what the flow returns
-        """Carry out the steps of a flow; return what the flow returns, raise what it raises."""
+    ) -> Any:  # noqa: ANN401 - the result type of the flow
+        """Execute the steps of a flow; return its result or raise its exception."""
         answer: Any = None
         error: AcmeError | None = None
         while True:
@@ -331,11 +334,11 @@
         https: AuthorityClient,
         certificate_id: str,
         term: OrderingTerm | None,
-    ) -> Any:  # noqa: ANN401 - what the step is answered with
+    ) -> Any:  # noqa: ANN401 - depends on the step
         if isinstance(step, HttpRequest):
             return await self._send(step, https)
         if isinstance(step, SaveNote):
-            order = step.note.order  # nothing else of the note is changed by a flow
+            order = step.note.order  # a flow changes no other field of the note
             await self.worker.run(
                 self.site.certificates.amend,
                 certificate_id,
--- a/saffrongw/certs/ordering_lease.py
+++ b/saffrongw/certs/ordering_lease.py
@@ -1,8 +1,8 @@
 """The lease under which one gateway of a site orders certificates, kept in the shared folder.
 
 The decisions are made by ``lease.py``; this module reads and writes ``lease.json`` under the
-folder's lock. Where a lease of the whole fleet exists (``LeaderGuard``), its fencing token is the
-term, and the file only tells gateways that do not know that lease who orders.
+folder's lock. If there is a fleet-wide lease (``LeaderGuard``), its fencing token is the term, and
+the file only keeps gateways that do not use the fleet-wide lease from ordering.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 from .lease import HoldLease, LeaseRecord, LeaseTerms, TakeLease, clamp_to_clock, decide, is_held
 from .shared_folder import SharedFolder, StoreError
 
-# Precedes the holder's name in the file where a lease of the whole fleet is behind it.
+# Prefix of the holder's name in the file if it orders under a fleet-wide lease.
 FLEET_PREFIX = "fleet:"
-# Seconds between two checks of whether the fleet's lease is ours.
+# Seconds between two checks of whether this process holds the fleet-wide lease.
 FLEET_POLL_S = 0.5
 MAX_TERM = 1 << 53
 
 
 class LostLeaseError(StoreError):
-    """Another gateway orders by now; what this one was about to write was not written."""
+    """The ordering lease was lost, so the intended write was not made."""
 
 
 class OrderingTerm(NamedTuple):
-    """Who orders, and under which term; every write checks that the term is still in force."""
+    """The holder and term of the lease; every write checks that the term is still in force."""
 
     holder: str
     term: int
@@ -81,9 +81,9 @@
     def acquire(self, holder: str) -> Acquisition:
         """Take or renew the lease if it is free or ours.
 
-        Under a fleet-wide lease its fencing token is the term, and only a higher term in the file
-        stands in its way. The file tells gateways that go by it alone, until all of them know the
-        fleet's lease.
+        Under a fleet-wide lease, its fencing token is the term. The lease is then not taken if the
+        file has a higher term, or an unexpired lease of a gateway that uses the file alone. The
+        file is written for such gateways, until all of them use the fleet-wide lease.
         """
         if self.leader_guard is not None:
             return self._acquire_under_fleet_lease(holder, self.leader_guard)
@@ -114,7 +114,7 @@
                 return Acquisition(0, retry_at)
             if found is not None and not found.holder.startswith(FLEET_PREFIX):
                 ends_at = clamp_to_clock(now, found, self.terms).until + self.terms.skew
-                if ends_at > now:  # a gateway that goes by the file alone still holds it
+                if ends_at > now:  # held by a gateway that uses the file alone
                     return Acquisition(0, min(retry_at, ends_at))
             self._write_if_due(
                 now, found, LeaseRecord(FLEET_PREFIX + holder, term, now + self.terms.span)
@@ -127,7 +127,7 @@
             self._write(ours)
 
     def release(self, holder: str) -> None:
-        """Let another gateway take the lease at once."""
+        """End our lease, so that another gateway can take it at once."""
         with self.folder.locked():
             found = self.current()
             if found and found.holder in (holder, FLEET_PREFIX + holder):
@@ -135,9 +135,10 @@
 
     @contextlib.contextmanager
     def guarded(self, term: OrderingTerm | None) -> Iterator[None]:
-        """Hold the folder's lock with the term checked under it; None is a change by an operator.
+        """Hold the folder's lock and check under it that the term is still in force.
 
-        Raises ``LostLeaseError`` if the term is no longer in force.
+        Raises ``LostLeaseError`` if it is not. A term of None is not checked: an operator makes the
+        change.
         """
         with self.folder.locked():
             if term is not None and not self._is_in_force(term):
--- a/saffrongw/certs/renewal.py
+++ b/saffrongw/certs/renewal.py
@@ -1,10 +1,8 @@
-"""Renewal decisions.
+"""Renewal decisions: when and from which authority a certificate is ordered, backoffs and alarms.
 
-When a certificate is ordered, from which authority, after which backoff, and alarms.
-
-No I/O, no clock. All times are Unix seconds of a clock that may be wrong: kept times are clamped
-against ``now`` whenever they are read, so that a clock that jumped costs one early or late check
-and nothing more.
+No I/O, no clock. All times are Unix seconds of a clock that may be wrong: stored times are clamped
+against ``now`` whenever they are read, so that a clock jump causes no more than one early or late
+check.
 """
 
 from __future__ import annotations
@@ -19,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Backoff:
-    """An exponential backoff in seconds, and when the next authority is tried instead."""
+    """An exponential backoff in seconds, and after how many failures the authority is changed."""
 
     initial_s: float
     max_s: float
@@ -27,9 +25,9 @@
     factor: float = 2.0
 
 
-# Asking an unreachable authority again costs nothing, so an hour is the maximum; it bounds how soon
-# a renewal follows its return. Failed validations count against limits of a few an hour with public
-# authorities. What was rejected will be rejected again until somebody changes something.
+# Retrying an unreachable authority costs nothing; its maximum of an hour bounds how long after the
+# authority's recovery a renewal starts. Public authorities limit failed validations to a few an
+# hour. A rejected request is rejected again until somebody changes something.
 BACKOFFS = {
     FailureKind.UNREACHABLE: Backoff(MINUTE, HOUR, 3),
     FailureKind.RATE: Backoff(HOUR, DAY, 1),
@@ -40,17 +38,17 @@
     FailureKind.UNUSABLE: Backoff(10 * MINUTE, 12 * HOUR, 2),
     FailureKind.LOCAL: Backoff(10.0, 10 * MINUTE, 1_000_000),
 }
-# Random part of a backoff, so that many names that failed together do not come back together.
+# Largest random share added to a backoff, so that certificates that failed together do not retry
+# together.
 JITTER = 0.25
-# The largest share of the remaining lifetime that a backoff may take, unless the authority named
-# one.
+# Largest backoff as a share of the remaining lifetime; a Retry-After may exceed it.
 MAX_BACKOFF_SHARE = 0.1
-# Seconds that a backoff may take in any case, also once the certificate has expired.
+# Lower bound, in seconds, of that limit, which shrinks to zero as the certificate expires.
 MIN_BACKOFF_LIMIT_S = 30.0
-# Seconds between attempts while there is no certificate at all.
+# Largest backoff in seconds while there is no certificate at all.
 MAX_BACKOFF_WITHOUT_CERTIFICATE_S = 10 * MINUTE
-# Share of a lifetime over which certificates with one lifetime spread their renewals before they
-# are due.
+# Renewals become due earlier by up to this share of the lifetime, so that certificates issued
+# together are not renewed together.
 RENEWAL_SPREAD = 0.1
 
 
@@ -58,8 +56,8 @@
 class Failures:
     """Failures since the last success, as kept in ``note.json``.
 
-    ``count`` failures of one kind in a row; ``authority`` is the index that is tried next;
-    ``forced`` says that ``next_at`` is the authority's own Retry-After.
+    ``count`` is the number of consecutive failures of this kind; ``authority`` is the index of the
+    authority that is tried next; ``forced`` says that ``next_at`` is the authority's Retry-After.
     """
 
     kind: str = ""
@@ -91,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RenewalRules:
-    """Shares of the lifetime left at which a renewal is due, or an alarm is raised."""
+    """Remaining shares of the lifetime at which a renewal is due or an alarm is raised."""
 
     lead: float = 1 / 3
     notice: float = 0.25
@@ -101,10 +99,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CertificateState:
-    """What decides about one certificate; without one, ``start`` and ``end`` are None.
+    """The input of all decisions about one certificate.
 
-    ``draw``, 0 to 1, is its position in spreads and windows. ``wanted`` says that an operator asked
-    for a renewal now, or that its names changed.
+    ``start`` and ``end`` are None if there is no certificate yet. ``draw``, 0 to 1, is its position
+    within renewal windows and ``RENEWAL_SPREAD``. ``wanted`` says that an operator asked for a
+    renewal now, or that its names changed.
     """
 
     start: float | None = None
@@ -116,10 +115,10 @@
 
 
 def due_at(state: CertificateState, rules: RenewalRules) -> float:
-    """Return when the renewal begins if nothing failed; without a certificate at once.
+    """Return when the renewal is due, failures aside; 0 if there is no certificate.
 
-    An authority's window counts, but never beyond half of the lead time: a window that begins after
-    the certificate expires, or on its last day, must not be followed.
+    An authority's window replaces the rule, but the renewal begins no later than half the lead time
+    before the end: a window on the last day or after the expiry must not be followed.
     """
     if state.wanted or state.start is None or state.end is None:
         return 0.0
@@ -132,13 +131,13 @@
 
 
 def next_attempt_at(now: float, state: CertificateState, rules: RenewalRules) -> float:
-    """Return when to begin, with failures and their backoff taken into account."""
+    """Return when the next attempt begins, including the backoff after failures."""
     due = due_at(state, rules)
     failures = state.failures
     if not failures:
         return due
-    # A clock that was ahead when it was written must not silence us; one pause of the longest kind
-    # is the bound.
+    # A ``next_at`` stored while the clock was ahead would stop all attempts until then, so it is
+    # limited to the longest backoff from now.
     longest = BACKOFFS[FailureKind(failures.kind)].max_s * (1 + JITTER)
     until = failures.next_at if failures.forced else min(failures.next_at, now + longest)
     if failures.forced:
@@ -155,57 +154,57 @@
     draw: float,
     authorities: int,
 ) -> Failures:
-    """Return the failures to keep after one more.
+    """Return the failures to store after one more.
 
-    The backoff grows by kind and shrinks as the expiry nears; after some failures the next
-    authority is tried.
+    The backoff grows as its kind demands and is limited as the expiry nears; after the kind's
+    number of failures the next authority is tried.
     """
     before = state.failures
     count = before.count + 1 if before.kind == kind.value else 1
-    pause = BACKOFFS[kind]
-    wait = min(pause.initial_s * pause.factor ** min(count - 1, 40), pause.max_s)
-    near = (
+    backoff = BACKOFFS[kind]
+    wait_s = min(backoff.initial_s * backoff.factor ** min(count - 1, 40), backoff.max_s)
+    limit_s = (
         MAX_BACKOFF_WITHOUT_CERTIFICATE_S
         if state.end is None
         else max(MIN_BACKOFF_LIMIT_S, MAX_BACKOFF_SHARE * (state.end - now))
     )
-    wait = min(wait, near)
-    wait *= 1 + JITTER * draw
-    authority, forced = before.authority, retry_after > wait
-    if authorities > 1 and count % pause.failures_before_next_authority == 0:
-        # The other one has not asked us to wait, and what failed here need not fail there.
-        authority, wait, forced = (
+    wait_s = min(wait_s, limit_s)
+    wait_s *= 1 + JITTER * draw
+    authority, forced = before.authority, retry_after > wait_s
+    if authorities > 1 and count % backoff.failures_before_next_authority == 0:
+        # The backoff and the Retry-After of this authority do not apply to the next one.
+        authority, wait_s, forced = (
             (authority + 1) % authorities,
-            min(wait, MINUTE * (1 + draw)),
+            min(wait_s, MINUTE * (1 + draw)),
             False,
         )
     elif forced:
-        wait = retry_after
+        wait_s = retry_after
     since = before.since if before and before.since <= now else now
     return Failures(
-        kind.value, count, now + wait, since, now, detail, authority % max(1, authorities), forced
+        kind.value, count, now + wait_s, since, now, detail, authority % max(1, authorities), forced
     )
 
 
 def alarm(now: float, state: CertificateState, rules: RenewalRules) -> Alarm:
-    """Return how urgent a state is, by the share of the lifetime that is left."""
+    """Return how urgent a state is, by the remaining share of the lifetime."""
     if state.start is None or state.end is None:
         return Alarm.CRITICAL if state.failures else Alarm.NOTICE
-    left, lifetime_s = state.end - now, max(1.0, state.end - state.start)
-    if left <= 0:
+    remaining_s, lifetime_s = state.end - now, max(1.0, state.end - state.start)
+    if remaining_s <= 0:
         return Alarm.ENDED
-    part = left / lifetime_s
-    if part <= rules.critical:
+    remaining_share = remaining_s / lifetime_s
+    if remaining_share <= rules.critical:
         return Alarm.CRITICAL
-    if part <= rules.warning:
+    if remaining_share <= rules.warning:
         return Alarm.WARNING
-    return Alarm.NOTICE if part <= rules.notice else Alarm.NONE
+    return Alarm.NOTICE if remaining_share <= rules.notice else Alarm.NONE
 
 
 def window_question_at(now: float, state: CertificateState) -> float:
-    """Return when the authority is asked for the window.
+    """Return when to ask the authority for the renewal window.
 
-    At once if none is known or the clock went back.
+    This is now if no window is known or if the clock went back.
     """
     window = state.window
     if window is None or window.ask_at > now + DAY + HOUR:
@@ -214,9 +213,9 @@
 
 
 def window_failed(now: float, state: CertificateState) -> CertificateState:
-    """Return the state after a failed question.
+    """Return the state after a failed request for the renewal window.
 
-    The known window stays, the next question comes in an hour.
+    The known window stays and is requested again in an hour.
     """
     window = state.window
     return replace(state, window=replace(window, ask_at=now + HOUR) if window else None)
--- a/saffrongw/certs/renewal_loop.py
+++ b/saffrongw/certs/renewal_loop.py
@@ -1,10 +1,9 @@
-"""The loops that keep a site's certificates in service.
+"""The background tasks that keep a site's certificates obtained, renewed and loaded.
 
-Watching the folder, and ordering what is due.
-
-Every gateway of a site runs one. The holder of the ordering lease orders; all gateways check the
-shared folder once a second and serve what is new there. Disk access and the making of keys run on
-one worker thread; an authority that does not answer delays one certificate and nothing else.
+Every gateway of a site runs them. Only the holder of the ordering lease orders certificates; all
+gateways check the shared folder once a second and serve new certificates. Disk access and key
+generation run on one worker thread. Each order is a task of its own, so an authority that does not
+answer delays only the certificates ordered from it.
 """
 
 from __future__ import annotations
@@ -40,25 +39,25 @@
 
 # Seconds between two checks of the shared folder.
 FOLDER_POLL_S = 1.0
-# Seconds after which everything is loaded again also without a change: what has expired may be
-# replaced.
+# Seconds after which all certificates are loaded again even if the folder has not changed, because
+# an expired one may have to be replaced by another version.
 RELOAD_S = 60.0
 MAX_CONCURRENT_ORDERS = 4
-# Seconds at most between two checks of what is due.
+# Largest time in seconds between two checks for due orders.
 MAX_IDLE_S = 30.0
-# Seconds between two log lines about one certificate at one alarm level.
+# Seconds after which an unchanged alarm of a certificate is logged again.
 ALARM_REPEAT_S = 3_600.0
 
 
 class SystemClock:
-    """The system's time in Unix seconds, and how to wait; tests run a faster one."""
+    """The system's time in Unix seconds, and a way to wait; tests use a faster clock."""
 
     def now(self) -> float:
         """Return Unix seconds."""
         return time.time()
 
     async def sleep(self, span: float) -> None:
-        """Wait so many seconds."""
+        """Wait for this many seconds."""
         await asyncio.sleep(span)
 
 
@@ -68,7 +67,7 @@
 
 
 class _DueCertificate(NamedTuple):
-    """A certificate whose order or window question is due, sorted by when it ends."""
+    """A certificate whose order or renewal window request is due, sorted by its expiry."""
 
     ends_at: float
     window_only: bool
@@ -76,7 +75,7 @@
 
 
 class RenewalLoop:
-    """One gateway's part in obtaining and keeping certificates."""
+    """Loads certificates from the shared folder, and orders due ones while it holds the lease."""
 
     def __init__(
         self,
@@ -88,7 +87,7 @@
         https: Callable[[str], AuthorityClient] = AuthorityClient,
         leader_guard: LeaderGuard | None = None,
     ) -> None:
-        """Build all parts for one site; ``holder`` names this process in the lease."""
+        """Build all components for one site; ``holder`` names this process in the lease."""
         self.table, self.holder, self.clock = table, holder, clock or SystemClock()
         terms = LeaseTerms(table.lease_seconds, table.clock_skew)
         now = self.clock.now
@@ -100,7 +99,7 @@
         self.orders = OrderRunner(self.site, self.status, self.worker, self.clock, https)
         # The term of the ordering lease; 0 if another gateway holds it.
         self.term = 0
-        # Orders and window questions that run, by certificate.
+        # Running orders and renewal window requests, by certificate identifier.
         self.running: dict[str, asyncio.Task[None]] = {}
         self.logged_alarms: dict[str, _LoggedAlarm] = {}
         self.tasks: list[asyncio.Task[None]] = []
@@ -109,7 +108,7 @@
     # -- start and stop -----------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Open the folder and load what serves; ``OSError`` if that is not possible."""
+        """Open the folder and load the certificates; ``OSError`` if that is not possible."""
         try:
             await self.worker.run(self.site.folder.open)
             await self.worker.run(self.loaded.load)
@@ -122,7 +121,7 @@
         ]
 
     async def stop(self) -> None:
-        """End all tasks and release the lease; what an order has reached is on the disk."""
+        """End all tasks and release the lease; the progress of orders is already stored."""
         working = [*self.tasks, *self.running.values()]
         for task in working:
             task.cancel()
@@ -133,7 +132,7 @@
         self.worker.close()
 
     def reconfigure(self, table: CertsTable, tls_settings: TlsSettings) -> None:
-        """Apply another table; orders that run end by the old one."""
+        """Apply another table; running orders finish with the old one."""
         self.table = self.status.table = table
         self.loaded.settings = tls_settings
         self.loaded.default = table.first
@@ -161,7 +160,7 @@
     # -- the folder ---------------------------------------------------------------------------
 
     async def _watch_folder(self) -> None:
-        """Serve new certificates, whichever gateway obtained them, and raise alarms."""
+        """Load certificates that any gateway has installed, and log alarms."""
         seen_marker, settings, loaded_at = None, self.loaded.settings, 0.0
         while True:
             try:
@@ -191,7 +190,7 @@
     # -- ordering -----------------------------------------------------------------------------
 
     async def _order_due(self) -> None:
-        """Hold the ordering lease if possible, and begin what is due."""
+        """Keep trying to hold the ordering lease, and begin due orders while it is held."""
         while True:
             self.wake.clear()
             next_at = self.clock.now() + MAX_IDLE_S
@@ -200,13 +199,13 @@
             except (AcmeError, OSError) as error:
                 self.term = 0
                 log.warning("certs: ordering failed: error=%s", error)
-            except Exception:  # a bug must not end the ordering for good
+            except Exception:  # a bug must not end this task
                 log.exception("certs: ordering failed: unexpected error")
             delay = max(self.table.lease_seconds / 100, next_at - self.clock.now())
             await self._sleep_or_wake(min(delay, MAX_IDLE_S))
 
     async def _hold_lease_and_begin(self) -> float:
-        """Return when to check again (Unix seconds)."""
+        """Take or renew the lease, begin due orders, and return when to check again."""
         previous_term = self.term
         self.term, retry_at = await self.worker.run(self.site.lease.acquire, self.holder)
         if self.term and self.term != previous_term:
@@ -227,14 +226,14 @@
             woken.cancel()
 
     def _clear_interrupted_installs(self) -> None:
-        """Clear what the previous holder of the lease may have left behind. Blocks."""
+        """Finish installations that the previous holder of the lease was interrupted in. Blocks."""
         term = OrderingTerm(self.holder, self.term)
         for certificate_id in self.site.certificates.ids():
-            with contextlib.suppress(DocumentError):  # logged where the note is read
+            with contextlib.suppress(DocumentError):  # ``read_notes`` logs it
                 self.site.certificates.finish_interrupted_install(certificate_id, term)
 
     async def _begin_due(self) -> float:
-        """Begin the orders that are due, the most urgent first; return when the next one is due."""
+        """Begin due orders, the earliest expiry first; return when the next one is due."""
         self.status.notes = await self.worker.run(self.status.read_notes)
         now, due = self.clock.now(), []
         next_at = now + MAX_IDLE_S
@@ -259,7 +258,7 @@
     def _window_question_at(
         self, now: float, entry: CertTable, state: renewal.CertificateState
     ) -> float:
-        """Return when the authority is asked for the renewal window of a certificate."""
+        """Return when to ask the authority for the renewal window of a certificate."""
         ask_at = float("inf") if state.end is None else renewal.window_question_at(now, state)
         retry_at = self.orders.window_retry_at.get(entry.id, 0.0)
         clock_went_back = retry_at > now + renewal.HOUR
--- a/saffrongw/certs/responder.py
+++ b/saffrongw/certs/responder.py
@@ -1,6 +1,6 @@
 """HTTP server for HTTP-01 challenges (RFC 8555, 8.3).
 
-A known token gets its key authorisation, all else 404.
+A request for a known token gets its key authorisation, any other request 404.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 PATH = b"/.well-known/acme-challenge/"
 MAX_CONNECTIONS = 64
-# For a whole connection.
+# Lifetime of a connection.
 TIMEOUT_S = 5.0
 MAX_HEAD_BYTES = 8 * 1024
 
@@ -40,7 +40,7 @@
         self.limit = self.responder.loop.call_later(TIMEOUT_S, transport.abort)
 
     def data_received(self, data: bytes) -> None:
-        """Read the request; bytes behind it are ignored."""
+        """Read the request; bytes after it are ignored."""
         if self.has_request or self.transport.is_closing():
             return
         try:
@@ -72,7 +72,7 @@
         self.transport.close()
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Forget the connection."""
+        """Unregister the connection."""
         self.limit.cancel()
         self.responder.open.discard(self)
 
@@ -106,7 +106,7 @@
         return len(self.open) + self.acceptor.opening < MAX_CONNECTIONS
 
     def opened(self, connection: _ChallengeConnection) -> None:
-        """Count a new connection."""
+        """Register a new connection."""
         self.acceptor.opened(connection)
         self.open.add(connection)
 
--- a/saffrongw/certs/shared_folder.py
+++ b/saffrongw/certs/shared_folder.py
@@ -1,18 +1,16 @@
-"""The folder that all gateways of one site share.
+"""The folder that all gateways of one site share: atomic, durable files and one lock.
 
-Atomic, durable files and one lock for all processes.
-
-    lock                        held (flock) for each change
-    lease.json                  who orders certificates (``ordering_lease.py``)
-    news                        changes whenever another certificate serves
+    lock                        held (flock) during each change
+    lease.json                  the ordering lease (``ordering_lease.py``)
+    news                        changes whenever a certificate is installed
     authorities/DIGEST/         account.json, account.key, account.next (``account_store.py``)
     certs/ID/                   note.json, pending.key, current and versions
                                 (``certificate_store.py``)
     challenges/                 TOKEN.json (``challenge_store.py``)
 
 These are plain files rather than a database: several machines may mount the folder, each key has
-its own mode, and operators can read them with the tools they know. Nothing here may be called on
-the event loop; several processes may use one folder at once.
+its own mode, and operators can read them with standard tools. All functions block, so none may be
+called on the event loop; several processes may use one folder at once.
 """
 
 from __future__ import annotations
@@ -43,15 +41,15 @@
 
 
 class StoreError(AcmeError):
-    """The shared folder cannot be used as it is; the message names the file and the cause."""
+    """The shared folder cannot be used; the message names the file and the cause."""
 
     def __init__(self, detail: str) -> None:
-        """Make it a local failure with this detail."""
+        """Create a failure of kind LOCAL with this detail."""
         super().__init__(FailureKind.LOCAL, detail)
 
 
 def store_error(error: OSError, path: Path) -> StoreError:
-    """Describe an operating-system error in words that operators know."""
+    """Convert an operating-system error to a ``StoreError`` with a message for operators."""
     text = _OS_ERROR_TEXTS.get(error.errno or 0, error.strerror or error)
     return StoreError(f"{path}: {text}")
 
@@ -71,8 +69,8 @@
     def open(self) -> None:
         """Create the folder if there is none.
 
-        Raises ``StoreError`` if it belongs to another program (it is left untouched), if others can
-        read it, or if it cannot be created.
+        Raises ``StoreError`` if it belongs to another program (it is left unchanged), if other
+        users can read it, or if it cannot be created.
         """
         try:
             self.path.mkdir(mode=0o700, parents=True, exist_ok=True)
@@ -135,7 +133,7 @@
 
     @staticmethod
     def sync(directory: Path) -> None:
-        """Make renames inside a directory durable."""
+        """Make renames inside a directory durable (fsync)."""
         descriptor = os.open(directory, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(descriptor)
@@ -164,9 +162,9 @@
 
     @contextlib.contextmanager
     def locked(self) -> Iterator[None]:
-        """Hold the lock that serialises changes over all processes.
+        """Hold the lock that serialises changes by all processes.
 
-        It is freed if the holder dies.
+        It is released if its holder dies.
         """
         lock_file = self.path / "lock"
         try:
--- a/saffrongw/certs/table.py
+++ b/saffrongw/certs/table.py
@@ -1,6 +1,6 @@
 """Schema of ``[certs]`` in the operator file: keys, units, defaults and bounds.
 
-It is read with every operator file, so it imports nothing of the rest.
+It is loaded with every operator file, so it imports no other module of the package.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 CHALLENGES = ("tls-alpn-01", "http-01")
 # Authorities allow no more names in one certificate.
 MAX_NAMES = 100
-# A TLS context is kept for each.
+# Each has a TLS context in memory.
 MAX_CERTIFICATES = 1_000
-# Reasons of a revocation (RFC 5280, 5.3.1).
+# Revocation reasons (RFC 5280, 5.3.1).
 REASONS = {
     "unspecified": 0,
     "key-compromise": 1,
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AuthorityTable:
-    """``[[certs.authority]]``: tried in this order when the one before it keeps failing."""
+    """``[[certs.authority]]``: an authority; the next in order is tried when one keeps failing."""
 
     directory: str = key(form=URL, about="its directory")
     contact: tuple[str, ...] = key((), about="addresses of mail")
@@ -43,7 +43,7 @@
     external_key: str = key("", about="the file of its key, base64url, mode 0600")
 
     def __post_init__(self) -> None:
-        """Reject an external account without its key, and the reverse."""
+        """Reject an external account without its key, and a key without an account."""
         if bool(self.external_id) != bool(self.external_key):
             raise ValueError("external_id and external_key stand together or not at all")
 
@@ -67,13 +67,13 @@
 
     @property
     def id(self) -> str:
-        """Return the identifier under which the certificate is kept."""
+        """Return the identifier under which the certificate is stored."""
         return self.names[0]
 
 
 @dataclass(frozen=True, slots=True)
 class ClientsTable:
-    """``[certs.tls]``: how TLS is spoken with clients, and what its handshakes may cost."""
+    """``[certs.tls]``: TLS settings for clients, and limits on their handshakes."""
 
     minimum: str = key("1.2", choices=("1.2", "1.3"))
     protocols: tuple[str, ...] = key(
@@ -95,14 +95,14 @@
     )
 
     def __post_init__(self) -> None:
-        """Reject client authorities without client certificates, and the reverse."""
+        """Reject client authorities where no client certificates are requested, and the reverse."""
         if (self.clients != "none") != bool(self.client_ca):
             raise ValueError("client_ca is needed where clients prove themselves, and only there")
 
 
 @dataclass(frozen=True, slots=True)
 class RenewalTable:
-    """``[certs.renewal]``: parts of a certificate's life that are left."""
+    """``[certs.renewal]``: remaining shares of the lifetime at which a renewal or alarm is due."""
 
     lead: float = key(
         1 / 3, minimum=0.02, maximum=0.9, about="when it is renewed, without an authority's window"
@@ -122,7 +122,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CertsTable:
-    """``[certs]``: TLS for clients, and its certificates."""
+    """``[certs]``: TLS for clients, and the certificates for it."""
 
     listen: str = key(form=ADDRESS, about="where clients connect by TLS")
     state_dir: Path = key(about="a folder that all gateways with these names share")
--- a/saffrongw/certs/tls_listener.py
+++ b/saffrongw/certs/tls_listener.py
@@ -1,10 +1,10 @@
-"""The TLS listener for clients, beside the plain one; its connections are served like any other.
+"""The TLS listener for clients; its connections are served like those of the plain listener.
 
-The ClientHello of each connection is read ahead (``MSG_PEEK``), the connection waits for its turn
-(``handshakes.py``), and only then costs a handshake. One base context stands before all names and
-lives for hours: it holds the keys of session tickets, so that a new certificate costs nobody a full
-handshake. The context of a name is looked up during the handshake, so a swap of certificates is one
-assignment, and open connections go on with the certificate they have.
+The ClientHello of each connection is peeked at (``MSG_PEEK``), and the handshake begins only when
+``handshakes.py`` admits it. All handshakes start with one base context, which is kept for hours: it
+holds the session ticket keys, so clients can resume sessions after a certificate has been replaced.
+The context of a name is looked up during the handshake, so replacing certificates is a single
+assignment, and open connections keep the certificate they have.
 """
 
 from __future__ import annotations
@@ -30,9 +30,9 @@
 
 log = logging.getLogger(__name__)
 
-# The TLS record that carries an alert, and the level of one that ends the connection.
+# The TLS record type of alerts, and the alert level that ends the connection.
 ALERT_RECORD, FATAL_LEVEL = 21, 2
-# Seconds for a client to answer that the connection ends.
+# Seconds to wait for a client's close_notify when a connection is closed.
 SHUTDOWN_TIMEOUT_S = 1.0
 MAX_PEEK_BYTES = client_hello.MAX_HELLO_BYTES + 1_024
 TCP_ESTABLISHED = 1
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TlsSettings:
-    """How TLS is spoken: versions, ALPN protocols, and whether clients prove themselves.
+    """TLS settings: versions, ALPN protocols and client certificates.
 
     ``clients`` is a key of ``CLIENT_VERIFICATION``; the keys of session tickets are replaced after
     ``ticket_lifetime_s`` seconds.
@@ -134,21 +134,21 @@
     # -- start and stop -----------------------------------------------------------------------
 
     def prepare(self) -> None:
-        """Bind the address, so that an error ends the start; nothing is accepted yet."""
+        """Bind the address without accepting; an error aborts the start of the gateway."""
         self.listener = socket.create_server(self.address, backlog=LISTEN_BACKLOG, reuse_port=True)
         self.listener.setblocking(False)
         self._is_prepared = True
         self._replace_ticket_keys(0.0)
 
     async def open(self, clients: ClientConnections) -> None:
-        """Accept connections from now on and serve them as ``clients`` does."""
+        """Start accepting; ``clients`` serves the connections."""
         self.clients, self.loop = clients, clients.loop
         self._is_open = True
         self._replace_ticket_keys(self.loop.time())
         self.loop.add_reader(self.listener, self._accept)
 
     def close(self) -> None:
-        """Accept no more; handshakes that have begun may finish."""
+        """Stop accepting; handshakes that have begun may finish."""
         if self._is_prepared and self.listener.fileno() >= 0:
             if self._is_open:
                 self.loop.remove_reader(self.listener)
@@ -179,9 +179,9 @@
         return context
 
     def _replace_ticket_keys(self, now: float) -> None:
-        """Make new session ticket keys.
+        """Create new session ticket keys.
 
-        Clients with tickets under the old ones pay a full handshake.
+        Clients with older tickets need a full handshake.
         """
         self.base_context = self._make_base_context(self.settings)
         self.ticket_keys_made_at = now
@@ -206,7 +206,7 @@
         for _ in range(MAX_ACCEPTS_PER_TURN):
             try:
                 sock, _ = self.listener.accept()
-            except OSError:  # no connection is left, or the client has gone again
+            except OSError:  # the queue is empty, or the client has already reset the connection
                 break
             self._admit(sock)
         self._advance()
@@ -227,7 +227,7 @@
         self.loop.add_reader(sock, self._peek, sock)
 
     def _drop(self, sock: socket.socket) -> None:
-        """Close a connection before its handshake; what it sent is not read."""
+        """Close a connection before its handshake without reading its data."""
         self.loop.remove_reader(sock)
         sock.close()
 
@@ -255,7 +255,8 @@
         if needed > MAX_PEEK_BYTES or needed <= received:
             self._reject(sock, "no hello")
             return
-        # Without this mark the loop would report the bytes that are there again and again.
+        # Peeked bytes stay in the socket; without this low-water mark the event loop would call
+        # ``_peek`` continuously.
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVLOWAT, needed)
         if self._has_ended(sock):
             self._reject(sock, "left")
@@ -282,8 +283,8 @@
     def _send_alert(self, sock: socket.socket, description: int) -> None:
         """Send a fatal alert before any key is used, and close.
 
-        What the client sent is read first: a close over unread bytes resets the connection, and the
-        alert would be lost.
+        The client's data is read first: closing a socket with unread data resets the connection,
+        and the alert would be lost.
         """
         self.handshakes.ended(sock, "refused")
         with contextlib.suppress(OSError):
@@ -307,7 +308,7 @@
     # -- the handshake ------------------------------------------------------------------------
 
     def _advance(self) -> None:
-        """Begin what may begin, drop what is late, and set a timer for the rest."""
+        """Drop expired connections, begin admitted handshakes, and set the next timer."""
         now = self._now()
         for sock in self.handshakes.expire(now):
             self._drop(sock)
@@ -338,14 +339,14 @@
                 ssl_handshake_timeout=timeout_s,
                 ssl_shutdown_timeout=SHUTDOWN_TIMEOUT_S,
             )
-        except (OSError, EOFError) as error:  # TLS errors and time-outs are among them
+        except (OSError, EOFError) as error:  # includes TLS errors and time-outs
             self.handshakes.ended(sock, "late" if _is_timeout(error) else "failed")
             sock.close()
         else:
             tls = transport.get_extra_info("ssl_object")
             self.handshakes.succeeded(sock, bool(tls and tls.session_reused))
             if not isinstance(protocol, ClientConnection):
-                transport.close()  # the handshake itself was the answer
+                transport.close()  # the handshake has already proved the name
         self._advance()
 
 
