--- a/tests/certs/acme_rig.py
+++ b/tests/certs/acme_rig.py
@@ -1,4 +1,4 @@
-"""A site for tests of certificates: gateways in this process, an authority on loopback, a clock that can run fast."""
+"""Fixtures for certificate tests: gateways in this process, an authority on loopback, a fast clock."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class FastClock(SystemClock):
-    """Real time from a start on, so many times as fast; ``ahead`` makes it jump."""
+    """A clock that runs ``pace`` times as fast as real time; adding to ``ahead`` makes it jump."""
 
     def __init__(self, pace: float = 1.0) -> None:
         self.pace, self.began, self.ahead = pace, time.time(), 0.0
@@ -35,7 +35,7 @@
 
 
 def table_of(folder: Path, server: AuthorityServer, **changes) -> CertsTable:
-    """One certificate for one name, proved by TLS, from one authority."""
+    """A table with one certificate for one name, validated by TLS-ALPN-01, from one authority."""
     ca = str(server.write_ca(folder))
     found = CertsTable(
         f"127.0.0.1:{free_port()}",
@@ -83,7 +83,7 @@
 async def secure_caller(
     port: int, name: str | None, context: ssl.SSLContext | None = None
 ) -> Caller:
-    """A client's connection by TLS; the certificate is not verified here."""
+    """Open a client connection over TLS without verifying the certificate."""
     loop, tls = asyncio.get_running_loop(), context or trusting()
     made = await loop.create_connection(
         Caller, "127.0.0.1", port, ssl=tls, server_hostname=name or ""
@@ -92,7 +92,7 @@
 
 
 async def shown_at(port: int, name: str | None) -> bytes:
-    """The certificate that a new client is shown, as DER."""
+    """Return the certificate that a new client receives, as DER."""
     caller = await secure_caller(port, name)
     found = caller.transport.get_extra_info("ssl_object").getpeercert(binary_form=True)
     caller.transport.abort()
--- a/tests/certs/kill_points.py
+++ b/tests/certs/kill_points.py
@@ -1,5 +1,5 @@
-"""A gateway that kills itself (SIGKILL) at the nth step of its way to a certificate: before or after each change of the
-shared folder, before or after each request to the authority. ``python -m tests.certs.kill_points N``.
+"""A gateway that kills itself (SIGKILL) at the nth step of an order. A step is the time before or after
+a change of the shared folder or a request to the authority. ``python -m tests.certs.kill_points N``.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 
 def kill_at(number: int) -> None:
-    """Every store of this process counts its steps together and dies at that one."""
+    """Kill this process at the step with this number, counted over all of its stores."""
     plain, left = certificate_store.CertificateSite.__init__, number
 
     def step(name: str) -> None:
         nonlocal left
-        if name.endswith("lease.json"):  # written by the clock, not by the order
+        if name.endswith("lease.json"):  # written at intervals, not by the order
             return
         left -= 1
         if left == 0:
--- a/tests/certs/test_certificate_store.py
+++ b/tests/certs/test_certificate_store.py
@@ -1,4 +1,4 @@
-"""The shared folder: whole or not at all, for its owner alone, one orderer's word at a time, and a disk that fails."""
+"""The shared folder: atomic changes, file modes, writes under the lease only, and disk errors."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 ID = "gw.example"
 
 
-class World:
+class StoreFixture:
     def __init__(self, tmp_path):
         self.now = NOW
         self.site = CertificateSite(tmp_path / "state", lambda: self.now)
@@ -39,32 +39,32 @@
 
 
 @pytest.fixture
-def world(tmp_path):
-    return World(tmp_path)
+def stores(tmp_path):
+    return StoreFixture(tmp_path)
 
 
 def all_files(folder):
     return [p for p in folder.rglob("*") if p.is_file()]
 
 
-def test_nobody_else_can_read_anything(world):
+def test_only_the_owner_can_read_the_folder(stores):
     os.umask(0)
     try:
-        world.install()
-        world.site.accounts.load("https://ca.example/dir", world.term)
-        world.site.certificates.pending_key("other", "ecdsa-p256", world.term)
+        stores.install()
+        stores.site.accounts.load("https://ca.example/dir", stores.term)
+        stores.site.certificates.pending_key("other", "ecdsa-p256", stores.term)
     finally:
         os.umask(0o022)
-    for path in all_files(world.site.folder.path):
+    for path in all_files(stores.site.folder.path):
         assert path.stat().st_mode & 0o077 == 0, path
     for path in [
-        world.site.folder.path,
-        *(p for p in world.site.folder.path.rglob("*") if p.is_dir()),
+        stores.site.folder.path,
+        *(p for p in stores.site.folder.path.rglob("*") if p.is_dir()),
     ]:
         assert path.stat().st_mode & 0o077 == 0, path
 
 
-def test_a_folder_that_others_can_read_or_of_another_program_is_refused(tmp_path):
+def test_a_folder_readable_by_others_or_of_another_schema_is_rejected(tmp_path):
     (tmp_path / "open").mkdir(mode=0o755)
     with pytest.raises(StoreError, match="0700"):
         CertificateSite(tmp_path / "open").folder.open()
@@ -75,7 +75,7 @@
     assert (tmp_path / "other" / "schema").read_text() == "saffrongw certs 2\n"
 
 
-def test_notes_come_back_as_they_were(world):
+def test_a_note_is_read_as_it_was_written(stores):
     note = CertNote(
         (ID,),
         OrderNote("https://ca.example/dir", (ID,), NOW, "https://ca.example/order/1", "x.y"),
@@ -83,9 +83,9 @@
         RenewalWindow(NOW, NOW + DAY, NOW + 60),
         True,
     )
-    world.site.certificates.amend(ID, lambda _: note, world.term)
-    assert world.site.certificates.note(ID) == note
-    assert world.site.certificates.note("unknown") == CertNote()
+    stores.site.certificates.amend(ID, lambda _: note, stores.term)
+    assert stores.site.certificates.note(ID) == note
+    assert stores.site.certificates.note("unknown") == CertNote()
 
 
 @pytest.mark.parametrize(
@@ -105,41 +105,41 @@
         b"[" * 100_000,
     ],
 )
-def test_a_note_that_makes_no_sense_is_told_and_the_certificate_still_serves(world, text):
-    world.install()
-    (world.site.folder.path / "certs" / ID / "note.json").write_bytes(text)
+def test_a_malformed_note_raises_and_the_certificate_still_serves(stores, text):
+    stores.install()
+    (stores.site.folder.path / "certs" / ID / "note.json").write_bytes(text)
     with pytest.raises(DocumentError, match=r"note\.json"):
-        world.site.certificates.note(ID)
-    assert world.site.certificates.pair(ID).facts.end == NOW + DAY
+        stores.site.certificates.note(ID)
+    assert stores.site.certificates.pair(ID).facts.end == NOW + DAY
 
 
-def test_who_lost_the_lease_writes_nothing(world):
+def test_no_write_succeeds_after_the_lease_is_lost(stores):
     before = CertNote(names=("before",))
-    world.site.certificates.amend(ID, lambda _: before, world.term)
-    world.now += 60
-    assert world.site.lease.acquire("b")[0] == 2
+    stores.site.certificates.amend(ID, lambda _: before, stores.term)
+    stores.now += 60
+    assert stores.site.lease.acquire("b")[0] == 2
     for write in (
-        lambda: world.site.certificates.amend(ID, lambda _: CertNote(), world.term),
-        lambda: world.site.certificates.pending_key(ID, "ecdsa-p256", world.term),
-        lambda: world.site.certificates.install(ID, issued(), KEY, CertNote(), world.term),
-        lambda: world.site.challenges.publish(
-            ChallengeProof(ID, "http-01", "token1234", "x", NOW), world.term
+        lambda: stores.site.certificates.amend(ID, lambda _: CertNote(), stores.term),
+        lambda: stores.site.certificates.pending_key(ID, "ecdsa-p256", stores.term),
+        lambda: stores.site.certificates.install(ID, issued(), KEY, CertNote(), stores.term),
+        lambda: stores.site.challenges.publish(
+            ChallengeProof(ID, "http-01", "token1234", "x", NOW), stores.term
         ),
-        lambda: world.site.accounts.load("https://new.example/dir", world.term),
-        lambda: world.site.accounts.retire_key("https://ca.example/dir", world.term),
+        lambda: stores.site.accounts.load("https://new.example/dir", stores.term),
+        lambda: stores.site.accounts.retire_key("https://ca.example/dir", stores.term),
     ):
         with pytest.raises(LostLeaseError):
             write()
-    assert world.site.certificates.note(ID) == before
-    assert world.site.certificates.pair(ID) is None
+    assert stores.site.certificates.note(ID) == before
+    assert stores.site.certificates.pair(ID) is None
 
 
-def test_the_lease_of_one_that_died_is_taken_and_one_that_stopped_gives_it_up(world):
-    assert world.site.lease.acquire("b") == (0, NOW + 32)
-    world.site.lease.release("b")  # not its own
-    assert world.site.lease.acquire("b")[0] == 0
-    world.site.lease.release("a")
-    assert world.site.lease.acquire("b")[0] == 2
+def test_only_the_holder_can_release_the_lease(stores):
+    assert stores.site.lease.acquire("b") == (0, NOW + 32)
+    stores.site.lease.release("b")  # "b" does not hold it
+    assert stores.site.lease.acquire("b")[0] == 0
+    stores.site.lease.release("a")
+    assert stores.site.lease.acquire("b")[0] == 2
 
 
 @pytest.mark.parametrize(
@@ -152,63 +152,63 @@
         b'{"holder":"z","term":1,"until":NaN}',
     ],
 )
-def test_a_lease_that_makes_no_sense_blocks_nobody(world, text):
-    (world.site.folder.path / "lease.json").write_bytes(text)
-    assert world.site.lease.acquire("b")[0] == 1
+def test_a_malformed_lease_counts_as_none(stores, text):
+    (stores.site.folder.path / "lease.json").write_bytes(text)
+    assert stores.site.lease.acquire("b")[0] == 1
 
 
-def test_a_lease_from_the_future_blocks_for_one_span(world):
-    (world.site.folder.path / "lease.json").write_text(
+def test_a_lease_far_in_the_future_blocks_for_one_span(stores):
+    (stores.site.folder.path / "lease.json").write_text(
         json.dumps({"holder": "z", "term": 9, "until": NOW + 365 * DAY})
     )
-    assert world.site.lease.acquire("b")[0] == 0
-    assert world.site.lease.current() == LeaseRecord("z", 9, NOW + 34)
-    world.now += 37
-    assert world.site.lease.acquire("b")[0] == 10
+    assert stores.site.lease.acquire("b")[0] == 0
+    assert stores.site.lease.current() == LeaseRecord("z", 9, NOW + 34)
+    stores.now += 37
+    assert stores.site.lease.acquire("b")[0] == 10
 
 
-def test_what_serves_is_the_current_one_and_where_that_is_spoilt_the_one_before(world):
-    world.install(end=NOW + DAY)
-    first = world.site.certificates.pair(ID)
-    world.install(end=NOW + 2 * DAY)
-    assert world.site.certificates.pair(ID).facts.end == NOW + 2 * DAY
-    world.site.certificates.pair(ID).cert.write_bytes(b"spoilt")
-    assert world.site.certificates.pair(ID) == first
-    world.now = NOW + 3 * DAY  # both are over: the one that can be read serves on
-    assert world.site.certificates.pair(ID) == first
+def test_a_damaged_current_version_is_replaced_by_the_previous_one(stores):
+    stores.install(end=NOW + DAY)
+    first = stores.site.certificates.pair(ID)
+    stores.install(end=NOW + 2 * DAY)
+    assert stores.site.certificates.pair(ID).facts.end == NOW + 2 * DAY
+    stores.site.certificates.pair(ID).cert.write_bytes(b"spoilt")
+    assert stores.site.certificates.pair(ID) == first
+    stores.now = NOW + 3 * DAY  # both have expired: the one that can be read still serves
+    assert stores.site.certificates.pair(ID) == first
 
 
-def test_a_clock_that_goes_back_leaves_it_in_service(world):
-    world.install(start=NOW - 3600)
-    world.now = NOW - DAY
-    assert world.site.certificates.pair(ID) is not None
+def test_a_certificate_stays_in_service_when_the_clock_goes_back(stores):
+    stores.install(start=NOW - 3600)
+    stores.now = NOW - DAY
+    assert stores.site.certificates.pair(ID) is not None
 
 
-def test_few_versions_are_kept(world):
+def test_old_versions_are_pruned(stores):
     for day in range(1, 8):
-        world.install(end=NOW + day * DAY)
-    folder = world.site.folder.path / "certs" / ID
+        stores.install(end=NOW + day * DAY)
+    folder = stores.site.folder.path / "certs" / ID
     assert sum(1 for p in folder.iterdir() if p.is_dir()) == 3
-    assert world.site.certificates.pair(ID).facts.end == NOW + 7 * DAY
+    assert stores.site.certificates.pair(ID).facts.end == NOW + 7 * DAY
 
 
-def test_installed_again_nothing_changes(world):
+def test_installing_a_certificate_again_adds_no_version(stores):
     pem = issued()
     for _ in range(2):
-        world.site.certificates.install(ID, pem, KEY, CertNote(), world.term)
-    assert sum(1 for p in (world.site.folder.path / "certs" / ID).iterdir() if p.is_dir()) == 1
+        stores.site.certificates.install(ID, pem, KEY, CertNote(), stores.term)
+    assert sum(1 for p in (stores.site.folder.path / "certs" / ID).iterdir() if p.is_dir()) == 1
 
 
-def test_cut_off_at_every_write_of_an_installation_one_pair_serves(world):
-    class Cut(BaseException):
+def test_one_pair_serves_after_an_interruption_at_any_write_of_an_installation(stores):
+    class Interrupted(BaseException):
         pass
 
-    world.install(end=NOW + DAY)
+    stores.install(end=NOW + DAY)
     key = chain.new_key("ecdsa-p256")
     new = issued(key, end=NOW + 2 * DAY)
     steps: list[str] = []
-    world.site.folder.on_step = steps.append
-    world.site.certificates.install("other", new, key, CertNote(), world.term)
+    stores.site.folder.on_step = steps.append
+    stores.site.certificates.install("other", new, key, CertNote(), stores.term)
     ends = set()
     for at in range(len(steps)):
         counted = []
@@ -216,16 +216,16 @@
         def step(name, counted=counted, at=at):
             counted.append(name)
             if len(counted) == at + 1:
-                raise Cut
-
-        world.site.folder.on_step = step
-        with pytest.raises(Cut):
-            world.site.certificates.install(ID, new, key, CertNote(), world.term)
-        world.site.folder.on_step = lambda name: None
-        pair = world.site.certificates.pair(ID)
-        chain.check_pair(*world.site.certificates.files(pair), (), NOW)
+                raise Interrupted
+
+        stores.site.folder.on_step = step
+        with pytest.raises(Interrupted):
+            stores.site.certificates.install(ID, new, key, CertNote(), stores.term)
+        stores.site.folder.on_step = lambda name: None
+        pair = stores.site.certificates.pair(ID)
+        chain.check_pair(*stores.site.certificates.files(pair), (), NOW)
         ends.add(pair.facts.end)
-        world.install(end=NOW + DAY)
+        stores.install(end=NOW + DAY)
     assert ends == {NOW + DAY, NOW + 2 * DAY}
 
 
@@ -233,38 +233,38 @@
     ("number", "words"),
     [(errno.ENOSPC, "disk is full"), (errno.EROFS, "read-only"), (errno.EDQUOT, "quota")],
 )
-def test_a_disk_that_takes_nothing_is_told_and_what_serves_stays(world, monkeypatch, number, words):
-    world.install()
-    before = world.site.certificates.pair(ID)
+def test_a_failed_write_is_reported_and_the_old_pair_serves(stores, monkeypatch, number, words):
+    stores.install()
+    before = stores.site.certificates.pair(ID)
 
     def fails(fd):
         raise OSError(number, os.strerror(number))
 
     monkeypatch.setattr(os, "fsync", fails)
     with pytest.raises(StoreError, match=words):
-        world.install(end=NOW + 2 * DAY)
+        stores.install(end=NOW + 2 * DAY)
     monkeypatch.undo()
-    assert world.site.certificates.pair(ID) == before
-    assert not [p for p in all_files(world.site.folder.path) if p.name.startswith(".")]
+    assert stores.site.certificates.pair(ID) == before
+    assert not [p for p in all_files(stores.site.folder.path) if p.name.startswith(".")]
 
 
-def test_a_really_full_disk(tmp_path):
-    """In a process of its own, whose files may not grow beyond what the old pair took."""
+def test_a_file_size_limit_leaves_the_old_pair_in_service(tmp_path):
+    """A separate process with a limit on file sizes, which the new pair exceeds, simulates a full disk."""
     code = (
         "import resource, signal, sys\n"
         "sys.path[:0] = ['tests/certs']\n"
         "from pathlib import Path\n"
-        "from test_certificate_store import World, ID, NOW, DAY\n"
+        "from test_certificate_store import StoreFixture, ID, NOW, DAY\n"
         "from saffrongw.certs.shared_folder import StoreError\n"
-        "world = World(Path(sys.argv[1]))\n"
-        "world.install()\n"
+        "stores = StoreFixture(Path(sys.argv[1]))\n"
+        "stores.install()\n"
         "signal.signal(signal.SIGXFSZ, signal.SIG_IGN)\n"
         "resource.setrlimit(resource.RLIMIT_FSIZE, (100, 100))\n"
         "try:\n"
-        "    world.install(end=NOW + 2 * DAY)\n"
+        "    stores.install(end=NOW + 2 * DAY)\n"
         "except StoreError as wrong:\n"
         "    print('told', wrong)\n"
-        "print(world.site.certificates.pair(ID).facts.end == NOW + DAY)\n"
+        "print(stores.site.certificates.pair(ID).facts.end == NOW + DAY)\n"
     )
     done = subprocess.run(
         [sys.executable, "-c", code, str(tmp_path)], capture_output=True, text=True, timeout=60
@@ -273,46 +273,46 @@
     assert done.stdout.endswith("True\n")
 
 
-def test_challenges_are_found_by_token_and_by_name_and_go_by_hand_or_age(world):
+def test_challenges_are_found_by_token_and_name_until_withdrawn_or_expired(stores):
     first = ChallengeProof(
         ID, "tls-alpn-01", "token-one", "token-one.x", NOW + CHALLENGE_LIFETIME_S
     )
     second = replace(first, token="token-two", authorisation="token-two.x")
-    world.site.challenges.publish(first, world.term)
-    world.site.challenges.publish(second, world.term)
-    assert world.site.challenges.by_token("token-one") == first
-    assert world.site.challenges.by_name(ID) == second
-    assert world.site.challenges.by_token("../lease") is None
-    world.site.challenges.withdraw(("token-one",))
+    stores.site.challenges.publish(first, stores.term)
+    stores.site.challenges.publish(second, stores.term)
+    assert stores.site.challenges.by_token("token-one") == first
+    assert stores.site.challenges.by_name(ID) == second
+    assert stores.site.challenges.by_token("../lease") is None
+    stores.site.challenges.withdraw(("token-one",))
     assert (
-        world.site.challenges.by_token("token-one") is None
-        and world.site.challenges.by_name(ID) == second
+        stores.site.challenges.by_token("token-one") is None
+        and stores.site.challenges.by_name(ID) == second
     )
-    world.now += 2 * CHALLENGE_LIFETIME_S
-    world.site.challenges.withdraw(())
-    assert list((world.site.folder.path / "challenges").iterdir()) == []
+    stores.now += 2 * CHALLENGE_LIFETIME_S
+    stores.site.challenges.withdraw(())
+    assert list((stores.site.folder.path / "challenges").iterdir()) == []
 
 
 @pytest.mark.parametrize("id", ["", "../x", "a/b", ".", "-x", "x" * 200, "A B"])
-def test_no_name_leads_out_of_the_folder(world, id):
+def test_identifiers_that_leave_the_folder_are_rejected(stores, id):
     with pytest.raises(StoreError, match="can't name"):
-        world.site.certificates.amend(id, lambda _: CertNote(), world.term)
+        stores.site.certificates.amend(id, lambda _: CertNote(), stores.term)
 
 
-def test_an_accounts_key_is_made_once_and_set_aside_when_it_is_gone(world):
+def test_an_account_key_is_created_once_and_renamed_when_retired(stores):
     place = "https://ca.example/dir"
-    key, account = world.site.accounts.load(place, world.term)
+    key, account = stores.site.accounts.load(place, stores.term)
     assert account is None
-    again, _ = world.site.accounts.load(place, None)
+    again, _ = stores.site.accounts.load(place, None)
     assert again.thumbprint == key.thumbprint
-    world.site.accounts.save(Account(place, "https://ca.example/account/1"), world.term)
-    assert world.site.accounts.load(place, None)[1].url.endswith("/1")
-    world.site.accounts.retire_key(place, world.term)
-    assert world.site.accounts.load(place, world.term)[0].thumbprint != key.thumbprint
-    assert len(list((world.site.folder.path / "authorities").rglob("account.key.gone-*"))) == 1
+    stores.site.accounts.save(Account(place, "https://ca.example/account/1"), stores.term)
+    assert stores.site.accounts.load(place, None)[1].url.endswith("/1")
+    stores.site.accounts.retire_key(place, stores.term)
+    assert stores.site.accounts.load(place, stores.term)[0].thumbprint != key.thumbprint
+    assert len(list((stores.site.folder.path / "authorities").rglob("account.key.gone-*"))) == 1
 
 
-def test_two_processes_take_the_lock_in_turn(world):
+def test_the_lock_excludes_other_processes_and_is_released_on_death(stores):
     code = (
         "import sys, time\n"
         "from pathlib import Path\n"
@@ -323,7 +323,7 @@
         "    sys.stdin.readline()\n"
     )
     other = subprocess.Popen(
-        [sys.executable, "-c", code, str(world.site.folder.path)],
+        [sys.executable, "-c", code, str(stores.site.folder.path)],
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
         text=True,
@@ -335,17 +335,17 @@
         within, module.LOCK_TIMEOUT_S = module.LOCK_TIMEOUT_S, 0.1
         try:
             with pytest.raises(StoreError, match="locked"):
-                world.site.certificates.amend(ID, lambda _: CertNote(), world.term)
+                stores.site.certificates.amend(ID, lambda _: CertNote(), stores.term)
         finally:
             module.LOCK_TIMEOUT_S = within
-        other.kill()  # a holder that dies lets go
+        other.kill()  # the lock is released when its holder dies
         other.wait()
-        world.site.certificates.amend(ID, lambda _: CertNote(), world.term)
+        stores.site.certificates.amend(ID, lambda _: CertNote(), stores.term)
     finally:
         other.kill()
         other.wait()
 
 
-def test_documents_of_accounts_are_checked():
+def test_account_documents_are_validated():
     with pytest.raises(DocumentError, match="missing"):
         documents.account(b'{"schema": 1, "url": "x"}', "account.json")
--- a/tests/certs/test_certs_table.py
+++ b/tests/certs/test_certs_table.py
@@ -1,4 +1,4 @@
-"""The table in a real process, SIGHUP, the command line, and that nothing is loaded or paid without it."""
+"""The ``[certs]`` table in a real process, SIGHUP, the command line, and no imports without the table."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
         (HEAD + AUTHORITY + 'default = "x"\n' + CERT, "unknown key"),
     ],
 )
-def test_a_wrong_table_gets_one_line_and_status_2(tmp_path, capsys, text, expected):
+def test_an_invalid_table_prints_one_line_and_exits_with_2(tmp_path, capsys, text, expected):
     (tmp_path / "o.toml").write_text(text)
     assert cli.main(["check", str(tmp_path / "o.toml")]) == 2
     said = capsys.readouterr().err
@@ -71,7 +71,7 @@
     assert said.count("\n") == 1
 
 
-def test_without_the_table_nothing_of_it_is_loaded():
+def test_the_package_is_not_loaded_without_the_table():
     code = (
         "import sys\n"
         "from saffrongw.operator import load\n"
@@ -85,10 +85,10 @@
     )
     assert done.stdout.strip() in ("[]", "['ssl']"), (
         done.stderr
-    )  # the loop's library may load the last one
+    )  # the event loop's library may import ssl
 
 
-async def said(*words: str) -> tuple[int, str, str]:
+async def run_certs_command(*words: str) -> tuple[int, str, str]:
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -104,24 +104,26 @@
 
 
 @asyncio_test
-async def test_an_operators_day_beside_a_gateway_in_service(tmp_path):
-    """list, show, renew, revoke, a new account key, an import, and a SIGHUP with a wrong and a right file."""
+async def test_all_operator_commands_with_a_running_gateway(tmp_path):
+    """list, show, renew, revoke, rollover, import, and SIGHUP with invalid and valid files."""
     site = await Site(tmp_path).open()
     process = await site.start()
     first = await site.shown()
     operator = ("--operator", str(site.operator))
 
-    code, out, _ = await said(*operator, "list")
+    code, out, _ = await run_certs_command(*operator, "list")
     assert code == 0 and NAME in out and "Stand-in Intermediate" in out and "none" in out
-    code, out, _ = await said(*operator, "--json", "list")
+    code, out, _ = await run_certs_command(*operator, "--json", "list")
     assert json.loads(out)["days_left"] > 89
-    code, out, _ = await said(*operator, "show", NAME)
+    code, out, _ = await run_certs_command(*operator, "show", NAME)
     assert code == 0 and "chain of 2" in out and "fingerprint" in out
 
-    assert (await said(*operator, "renew", NAME))[0] == 0
+    assert (await run_certs_command(*operator, "renew", NAME))[0] == 0
     second = await site.shown(first)
-    assert (await said(*operator, "rollover"))[0] == 0
-    code, out, err = await said(*operator, "revoke", NAME, "--reason", "key-compromise")
+    assert (await run_certs_command(*operator, "rollover"))[0] == 0
+    code, out, err = await run_certs_command(
+        *operator, "revoke", NAME, "--reason", "key-compromise"
+    )
     assert code == 0, err
     third = await site.shown(second)
     assert list(site.server.authority.revoked.values()) == [1]
@@ -132,10 +134,12 @@
     (tmp_path / "own.pem").write_bytes(own)
     (tmp_path / "own.key").write_bytes(key)
     files = ("--cert", str(tmp_path / "own.pem"), "--key", str(tmp_path / "own.key"))
-    assert (await said(*operator, "import", *files))[0] == 0
+    assert (await run_certs_command(*operator, "import", *files))[0] == 0
     assert await site.shown(third) == chain.der_of(own)
     (tmp_path / "other.key").write_bytes(chain.new_key("ecdsa-p256"))
-    code, _, err = await said(*operator, "import", *files[:3], str(tmp_path / "other.key"))
+    code, _, err = await run_certs_command(
+        *operator, "import", *files[:3], str(tmp_path / "other.key")
+    )
     assert code == 2 and "another key" in err
 
     good = site.operator.read_text()
@@ -153,7 +157,7 @@
     await site.server.close()
 
 
-def test_what_is_urgent_is_said_first_and_by_the_status(tmp_path, capsys):
+def test_the_list_is_sorted_by_urgency_and_alarms_set_the_exit_status(tmp_path, capsys):
     site, key, now = CertificateSite(tmp_path / "state"), chain.new_key("ecdsa-p256"), time.time()
     site.folder.open()
     issuer = Issuer(now)
@@ -183,13 +187,13 @@
         (("import", "--cert", "/none", "--key", "/none"), "can't be read"),
     ],
 )
-def test_what_can_not_be_done_is_one_line_and_status_2(tmp_path, capsys, words, expected):
+def test_a_failed_command_prints_one_line_and_exits_with_2(tmp_path, capsys, words, expected):
     assert cli.main(["certs", "--state", str(tmp_path / "none"), *words]) == 2
     said = capsys.readouterr().err
     assert expected in said and said.count("\n") == 1
 
 
-def test_unknown_names_are_answered_with_those_that_there_are(tmp_path, capsys):
+def test_commands_with_an_unknown_name_exit_with_2(tmp_path, capsys):
     site = CertificateSite(tmp_path / "state")
     site.folder.open()
     for words in (("show", "x.example"), ("renew", "x.example"), ("revoke", "x.example")):
--- a/tests/certs/test_chain.py
+++ b/tests/certs/test_chain.py
@@ -1,4 +1,4 @@
-"""What may be put in service: each rule with a certificate that breaks it and nothing else."""
+"""Checks of certificate pairs: each rule with a certificate that breaks only this rule."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize("kind", ["ecdsa-p256", "ecdsa-p384", "rsa-2048"])
-def test_a_good_one_tells_its_facts(kind):
+def test_a_valid_pair_yields_its_facts(kind):
     key = chain.new_key(kind)
     pem = issued(key)
     facts = chain.check_pair(pem, key, ("gw.example", "x.b.example"), NOW)
@@ -49,7 +49,7 @@
     )
 
 
-def test_each_fault_is_told_as_what_it_is():
+def test_each_fault_has_its_own_error_message():
     other = ec.generate_private_key(ec.SECP256R1()).public_key()
     assert "another key" in refused(issued(other=other))
     assert "does not cover c.example" in refused(issued(), names=("c.example",))
@@ -71,12 +71,12 @@
     return serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
 
 
-def test_one_without_its_chain_may_serve_and_a_small_skew_is_borne():
+def test_a_leaf_alone_and_a_small_clock_skew_are_accepted():
     leaf = ISSUER.sign(csr(), list(NAMES), NOW + 60, NOW + DAY)
     assert chain.check_pair(leaf.public_bytes(serialization.Encoding.PEM), KEY, (), NOW).chain == 1
 
 
-def test_at_any_time_ended_ones_may_go_on():
+def test_any_time_accepts_expired_and_future_certificates():
     pem = issued(start=NOW - 2 * DAY, end=NOW - 1)
     assert chain.check_pair(pem, KEY, (), NOW, any_time=True).end == NOW - 1
     assert (
@@ -97,11 +97,11 @@
         (issued() * 5, "10 certificates"),
     ],
 )
-def test_what_is_no_chain(pem, said):
+def test_invalid_pem_is_rejected(pem, said):
     assert said in refused(pem)
 
 
-def test_keys_that_can_not_be_used_are_told():
+def test_unusable_keys_are_rejected():
     odd = ed25519.Ed25519PrivateKey.generate().private_bytes(serialization.Encoding.PEM, *_plain())
     locked = ec.generate_private_key(ec.SECP256R1()).private_bytes(
         serialization.Encoding.PEM,
@@ -113,8 +113,8 @@
     assert "can't be read" in refused(issued(), b"no key")
 
 
-def test_every_byte_flipped_is_refused_or_the_same_certificate():
-    """Whatever a disk or a line does to the file, what passes has our key and is signed by its chain."""
+def test_a_flipped_byte_is_rejected_or_changes_nothing():
+    """A corrupted file must not put a different certificate in service."""
     pem = bytearray(issued())
     good = chain.check_pair(bytes(pem), KEY, ("gw.example",), NOW)
     for at in range(0, len(pem), 3):
@@ -126,7 +126,7 @@
         assert facts.names == good.names and facts.end == good.end
 
 
-def test_the_proof_of_a_name_has_its_digest():
+def test_the_validation_certificate_has_the_digest():
     now = datetime.now(UTC)
     cert, _ = chain.validation_certificate("gw.example", b"d" * 32, now, now + timedelta(days=1))
     found = x509.load_pem_x509_certificate(cert)
--- a/tests/certs/test_handshakes.py
+++ b/tests/certs/test_handshakes.py
@@ -1,4 +1,4 @@
-"""Which handshakes begin: places, budget, order, times; by a clock that is handed in."""
+"""Admission of handshakes: half-open limit, token bucket, order and deadlines, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
         handshakes.hello_received(key)
 
 
-def test_a_burst_begins_at_once_and_the_rest_by_the_cpu_share():
+def test_a_burst_begins_at_once_and_the_rest_at_the_rate_of_the_cpu_share():
     handshakes = Handshakes(LIMITS, 0)
     send_hello(handshakes, 0, "a", "b", "c", "d")
     assert handshakes.begin(0) == ["a", "b", "c"]
@@ -37,7 +37,7 @@
     send_hello(handshakes, 0, "a", "b", "c", "d")
     handshakes.begin(0)
     handshakes.succeeded("a", True)
-    assert handshakes.begin(0) == []  # 700 came back
+    assert handshakes.begin(0) == []  # 700 tokens were returned
     handshakes.succeeded("b", True)
     assert handshakes.begin(0) == ["d"]
     assert handshakes.counts["resumed"] == 2
@@ -51,7 +51,10 @@
     assert handshakes.accept(1, "e") == (True, "b")
     for key in "cde":
         handshakes.hello_received(key)
-    assert handshakes.accept(2, "f") == (False, None)  # all have sent theirs: those are kept
+    assert handshakes.accept(2, "f") == (
+        False,
+        None,
+    )  # all have sent their hellos, so none is evicted
     assert handshakes.stage("f") is None
 
 
@@ -75,8 +78,8 @@
     assert handshakes.stage("check") is HandshakeStage.RUNNING
 
 
-def test_a_flood_takes_no_more_than_the_cpu_share():
-    """10,000 a second for 4 s: begun full handshakes take a quarter of the core and the burst, no more."""
+def test_handshakes_of_a_flood_stay_within_the_cpu_share():
+    """10,000 connections a second for 4 s: full handshakes take at most a quarter of the core and the burst."""
     limits = HandshakeLimits(
         max_half_open=256,
         timeout_us=1_000_000,
--- a/tests/certs/test_http.py
+++ b/tests/certs/test_http.py
@@ -1,4 +1,4 @@
-"""An authority that is hostile below its protocol: bytes on the line, times, certificates of its own."""
+"""The HTTPS client with an authority that sends malformed, slow or endless replies, or is untrusted."""
 
 from __future__ import annotations
 
@@ -19,8 +19,10 @@
 
 
 @contextlib.asynccontextmanager
-async def line(tmp_path, data: bytes, then=None, ca: trustme.CA = CA, within: float = 20.0):
-    """A server that says these bytes, and a way to ask it."""
+async def authority_server(
+    tmp_path, data: bytes, then=None, ca: trustme.CA = CA, within: float = 20.0
+):
+    """Run a server that replies with these bytes; yield a function that sends it a request."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     ca.issue_cert("127.0.0.1").configure_cert(context)
 
@@ -40,17 +42,17 @@
     server.close()
 
 
-async def endless(writer) -> None:
+async def send_endless_body(writer) -> None:
     for _ in range(MAX_BODY_BYTES // 65_536 + 8):
         writer.write(b"x" * 65_536)
         await writer.drain()
 
 
-async def silent(writer) -> None:
+async def send_nothing(writer) -> None:
     await asyncio.sleep(5)
 
 
-async def dripping(writer) -> None:
+async def drip_bytes(writer) -> None:
     for _ in range(60):
         writer.write(b"x")
         await writer.drain()
@@ -90,21 +92,21 @@
             "no HTTP",
         ),
         (b"", None, 20, FailureKind.UNREACHABLE, "ended within"),
-        (b"HTTP/1.1 200 OK\r\n\r\n", endless, 20, FailureKind.UNUSABLE, "longer than"),
-        (b"", silent, 0.2, FailureKind.UNREACHABLE, "no answer within"),
+        (b"HTTP/1.1 200 OK\r\n\r\n", send_endless_body, 20, FailureKind.UNUSABLE, "longer than"),
+        (b"", send_nothing, 0.2, FailureKind.UNREACHABLE, "no answer within"),
         (
             b"HTTP/1.1 200 OK\r\ncontent-length: 1000\r\n\r\n",
-            dripping,
+            drip_bytes,
             0.3,
             FailureKind.UNREACHABLE,
             "no answer within",
         ),
     ],
 )
-def test_what_is_no_answer_ends_in_its_own_error(tmp_path, data, then, within, kind, said):
+def test_a_malformed_or_missing_reply_raises_acme_error(tmp_path, data, then, within, kind, said):
     @asyncio_test
     async def run():
-        async with line(tmp_path, data, then, within=within) as ask:
+        async with authority_server(tmp_path, data, then, within=within) as ask:
             with pytest.raises(AcmeError) as found:
                 await ask()
             assert found.value.kind is kind
@@ -114,16 +116,16 @@
 
 
 @asyncio_test
-async def test_a_redirect_is_an_answer_and_is_not_followed(tmp_path):
-    async with line(
+async def test_a_redirect_is_returned_and_not_followed(tmp_path):
+    async with authority_server(
         tmp_path, b"HTTP/1.1 302 Found\r\nlocation: https://x/\r\ncontent-length: 0\r\n\r\n"
     ) as ask:
         assert (await ask()).status == 302
 
 
 @asyncio_test
-async def test_one_whose_own_certificate_is_not_trusted_counts_as_away(tmp_path):
-    async with line(tmp_path, GOOD + b"\r\n{}", ca=trustme.CA()) as ask:
+async def test_an_authority_with_an_untrusted_certificate_counts_as_unreachable(tmp_path):
+    async with authority_server(tmp_path, GOOD + b"\r\n{}", ca=trustme.CA()) as ask:
         with pytest.raises(AcmeError) as found:
             await ask()
     assert found.value.kind is FailureKind.UNREACHABLE
@@ -131,12 +133,12 @@
 
 
 @asyncio_test
-async def test_links_and_headers_are_read(tmp_path):
+async def test_links_and_headers_are_parsed(tmp_path):
     head = (
         GOOD
         + b'Link: <https://x/1>;rel="alternate", <https://x/2>; rel="alternate"\r\nLink: <https://x/3>;rel=next\r\n'
     )
-    async with line(tmp_path, head + b"Replay-Nonce: abc\r\n\r\n{}") as ask:
+    async with authority_server(tmp_path, head + b"Replay-Nonce: abc\r\n\r\n{}") as ask:
         answer = await ask()
     assert answer.linked("alternate") == ["https://x/1", "https://x/2"]
     assert answer.linked("next") == ["https://x/3"]
@@ -144,7 +146,7 @@
 
 
 @asyncio_test
-async def test_nobody_there_is_away():
+async def test_a_refused_connection_counts_as_unreachable():
     with pytest.raises(AcmeError) as found:
         await AuthorityClient().send(HttpRequest("GET", "https://127.0.0.1:1/dir", "directory"))
     assert found.value.kind is FailureKind.UNREACHABLE
--- a/tests/certs/test_lease.py
+++ b/tests/certs/test_lease.py
@@ -1,4 +1,4 @@
-"""The lease: one holder at a time while clocks differ by what is allowed, and no duty that is blocked for ever."""
+"""The lease: one holder at a time while clocks differ by at most the skew, and none that blocks for ever."""
 
 from __future__ import annotations
 
@@ -20,40 +20,40 @@
 TERMS = LeaseTerms(30.0, 2.0)
 
 
-def test_none_is_there_so_it_is_taken():
+def test_a_missing_lease_is_taken():
     assert decide(100.0, "a", None, TERMS) == TakeLease(LeaseRecord("a", 1, 130.0))
 
 
-def test_the_holder_keeps_it_and_renews_at_half():
+def test_the_holder_renews_after_half_of_the_span():
     lease = LeaseRecord("a", 3, 130.0)
     assert decide(105.0, "a", lease, TERMS) == HoldLease(115.0)
     assert decide(116.0, "a", lease, TERMS) == TakeLease(LeaseRecord("a", 3, 146.0))
 
 
-def test_another_waits_until_the_end_and_the_skew():
+def test_another_process_waits_until_the_end_plus_the_skew():
     lease = LeaseRecord("a", 3, 130.0)
     assert decide(131.9, "b", lease, TERMS) == WaitForLease(132.0)
     assert decide(132.0, "b", lease, TERMS) == TakeLease(LeaseRecord("b", 4, 162.0))
 
 
-def test_a_holder_that_was_stopped_is_found_out_by_its_term():
+def test_a_lease_is_not_held_under_an_old_term_or_near_its_end():
     mine, taken = LeaseRecord("a", 3, 130.0), LeaseRecord("b", 4, 162.0)
     assert is_held(127.9, "a", 3, mine, TERMS)
     assert not is_held(128.0, "a", 3, mine, TERMS)
     assert not is_held(110.0, "a", 3, taken, TERMS)
     assert not is_held(
         110.0, "a", 3, LeaseRecord("a", 5, 160.0), TERMS
-    )  # it was taken, lost and taken again meanwhile
+    )  # lost and taken again meanwhile, so the term differs
     assert not is_held(110.0, "a", 3, None, TERMS)
 
 
-def test_its_own_lease_that_ran_out_is_taken_with_a_new_term():
+def test_the_holder_takes_its_own_expired_lease_with_a_new_term():
     assert decide(140.0, "a", LeaseRecord("a", 3, 130.0), TERMS) == TakeLease(
         LeaseRecord("a", 4, 170.0)
     )
 
 
-def test_a_lease_from_a_clock_that_was_a_year_ahead_blocks_for_one_span_at_most():
+def test_a_lease_written_by_a_clock_a_year_ahead_blocks_for_one_span_at_most():
     wrong = LeaseRecord("a", 3, 1e9)
     cut = clamp_to_clock(100.0, wrong, TERMS)
     assert cut.until == 134.0
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("terms", [(30.0, 10.0), (0.0, 0.0), (5.0, -1.0)])
-def test_terms_that_can_not_hold_are_refused(terms):
+def test_a_skew_of_a_third_of_the_span_or_more_is_rejected(terms):
     with pytest.raises(ValueError, match="third"):
         LeaseTerms(*terms)
 
@@ -71,8 +71,8 @@
     st.lists(st.floats(-1.0, 1.0), min_size=2, max_size=5),
     st.lists(st.tuples(st.integers(0, 4), st.floats(0, 20), st.booleans()), max_size=80),
 )
-def test_with_clocks_that_differ_by_the_skew_never_two_act(offsets, turns):
-    """Each turn one gateway looks, a while later; some are stopped and act on what they believed."""
+def test_at_most_one_process_acts_while_clocks_differ_by_the_skew(offsets, turns):
+    """In each turn, one gateway checks the lease or acts on the term that it last saw, as after a suspension."""
     lease, now, believed = None, 1_000.0, {}
     for who, pause, looks in turns:
         who, now = who % len(offsets), now + pause
@@ -90,4 +90,4 @@
             if term and is_held(now + offsets[w], str(w), term, lease, TERMS)
         ]
         assert len(acting) <= 1
-        # Also by what each believes alone, without a look: its lease may have ended, but no other's has begun.
+        # ``believed`` may be outdated: a holder that has not checked again must not act beside another.
--- a/tests/certs/test_order_kills.py
+++ b/tests/certs/test_order_kills.py
@@ -1,4 +1,4 @@
-"""Real gateways killed at every step of an order: afterwards one valid certificate serves, and no key was lost."""
+"""Real gateways killed at every step of an order: after a restart, a valid certificate serves and no key is lost."""
 
 from __future__ import annotations
 
@@ -23,12 +23,14 @@
 from testbed.runner.processes import die_with_parent, free_port
 
 ROOT = Path(__file__).parent.parent.parent
-STEPS = 64  # more than a first order has; a run that outlives them obtains its certificate at once
+STEPS = (
+    64  # more than a first order has; a run with fewer steps obtains its certificate without a kill
+)
 DAY = 86_400.0
 
 
 class Site:
-    """One gateway as a process, its folder, its authority."""
+    """One gateway process with its folder and its authority."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.tls = folder, free_port()
@@ -63,8 +65,8 @@
                 preexec_fn=die_with_parent,
             )
 
-    def visit(self) -> bytes | None:
-        """The certificate that a client is shown; None: none."""
+    def served_certificate(self) -> bytes | None:
+        """Return the certificate that a client receives, or None."""
         try:
             sock = socket.create_connection(("127.0.0.1", self.tls), timeout=2)
             with trusting().wrap_socket(sock, server_hostname=NAME) as tls:
@@ -74,7 +76,7 @@
 
     async def shown(self, other_than: bytes | None = None) -> bytes:
         async with asyncio.timeout(40):
-            while (found := await asyncio.to_thread(self.visit)) in (None, other_than):
+            while (found := await asyncio.to_thread(self.served_certificate)) in (None, other_than):
                 await asyncio.sleep(0.05)
             return found
 
@@ -87,7 +89,7 @@
         assert "Traceback" not in self.log()
 
     def check(self) -> None:
-        """What lies on the disk after all: keys for their owner alone, nothing half written that counts."""
+        """Check the folder: a valid pair, no unfinished order or pending key, only owner access, one account."""
         site = CertificateSite(self.state)
         pair = site.certificates.pair(NAME)
         chain.check_pair(*site.certificates.files(pair), (NAME,), time.time())
@@ -99,8 +101,8 @@
         assert self.server.authority.counts["accounts"] == 1
 
 
-async def killed(folder: Path, step: int, prepare=None) -> None:
-    """One life up to a step, another one to the end."""
+async def kill_and_restart(folder: Path, step: int, prepare=None) -> None:
+    """Run a gateway that is killed at a step, then one that obtains the certificate."""
     folder.mkdir()
     site = await Site(folder).open()
     old = prepare(site) if prepare else None
@@ -115,9 +117,9 @@
     assert step > 40 or "killed at" in site.log()
     again = await site.start()
     if old:
-        assert await site.shown() is not None  # no pause in service, whatever was cut off
+        assert await site.shown() is not None  # the old certificate serves at once
     await site.shown(old)
-    async with asyncio.timeout(20):  # the word of it may be on its way still
+    async with asyncio.timeout(20):  # the pending key is removed after the certificate serves
         while (site.state / "certs" / NAME / "pending.key").exists():
             await asyncio.sleep(0.05)
     await site.end(again)
@@ -127,18 +129,18 @@
 
 
 @pytest.mark.parametrize("batch", range(0, STEPS, 8))
-def test_killed_at_every_step_of_a_first_order(tmp_path, batch):
+def test_a_gateway_killed_at_any_step_of_a_first_order_recovers(tmp_path, batch):
     @asyncio_test
     async def run():
         await asyncio.gather(
-            *(killed(tmp_path / str(step), step) for step in range(batch + 1, batch + 9))
+            *(kill_and_restart(tmp_path / str(step), step) for step in range(batch + 1, batch + 9))
         )
 
     run()
 
 
-def with_an_old_one(site: Site) -> bytes:
-    """A certificate in service that is due; as DER."""
+def install_due_certificate(site: Site) -> bytes:
+    """Install a certificate that is due for renewal; return it as DER."""
     folder, key, now = CertificateSite(site.state), chain.new_key("ecdsa-p256"), time.time()
     folder.folder.open()
     issuer = Issuer(now)
@@ -148,12 +150,17 @@
 
 
 @pytest.mark.parametrize("batch", (2, 18, 34))
-def test_killed_in_a_renewal_the_old_one_serves_at_once_and_then_the_new_one(tmp_path, batch):
+def test_after_a_kill_during_a_renewal_the_old_certificate_serves_until_the_new_one(
+    tmp_path, batch
+):
     @asyncio_test
     async def run():
         steps = range(batch, batch + 16, 2)
         await asyncio.gather(
-            *(killed(tmp_path / str(step), step, with_an_old_one) for step in steps)
+            *(
+                kill_and_restart(tmp_path / str(step), step, install_due_certificate)
+                for step in steps
+            )
         )
 
     run()
--- a/tests/certs/test_renewal.py
+++ b/tests/certs/test_renewal.py
@@ -1,4 +1,4 @@
-"""Renewal on a clock that is handed in: 90 days in milliseconds, authorities that fail, clocks that jump."""
+"""Renewal decisions on a virtual clock: 90 days, authorities that fail, clocks that jump."""
 
 from __future__ import annotations
 
@@ -30,33 +30,35 @@
 FRESH = CertificateState(START, START + LIFE, draw=0.5)
 
 
-def lived(outcome, until: float, state=FRESH, authorities=1, now=START, jump=lambda now: now):
-    """Days on a virtual clock: every try, as (time, authority), until one succeeds or the time is over."""
-    tries = []
+def simulate_attempts(
+    outcome, until: float, state=FRESH, authorities=1, now=START, jump=lambda now: now
+):
+    """Return all attempts as (time, authority), and the time of the first success or None."""
+    attempts = []
     while now < until:
         at = next_attempt_at(now, state, RULES)
         if at > now:
             now = jump(at)
             continue
-        tries.append((now, state.failures.authority))
-        wrong = outcome(now, state.failures.authority)
-        if wrong is None:
-            return tries, now
-        kind, after = wrong
+        attempts.append((now, state.failures.authority))
+        failure = outcome(now, state.failures.authority)
+        if failure is None:
+            return attempts, now
+        kind, after = failure
         kept = next_failures(now, state, kind, "", after, 0.5, authorities)
         assert kept.next_at > now
         state = replace(state, failures=kept)
-    return tries, None
+    return attempts, None
 
 
-def test_due_with_a_third_of_the_life_left_spread_by_its_draw():
+def test_a_renewal_is_due_at_a_third_of_the_lifetime_minus_the_spread():
     assert due_at(replace(FRESH, draw=0.0), RULES) == START + 60 * DAY
     assert due_at(replace(FRESH, draw=1.0), RULES) == pytest.approx(START + 51 * DAY)
     assert due_at(CertificateState(), RULES) == 0.0
     assert due_at(replace(FRESH, wanted=True), RULES) == 0.0
 
 
-def test_the_authoritys_window_counts_but_not_into_the_ground():
+def test_the_renewal_window_is_followed_up_to_half_the_lead_time():
     window = RenewalWindow(START + 40 * DAY, START + 42 * DAY, 0)
     assert due_at(replace(FRESH, window=window), RULES) == START + 41 * DAY
     past_the_end = RenewalWindow(START + 95 * DAY, START + 96 * DAY, 0)
@@ -65,29 +67,31 @@
     assert due_at(replace(FRESH, window=revoked), RULES) < START
 
 
-def test_an_authority_that_is_away_for_hours_around_the_due_time_is_asked_until_it_is_back():
+def test_an_outage_of_hours_at_the_due_time_delays_the_renewal_until_it_ends():
     back = START + 56 * DAY + 9 * HOUR
-    tries, done = lived(
+    attempts, done = simulate_attempts(
         lambda now, _: None if now >= back else (FailureKind.UNREACHABLE, 0), START + LIFE
     )
     assert back <= done <= back + 1.25 * HOUR
     assert START + LIFE - done > 30 * DAY
-    assert len(tries) < 40
+    assert len(attempts) < 40
 
 
-def test_away_for_the_whole_window_and_beyond_the_end_it_is_renewed_within_a_minute_of_its_return():
+def test_after_an_outage_beyond_the_expiry_the_renewal_follows_within_a_minute():
     back = START + LIFE + 5 * HOUR
-    tries, done = lived(
+    attempts, done = simulate_attempts(
         lambda now, _: None if now >= back else (FailureKind.UNREACHABLE, 0), back + DAY
     )
     assert back <= done <= back + MINUTE
-    assert len(tries) < 3_000  # and it was not hammered: an hour's pause until the last ones
-    early = [at for at, _ in tries if at < START + 85 * DAY]
+    assert (
+        len(attempts) < 3_000
+    )  # the authority is not flooded: the backoff is an hour until shortly before the expiry
+    early = [at for at, _ in attempts if at < START + 85 * DAY]
     assert min(b - a for a, b in itertools.pairwise(early[8:])) >= HOUR
 
 
 @pytest.mark.parametrize("kind", list(FailureKind))
-def test_pauses_grow_to_their_most_and_stay_there(kind):
+def test_backoffs_grow_to_their_maximum_and_stay_there(kind):
     state, now, spans = CertificateState(START, START + 10 * 365 * DAY), START, []
     for _ in range(60):
         kept = next_failures(now, state, kind, "", 0, 0.0, 1)
@@ -98,43 +102,45 @@
     assert spans[-1] == BACKOFFS[kind].max_s
 
 
-def test_another_kind_of_failure_begins_anew():
+def test_another_kind_of_failure_resets_the_count():
     first = replace(FRESH, failures=Failures(FailureKind.CHALLENGE.value, 7, START, START, START))
     assert next_failures(START, first, FailureKind.UNREACHABLE, "", 0, 0.0, 1).count == 1
 
 
-def test_an_authoritys_word_is_kept_also_near_the_end():
+def test_retry_after_is_respected_near_the_expiry():
     late = replace(FRESH, end=START + DAY)
     kept = next_failures(START, late, FailureKind.RATE, "", 5 * DAY, 0.0, 1)
     assert kept.next_at == START + 5 * DAY
     assert next_attempt_at(START + HOUR, replace(late, failures=kept), RULES) == START + 5 * DAY
 
 
-def test_the_next_authority_is_asked_where_the_first_fails():
+def test_the_next_authority_is_tried_after_failures_of_the_first():
     def outcome(now, authority):
         return (FailureKind.UNREACHABLE, 0) if authority == 0 else None
 
-    tries, done = lived(outcome, START + LIFE, authorities=2)
-    assert [a for _, a in tries] == [0, 0, 0, 1]
-    assert done - tries[0][0] < 15 * MINUTE
-    limited, _ = lived(
+    attempts, done = simulate_attempts(outcome, START + LIFE, authorities=2)
+    assert [a for _, a in attempts] == [0, 0, 0, 1]
+    assert done - attempts[0][0] < 15 * MINUTE
+    limited, _ = simulate_attempts(
         lambda now, a: (FailureKind.RATE, 3 * DAY) if a == 0 else None, START + LIFE, authorities=2
     )
     assert [a for _, a in limited] == [0, 1]
-    assert limited[1][0] - limited[0][0] <= 2 * MINUTE  # the second has not asked us to wait
+    assert (
+        limited[1][0] - limited[0][0] <= 2 * MINUTE
+    )  # the Retry-After of the first does not apply to the second
 
 
-def test_two_authorities_that_both_fail_are_asked_in_turn_and_not_in_a_storm():
-    tries, done = lived(
+def test_two_failing_authorities_are_tried_alternately_and_at_a_bounded_rate():
+    attempts, done = simulate_attempts(
         lambda now, _: (FailureKind.UNREACHABLE, 0), START + 60 * DAY, authorities=2
     )
     assert done is None
-    assert {a for _, a in tries} == {0, 1}
-    assert len(tries) < 24 * 8 * 3
+    assert {a for _, a in attempts} == {0, 1}
+    assert len(attempts) < 24 * 8 * 3
 
 
-def test_a_clock_that_was_ahead_does_not_silence_us():
-    """A failure was kept by a clock a year ahead; it came back."""
+def test_a_failure_stored_by_a_clock_ahead_does_not_block_attempts():
+    """The clock was a year ahead when the failure was stored, and is right now."""
     ahead = next_failures(
         START + 365 * DAY,
         replace(FRESH, end=START + 366 * DAY),
@@ -149,7 +155,7 @@
     assert next_attempt_at(now, state, RULES) <= now + 1.25 * HOUR
 
 
-def test_a_clock_that_jumps_a_day_ahead_or_back_renews_in_time():
+def test_a_clock_jump_of_a_day_does_not_delay_the_renewal_too_long():
     for jump in (DAY, -DAY):
         jumped = []
 
@@ -159,11 +165,11 @@
                 return at + jump
             return at
 
-        _, done = lived(lambda now, _: None, START + LIFE, jump=moved)
+        _, done = simulate_attempts(lambda now, _: None, START + LIFE, jump=moved)
         assert START + LIFE - done > 28 * DAY
 
 
-def test_without_a_certificate_it_is_tried_at_least_every_ten_minutes():
+def test_without_a_certificate_the_backoff_is_at_most_ten_minutes_plus_jitter():
     state, now = CertificateState(), START
     for _ in range(30):
         kept = next_failures(now, state, FailureKind.CHALLENGE, "", 0, 1.0, 1)
@@ -171,7 +177,7 @@
         now, state = kept.next_at, replace(state, failures=kept)
 
 
-def test_alarms_rise_as_the_end_nears():
+def test_alarm_levels_rise_towards_the_expiry():
     at = lambda left: alarm(START + LIFE * (1 - left), FRESH, RULES)  # noqa: E731
     assert [at(x) for x in (0.9, 0.3, 0.2, 0.1, 0.03, 0.0, -0.1)] == [
         Alarm.NONE,
@@ -186,7 +192,7 @@
     assert alarm(START, CertificateState(failures=Failures("away", 3)), RULES) is Alarm.CRITICAL
 
 
-def test_the_window_is_asked_for_again_when_its_time_has_come_or_lies_absurdly_far():
+def test_the_window_is_requested_when_due_or_if_the_stored_time_is_implausible():
     assert window_question_at(START, FRESH) == START
     assert (
         window_question_at(START, replace(FRESH, window=RenewalWindow(0, 1, START + HOUR)))
@@ -198,7 +204,7 @@
     )
 
 
-def test_500_names_of_one_moment_do_not_renew_at_one_moment():
+def test_renewals_of_500_certificates_issued_together_are_spread():
     import random
 
     dues = sorted(
