--- a/saffrongw/certs/challenge_answers.py
+++ b/saffrongw/certs/challenge_answers.py
@@ -35,7 +35,7 @@
         self._contexts: dict[str, _CachedContext] = {}
 
     async def tls_context(self, name: str) -> ssl.SSLContext | None:
-        """Return the TLS context that proves a name, or None without a published challenge."""
+        """Return the TLS context for the validation of a name, or None without a challenge."""
         try:
             proof = await self.worker.run(self.store.by_name, name)
             if proof is None:
--- a/saffrongw/certs/client_hello.py
+++ b/saffrongw/certs/client_hello.py
@@ -31,7 +31,7 @@
     protocols: tuple[bytes, ...] = ()
 
     @property
-    def is_check(self) -> bool:
+    def is_validation(self) -> bool:
         """Whether an authority validates the name (RFC 8737)."""
         return self.protocols == (ACME_PROTOCOL,)
 
--- a/saffrongw/certs/http.py
+++ b/saffrongw/certs/http.py
@@ -27,10 +27,10 @@
 class AuthorityClient:
     """A client of one authority; ``ca`` is a file of the root certificates that it trusts."""
 
-    def __init__(self, ca: str = "", within: float = TIMEOUT_S) -> None:
-        """Trust this root file, or the system's roots; ``within`` is the time-out in seconds."""
+    def __init__(self, ca: str = "", timeout_s: float = TIMEOUT_S) -> None:
+        """Trust this root file, or the system's roots; ``timeout_s`` is the time-out."""
         self.context = ssl.create_default_context(cafile=ca or None)
-        self.within = within
+        self.timeout_s = timeout_s
 
     async def send(self, request: HttpRequest) -> HttpAnswer:
         """Send a request and return the answer.
@@ -38,11 +38,11 @@
         Raises ``AcmeError`` UNREACHABLE if there is none, UNUSABLE if it is malformed.
         """
         try:
-            async with asyncio.timeout(self.within):
+            async with asyncio.timeout(self.timeout_s):
                 return await self._send(request)
         except TimeoutError:
             raise AcmeError(
-                FailureKind.UNREACHABLE, f"{request.read}: no answer within {self.within:g} s"
+                FailureKind.UNREACHABLE, f"{request.read}: no answer within {self.timeout_s:g} s"
             ) from None
         except ssl.SSLError as error:
             raise AcmeError(
--- a/saffrongw/certs/messages.py
+++ b/saffrongw/certs/messages.py
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Challenge:
-    """One way to prove a name."""
+    """One way to prove control of a name."""
 
     type: str
     url: str
--- a/saffrongw/certs/renewal.py
+++ b/saffrongw/certs/renewal.py
@@ -156,8 +156,8 @@
 ) -> Failures:
     """Return the failures to store after one more.
 
-    The backoff grows as its kind demands and is limited as the expiry nears; after the kind's
-    number of failures the next authority is tried.
+    The backoff depends on the kind and the count, and is limited as the expiry nears. After
+    ``failures_before_next_authority`` failures the next authority is tried.
     """
     before = state.failures
     count = before.count + 1 if before.kind == kind.value else 1
--- a/saffrongw/certs/renewal_loop.py
+++ b/saffrongw/certs/renewal_loop.py
@@ -145,7 +145,7 @@
         """Return the TLS context for a client that asks for this name, or for none."""
         return self.loaded.contexts_by_name.find(name)
 
-    async def check_context(self, name: str) -> ssl.SSLContext | None:
+    async def validation_context(self, name: str) -> ssl.SSLContext | None:
         """Return the TLS context for an authority that validates this name."""
         return await self.challenges.tls_context(name)
 
--- a/saffrongw/certs/responder.py
+++ b/saffrongw/certs/responder.py
@@ -26,7 +26,7 @@
 
     # Set by ``connection_made``, before anything else is called.
     transport: asyncio.Transport
-    limit: asyncio.TimerHandle
+    lifetime_timer: asyncio.TimerHandle
 
     def __init__(self, responder: Responder) -> None:
         self.responder = responder
@@ -37,7 +37,7 @@
         """Register the connection and limit its lifetime."""
         self.transport = transport
         self.responder.opened(self)
-        self.limit = self.responder.loop.call_later(TIMEOUT_S, transport.abort)
+        self.lifetime_timer = self.responder.loop.call_later(TIMEOUT_S, transport.abort)
 
     def data_received(self, data: bytes) -> None:
         """Read the request; bytes after it are ignored."""
@@ -73,7 +73,7 @@
 
     def connection_lost(self, _error: Exception | None) -> None:
         """Unregister the connection."""
-        self.limit.cancel()
+        self.lifetime_timer.cancel()
         self.responder.open.discard(self)
 
 
--- a/saffrongw/certs/tls_listener.py
+++ b/saffrongw/certs/tls_listener.py
@@ -65,7 +65,7 @@
     def context(self, name: str | None) -> ssl.SSLContext | None:
         """Return the context for a client that asks for this name, or for none."""
 
-    async def check_context(self, name: str) -> ssl.SSLContext | None:
+    async def validation_context(self, name: str) -> ssl.SSLContext | None:
         """Return the context for an authority that validates this name (RFC 8737)."""
 
 
@@ -264,7 +264,7 @@
     def _hello_received(self, sock: socket.socket, hello: client_hello.ClientHello) -> None:
         self.loop.remove_reader(sock)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVLOWAT, 1)
-        if hello.is_check:
+        if hello.is_validation:
             # Validations are not limited: they are few, and a renewal depends on them.
             self.handshakes.begin_unlimited(self._now(), sock)
             self._run(self._answer_validation(sock, hello.name))
@@ -297,7 +297,7 @@
         self._drop(sock)
 
     async def _answer_validation(self, sock: socket.socket, name: str | None) -> None:
-        context = await self.certificates.check_context(name) if name else None
+        context = await self.certificates.validation_context(name) if name else None
         if context is None:
             self.handshakes.ended(sock, "unknown check")
             sock.close()
--- a/tests/certs/test_client_hello.py
+++ b/tests/certs/test_client_hello.py
@@ -43,8 +43,10 @@
     assert parse_client_hello(client_hello_bytes("GW.Example", ("resp", "x"))) == ClientHello(
         "gw.example", (b"resp", b"x")
     )
-    assert parse_client_hello(client_hello_bytes(protocols=("acme-tls/1",))).is_check
-    assert not parse_client_hello(client_hello_bytes(protocols=("acme-tls/1", "resp"))).is_check
+    assert parse_client_hello(client_hello_bytes(protocols=("acme-tls/1",))).is_validation
+    assert not parse_client_hello(
+        client_hello_bytes(protocols=("acme-tls/1", "resp"))
+    ).is_validation
 
 
 def test_a_truncated_hello_yields_the_number_of_bytes_needed():
--- a/tests/certs/test_tls_listener.py
+++ b/tests/certs/test_tls_listener.py
@@ -47,7 +47,7 @@
     def context(self, name):
         return self.loaded.contexts_by_name.find(name)
 
-    async def check_context(self, name):
+    async def validation_context(self, name):
         return self.checks.get(name)
 
     def install(self, *names: str, days: float = 1.0) -> int:
