--- a/saffrongw/certs/challenge_answers.py
+++ b/saffrongw/certs/challenge_answers.py
@@ -1,7 +1,4 @@
-"""Answers to an authority that validates a name.
-
-The TLS context (RFC 8737) or the HTTP key authorisation.
-"""
+"""Answers to challenges of an authority: a TLS context (RFC 8737) or an HTTP key authorisation."""
 
 from __future__ import annotations
 
@@ -30,15 +27,15 @@
 
 
 class ChallengeAnswers:
-    """Finds published challenges and makes what proves them."""
+    """Finds published challenges and creates the answers to them."""
 
     def __init__(self, store: ChallengeStore, worker: BlockingWorker) -> None:
-        """Read challenges by this worker."""
+        """Read the challenges of this store on the worker's thread."""
         self.store, self.worker = store, worker
         self._contexts: dict[str, _CachedContext] = {}
 
     async def tls_context(self, name: str) -> ssl.SSLContext | None:
-        """Return the TLS context that proves a name, or None without a published challenge."""
+        """Return the TLS context for the validation of a name, or None without a challenge."""
         try:
             proof = await self.worker.run(self.store.by_name, name)
             if proof is None:
@@ -73,7 +70,7 @@
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     context.set_alpn_protocols(["acme-tls/1"])
-    # The library takes files only; this key is used for one validation.
+    # The TLS library loads keys from files only. This key is used for this validation only.
     with tempfile.NamedTemporaryFile(mode="wb") as file:
         file.write(key + cert)
         file.flush()
