--- a/benchmarks/overload/rig.py
+++ b/benchmarks/overload/rig.py
@@ -289,7 +289,7 @@
     raise SystemExit(f"the gateway did not come up: {(folder / 'log').read_text()[-500:]}")
 
 
-def add_row(
+def add_result_row(
     table: Table, name: str, offered: float, r: Result, forwarder: Result | None = None
 ) -> None:
     """Add one result to a table."""
@@ -362,7 +362,7 @@
         for name in ("forwarder", *trees):
             rounds = sorted(found[f"{name} {rate}"], key=lambda r: r.cpu)
             middle[name] = rounds[len(rounds) // 2]
-            add_row(table, name, rate, middle[name], middle["forwarder"])
+            add_result_row(table, name, rate, middle[name], middle["forwarder"])
         console.print(table)
         for name in trees:
             out[f"{name} {rate}"] = {
@@ -399,7 +399,7 @@
                         )
                     )
             r = sorted(rounds, key=lambda r: r.good)[len(rounds) // 2]
-            add_row(table, f"{name} x{times}", times * options.core, r)
+            add_result_row(table, f"{name} x{times}", times * options.core, r)
             shares = {}
             for key, counter in sorted(r.tally["groups"].items()):
                 plan, kind = map(int, key.split("/"))
