--- a/saffrongw/gateway/discovery/client.py
+++ b/saffrongw/gateway/discovery/client.py
@@ -105,7 +105,7 @@
             raise DiscoveryError(f"an answer is longer than {MAX_BODY_BYTES} bytes")
 
     def _answer_complete(self) -> bool:
-        """Apply a complete answer and send the next poll; False where the connection ends."""
+        """Apply a complete answer and send the next poll; False if the connection ends."""
         body = bytes(self.body)
         self.body = bytearray()
         if self.status != HTTP_OK:
--- a/saffrongw/gateway/discovery/poll_timing.py
+++ b/saffrongw/gateway/discovery/poll_timing.py
@@ -15,8 +15,8 @@
 
 A watch (a long poll) of ``watch_s`` seconds that goes silent is detected only when ``watch_s`` is
 over. The changes that it missed count as notified ``WATCH_NOTIFICATION_DEADLINE_S`` after that, or
-``NOTIFICATION_DEADLINE_S`` after the silence began, whichever is later. By then the silence has to
-be detected, R to pass, and the next poll to be answered:
+``NOTIFICATION_DEADLINE_S`` after the silence began, whichever is later. Within the grace after that
+moment the silence has to be detected, R to pass, and the next poll to be answered:
 
     watch_s + WATCH_MARGIN_S + R + answer  <=  watch_s + WATCH_NOTIFICATION_DEADLINE_S + grace.
 
@@ -78,7 +78,7 @@
 # Maximum answer timeout, however large the fleet: after it, the next poll has to be answered before
 # the notification deadline.
 MAX_ANSWER_TIMEOUT_S = 4.5
-# Maximum span between two attempts: the time to connect adds to it.
+# Maximum span between two attempts, as connecting takes up to ``CONNECT_TIMEOUT_S`` more.
 MAX_RETRY_SPAN_S = 4.0
 # Maximum span after a silent connection: what was missed counts as notified soon after.
 MAX_SPAN_AFTER_SILENCE_S = 0.25
--- a/tests/gateway/test_discovery_client.py
+++ b/tests/gateway/test_discovery_client.py
@@ -166,7 +166,7 @@
 
 
 @asyncio_test
-async def test_a_watch_that_was_rejected_twice_receives_a_drain_before_it_binds():
+async def test_a_watch_that_was_rejected_twice_receives_a_drain_before_it_takes_effect():
     """The service sends the list and then rejects the watch, while an endpoint begins to drain."""
     agent, received = await scripted([COMPLETE, 503, 503, DRAINING], notification_deadline_s=10.0)
     started_at_s = time.monotonic()
--- a/tests/gateway/test_poll_schedule_in_fleet.py
+++ b/tests/gateway/test_poll_schedule_in_fleet.py
@@ -45,7 +45,7 @@
     assert result.current_count == gateways
     assert result.all_current_s <= 30.0 + MAX_RETRY_SPAN_S + 1.0
     assert result.peak_load <= 2.0
-    # One attempt a second of each gateway, at most.
+    # At most one attempt per second of each gateway.
     assert result.rejected <= 30 * gateways
     before = simulate(
         FleetStart(gateways, rejecting=(0.0, 30.0), length_s=120.0, schedule_type=EarlierSchedule)
--- a/tests/gateway/test_upstream_connection.py
+++ b/tests/gateway/test_upstream_connection.py
@@ -15,7 +15,7 @@
 
 @asyncio_test
 async def test_request_not_fully_sent_counts_as_connect_failed():
-    """An endpoint that reads nothing can't have run it, so even a non-idempotent one is rejected."""
+    """An endpoint that reads nothing never gets the last byte: a rejection is right for any class."""
     listener = socket.create_server(("127.0.0.1", 0))
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     endpoint = FakeEndpoint("a")
